--- a/crates/agent/src/fleet/council.rs
+++ b/crates/agent/src/fleet/council.rs
@@ -2,6 +2,7 @@
 
 use super::link::{Asked, Link, ASK, RAFT};
 use super::store::Store;
+use crate::accept::accept;
 use crate::gauge::Gauge;
 use crate::ops::{self, Shown};
 use crate::wire::Wire;
@@ -154,7 +155,7 @@
     }
     let place = listener.local_addr().map_err(|e| e.to_string())?;
     tracing::info!(name = %process.config.name, fleet = %process.config.fleet, "council process listens on {place}");
-    spawn_local(accept(Rc::clone(&process), listener));
+    spawn_local(listen(Rc::clone(&process), listener));
     spawn_local(Rc::clone(&process).form());
     tokio::select! {
         _ = term.recv() => Ok(()),
@@ -164,13 +165,10 @@
     }
 }
 
-async fn accept(process: Rc<Process>, listener: TcpListener) {
+async fn listen(process: Rc<Process>, listener: TcpListener) {
     let open = Gauge::default();
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(20)).await;
-            continue;
-        };
+        let stream = accept(&listener, |_, _| {}).await;
         if open.count() >= CONNECTIONS_MOST {
             continue;
         }
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -2,6 +2,7 @@
 //! over a Unix socket in `$TMPDIR`, all of them in one message if there are several. Both then accept from one queue, so that nothing in it is reset when the old one
 //! closes its end. The connection between the two stays open: while it does, they share the limits.
 
+use crate::accept::accept;
 use rustix::cmsg_space;
 use rustix::net::{recvmsg, sendmsg};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -16,7 +17,7 @@
 use std::time::Duration;
 use tokio::io::Interest;
 use tokio::net::{TcpListener, UnixListener, UnixStream};
-use tokio::time::{sleep, timeout};
+use tokio::time::timeout;
 
 /// A predecessor that has not passed its socket by then has hung or is on its way out.
 const PASS_WAIT: Duration = Duration::from_millis(500);
@@ -24,8 +25,6 @@
 const SOCKETS_MOST: usize = 16;
 /// Processes that share one address at most, this one left out.
 const PEERS_MOST: usize = 3;
-/// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// What a successor says once it can serve.
 const READY: u8 = b'R';
 
@@ -189,10 +188,7 @@
 /// Waits at the meeting place for successors, and passes each the listening sockets, until dropped.
 pub async fn offer(meeting: UnixListener, listeners: Vec<Rc<TcpListener>>, sharers: Rc<Sharers>) {
     loop {
-        let Ok((stream, _)) = meeting.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
-            continue;
-        };
+        let stream = accept(&meeting, |_, _| {}).await;
         if sharers.others.get() >= PEERS_MOST {
             continue;
         }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,7 @@
 //! The agent: the decisions of `heronhoist-decision` on real sockets. See `heronhoist --help`; with
 //! `LB_CONFIG` and no arguments it is the platform's agent.
 
+mod accept;
 mod backend;
 mod cli;
 mod config;
@@ -24,6 +25,7 @@
 mod reload;
 mod seats;
 mod server;
+mod socket_error;
 mod translate;
 mod upload;
 mod wire;
@@ -185,7 +187,7 @@
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         tracing::info!(front = &*front.name, "listening on {address}");
         let (server, front) = (Rc::clone(&server), Rc::new(front.clone()));
-        accepting.push(spawn_local(async move { server.accept(&front, &listener).await }));
+        accepting.push(spawn_local(async move { server.accept(&front, &*listener).await }));
     }
     if let Some(predecessor) = predecessor {
         spawn_local(predecessor.relieve());
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -1,5 +1,6 @@
 //! The operators' address: whether this process can serve, and what it has counted. One call a connection.
 
+use crate::accept::{accept, Listener};
 use crate::gauge::Gauge;
 use crate::wire::Wire;
 use bytes::Bytes;
@@ -12,17 +13,15 @@
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
-use tokio::time::{sleep, timeout};
+use tokio::time::timeout;
 
 /// Callers that are heard at once; beyond so many the one that has stalled longest makes room. Part of what the
 /// configuration keeps back from requests.
 const CALLERS_MOST: usize = 16;
 /// A caller has this long for its call and for reading the answer.
 const CALL_WAIT: Duration = Duration::from_secs(2);
-/// Pause after an accept that failed for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// The largest head of a call.
 const HEAD_MOST: usize = 8 * 1024;
 
@@ -35,14 +34,11 @@
 }
 
 /// Answers operators for as long as the agent lives.
-pub async fn run(listener: TcpListener, shown: Rc<impl Shown + 'static>) {
+pub async fn run(listener: impl Listener<Stream = TcpStream>, shown: Rc<impl Shown + 'static>) {
     let open = Gauge::default();
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
-            continue;
-        };
+        let stream = accept(&listener, |_, _| {}).await;
         callers.retain(|caller| !caller.is_finished());
         if callers.len() >= CALLERS_MOST {
             if let Some(oldest) = callers.pop_front() {
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,5 +1,6 @@
 //! The clients' side: takes requests in and gives each exactly one answer.
 
+use crate::accept::{accept, Listener, ACCEPT_PAUSE};
 use crate::backend::{Call, Content, Served};
 use crate::config::Front;
 use crate::dialect::{self, OLD};
@@ -11,6 +12,7 @@
 use crate::metrics::{ClassCounters, Metrics, Outcome, Times};
 use crate::ops::Shown;
 use crate::seats::{Close, Seat, Seats};
+use crate::socket_error::AcceptError;
 use crate::upload::{Broken, Coming};
 use crate::wire::{linger, Wire};
 use bytes::Bytes;
@@ -30,13 +32,11 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
 /// How long a connection that has been asked to close may take to pass on an answer.
 const CLOSE_WAIT: Duration = Duration::from_secs(1);
-/// Pause after an accept that failed for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// What a client goes on sending behind its last answer is read up to so many bytes.
 const LINGER_MOST: usize = 256 * 1024;
 /// How often connections whose time is over are looked for.
@@ -144,7 +144,7 @@
     }
 
     /// Accepts connections to a front until dropped.
-    pub async fn accept(self: &Rc<Self>, front: &Rc<Front>, listener: &TcpListener) {
+    pub async fn accept(self: &Rc<Self>, front: &Rc<Front>, listener: &impl Listener<Stream = TcpStream>) {
         self.listening.set(true);
         loop {
             // A connection that waits in the backlog has been accepted as far as its client can tell, so room
@@ -153,28 +153,26 @@
                 self.seats.make_room();
                 let _ = timeout(ACCEPT_PAUSE, self.seats.left()).await;
             }
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    let (server, front, ticket) = (Rc::clone(self), Rc::clone(front), self.open.enter());
-                    let (wire, view) = Wire::of_client(stream);
-                    tokio::task::spawn_local(async move {
-                        let (taken, stream) = (server.seats.enter(view), wire.stream());
-                        let ended = server.converse(&front, &taken.seat, wire).await;
-                        if ended == Close::Graceful && taken.seat.leave() {
-                            tokio::select! {
-                                () = linger(&stream, LINGER_MOST) => {}
-                                () = taken.seat.closed_immediately() => {}
-                            }
-                        }
-                        drop((stream, ticket));
-                    });
-                }
-                Err(e) => {
-                    tracing::warn!(error = %e, "cannot accept");
+            let stream = accept(listener, |error, kind| {
+                tracing::warn!(%error, "cannot accept");
+                if kind == AcceptError::ResourceExhausted {
                     self.seats.make_room();
-                    sleep(ACCEPT_PAUSE).await;
                 }
-            }
+            })
+            .await;
+            let (server, front, ticket) = (Rc::clone(self), Rc::clone(front), self.open.enter());
+            let (wire, view) = Wire::of_client(stream);
+            tokio::task::spawn_local(async move {
+                let (taken, stream) = (server.seats.enter(view), wire.stream());
+                let ended = server.converse(&front, &taken.seat, wire).await;
+                if ended == Close::Graceful && taken.seat.leave() {
+                    tokio::select! {
+                        () = linger(&stream, LINGER_MOST) => {}
+                        () = taken.seat.closed_immediately() => {}
+                    }
+                }
+                drop((stream, ticket));
+            });
         }
     }
 
@@ -626,3 +624,6 @@
         status => plain(status, why),
     })
 }
+
+#[cfg(test)]
+mod tests;
