--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::{Connections, Lease, Place};
 use crate::dialect::{NEW, OLD};
-use crate::download::{Download, Origin};
+use crate::download::{BodyLength, Download, Origin};
 use crate::metrics::ClassCounters;
 use crate::patience::{Patience, SHORT};
 use crate::upload::{Coming, Outgoing, Payload, BODY_MOST, HELD_MOST};
@@ -247,6 +247,8 @@
                         Some(Content::Coming(download)) => {
                             download.keep(Origin { lease, place, connections: Rc::clone(&self.connections) });
                         }
+                        // One that has ended with its answer is of no further use.
+                        Some(Content::Held(..)) | None if view.has_ended() => {}
                         Some(Content::Held(..)) | None => self.connections.give_back(place, lease),
                     }
                     return ended;
@@ -301,7 +303,8 @@
         dialect: DialectId,
     ) -> Result<Ended, Spoilt> {
         let (head, mut body) = answer.into_parts();
-        let length = stated_length(head.status, &head.headers).ok_or(Spoilt::Answer)?;
+        let framing = body_length(head.status, &head.headers).ok_or(Spoilt::Answer)?;
+        let length = framing.bytes();
         let held_most = length.unwrap_or(HELD_MOST as u64).min(HELD_MOST as u64) as usize;
         let portion = self.bodies.take(held_most).ok_or(Spoilt::Answer)?;
         let is_long = length.is_some_and(|length| length > HELD_MOST as u64);
@@ -327,6 +330,9 @@
                 }
             }
         }
+        if ended && framing == BodyLength::CloseDelimited && !view.has_ended_orderly() {
+            return Err(Spoilt::Answer);
+        }
         let report = head.headers.get("x-load-report").and_then(|v| self.report(v.as_bytes()));
         let turned_away = match dialect {
             OLD if head.status != StatusCode::OK => {
@@ -348,7 +354,7 @@
             Content::Held(joined(begun, held), portion)
         } else {
             view.lift_allowance();
-            Content::Coming(Box::new(Download::new(begun, body, length, portion)))
+            Content::Coming(Box::new(Download::new(begun, body, framing, portion)))
         };
         Ok(Ended { outcome, report, answer: Some(Served { body, content_type, dialect }) })
     }
@@ -427,9 +433,9 @@
     }
 }
 
-/// The length of an answer's body by its head, or that it is chunked; `None` if that does not say where the answer ends, says
-/// it twice, or says more than any answer may hold: what is read behind such a head may be anything.
-fn stated_length(status: StatusCode, headers: &HeaderMap) -> Option<Option<u64>> {
+/// Where an answer's body ends, by its head; `None` if that says it twice or wrongly, or says more than any answer may hold:
+/// what is read behind such a head may be anything.
+fn body_length(status: StatusCode, headers: &HeaderMap) -> Option<BodyLength> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     if status == StatusCode::SWITCHING_PROTOCOLS {
@@ -437,11 +443,13 @@
     }
     match (lengths.next(), lengths.next(), codings.next(), codings.next()) {
         (Some(length), None, None, None) => {
-            length.to_str().ok()?.parse().ok().filter(|length| *length <= BODY_MOST).map(Some)
+            let length = length.to_str().ok()?.parse().ok();
+            length.filter(|length| *length <= BODY_MOST).map(BodyLength::Known)
         }
         (None, None, Some(coding), None) => {
-            coding.as_bytes().eq_ignore_ascii_case(b"chunked").then_some(None)
+            coding.as_bytes().eq_ignore_ascii_case(b"chunked").then_some(BodyLength::Chunked)
         }
+        (None, None, None, None) => Some(BodyLength::CloseDelimited),
         _ => None,
     }
 }
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -151,3 +151,37 @@
         assert_eq!(backends.report(bad.as_bytes()), None, "{bad:?}");
     }
 }
+
+/// A server's answer without a length, ended by `end` before the agent gets to read any of it.
+async fn ended_by(end: impl FnOnce(&socket2::Socket)) -> Outcome {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let peer = async {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut request = Vec::new();
+        while !request.ends_with(&[7; 9]) {
+            stream.read_buf(&mut request).await.unwrap();
+        }
+        // Nothing else runs from here to the end: the agent finds all of it at once.
+        let socket: socket2::Socket = stream.into_std().unwrap().into();
+        socket.send(b"HTTP/1.1 200 OK\r\n\r\nbody").unwrap();
+        end(&socket);
+        drop(socket);
+    };
+    let both = async { tokio::join!(attempt(address, 9), peer).0 };
+    LocalSet::new().run_until(both).await
+}
+
+/// A stream that reads as ended has not always ended in order: the socket may know better.
+#[tokio::test]
+async fn an_end_that_a_reset_followed_is_none() {
+    let reset = |socket: &socket2::Socket| socket.set_linger(Some(Duration::ZERO)).unwrap();
+    let fin = |socket: &socket2::Socket| socket.shutdown(std::net::Shutdown::Write).unwrap();
+    assert_eq!(ended_by(|socket| fin(socket)).await, Outcome::Success);
+    assert_eq!(ended_by(|socket| reset(socket)).await, Outcome::ConnectionReset);
+    let both = |socket: &socket2::Socket| {
+        fin(socket);
+        reset(socket);
+    };
+    assert_eq!(ended_by(both).await, Outcome::ConnectionReset);
+}
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -17,6 +17,28 @@
 /// A backend that is waited for must send something of the answer within this.
 const SILENCE_MOST: Duration = Duration::from_secs(4);
 
+/// How the head of an answer says where its body ends (RFC 9112, 6.3).
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum BodyLength {
+    /// After so many bytes.
+    Known(u64),
+    /// With the last chunk.
+    Chunked,
+    /// With the connection. Only an orderly end is one: a reset, an error or a silence is none. Of a server that ends in order
+    /// in the middle of its answer nobody can tell; that is the protocol's own limit.
+    CloseDelimited,
+}
+
+impl BodyLength {
+    /// The number of bytes, if the head says it.
+    pub fn bytes(self) -> Option<u64> {
+        match self {
+            BodyLength::Known(bytes) => Some(bytes),
+            BodyLength::Chunked | BodyLength::CloseDelimited => None,
+        }
+    }
+}
+
 /// The connection that an answer comes on, and where it goes back to when all of it has come.
 pub struct Origin {
     /// The connection; closed if the answer does not come whole.
@@ -31,7 +53,7 @@
 pub struct Download {
     begun: VecDeque<Bytes>,
     rest: Incoming,
-    length: Option<u64>,
+    length: BodyLength,
     given: u64,
     origin: Option<Origin>,
     waiting: bool,
@@ -41,7 +63,7 @@
 
 impl Download {
     /// Of this answer so much has come.
-    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: Option<u64>, portion: Portion) -> Self {
+    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, portion: Portion) -> Self {
         let limit = Box::pin(sleep_until(Instant::now()));
         let (given, origin, waiting) = (0, None, false);
         Download { begun, rest, length, given, origin, waiting, limit, _portion: portion }
@@ -55,10 +77,18 @@
     /// All of it has come.
     fn give_back(&mut self) {
         if let Some(Origin { lease, place, connections }) = self.origin.take() {
-            connections.give_back(place, lease);
+            if !lease.view.has_ended() {
+                connections.give_back(place, lease);
+            }
         }
     }
 
+    /// Nothing more comes: whether that is the end of the answer.
+    fn is_whole(&self) -> bool {
+        let has_ended = || self.origin.as_ref().is_some_and(|origin| origin.lease.view.has_ended_orderly());
+        self.length != BodyLength::CloseDelimited || has_ended()
+    }
+
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
         if let Some(data) = self.begun.pop_front() {
             return Poll::Ready(Some(Ok(data)));
@@ -73,7 +103,8 @@
             };
             self.waiting = false;
             match frame {
-                None => return Poll::Ready(None),
+                None if self.is_whole() => return Poll::Ready(None),
+                None => return Poll::Ready(Some(Err(ErrorKind::ConnectionReset.into()))),
                 Some(Err(e)) => return Poll::Ready(Some(Err(Error::other(e)))),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -111,10 +142,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.length == Some(self.given)
+        self.length == BodyLength::Known(self.given)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::default, |all| SizeHint::with_exact(all.saturating_sub(self.given)))
+        let left = self.length.bytes().map(|all| all.saturating_sub(self.given));
+        left.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -26,9 +26,19 @@
     static BETWEEN: RefCell<[u8; CHUNK]> = const { RefCell::new([0; CHUNK]) };
 }
 
+/// What stood behind the end of what a peer sends.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum End {
+    /// Its FIN and nothing else.
+    Orderly,
+    /// A reset.
+    Broken,
+}
+
 /// What a connection tells of itself.
 #[derive(Default)]
 struct Meter {
+    end: Cell<Option<End>>,
     written: Cell<u64>,
     received: Cell<u64>,
     /// Bytes that may still be read before the connection ends; `None` for any number.
@@ -61,6 +71,14 @@
         }
     }
 
+    /// A read has found the end. A reset that came behind the peer's FIN is told by no read; it stands in the socket.
+    fn end_of_stream(&self, stream: &TcpStream) {
+        if self.end.get().is_none() {
+            let is_orderly = matches!(stream.take_error(), Ok(None));
+            self.end.set(Some(if is_orderly { End::Orderly } else { End::Broken }));
+        }
+    }
+
     fn take_in(&self, bytes: &[u8]) -> io::Result<()> {
         self.received.set(self.received.get() + bytes.len() as u64);
         if let Some(left) = self.allowance.get() {
@@ -98,6 +116,16 @@
         self.meter.received.get()
     }
 
+    /// Whether the end of what the peer sends has been read.
+    pub fn has_ended(&self) -> bool {
+        self.meter.end.get().is_some()
+    }
+
+    /// Whether it has been read, and the peer has ended in order.
+    pub fn has_ended_orderly(&self) -> bool {
+        self.meter.end.get() == Some(End::Orderly)
+    }
+
     /// Since when the peer has taken nothing of what waits to be written.
     pub fn stuck_since(&self) -> Option<Instant> {
         self.meter.stuck_since.get()
@@ -251,6 +279,9 @@
                         .stream
                         .try_io(Interest::READABLE, || Err::<(), _>(io::ErrorKind::WouldBlock.into()));
                 }
+                if n == 0 && room > 0 && self.meter.requests.is_none() {
+                    self.meter.end_of_stream(&self.stream);
+                }
                 buf.put_slice(&between[..n]);
                 self.meter.take_in(&between[..n])
             });
--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -2,6 +2,7 @@
 
 mod bulk;
 mod clients;
+mod close_delimited;
 mod common;
 mod handover;
 mod legacy;
--- a/crates/agent/tests/loopback/mixed.rs
+++ b/crates/agent/tests/loopback/mixed.rs
@@ -180,6 +180,23 @@
     }
 }
 
+/// Servers of that time may state no length and end their answer with the connection, also one that turns a request away.
+#[test]
+fn old_answers_without_a_length_are_whole_by_their_orderly_end() {
+    let old = Backend::new(|_| Act::Last(format!("HTTP/1.0 200 OK\r\n\r\n{ROW}")));
+    let (agent, _folder) = start("legacy", &[(&old, OLD)]);
+    let answer = Client::to(&agent).ask(&correction(1));
+    assert_eq!((answer.status(), answer.body.as_slice()), (200, ROW.as_bytes()));
+
+    let refusal = "HTTP/1.0 503 X\r\n\r\nREFUSED\r\nIt did not run; trying again is harmless.\r\n";
+    let (busy, new) = (Backend::new(move |_| Act::Last(refusal.into())), records());
+    let (agent, _folder) = start("legacy", &[(&busy, OLD), (&new, NEW)]);
+    let mut client = Client::to(&agent);
+    while busy.heard.all().is_empty() {
+        assert_eq!(client.ask(&order(ORDER)).status(), 200);
+    }
+}
+
 /// A server changes its dialect in mid-stream: what is in flight ends in the one that it began in, the next request speaks the
 /// other, on a connection of its own.
 #[test]
