--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -9,6 +9,7 @@
 use crate::wire::View;
 use bytes::{Bytes, BytesMut};
 use heronhoist_decision::{DialectId, Outcome, ServerId};
+use heronhoist_engine::timing::{caught_up, read_until, timeout, timeout_at};
 use heronhoist_engine::{Arriving, Gate, Part, Portion, Upstream};
 use heronhoist_translate::wire::trouble::is_refusal;
 use heronhoist_translate::Mapping;
@@ -23,7 +24,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::time::{sleep, timeout, timeout_at, Instant};
+use tokio::time::Instant;
 
 /// The most that is read for an answer that is held whole: a body in small chunks, its head, and what may come ahead.
 const ANSWER_MOST: u64 = 4 * HELD_MOST as u64;
@@ -213,6 +214,8 @@
                 Ok(lease) => lease,
                 Err(outcome) => return outcome.into(),
             };
+            // What was told while the process was held up closes the gate too.
+            caught_up().await;
             if !gate.open() {
                 self.connections.give_back(place, lease);
                 return Outcome::NotSent.into();
@@ -426,7 +429,7 @@
 /// Comes back when the peer has taken nothing of what waits to be written for too long.
 async fn stuck(view: &View) {
     loop {
-        sleep(STUCK_LOOK).await;
+        read_until(Instant::now() + STUCK_LOOK).await;
         if view.stuck_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
             return;
         }
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -4,6 +4,7 @@
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
 use heronhoist_decision::{Outcome, ServerId};
+use heronhoist_engine::timing::timeout;
 use heronhoist_engine::Part;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use std::cell::{Cell, RefCell};
@@ -13,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
-use tokio::time::{timeout, Instant};
+use tokio::time::Instant;
 
 /// A connection rests for this share of the time after which a backend closes it, so that the two never cross.
 const IDLE_SHARE: f64 = 0.8;
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -4,6 +4,7 @@
 use crate::wire::Wire;
 use bytes::Bytes;
 use heronhoist_decision::Time;
+use heronhoist_engine::timing::timeout;
 use heronhoist_engine::{Feed, List, Member, Membership, SERVERS_MOST};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
@@ -19,7 +20,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// How long a watch waits for news. What a watch misses that has fallen silent counts as told 6 s after that, so this,
 /// the time for its answer and a new call have to fit into those 6 s.
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -3,16 +3,16 @@
 use crate::connections::{Connections, Lease, Place};
 use crate::upload::BODY_MOST;
 use bytes::Bytes;
+use heronhoist_engine::timing::Limit;
 use heronhoist_engine::Portion;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::collections::VecDeque;
-use std::future::Future;
 use std::io::{Error, ErrorKind};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
-use tokio::time::{sleep_until, Instant, Sleep};
+use tokio::time::Instant;
 
 /// A backend that is waited for must send something of the answer within this.
 const SILENCE_MOST: Duration = Duration::from_secs(4);
@@ -57,14 +57,14 @@
     given: u64,
     origin: Option<Origin>,
     waiting: bool,
-    limit: Pin<Box<Sleep>>,
+    limit: Limit,
     _portion: Portion,
 }
 
 impl Download {
     /// Of this answer so much has come.
     pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, portion: Portion) -> Self {
-        let limit = Box::pin(sleep_until(Instant::now()));
+        let limit = Limit::new(Instant::now());
         let (given, origin, waiting) = (0, None, false);
         Download { begun, rest, length, given, origin, waiting, limit, _portion: portion }
     }
@@ -96,9 +96,9 @@
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
                 if !std::mem::replace(&mut self.waiting, true) {
-                    self.limit.as_mut().reset(Instant::now() + SILENCE_MOST);
+                    self.limit.reset(Instant::now() + SILENCE_MOST);
                 }
-                ready!(self.limit.as_mut().poll(cx));
+                ready!(self.limit.poll_over(cx));
                 return Poll::Ready(Some(Err(ErrorKind::TimedOut.into())));
             };
             self.waiting = false;
--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/link.rs
@@ -6,6 +6,7 @@
 use heronhoist_council::caller::Caller;
 use heronhoist_council::wire::{Envelope, Refusal, Request, Response};
 use heronhoist_council::Time;
+use heronhoist_engine::timing::timeout;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -14,7 +15,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::time::timeout;
 
 /// Where requests go.
 pub const ASK: &str = "/v1/ask";
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -10,6 +10,7 @@
 use heronhoist_council::state::{Call, Command, Reply};
 use heronhoist_council::wire::{Envelope, Request, Response, PROTOCOL};
 use heronhoist_council::Time;
+use heronhoist_engine::timing::timeout;
 use heronhoist_release::drain::Listener;
 use heronhoist_release::seen::Seen;
 use std::cell::{Cell, RefCell};
@@ -316,7 +317,7 @@
                 }
             }
         };
-        let _ = tokio::time::timeout(LEAVE_WAIT, goodbye).await;
+        let _ = timeout(LEAVE_WAIT, goodbye).await;
     }
 
     /// Figures for the operators' page.
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -3,6 +3,7 @@
 //! closes its end. The connection between the two stays open: while it does, they share the limits.
 
 use crate::accept::accept;
+use heronhoist_engine::timing::timeout;
 use rustix::cmsg_space;
 use rustix::net::{recvmsg, sendmsg};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -17,7 +18,6 @@
 use std::time::Duration;
 use tokio::io::Interest;
 use tokio::net::{TcpListener, UnixListener, UnixStream};
-use tokio::time::timeout;
 
 /// A predecessor that has not passed its socket by then has hung or is on its way out.
 const PASS_WAIT: Duration = Duration::from_millis(500);
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -33,6 +33,7 @@
 use config::Config;
 use fleet::member::{Drains, Member};
 use handover::Sharers;
+use heronhoist_engine::timing::{read_until, timeout};
 use lanes::Lanes;
 use metrics::Metrics;
 use ops::Shown;
@@ -47,7 +48,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// After SIGTERM new connections go on coming for a while, and are served.
 const ACCEPT_ON: Duration = Duration::from_millis(500);
@@ -201,9 +202,10 @@
     if sharers.has_successor() {
         // New connections are the successor's from now on; those that are open may still be used for a while.
         end(accepting).await;
-        sleep(ACCEPT_ON).await;
+        read_until(stop + ACCEPT_ON).await;
     } else {
-        sleep(ACCEPT_ON).await;
+        // Whoever has come by then is let in, also if this process was held up meanwhile.
+        read_until(stop + ACCEPT_ON).await;
         end(accepting).await;
     }
     let longest = server.longest_deadline();
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -4,6 +4,7 @@
 use crate::gauge::Gauge;
 use crate::wire::Wire;
 use bytes::Bytes;
+use heronhoist_engine::timing::timeout;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -15,7 +16,6 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
-use tokio::time::timeout;
 
 /// Callers that are heard at once; beyond so many the one that has stalled longest makes room. Part of what the
 /// configuration keeps back from requests.
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -18,6 +18,7 @@
 use bytes::Bytes;
 use heronhoist_config::Protocol;
 use heronhoist_decision::Span;
+use heronhoist_engine::timing::{caught_up, heartbeat, timeout, HEARTBEAT};
 use heronhoist_engine::{Declined, Exchange, Final, Portion};
 use heronhoist_routes::{Attributes, Table};
 use heronhoist_translate::wire::trouble::{Told, Trouble};
@@ -33,14 +34,12 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// How long a connection that has been asked to close may take to pass on an answer.
 const CLOSE_WAIT: Duration = Duration::from_secs(1);
 /// What a client goes on sending behind its last answer is read up to so many bytes.
 const LINGER_MOST: usize = 256 * 1024;
-/// How often connections whose time is over are looked for.
-const SWEEP_EVERY: Duration = Duration::from_millis(100);
 /// The largest head of a request, and its lines: hyper's own bounds would let a few hundred half heads fill the memory.
 const HEAD_MOST: usize = 16 * 1024;
 const HEADERS_MOST: usize = 64;
@@ -179,8 +178,10 @@
     /// Ends connections of which nothing comes, for as long as the agent lives.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            sleep(SWEEP_EVERY).await;
+            // What clients have said while the process was held up is no silence.
+            heartbeat().await;
             self.seats.sweep(self.limits.get().rest_most);
+            sleep(HEARTBEAT).await;
         }
     }
 
@@ -442,6 +443,8 @@
             // The module has the client's whole time: a server that answers sooner serves it.
             self.answer_by.get().map_or(deadline, |by| deadline.min(by))
         };
+        // Nothing is decided before what was told while the process was held up is known.
+        caught_up().await;
         // Dropped by hyper with this future when the client closes its connection.
         let owed = lane.pool.submit(exchange)?;
         let id = owed.id();
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -2,6 +2,7 @@
 //! a backend as it comes, no faster than that backend takes it.
 
 use bytes::Bytes;
+use heronhoist_engine::timing::Limit;
 use heronhoist_engine::Arriving;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -12,7 +13,7 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 use tokio::sync::watch;
-use tokio::time::{sleep_until, Instant, Sleep};
+use tokio::time::Instant;
 
 /// The largest body that either side may send.
 pub const BODY_MOST: u64 = 32 * 1024 * 1024;
@@ -43,13 +44,13 @@
     /// How long the client was waited for in all, and since when it is now.
     waited: Duration,
     waiting_since: Option<Instant>,
-    limit: Pin<Box<Sleep>>,
+    limit: Limit,
 }
 
 impl Source {
     /// Nothing read yet.
     pub fn new(body: Incoming) -> Self {
-        let limit = Box::pin(sleep_until(Instant::now()));
+        let limit = Limit::new(Instant::now());
         Source { body, read: 0, waited: Duration::ZERO, waiting_since: None, limit }
     }
 
@@ -62,9 +63,9 @@
                     self.waiting_since = Some(now);
                     let earned = Duration::from_secs_f64(self.read as f64 / WAIT_BYTES_PER_S);
                     let left = (WAIT_BASE + earned).saturating_sub(self.waited);
-                    self.limit.as_mut().reset(now + left.min(SILENCE_MOST));
+                    self.limit.reset(now + left.min(SILENCE_MOST));
                 }
-                ready!(self.limit.as_mut().poll(cx));
+                ready!(self.limit.poll_over(cx));
                 return Poll::Ready(Some(Err(Broken::Slow)));
             };
             if let Some(since) = self.waiting_since.take() {
--- a/crates/agent/tests/loopback/common.rs
+++ b/crates/agent/tests/loopback/common.rs
@@ -182,6 +182,8 @@
 pub struct Discovery {
     pub address: SocketAddr,
     pub asked: Arc<Tally<String>>,
+    /// The versions that have been written to whoever asked.
+    pub told: Arc<Tally<i64>>,
     list: Arc<(Mutex<List>, Condvar)>,
 }
 
@@ -199,12 +201,13 @@
         let address = listener.local_addr().unwrap();
         let list =
             Arc::new((Mutex::new(List { rev: 2, targets, down: false, spoilt: None }), Condvar::new()));
-        let discovery = Discovery { address, asked: Arc::default(), list };
-        let (asked, list) = (Arc::clone(&discovery.asked), Arc::clone(&discovery.list));
+        let discovery = Discovery { address, asked: Arc::default(), told: Arc::default(), list };
+        let (asked, told) = (Arc::clone(&discovery.asked), Arc::clone(&discovery.told));
+        let list = Arc::clone(&discovery.list);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (asked, list) = (Arc::clone(&asked), Arc::clone(&list));
-                thread::spawn(move || answer(stream, &asked, &list));
+                let (asked, told, list) = (Arc::clone(&asked), Arc::clone(&told), Arc::clone(&list));
+                thread::spawn(move || answer(stream, &asked, &told, &list));
             }
         });
         discovery
@@ -236,7 +239,7 @@
     }
 }
 
-fn answer(mut stream: TcpStream, asked: &Tally<String>, list: &(Mutex<List>, Condvar)) {
+fn answer(mut stream: TcpStream, asked: &Tally<String>, told: &Tally<i64>, list: &(Mutex<List>, Condvar)) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     while let Some(message) = Message::read(&mut input) {
         let path = message.path().to_string();
@@ -253,12 +256,13 @@
             let body = format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, state.rev, state.targets);
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         };
-        let spoilt = state.spoilt.clone();
+        let (spoilt, rev) = (state.spoilt.clone(), state.rev);
         drop(state);
         let text = spoilt.as_deref().unwrap_or(&text);
         if stream.write_all(text.as_bytes()).is_err() || spoilt.is_some() {
             return;
         }
+        told.push(rev);
     }
 }
 
@@ -451,6 +455,21 @@
         (figure("app_reloads_ok_total"), figure("app_reloads_failed_total"))
     }
 
+    /// Holds the process up; comes back once it stands still.
+    pub fn pause(&self) {
+        self.signal("-STOP");
+        let stat = format!("/proc/{}/stat", self.child.id());
+        let stopped = || std::fs::read_to_string(&stat).is_ok_and(|text| text.contains(") T "));
+        while !stopped() {
+            thread::yield_now();
+        }
+    }
+
+    /// Lets it go on.
+    pub fn wake(&self) {
+        self.signal("-CONT");
+    }
+
     fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -14,4 +14,5 @@
 mod pools;
 mod reload;
 mod spoilt;
+mod stalls;
 mod stopping;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,6 +14,7 @@
 mod pool;
 mod quota;
 mod servers;
+pub mod timing;
 mod upstream;
 
 pub use drains::Drainable;
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -5,6 +5,7 @@
 use crate::membership::{Feed, Heard, List, Membership, Wants};
 use crate::quota::{Part, Portion};
 use crate::servers::{ServerNames, Servers};
+use crate::timing::read_until;
 use crate::upstream::{Coming, Ended, Gate, Payload, Place, Upstream};
 use heronhoist_decision::*;
 use rustc_hash::FxHashMap;
@@ -629,12 +630,12 @@
             match call.arriving() {
                 Some(arriving) => match arriving.ended().await {
                     Coming::Whole(at) => {
-                        sleep_until((at + budget - reserve(ATTEMPT_RESERVE, budget)).min(until)).await
+                        read_until((at + budget - reserve(ATTEMPT_RESERVE, budget)).min(until)).await
                     }
                     // The exchange sees that too, and knows what it means.
                     Coming::More | Coming::Broken => std::future::pending().await,
                 },
-                None => sleep_until(until).await,
+                None => read_until(until).await,
             }
         };
         let in_time = async {
@@ -776,7 +777,7 @@
         tokio::select! {
             biased;
             answer = &mut self.answer => answer.unwrap_or(Final::Failed),
-            () = sleep_until(last) => Final::OutOfTime,
+            () = read_until(last) => Final::OutOfTime,
         }
     }
 }
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -1,6 +1,7 @@
 //! The identities and lives of a pool's servers.
 
 use crate::membership::{List, Member, State};
+use crate::timing::stalled_since;
 use crate::upstream::Place;
 use heronhoist_decision::{CellId, Dialects, KindId, Listed, Outcome, ServerId, Status, Time, ZoneId};
 use rustc_hash::FxHashMap;
@@ -246,7 +247,8 @@
 impl<A> Server<A> {
     fn turn_off(&mut self) {
         self.serving = false;
-        self.off_since.get_or_insert_with(Instant::now);
+        // What is read after the event loop stood still may have come right after its last turn.
+        self.off_since.get_or_insert_with(|| stalled_since().unwrap_or_else(Instant::now));
     }
 }
 
