--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/lanes.rs
@@ -234,7 +234,7 @@
         let membership = match &*self.drained.borrow() {
             Some(drained) => {
                 let members = known.as_ref().map_or(&[][..], |(list, _)| &list.members);
-                Box::new(Drainable::new(membership, drained.clone(), members, None))
+                Box::new(Drainable::new(membership, drained.clone(), members))
             }
             None => membership,
         };
--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -15,4 +15,5 @@
 mod reload;
 mod spoilt;
 mod stalls;
+mod start_times;
 mod stopping;
--- /dev/null
+++ b/crates/agent/tests/loopback/start_times.rs
@@ -0,0 +1,88 @@
+//! When a server started is told by a wall clock. One that is ahead or behind makes no cold server warm, and none cold for longer
+//! than servers take to warm up.
+
+use crate::common::*;
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+const HOUR_MS: i64 = 3_600_000;
+/// Requests of one look at the shares. A cold newcomer beside four warm ones is due about one in 21 of them, a warm one a fifth.
+const LOOK: usize = 400;
+const FEW: usize = LOOK / 10;
+
+fn unix_ms() -> i64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64
+}
+
+/// Four servers that started long ago and one that is to join them, behind an agent that knows of the four.
+struct Fleet {
+    warm: Vec<Backend>,
+    newcomer: Backend,
+    discovery: Discovery,
+    agent: Agent,
+}
+
+impl Fleet {
+    fn new(warm_after_ms: u64) -> Fleet {
+        let warm: Vec<Backend> = (0..4).map(|_| Backend::new(|_| ok("warm"))).collect();
+        let newcomer = Backend::new(|_| ok("new"));
+        let discovery = Discovery::new(lines(&warm));
+        let rules = format!("\"rules\":{{\"coldShare\":0.2,\"warmAfterMs\":{warm_after_ms},");
+        let settings = SETTINGS.replace("\"rules\":{", &rules).replace("on_request", "pushed");
+        let agent = Agent::start(&config(discovery.address, &lines(&warm), &settings, 1024));
+        // The list has been taken in once the watch that follows it is out.
+        discovery.asked.wait(2);
+        Fleet { warm, newcomer, discovery, agent }
+    }
+
+    /// Discovery lists the newcomer, whose start it tells by a clock that is so far ahead of this machine's.
+    fn join(&self, ahead_ms: i64) {
+        let asked = self.discovery.asked.all().len();
+        let started = (unix_ms() + ahead_ms) as u64;
+        let line = target("new", self.newcomer.address, "SERVING", started);
+        self.discovery.change(format!("{},{line}", lines(&self.warm)));
+        self.discovery.asked.wait(asked + 1);
+    }
+
+    /// How many of the next requests the newcomer gets, of which eight at a time are out.
+    fn look(&self) -> usize {
+        let before = self.newcomer.heard.all().len();
+        std::thread::scope(|scope| {
+            for _ in 0..8 {
+                scope.spawn(|| {
+                    let mut client = Client::to(&self.agent);
+                    for _ in 0..LOOK / 8 {
+                        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+                    }
+                });
+            }
+        });
+        self.newcomer.heard.all().len() - before
+    }
+}
+
+fn lines(backends: &[Backend]) -> String {
+    let lines = backends.iter().enumerate().map(|(n, backend)| serving(&format!("s{n}"), backend.address));
+    lines.collect::<Vec<_>>().join(",")
+}
+
+#[test]
+fn a_newcomer_is_cold_whatever_its_clock_says() {
+    for ahead_ms in [0, -HOUR_MS, -5 * 60_000, 5_000, HOUR_MS] {
+        let fleet = Fleet::new(600_000);
+        fleet.join(ahead_ms);
+        let got = fleet.look();
+        assert!(got < FEW, "{got} of {LOOK} with a clock that is {ahead_ms} ms ahead");
+    }
+}
+
+#[test]
+fn a_newcomer_is_warm_in_time_whatever_its_clock_says() {
+    for ahead_ms in [0, -HOUR_MS, HOUR_MS] {
+        let fleet = Fleet::new(300);
+        fleet.join(ahead_ms);
+        let begun = Instant::now();
+        while fleet.look() < LOOK / 8 {
+            assert!(begun.elapsed() < BOUND, "still cold with a clock that is {ahead_ms} ms ahead");
+        }
+    }
+}
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -4,8 +4,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time in microseconds, fixed once and then advanced by the monotonic clock: it can be compared with the
-/// times in the list and never steps back.
+/// Unix time in microseconds, read once and then advanced by the monotonic clock: it can be compared with the times in
+/// the list, and a wall clock that is stepped moves nothing. Whether the wall clock was right can't be told from here.
+#[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     unix_us: u64,
     start: Instant,
--- a/crates/engine/src/drains.rs
+++ b/crates/engine/src/drains.rs
@@ -17,22 +17,19 @@
     inner: Box<dyn Membership<A>>,
     drained: watch::Receiver<BTreeSet<String>>,
     known: Vec<Member<A>>,
-    epoch: Option<Time>,
 }
 
 impl<A> Drainable<A> {
-    /// Over a source whose list was last known so; `drained` names the servers that drain by the other word. `epoch` is the
-    /// pool's.
+    /// Over a source whose list was last known so; `drained` names the servers that drain by the other word.
     pub fn new(
         inner: Box<dyn Membership<A>>,
         drained: watch::Receiver<BTreeSet<String>>,
         known: &[Member<A>],
-        epoch: Option<Time>,
     ) -> Self
     where
         A: Clone,
     {
-        Drainable { inner, drained, known: known.to_vec(), epoch }
+        Drainable { inner, drained, known: known.to_vec() }
     }
 }
 
@@ -107,7 +104,8 @@
 
 impl<A: Clone + 'static> Membership<A> for Drainable<A> {
     fn run(self: Box<Self>, feed: Feed<A>) -> Pin<Box<dyn Future<Output = ()>>> {
-        let Drainable { inner, mut drained, known, epoch } = *self;
+        let Drainable { inner, mut drained, mut known } = *self;
+        feed.saved(&mut known);
         let known = known.into_iter().map(|member| (member.name.clone(), member));
         let desk = Rc::new(Desk {
             to: feed.heard(),
@@ -116,7 +114,7 @@
             members: RefCell::new(known.collect()),
             told: RefCell::default(),
             back: RefCell::default(),
-            clock: Clock::new(epoch),
+            clock: feed.clock(),
         });
         let feed = feed.through(Rc::clone(&desk) as Rc<dyn Heard<A>>);
         Box::pin(async move {
--- a/crates/engine/src/drains/tests.rs
+++ b/crates/engine/src/drains/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 use crate::membership::Fixed;
+use crate::start_times::StartTimes;
+use heronhoist_decision::Span;
+use std::time::Duration;
 use tokio::task::yield_now;
 
 type Line = (String, State, bool);
@@ -26,8 +29,9 @@
     let (tell, drained) = watch::channel(BTreeSet::from(["a".to_string()]));
     let listed = |state| vec![Member { state, ..Member::serving("a", 1) }, Member::serving("b", 2)];
     let (list, lists) = watch::channel(listed(Serving));
-    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), None);
-    let run = Box::new(Drainable::new(Box::new(Fixed::new(lists)), drained, &[], None)).run(feed);
+    let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(None))));
+    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), starts, None);
+    let run = Box::new(Drainable::new(Box::new(Fixed::new(lists)), drained, &[])).run(feed);
     let heard = async |wanted: Vec<(bool, Vec<Line>)>| {
         while notes.0.borrow().len() < wanted.len() {
             yield_now().await;
@@ -49,3 +53,51 @@
     };
     tokio::select! { () = run => unreachable!(), () = change => {} }
 }
+
+/// A source that says nothing for as long as anybody looks.
+struct Silent;
+
+impl Membership<u16> for Silent {
+    fn run(self: Box<Self>, feed: Feed<u16>) -> Pin<Box<dyn Future<Output = ()>>> {
+        Box::pin(async move {
+            let _feed = feed;
+            std::future::pending().await
+        })
+    }
+}
+
+#[derive(Default)]
+struct Starts(RefCell<Vec<Option<Time>>>);
+
+impl Heard<u16> for Starts {
+    fn listed(&self, list: List<u16>) {
+        self.0.borrow_mut().extend(list.members.into_iter().map(|member| member.started));
+    }
+    fn failed(&self) {}
+}
+
+/// While the source has not answered yet, the other word is told in lines of the list that is known: by the pool's clock, and
+/// with the starts that the pool has settled in them.
+#[tokio::test(start_paused = true)]
+async fn before_the_first_list_the_known_starts_are_those_that_were_settled() {
+    let (epoch, hour) = (Time(1_800_000_000_000_000), Span::from_ms(3.6e6));
+    let heard = Rc::new(Starts::default());
+    let known = Member { started: Some(epoch + hour), ..Member::serving("a", 1) };
+    let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(Some(epoch)))));
+    starts.borrow_mut().saved(&mut [known.clone()]);
+    tokio::time::advance(Duration::from_secs(1)).await;
+    let feed = Feed::new(Rc::clone(&heard) as Rc<dyn Heard<u16>>, Rc::default(), starts, None);
+    let (tell, drained) = watch::channel(BTreeSet::new());
+    let run = Box::new(Drainable::new(Box::new(Silent), drained, &[known])).run(feed);
+    let change = async {
+        yield_now().await;
+        for (told, names) in [(1, BTreeSet::from(["a".to_string()])), (2, BTreeSet::new())] {
+            tell.send_replace(names);
+            while heard.0.borrow().len() < told {
+                yield_now().await;
+            }
+        }
+    };
+    tokio::select! { () = run => unreachable!(), () = change => {} }
+    assert_eq!(*heard.0.borrow(), [Some(epoch), Some(epoch + Span::from_ms(1000.0))]);
+}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,6 +14,7 @@
 mod pool;
 mod quota;
 mod servers;
+mod start_times;
 pub mod timing;
 mod upstream;
 
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -1,7 +1,9 @@
 //! Which servers there are: lists with versions, from whoever knows.
 
+use crate::clock::Clock;
+use crate::start_times::StartTimes;
 use heronhoist_decision::{DialectId, Time};
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -37,7 +39,8 @@
     pub state: State,
     /// Its size among the others, if the list says.
     pub weight: Option<f64>,
-    /// When it last started, if that was lately.
+    /// When it last started, if that was lately; by the source's clock until its list has passed the [`Feed`], and in the
+    /// pool's time from there on.
     pub started: Option<Time>,
 }
 
@@ -97,16 +100,32 @@
 }
 
 /// The way from a membership to its pool. It lets no list pass that is older than one that has passed before, so that
-/// no decision rests on one.
+/// no decision rests on one, and settles when servers started.
 pub struct Feed<A> {
     to: Rc<dyn Heard<A>>,
     wants: Rc<Wants>,
+    starts: Rc<RefCell<StartTimes>>,
     version: Cell<Option<i64>>,
 }
 
 impl<A> Feed<A> {
-    pub(crate) fn new(to: Rc<dyn Heard<A>>, wants: Rc<Wants>, version: Option<i64>) -> Self {
-        Feed { to, wants, version: Cell::new(version) }
+    pub(crate) fn new(
+        to: Rc<dyn Heard<A>>,
+        wants: Rc<Wants>,
+        starts: Rc<RefCell<StartTimes>>,
+        version: Option<i64>,
+    ) -> Self {
+        Feed { to, wants, starts, version: Cell::new(version) }
+    }
+
+    /// The pool's clock.
+    pub(crate) fn clock(&self) -> Clock {
+        self.starts.borrow().clock()
+    }
+
+    /// Settles when the servers of a list started that was known before the first one.
+    pub(crate) fn saved(&self, members: &mut [Member<A>]) {
+        self.starts.borrow_mut().saved(members);
     }
 
     /// Where it leads.
@@ -127,10 +146,11 @@
     /// What comes from now on is another source's, whose versions have nothing to do with those before.
     pub fn new_source(&self) {
         self.version.set(None);
+        self.starts.borrow_mut().new_source();
     }
 
     /// Hands a list over; false if it is older than one that stands, and so was left out.
-    pub fn listed(&self, list: List<A>) -> bool {
+    pub fn listed(&self, mut list: List<A>) -> bool {
         if self.version.get().is_some_and(|stands| list.version < stands) {
             tracing::warn!(
                 target: "heronhoist::membership",
@@ -141,6 +161,7 @@
             return false;
         }
         self.version.set(Some(list.version));
+        self.starts.borrow_mut().listed(&mut list);
         self.to.listed(list);
         true
     }
--- a/crates/engine/src/membership/tests.rs
+++ b/crates/engine/src/membership/tests.rs
@@ -1,5 +1,4 @@
 use super::*;
-use std::cell::RefCell;
 
 #[derive(Default)]
 struct Notes(RefCell<Vec<(i64, usize)>>, Cell<u32>);
@@ -13,11 +12,15 @@
     }
 }
 
+fn starts() -> Rc<RefCell<StartTimes>> {
+    Rc::new(RefCell::new(StartTimes::new(Clock::new(None))))
+}
+
 /// A watch and a fetch can cross: whatever is older than what stands must not undo a drain.
 #[test]
 fn an_older_list_does_not_pass_but_another_sources_does() {
     let notes = Rc::new(Notes::default());
-    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), Some(5));
+    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), starts(), Some(5));
     let list = |version| List { version, whole: true, members: vec![Member::serving("a", 1)] };
     assert!(!feed.listed(list(4)) && feed.listed(list(5)) && feed.listed(list(9)) && !feed.listed(list(8)));
     feed.new_source();
@@ -30,7 +33,7 @@
 #[tokio::test]
 async fn a_fixed_list_is_told_at_once_and_at_each_change() {
     let notes = Rc::new(Notes::default());
-    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), None);
+    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), starts(), None);
     let (tell, told) = watch::channel(vec![Member::serving("a", 1)]);
     let run = Box::new(Fixed::new(told)).run(feed);
     let change = async {
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -5,6 +5,7 @@
 use crate::membership::{Feed, Heard, List, Membership, Wants};
 use crate::quota::{Part, Portion};
 use crate::servers::{ServerNames, Servers};
+use crate::start_times::StartTimes;
 use crate::timing::read_until;
 use crate::upstream::{Coming, Ended, Gate, Payload, Place, Upstream};
 use heronhoist_decision::*;
@@ -195,6 +196,7 @@
     emptied: Notify,
     upstream: U,
     wants: Rc<Wants>,
+    starts: Rc<RefCell<StartTimes>>,
     /// The version that the source's first list must not be older than.
     version: Option<i64>,
     requests: Rc<Part>,
@@ -218,7 +220,12 @@
 impl<U: Upstream> Pool<U> {
     /// Starts a module with the list as it was last known. Nothing runs by itself until [`Pool::run`] does.
     pub fn new(setup: Setup<U>) -> Result<Self, SettingsError> {
-        let Setup { name, settings, seed, names, known, known_stands, epoch, upstream, requests } = setup;
+        let Setup { name, settings, seed, names, mut known, known_stands, epoch, upstream, requests } = setup;
+        let clock = Clock::new(epoch);
+        let mut starts = StartTimes::new(clock);
+        if let Some(known) = &mut known {
+            starts.saved(&mut known.members);
+        }
         let max_attempts = Cell::new(settings.max_attempts);
         let drain_grace = Cell::new(settings.drain_grace.into());
         let warming = Cell::new((settings.warm_after, settings.cold_share));
@@ -233,7 +240,7 @@
         let version = known.as_ref().filter(|_| known_stands).map(|list| list.version);
         let pool = Pool(Rc::new(Inner {
             name,
-            clock: Clock::new(epoch),
+            clock,
             core: RefCell::new(core),
             actions: Cell::default(),
             timers_changed: Notify::new(),
@@ -243,6 +250,7 @@
             emptied: Notify::new(),
             upstream,
             wants: Rc::default(),
+            starts: Rc::new(RefCell::new(starts)),
             version,
             requests,
             max_attempts,
@@ -264,7 +272,8 @@
     /// and its last request and attempt have ended.
     pub async fn run(self, membership: Box<dyn Membership<U::Address>>) {
         let heard: Rc<dyn Heard<U::Address>> = Rc::new(self.clone());
-        let feed = Feed::new(heard, Rc::clone(&self.0.wants), self.0.version);
+        let (wants, starts) = (Rc::clone(&self.0.wants), Rc::clone(&self.0.starts));
+        let feed = Feed::new(heard, wants, starts, self.0.version);
         let retire = async {
             loop {
                 sleep(RETIRE_EVERY).await;
