--- a/crates/agent/tests/loopback/start_times.rs
+++ b/crates/agent/tests/loopback/start_times.rs
@@ -2,6 +2,7 @@
 //! than servers take to warm up.
 
 use crate::common::*;
+use std::path::PathBuf;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: i64 = 3_600_000;
@@ -19,6 +20,8 @@
     newcomer: Backend,
     discovery: Discovery,
     agent: Agent,
+    folder: PathBuf,
+    configuration: String,
 }
 
 impl Fleet {
@@ -28,10 +31,21 @@
         let discovery = Discovery::new(lines(&warm));
         let rules = format!("\"rules\":{{\"coldShare\":0.2,\"warmAfterMs\":{warm_after_ms},");
         let settings = SETTINGS.replace("\"rules\":{", &rules).replace("on_request", "pushed");
-        let agent = Agent::start(&config(discovery.address, &lines(&warm), &settings, 1024));
+        let configuration = config(discovery.address, &lines(&warm), &settings, 1024);
+        let folder = folder();
+        let agent = Agent::start_in(&folder, &configuration);
         // The list has been taken in once the watch that follows it is out.
         discovery.asked.wait(2);
-        Fleet { warm, newcomer, discovery, agent }
+        Fleet { warm, newcomer, discovery, agent, folder, configuration }
+    }
+
+    /// Another process takes over.
+    fn upgrade(&mut self) {
+        let successor = Agent::start_in(&self.folder, &self.configuration);
+        assert_eq!(successor.address, self.agent.address);
+        let mut old = std::mem::replace(&mut self.agent, successor);
+        old.terminate();
+        assert_eq!(old.ended(), Some(0));
     }
 
     /// Discovery lists the newcomer, whose start it tells by a clock that is so far ahead of this machine's.
@@ -60,6 +74,12 @@
     }
 }
 
+impl Drop for Fleet {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
 fn lines(backends: &[Backend]) -> String {
     let lines = backends.iter().enumerate().map(|(n, backend)| serving(&format!("s{n}"), backend.address));
     lines.collect::<Vec<_>>().join(",")
@@ -75,14 +95,29 @@
     }
 }
 
+/// Looks until the newcomer gets what is due to a warm server, or nearly.
+fn wait_warm(fleet: &Fleet, ahead_ms: i64) {
+    let begun = Instant::now();
+    while fleet.look() < LOOK / 8 {
+        assert!(begun.elapsed() < BOUND, "still cold with a clock that is {ahead_ms} ms ahead");
+    }
+}
+
 #[test]
 fn a_newcomer_is_warm_in_time_whatever_its_clock_says() {
     for ahead_ms in [0, -HOUR_MS, HOUR_MS] {
         let fleet = Fleet::new(300);
         fleet.join(ahead_ms);
-        let begun = Instant::now();
-        while fleet.look() < LOOK / 8 {
-            assert!(begun.elapsed() < BOUND, "still cold with a clock that is {ahead_ms} ms ahead");
-        }
+        wait_warm(&fleet, ahead_ms);
     }
 }
+
+/// This machine's clock goes back between two processes: what started before the second one has started when that one heard of
+/// it, and not in an hour.
+#[test]
+fn a_newcomer_is_warm_in_time_in_the_next_process_too() {
+    let mut fleet = Fleet::new(300);
+    fleet.join(HOUR_MS);
+    fleet.upgrade();
+    wait_warm(&fleet, HOUR_MS);
+}
