--- a/crates/engine/src/membership/tests.rs
+++ b/crates/engine/src/membership/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use heronhoist_decision::Span;
+use std::time::Duration;
 
 #[derive(Default)]
 struct Notes(RefCell<Vec<(i64, usize)>>, Cell<u32>);
@@ -30,6 +32,38 @@
     assert_eq!(notes.1.get(), 1);
 }
 
+#[derive(Default)]
+struct Starts(RefCell<Vec<Option<Time>>>);
+
+impl Heard<u16> for Starts {
+    fn listed(&self, list: List<u16>) {
+        self.0.borrow_mut().extend(list.members.into_iter().map(|member| member.started));
+    }
+    fn failed(&self) {}
+}
+
+/// A list that is left out bounds no start, and what another source tells first is bounded by none of this one's lists.
+#[tokio::test(start_paused = true)]
+async fn starts_are_bounded_by_the_lists_that_passed_from_the_same_source() {
+    let heard = Rc::new(Starts::default());
+    let feed = Feed::new(Rc::clone(&heard) as Rc<dyn Heard<u16>>, Rc::default(), starts(), None);
+    let tell = |version, name: &str, started| {
+        let members = vec![Member { started, ..Member::serving(name, 1) }];
+        feed.listed(List { version, whole: false, members })
+    };
+    let begun = feed.clock().now();
+    tell(6, "a", None);
+    tokio::time::advance(Duration::from_secs(2)).await;
+    assert!(!tell(5, "a", None));
+    let (now, between, before) = (feed.clock().now(), begun + Span(1_000_000), Time(begun.0 - 1));
+    tell(7, "b", Some(between));
+    tell(8, "c", Some(between));
+    feed.new_source();
+    tell(1, "d", Some(before));
+    tell(2, "e", Some(before));
+    assert_eq!(*heard.0.borrow(), [None, Some(between), Some(now), Some(before), Some(now)]);
+}
+
 #[tokio::test]
 async fn a_fixed_list_is_told_at_once_and_at_each_change() {
     let notes = Rc::new(Notes::default());
