--- /dev/null
+++ b/crates/agent/src/connect/tests.rs
@@ -0,0 +1,164 @@
+//! Connections that fail in a forced order; those that don't are real ones. Time is the runtime's own and moves only when nothing
+//! else can happen.
+
+use super::*;
+use crate::dialect::NEW;
+use rustix::io::Errno;
+use std::collections::VecDeque;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+const WITHIN: Duration = Duration::from_millis(250);
+
+/// Fails with these, and then makes the connections that it is asked for.
+#[derive(Default)]
+struct Scripted {
+    errors: RefCell<VecDeque<Errno>>,
+}
+
+impl Scripted {
+    fn failing(errors: impl IntoIterator<Item = Errno>) -> Scripted {
+        Scripted { errors: RefCell::new(errors.into_iter().collect()) }
+    }
+}
+
+impl Connector for Scripted {
+    async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
+        let error = self.errors.borrow_mut().pop_front();
+        match error {
+            Some(errno) => Err(io::Error::from_raw_os_error(errno.raw_os_error())),
+            None => TcpStream::connect(address).await,
+        }
+    }
+}
+
+/// A peer on loopback; connections wait in its queue.
+struct Peer {
+    listener: TcpListener,
+    place: Place,
+}
+
+async fn peer(number: u32) -> Peer {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    Peer { listener, place: Place { server: ServerId(number), address, life: 0, dialect: NEW } }
+}
+
+impl Reachability {
+    async fn fails(&self, errno: Errno, place: Place) -> Outcome {
+        self.connect(&Scripted::failing([errno]), place, WITHIN).await.expect_err("it fails")
+    }
+
+    async fn comes_up(&self, place: Place) {
+        self.connect(&Tcp, place, WITHIN).await.expect("it comes up");
+    }
+}
+
+/// The bytes of a connection go over a real one.
+async fn talks(mut stream: TcpStream, peer: &Peer) {
+    let (mut other, _) = peer.listener.accept().await.unwrap();
+    stream.write_all(b"ask").await.unwrap();
+    let mut read = [0; 3];
+    other.read_exact(&mut read).await.unwrap();
+    assert_eq!(&read, b"ask");
+}
+
+/// The want is here: however often it comes and whoever else is reached, it says nothing of the server.
+#[tokio::test(start_paused = true)]
+async fn want_of_something_here_is_never_the_servers_fault() {
+    let (one, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
+    for errno in [
+        Errno::MFILE,
+        Errno::NFILE,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+        Errno::ADDRNOTAVAIL,
+        Errno::AGAIN,
+        Errno::INTR,
+    ] {
+        for _ in 0..5 {
+            assert_eq!(reachability.fails(errno, one.place).await, Outcome::NotSent, "{errno:?}");
+            sleep(2 * WITHIN).await;
+            reachability.comes_up(other.place).await;
+        }
+    }
+    let stream = reachability.connect(&Scripted::default(), one.place, WITHIN).await.expect("now it can");
+    talks(stream, &one).await;
+}
+
+/// What the peer or the network has answered is the server's at once.
+#[tokio::test(start_paused = true)]
+async fn a_peer_that_refuses_is_the_servers_fault() {
+    let (one, reachability) = (peer(1).await, Reachability::default());
+    for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
+        assert_eq!(reachability.fails(errno, one.place).await, Outcome::ConnectFailed, "{errno:?}");
+    }
+}
+
+/// A machine that has lost its network has no route to anybody: no server is to blame, however long that lasts, nor when it is over.
+#[tokio::test(start_paused = true)]
+async fn a_machine_without_a_network_blames_no_server() {
+    let (one, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
+    reachability.comes_up(one.place).await;
+    reachability.comes_up(other.place).await;
+    for errno in [Errno::NETUNREACH, Errno::NETDOWN, Errno::PERM, Errno::ACCESS] {
+        for round in 0..20 {
+            for peer in [&one, &other] {
+                assert_eq!(
+                    reachability.fails(errno, peer.place).await,
+                    Outcome::NotSent,
+                    "{errno:?} {round}"
+                );
+            }
+            // An answer that had come before.
+            if round == 0 {
+                reachability.note_reached();
+            }
+            sleep(WITHIN).await;
+        }
+        reachability.comes_up(one.place).await;
+        reachability.comes_up(other.place).await;
+    }
+    // It is lost again, long after: what was reached between says nothing of this time.
+    assert_eq!(reachability.fails(Errno::NETUNREACH, other.place).await, Outcome::NotSent);
+    sleep(2 * SPELL_GAP).await;
+    reachability.comes_up(one.place).await;
+    assert_eq!(reachability.fails(Errno::NETUNREACH, other.place).await, Outcome::NotSent);
+}
+
+/// No route leads to one server, and others are reached: it is ejected like any that can't be reached, by new connections or by
+/// answers on old ones.
+#[tokio::test(start_paused = true)]
+async fn a_server_to_which_alone_no_route_leads_is_to_blame() {
+    let (one, other) = (peer(1).await, peer(2).await);
+    for by_answer in [false, true] {
+        let reachability = Reachability::default();
+        assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::NotSent);
+        sleep(2 * WITHIN).await;
+        match by_answer {
+            true => reachability.note_reached(),
+            false => reachability.comes_up(other.place).await,
+        }
+        for _ in 0..3 {
+            assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::ConnectFailed);
+        }
+        // Another life of it may stand elsewhere.
+        let moved = Place { life: 1, ..one.place };
+        assert_eq!(reachability.fails(Errno::NETUNREACH, moved).await, Outcome::NotSent);
+        // Once it has been reached all begins anew.
+        reachability.comes_up(one.place).await;
+        assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::NotSent);
+    }
+}
+
+/// Servers come and go under ever new numbers.
+#[tokio::test(start_paused = true)]
+async fn servers_that_have_left_are_forgotten() {
+    let (one, reachability) = (peer(1).await, Reachability::default());
+    for server in 0..100 {
+        reachability.fails(Errno::NETUNREACH, Place { server: ServerId(server), ..one.place }).await;
+    }
+    reachability.retain(|server, _| server == ServerId(7));
+    assert_eq!(reachability.unrouted.borrow().len(), 1);
+}
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -1,5 +1,6 @@
 //! The connections to backends: at work, idle, or not there yet.
 
+use crate::connect::{Reachability, Tcp};
 use crate::idle_timeout::IdleTimeout;
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
@@ -12,7 +13,6 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
@@ -118,6 +118,7 @@
     siblings: Rc<Siblings>,
     connect_timeout: Cell<Duration>,
     idle_timeout: IdleTimeout,
+    reachability: Reachability,
 }
 
 impl Connections {
@@ -130,8 +131,9 @@
     ) -> Rc<Self> {
         let idle_timeout = IdleTimeout::new(keepalive.mul_f64(IDLE_SHARE));
         let (idle, connect_timeout) = (RefCell::default(), Cell::new(connect_timeout));
-        let siblings = Rc::clone(siblings);
-        let connections = Rc::new(Connections { idle, open, siblings, connect_timeout, idle_timeout });
+        let (siblings, reachability) = (Rc::clone(siblings), Reachability::default());
+        let connections =
+            Rc::new(Connections { idle, open, siblings, connect_timeout, idle_timeout, reachability });
         let mut all = connections.siblings.0.borrow_mut();
         all.retain(|sibling| sibling.strong_count() > 0);
         all.push(Rc::downgrade(&connections));
@@ -174,22 +176,16 @@
             None => return Err(Outcome::NotSent),
         };
         let (server, begun) = (place.server.0, Instant::now());
-        let connected = timeout(self.connect_timeout.get(), TcpStream::connect(place.address)).await;
+        let connected = self.reachability.connect(&Tcp, place, self.connect_timeout.get()).await;
         tracing::debug!(
             target: "heronhoist::connection",
             server,
-            up = matches!(connected, Ok(Ok(_))),
+            up = connected.is_ok(),
             held = self.open.held(),
             elapsed_us = begun.elapsed().as_micros() as u64,
             "connection opened"
         );
-        let stream = match connected {
-            Ok(Ok(stream)) => stream,
-            // Out of descriptors: the fault is here, not the server's.
-            Ok(Err(e)) if matches!(e.raw_os_error(), Some(23 | 24)) => return Err(Outcome::NotSent),
-            Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
-        };
-        let (wire, view) = Wire::new(stream, portion);
+        let (wire, view) = Wire::new(connected?, portion);
         let mut builder = Builder::new();
         builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
         let Ok((sender, connection)) = builder.handshake(wire).await else {
@@ -216,6 +212,9 @@
 
     /// Learns from how a connection served that had been idle: it has broken with nothing read, or has not.
     pub fn note(&self, lease: &Lease, broken: bool) {
+        if !broken {
+            self.reachability.note_reached();
+        }
         if let Some(rested) = lease.rested {
             self.idle_timeout.note(rested, broken);
         }
@@ -263,5 +262,6 @@
             });
             !pool.is_empty()
         });
+        self.reachability.retain(is_current);
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -5,6 +5,7 @@
 mod backend;
 mod cli;
 mod config;
+mod connect;
 mod connections;
 mod dialect;
 mod discovery;
--- a/crates/agent/src/socket_error.rs
+++ b/crates/agent/src/socket_error.rs
@@ -1,4 +1,5 @@
-//! What an error of `accept` says, and of whom: the new connection or this machine. By Linux's page accept(2).
+//! What an error of `accept` or `connect` says, and of whom: the new connection, the peer, or this machine. By Linux's pages
+//! accept(2), connect(2) and socket(2).
 
 use rustix::io::Errno;
 use std::io::{Error, ErrorKind};
@@ -40,6 +41,39 @@
     }
 }
 
+/// What an error of `connect`, or of the `socket` before it, says.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ConnectError {
+    /// This machine lacks a descriptor, memory or a port, or the call was interrupted: nothing has been asked of the network, and
+    /// it says nothing of the peer.
+    LocalResource,
+    /// No way leads from here, or none may be taken: no route, no network, a rule of this machine. Whether that is so for this
+    /// peer only does not follow from the error.
+    NoRoute,
+    /// The peer, or a machine next to it, has answered so or has kept silent.
+    Remote,
+}
+
+impl From<&Error> for ConnectError {
+    fn from(error: &Error) -> Self {
+        if lacks_resource(error) {
+            return ConnectError::LocalResource;
+        }
+        match error.kind() {
+            // All ports of this machine are taken, be it by all or by connections to this peer that are just over.
+            ErrorKind::AddrNotAvailable
+            | ErrorKind::AddrInUse
+            | ErrorKind::Interrupted
+            | ErrorKind::WouldBlock => ConnectError::LocalResource,
+            ErrorKind::NetworkUnreachable | ErrorKind::NetworkDown | ErrorKind::PermissionDenied => {
+                ConnectError::NoRoute
+            }
+            // HostUnreachable too: the host does not answer its neighbours.
+            _ => ConnectError::Remote,
+        }
+    }
+}
+
 /// Descriptors of this process or of the machine, memory for a socket, or room among those that are waited for.
 fn lacks_resource(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::OutOfMemory | ErrorKind::StorageFull)
--- a/crates/agent/src/socket_error/tests.rs
+++ b/crates/agent/src/socket_error/tests.rs
@@ -44,3 +44,34 @@
     }
     assert_eq!(AcceptError::from(&Error::other("no number")), Other);
 }
+
+#[test]
+fn each_error_of_connect_says_of_whom_it_is() {
+    use ConnectError::*;
+    for (errno, says) in [
+        (Errno::MFILE, LocalResource),
+        (Errno::NFILE, LocalResource),
+        (Errno::NOBUFS, LocalResource),
+        (Errno::NOMEM, LocalResource),
+        (Errno::NOSPC, LocalResource),
+        (Errno::ADDRNOTAVAIL, LocalResource),
+        (Errno::ADDRINUSE, LocalResource),
+        (Errno::AGAIN, LocalResource),
+        (Errno::INTR, LocalResource),
+        (Errno::NETUNREACH, NoRoute),
+        (Errno::NETDOWN, NoRoute),
+        (Errno::ACCESS, NoRoute),
+        (Errno::PERM, NoRoute),
+        (Errno::HOSTUNREACH, Remote),
+        (Errno::HOSTDOWN, Remote),
+        (Errno::CONNREFUSED, Remote),
+        (Errno::CONNRESET, Remote),
+        (Errno::TIMEDOUT, Remote),
+        (Errno::PIPE, Remote),
+        // An address that this machine has no family for is the list's fault: that server can't be reached.
+        (Errno::AFNOSUPPORT, Remote),
+    ] {
+        assert_eq!(ConnectError::from(&raw(errno)), says, "{errno:?}");
+    }
+    assert_eq!(ConnectError::from(&Error::other("no number")), Remote);
+}
--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -9,6 +9,7 @@
 mod limits;
 mod lists;
 mod mixed;
+mod no_route;
 mod ops;
 mod outcomes;
 mod pools;
