--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -10,8 +10,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::time::{timeout, Instant};
+use tokio::time::{sleep, timeout, Instant};
 
+/// Pause before a connection is tried again that this machine could not begin. That costs nobody else anything.
+const AGAIN_PAUSE: Duration = Duration::from_millis(150);
 /// Two failures for want of a route that lie further apart are two troubles.
 const SPELL_GAP: Duration = Duration::from_secs(10);
 
@@ -30,6 +32,23 @@
     }
 }
 
+/// A connection, for callers with one peer: a failure of this machine is no answer of the peer, which nothing has been asked,
+/// and is tried again soon, for as long as the caller waits. Each try may take so long.
+pub async fn connect_when_able(
+    connector: &impl Connector,
+    address: SocketAddr,
+    within: Duration,
+) -> io::Result<TcpStream> {
+    loop {
+        match timeout(within, connector.connect(address)).await {
+            Ok(Ok(stream)) => return Ok(stream),
+            Ok(Err(error)) if ConnectError::from(&error) != ConnectError::Remote => sleep(AGAIN_PAUSE).await,
+            Ok(Err(error)) => return Err(error),
+            Err(_) => return Err(io::ErrorKind::TimedOut.into()),
+        }
+    }
+}
+
 /// Tells connections that fail for want of a server from those that fail for want of something here.
 ///
 /// A want of descriptors, memory or ports says nothing of a server, and its attempt counts as not sent.
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -7,7 +7,6 @@
 use std::collections::VecDeque;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
-use tokio::time::sleep;
 
 const WITHIN: Duration = Duration::from_millis(250);
 
@@ -15,16 +14,18 @@
 #[derive(Default)]
 struct Scripted {
     errors: RefCell<VecDeque<Errno>>,
+    calls: Cell<usize>,
 }
 
 impl Scripted {
     fn failing(errors: impl IntoIterator<Item = Errno>) -> Scripted {
-        Scripted { errors: RefCell::new(errors.into_iter().collect()) }
+        Scripted { errors: RefCell::new(errors.into_iter().collect()), calls: Cell::new(0) }
     }
 }
 
 impl Connector for Scripted {
     async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
+        self.calls.set(self.calls.get() + 1);
         let error = self.errors.borrow_mut().pop_front();
         match error {
             Some(errno) => Err(io::Error::from_raw_os_error(errno.raw_os_error())),
@@ -162,3 +163,20 @@
     reachability.retain(|server, _| server == ServerId(7));
     assert_eq!(reachability.unrouted.borrow().len(), 1);
 }
+
+/// For one with a single peer, a failure of this machine is tried again soon; one of the peer is told at once.
+#[tokio::test(start_paused = true)]
+async fn what_could_not_be_begun_is_tried_again_soon() {
+    let one = peer(1).await;
+    let row = [Errno::MFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NOBUFS, Errno::INTR];
+    let (connector, begun) = (Scripted::failing(row), Instant::now());
+    let stream = connect_when_able(&connector, one.place.address, WITHIN).await.expect("in the end");
+    assert_eq!(connector.calls.get(), row.len() + 1);
+    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    talks(stream, &one).await;
+    for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
+        let connector = Scripted::failing([errno]);
+        let error = connect_when_able(&connector, one.place.address, WITHIN).await.expect_err("told");
+        assert_eq!((Errno::from_io_error(&error), connector.calls.get()), (Some(errno), 1));
+    }
+}
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,5 +1,6 @@
 //! Asks discovery for the list of backends: a watch on changes, and the whole list once.
 
+use crate::connect::{connect_when_able, Connector, Tcp};
 use crate::dialect::{NEW, OLD};
 use crate::wire::Wire;
 use bytes::Bytes;
@@ -17,7 +18,6 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, Instant};
@@ -154,8 +154,9 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Option<Connection> {
-    let stream = timeout(CONNECT_WAIT, TcpStream::connect(address)).await.ok()?.ok()?;
+/// What this machine fails to begin is not discovery's failure, after which the module would wait for longer and longer.
+async fn connect(connector: &impl Connector, address: SocketAddr) -> Option<Connection> {
+    let stream = connect_when_able(connector, address, CONNECT_WAIT).await.ok()?;
     let (wire, _) = Wire::new(stream, ());
     let (sender, connection) = http1::handshake(wire).await.ok()?;
     let task = tokio::task::spawn_local(async move {
@@ -166,6 +167,7 @@
 
 /// One call, of whose answer the head has so much time; `None` if it failed in whatever way.
 async fn call(
+    connector: &impl Connector,
     address: SocketAddr,
     connection: &mut Option<Connection>,
     path: &str,
@@ -174,7 +176,7 @@
     // A connection that discovery has closed between two calls is no failure of the next one.
     let mut kept = connection.take().filter(|l| l.sender.is_ready());
     if kept.is_none() {
-        kept = connect(address).await;
+        kept = connect(connector, address).await;
     }
     let mut kept = kept?;
     let request = Request::get(path).header(HOST, address.to_string()).body(Empty::new()).ok()?;
@@ -213,35 +215,41 @@
 
 impl Membership<SocketAddr> for Discovery {
     fn run(self: Box<Self>, feed: Feed<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(async move {
-            let Discovery { mut source, pushed, old_kinds } = *self;
-            if pushed {
-                feed.follow();
-            }
-            loop {
-                let address = *source.borrow_and_update();
-                let client = Client { feed: &feed, address, old_kinds: &old_kinds };
-                tokio::select! {
-                    () = client.watch(pushed) => return,
-                    () = client.fetch() => return,
-                    // The calls that are out end here: what the old source still answers must not overwrite the new
-                    // list.
-                    moved = source.changed() => if moved.is_err() { return },
-                }
-                feed.new_source();
+        Box::pin(self.follow(Tcp, feed))
+    }
+}
+
+impl Discovery {
+    /// Follows the source, over connections that are made so.
+    async fn follow(self, connector: impl Connector, feed: Feed<SocketAddr>) {
+        let Discovery { mut source, pushed, old_kinds } = self;
+        if pushed {
+            feed.follow();
+        }
+        loop {
+            let address = *source.borrow_and_update();
+            let client = Client { connector: &connector, feed: &feed, address, old_kinds: &old_kinds };
+            tokio::select! {
+                () = client.watch(pushed) => return,
+                () = client.fetch() => return,
+                // The calls that are out end here: what the old source still answers must not overwrite the new
+                // list.
+                moved = source.changed() => if moved.is_err() { return },
             }
-        })
+            feed.new_source();
+        }
     }
 }
 
 /// Calls one source.
-struct Client<'a> {
+struct Client<'a, C> {
+    connector: &'a C,
     feed: &'a Feed<SocketAddr>,
     address: SocketAddr,
     old_kinds: &'a [String],
 }
 
-impl Client<'_> {
+impl<C: Connector> Client<'_, C> {
     /// Hands a list over; false if it was older than the one that stands.
     fn tell(&self, reply: ListReply) -> bool {
         let mut list = List::from(reply);
@@ -258,7 +266,7 @@
         // A new source owes nothing to the version of the old one: it is asked for the whole list first, whatever
         // the module is waiting for, until it has answered. What is known stands till then.
         while self.feed.version().is_none() {
-            match call(self.address, &mut connection, LIST_PATH, MOVED_WAIT).await {
+            match call(self.connector, self.address, &mut connection, LIST_PATH, MOVED_WAIT).await {
                 Some(list) => {
                     self.tell(ListReply { all: true, ..list });
                 }
@@ -272,7 +280,7 @@
                 format!("{LIST_PATH}?from={}&hold_ms={}", version.unwrap_or_default(), HOLD.as_millis());
             let asked = Instant::now();
             let answer = tokio::select! {
-                answer = call(self.address, &mut connection, &path, HOLD + HEAD_WAIT) => answer,
+                answer = call(self.connector, self.address, &mut connection, &path, HOLD + HEAD_WAIT) => answer,
                 () = self.feed.followed(false) => continue,
             };
             match answer {
@@ -293,7 +301,7 @@
     async fn fetch(&self) {
         loop {
             self.feed.asked().await;
-            match call(self.address, &mut None, LIST_PATH, HOLD + HEAD_WAIT).await {
+            match call(self.connector, self.address, &mut None, LIST_PATH, HOLD + HEAD_WAIT).await {
                 // Left out if the watch has brought something newer meanwhile.
                 Some(list) => {
                     self.tell(list);
--- a/crates/agent/src/discovery/tests.rs
+++ b/crates/agent/src/discovery/tests.rs
@@ -10,6 +10,8 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 
+mod local_errors;
+
 /// What a watch has missed counts as told so long after it fell silent.
 const TOLD: Duration = Duration::from_secs(6);
 
@@ -114,6 +116,14 @@
 
 /// How long it takes from the start until a drain is known that the last of these acts tells; and the calls.
 async fn drained_after(way: Way, acts: &'static [Act]) -> (Duration, Vec<(Instant, String)>) {
+    drained_over(way, acts, |discovery| Box::new(discovery)).await
+}
+
+async fn drained_over(
+    way: Way,
+    acts: &'static [Act],
+    over: impl FnOnce(Discovery) -> Box<dyn Membership<SocketAddr>>,
+) -> (Duration, Vec<(Instant, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let asked = Rc::default();
@@ -135,7 +145,7 @@
     let discovery = Discovery { source, pushed: way == Way::Pushed, old_kinds: Vec::new() };
     let begun = Instant::now();
     spawn_local(serve(listener, acts, Rc::clone(&asked)));
-    spawn_local(pool.clone().run(Box::new(discovery)));
+    spawn_local(pool.clone().run(over(discovery)));
     while pool.can_decide() {
         assert!(begun.elapsed() < Duration::from_secs(120), "the drain is never heard of");
         sleep(Duration::from_millis(10)).await;
