--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -3,6 +3,7 @@
 use crate::connections::Place;
 use crate::socket_error::ConnectError;
 use heronhoist_decision::{Outcome, ServerId};
+use heronhoist_engine::timing::timeout;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// Pause before a connection is tried again that this machine could not begin. That costs nobody else anything.
 const AGAIN_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -5,7 +5,6 @@
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
 use heronhoist_decision::{Outcome, ServerId};
-use heronhoist_engine::timing::timeout;
 use heronhoist_engine::Part;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use std::cell::{Cell, RefCell};
