--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -13,9 +13,11 @@
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
+use std::future::{poll_fn, Future};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::pin::pin;
 use std::rc::Rc;
+use std::task::Poll;
 use std::time::Duration;
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::task::spawn_local;
@@ -634,7 +636,15 @@
             owed && self.0.clock.now() <= begin_by && core.servers.may_send(server, self.0.drain_grace.get())
         };
         let gate = Gate::new(&sent, &lawful, until);
-        let exchange = self.0.upstream.attempt(place, call, gate);
+        let mut exchange = pin!(self.0.upstream.attempt(place, call, gate));
+        // A panic costs this attempt and no more: nobody would hear of its end, and its request waited for its deadline.
+        let exchange = poll_fn(|cx| {
+            catch_unwind(AssertUnwindSafe(|| exchange.as_mut().poll(cx))).unwrap_or_else(|_| {
+                tracing::error!(target: "heronhoist::engine", pool = self.0.name, "an attempt has panicked; going on");
+                let outcome = if sent.get() { Outcome::ConnectionReset } else { Outcome::NotSent };
+                Poll::Ready(outcome.into())
+            })
+        });
         let late = async {
             match call.arriving() {
                 Some(arriving) => match arriving.ended().await {
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -190,6 +190,57 @@
     LocalSet::new().run_until(test).await;
 }
 
+/// Its attempts panic, some once they have been sent.
+struct Faulty(Cell<u32>);
+
+impl Upstream for Faulty {
+    type Address = u16;
+    type Call = Nothing;
+    type Answer = ();
+    async fn attempt(&self, _: Place<u16>, _: &Nothing, gate: Gate<'_>) -> Ended<()> {
+        let number = self.0.replace(self.0.get() + 1);
+        if number > 0 {
+            gate.open();
+            yield_now().await;
+        }
+        panic!("attempt {number}");
+    }
+    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+        Outcome::TimedOut.into()
+    }
+    fn close_idle(&self, _: ServerId) {}
+    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+}
+
+/// A panic of an attempt is an end of it like any other: its request has its answer long before its time is up, and
+/// nothing of it is left.
+#[tokio::test(start_paused = true)]
+async fn a_panic_of_an_attempt_ends_that_attempt_only() {
+    let test = async {
+        let members = vec![Member::serving("s", 80), Member::serving("t", 81)];
+        let pool = Pool::new(Setup {
+            name: "main".into(),
+            settings: Settings::default(),
+            seed: 7,
+            names: ServerNames::default(),
+            known: Some(List { version: 1, whole: true, members }),
+            known_stands: true,
+            epoch: None,
+            upstream: Faulty(Cell::new(0)),
+            requests: Quota::alone(9),
+        });
+        let pool = pool.expect("usable");
+        let start = Instant::now();
+        let owed = pool.submit(exchange("id")).expect("taken");
+        let answer = owed.answer(|deadline| deadline).await;
+        assert!(matches!(answer, Final::Failed | Final::Refused(_)), "{answer:?}");
+        assert!(start.elapsed() < Duration::from_secs(1), "of a minute, by the test's own clock");
+        assert_eq!(pool.levels().open, 0);
+        assert!(pool.submit(exchange("id")).is_ok(), "its name is free again");
+    };
+    LocalSet::new().run_until(test).await;
+}
+
 /// The window of a keyed class runs on while the repeat's connection comes up: nothing is sent after it.
 #[tokio::test(start_paused = true)]
 async fn no_repeat_begins_after_its_window() {
