--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -56,6 +56,8 @@
     pub budget: Duration,
     /// What counts its attempts; probes have none.
     pub counters: Option<Rc<ClassCounters>>,
+    /// The connection of the client that waits for the answer; probes have none.
+    pub client: Option<View>,
     /// The memory that the body holds.
     pub _portion: Option<Portion>,
 }
@@ -236,7 +238,7 @@
             let answer = tokio::select! {
                 biased;
                 () = counted => Err(Spoilt::Answer),
-                answer = self.exchange(&mut lease, message(call, place, gate.until), place.dialect) => answer,
+                answer = self.exchange(&mut lease, call, place, gate.until) => answer,
                 () = stuck(&view) => Err(Spoilt::Stuck),
             };
             let written = view.written() - before;
@@ -260,6 +262,13 @@
                 _ if broken && !is_whole => return Outcome::NotSent.into(),
                 // A server need not read to the end what it turns away.
                 Ok(ended) if ended.outcome == Outcome::Rejected => return ended,
+                // Its client had closed when the first byte could have gone.
+                Err(Spoilt::Connection)
+                    if written == 0 && call.client.as_ref().is_some_and(View::has_closed) =>
+                {
+                    gate.nothing_was_sent();
+                    return Outcome::NotSent.into();
+                }
                 // A pooled connection that ended before anything was written to it says nothing of the server,
                 // and no attempt was made: take the next one. A new one that ends so does say something, and
                 // to go on would be a storm of connections.
@@ -275,20 +284,22 @@
     async fn exchange(
         &self,
         lease: &mut Lease,
-        mut request: Request<Outgoing>,
-        dialect: DialectId,
+        call: &Call,
+        place: Place,
+        until: Instant,
     ) -> Result<Ended, Spoilt> {
         let view = lease.view.clone();
         let sender = lease.sender().ok_or(Spoilt::Connection)?;
+        let mut request = message(call, place, until);
         // Answers 1xx come ahead of the one that counts, which may take its time after them.
         let informed = Arc::new(AtomicBool::new(false));
         let inform = Arc::clone(&informed);
         hyper::ext::on_informational(&mut request, move |_| inform.store(true, Ordering::Relaxed));
         let received = view.received();
-        view.arm(ANSWER_MOST);
+        view.arm(ANSWER_MOST, call.client.clone());
         let whole = async {
             let answer = sender.try_send_request(request).await.map_err(|_| Spoilt::Connection)?;
-            self.read(answer, &view, dialect).await
+            self.read(answer, &view, place.dialect).await
         };
         tokio::select! {
             biased;
@@ -377,7 +388,8 @@
             let (method, uri, headers, body) = (method.clone(), uri.clone(), HeaderMap::new(), Bytes::new());
             Box::new(Said { method, uri, headers, body, by: None })
         });
-        let call = Call { method, uri, headers, body, old, budget, counters: None, _portion: None };
+        let call =
+            Call { method, uri, headers, body, old, budget, counters: None, client: None, _portion: None };
         let until = Instant::now() + PROBE_WAIT;
         // Nothing but its time can stop a probe.
         let sent = Cell::new(false);
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -23,6 +23,7 @@
         old: None,
         budget: Duration::from_secs(60),
         counters: None,
+        client: None,
         _portion: None,
     }
 }
@@ -54,6 +55,47 @@
     assert_eq!(stream.read(&mut [0; 1]).await.unwrap_or(0), 0);
 }
 
+/// A client may close after the last look at its connection, and the process be held up there: the kernel is asked right
+/// before the first byte, also where the close stands behind bytes that nobody has read.
+#[tokio::test]
+async fn nothing_is_written_for_a_client_that_closed_after_the_gate_was_asked() {
+    for (behind, closes) in [("", true), ("GET /next", true), ("", false), ("GET /next", false)] {
+        let clients = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut client = std::net::TcpStream::connect(clients.local_addr().unwrap()).unwrap();
+        let (_wire, view) = crate::wire::Wire::of_client(clients.accept().await.unwrap().0);
+        std::io::Write::write_all(&mut client, behind.as_bytes()).unwrap();
+        let server = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let place =
+            Place { server: ServerId(0), address: server.local_addr().unwrap(), life: 0, dialect: NEW };
+        let (sent, client) = (Cell::new(false), Cell::new(Some(client)));
+        // The close comes once the gate has been found open: no event of the runtime tells of it in time.
+        let lawful = || {
+            client.set(client.take().filter(|_| !closes));
+            true
+        };
+        let gate = Gate::new(&sent, &lawful, Instant::now() + Duration::from_secs(60));
+        let backends = of(4, &[]);
+        let call = Call { client: Some(view), ..post(9) };
+        let (outcome, heard) = LocalSet::new()
+            .run_until(async {
+                let heard = async {
+                    let (mut stream, _) = server.accept().await.unwrap();
+                    let heard = stream.read(&mut [0; 64]).await.unwrap_or(0);
+                    (heard, stream)
+                };
+                tokio::select! {
+                    biased;
+                    ended = backends.attempt(place, &call, &gate) => (Some(ended.outcome), 0),
+                    (heard, _stream) = heard => (None, heard),
+                }
+            })
+            .await;
+        let expected = if closes { Some(Outcome::NotSent) } else { None };
+        assert_eq!((outcome, heard > 0), (expected, !closes), "{behind:?}, closes: {closes}");
+        assert_eq!(sent.get(), !closes, "{behind:?}");
+    }
+}
+
 /// The cap on connections: when all are at work nothing more is opened, and the server is not blamed.
 #[tokio::test]
 async fn past_the_cap_nothing_is_sent() {
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -190,6 +190,7 @@
             old: None,
             budget,
             counters: Some(Rc::clone(&class.counters)),
+            client: Some(seat.view().clone()),
             _portion: Some(portion),
         };
         let (name, class, dialects) = (Some(call_id.as_bytes().into()), class.id, Dialects::ALL);
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -179,6 +179,7 @@
     let exchange = exchange(&mapping, &class, &head.headers, &name, key, out);
     let mut exchange = exchange.ok_or_else(|| wrong("its path or a header can't be written"))?;
     exchange.call._portion = Some(portion);
+    exchange.call.client = Some(seat.view().clone());
     exchange.call.old = old.map(Box::new);
     exchange.dialects = dialect::dialects(sides);
     Ok(Translated { exchange, class, notices })
@@ -220,6 +221,7 @@
         old: None,
         budget,
         counters: Some(Rc::clone(&class.counters)),
+        client: None,
         _portion: None,
     };
     Some(Exchange { name: Some(name.as_bytes().into()), ..Exchange::new(call, class.id, budget) })
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -4,6 +4,7 @@
 use crate::head::{Framing, Requests};
 use crate::metrics::ClassCounters;
 use hyper::rt::{Read, ReadBufCursor, Write};
+use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -43,8 +44,8 @@
     received: Cell<u64>,
     /// Bytes that may still be read before the connection ends; `None` for any number.
     allowance: Cell<Option<u64>>,
-    /// What had been received when a request was about to be written; nothing may come before its first byte.
-    armed: Cell<Option<u64>>,
+    /// What is asked once more right before the first byte of a request is written.
+    armed: Cell<Option<Armed>>,
     /// Since when the peer has taken nothing of what waits to be written.
     stuck_since: Cell<Option<Instant>>,
     /// When the machine has last taken something for sending.
@@ -56,6 +57,14 @@
     tally: RefCell<Option<(u64, Rc<ClassCounters>)>>,
 }
 
+/// A request that is about to be written.
+struct Armed {
+    /// What had been received by then; nothing more may come before its first byte.
+    received: u64,
+    /// The connection of the client that waits for it, if there is one.
+    client: Option<View>,
+}
+
 impl Meter {
     /// The one point where an attempt is counted: the machine has taken its last byte.
     fn give_out(&self, bytes: usize) {
@@ -147,9 +156,10 @@
     }
 
     /// A request is about to be written. Whatever comes before its first byte is no answer to it and ends the
-    /// connection instead, with nothing written; after it, no more than `allowance` bytes are read.
-    pub fn arm(&self, allowance: u64) {
-        self.meter.armed.set(Some(self.received()));
+    /// connection instead, with nothing written, and so does the close of its `client`; after it, no more than
+    /// `allowance` bytes are read.
+    pub fn arm(&self, allowance: u64, client: Option<View>) {
+        self.meter.armed.set(Some(Armed { received: self.received(), client }));
         self.meter.allowance.set(Some(allowance));
     }
 
@@ -187,6 +197,18 @@
         std::future::pending().await
     }
 
+    /// True if the peer has closed its side, whatever it has sent before that and nobody has read. Asked of the kernel,
+    /// since the runtime may not have looked at the socket for a while.
+    pub fn has_closed(&self) -> bool {
+        let Some(stream) = self.stream.upgrade() else { return true };
+        match peek(&stream) {
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => false,
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => has_hung_up(&stream),
+            Ok(n) if n > 0 => has_hung_up(&stream),
+            Ok(_) | Err(_) => true,
+        }
+    }
+
     /// True if the peer has sent something that waits to be read.
     pub fn has_unread(&self) -> bool {
         self.stream.upgrade().is_some_and(|stream| matches!(peek(&stream), Ok(n) if n > 0))
@@ -202,6 +224,13 @@
     matches!(peek(stream), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
+/// True if the peer has closed its side, be it behind bytes that nobody has read.
+fn has_hung_up(stream: &TcpStream) -> bool {
+    let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
+    let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    poll(&mut polled, Some(&Timespec::default())).is_ok() && polled[0].revents().intersects(ends)
+}
+
 /// Says that nothing more will be written.
 fn half_close(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
@@ -299,8 +328,9 @@
         cx: &mut Context<'_>,
         mut write: impl FnMut(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        if let Some(received) = self.meter.armed.take() {
-            if received != self.meter.received.get() || !is_quiet(&self.stream) {
+        if let Some(Armed { received, client }) = self.meter.armed.take() {
+            let is_gone = client.is_some_and(|client| client.has_closed());
+            if is_gone || received != self.meter.received.get() || !is_quiet(&self.stream) {
                 return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
             }
         }
