--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -29,6 +29,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use std::cell::{Cell, RefCell};
+use std::future::{poll_fn, Future};
+use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
@@ -239,7 +241,7 @@
                 seat.begin();
                 let mut answer = tokio::select! {
                     biased;
-                    answer = server.handle(&front, &seat, request) => answer,
+                    answer = answered(server.handle(&front, &seat, request)) => answer,
                     () = seat.view().closed() => return Err(Gone),
                 };
                 // Clients that ask once and stay would leave the others none of the connections that all may hold.
@@ -506,6 +508,18 @@
     }
 }
 
+/// A panic costs its request and no other: it is answered all the same, and its connection ends with that.
+async fn answered(handled: impl Future<Output = Response<Reply>>) -> Response<Reply> {
+    let mut handled = pin!(handled);
+    poll_fn(|cx| {
+        catch_unwind(AssertUnwindSafe(|| handled.as_mut().poll(cx))).unwrap_or_else(|_| {
+            tracing::error!("the handling of a request has panicked; going on");
+            Poll::Ready(closing(plain(StatusCode::INTERNAL_SERVER_ERROR, "failed")))
+        })
+    })
+    .await
+}
+
 /// A server's answer as it came.
 fn reply(seat: &Rc<Seat>, served: Served, in_flight: Option<Ticket>) -> Response<Reply> {
     let body = match served.body {
