--- a/crates/agent/src/head.rs
+++ b/crates/agent/src/head.rs
@@ -179,6 +179,11 @@
         self.junk
     }
 
+    /// Another request has begun to come behind the one that was asked for last.
+    pub fn has_begun(&self) -> bool {
+        !self.heads.is_empty() || (self.part == Part::Head && (self.lines > 0 || self.line_has_text))
+    }
+
     /// Nothing of a request that has not ended yet has come, however much came before.
     #[cfg(test)]
     fn is_between(&self) -> bool {
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -204,7 +204,7 @@
         head: &hyper::http::request::Parts,
         body: &Incoming,
     ) -> Result<(Rc<Class>, HeaderValue, Duration), Fault> {
-        let framing = seat.view().next_head().ok_or(bad("the head can't be read"))?;
+        let framing = seat.framing().ok_or(bad("the head can't be read"))?;
         if !framing.is_clear() {
             return Err(bad("the length is stated twice"));
         }
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -69,7 +69,7 @@
     request: Request<Incoming>,
 ) -> Result<Asked, Told> {
     let (head, body) = request.into_parts();
-    let framing = seat.view().next_head();
+    let framing = seat.framing();
     let found = mappings.find(head.method.as_str(), head.uri.path()).map(Rc::clone);
     let asked = match (found, framing) {
         (None, _) => Err(Told { status: 404, ..wrong("No such request is known.").tell(Form::Form) }),
--- a/crates/agent/src/seats.rs
+++ b/crates/agent/src/seats.rs
@@ -1,5 +1,6 @@
 //! The clients' connections: which may stay, and which must go to make room or because nothing comes of them.
 
+use crate::head::Framing;
 use crate::wire::View;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -56,6 +57,7 @@
     view: View,
     phase: Cell<Phase>,
     since: Cell<Instant>,
+    framing: Cell<Option<Framing>>,
     used: Cell<bool>,
     /// It has been used more than once, so its client may come back.
     reused: Cell<bool>,
@@ -66,8 +68,11 @@
     discards: Cell<bool>,
     /// What had been received at the last change, and when that was seen.
     heard: Cell<(u64, Instant)>,
-    /// What had been received when the last answer was given.
-    mark: Cell<u64>,
+    /// Changes of phase so far, and what they were when it was told to end.
+    changes: Cell<u64>,
+    told: Cell<u64>,
+    /// What has come has had its last chance to be read.
+    spared: Cell<bool>,
     end: Cell<Option<Close>>,
     ending: Notify,
 }
@@ -88,29 +93,46 @@
         matches!(self.phase.get(), Phase::Body | Phase::Busy)
     }
 
+    /// It has been told to end.
+    pub fn is_ending(&self) -> bool {
+        self.end.get().is_some()
+    }
+
     /// A request has begun to come on it, be it that nobody has read that yet.
     pub fn is_coming(&self) -> bool {
         match self.phase.get() {
-            Phase::Waiting => self.view.received() > self.mark.get() || self.view.has_unread(),
+            Phase::Waiting => self.view.has_begun() || self.view.has_unread(),
             Phase::Reading => true,
             Phase::Body | Phase::Busy | Phase::Leaving => false,
         }
     }
 
+    /// Behind what is being answered another request has begun to come, which a close would leave without an answer.
+    pub fn has_next(&self) -> bool {
+        self.view.has_begun() && !self.view.has_junk()
+    }
+
     /// What is left of a body is read and thrown away, or no longer.
     pub fn discard(&self, discards: bool) {
         self.discards.set(discards);
-        self.mark.set(self.view.received());
         self.since.set(Instant::now());
     }
 
     fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
+        self.changes.set(self.changes.get() + 1);
+        self.spared.set(false);
+    }
+
+    /// What the head of the present request says of its length.
+    pub fn framing(&self) -> Option<Framing> {
+        self.framing.get()
     }
 
     /// The head of a request has come.
     pub fn begin(&self) {
+        self.framing.set(self.view.next_head());
         self.reused.set(self.used.replace(true));
         self.enter(Phase::Body);
     }
@@ -137,7 +159,6 @@
         if self.passing.get() {
             return;
         }
-        self.mark.set(self.view.received());
         self.enter(if leaves { Phase::Leaving } else { Phase::Waiting });
     }
 
@@ -153,14 +174,22 @@
     fn tell(&self, end: Close) {
         if self.end.get() != Some(Close::Immediate) {
             self.end.set(Some(end));
+            self.told.set(self.changes.get());
             self.ending.notify_one();
         }
     }
 
     /// Comes back when it is told to end, or to end sooner.
     pub async fn ended(&self) -> Close {
-        self.ending.notified().await;
-        self.end.get().unwrap_or(Close::Graceful)
+        loop {
+            self.ending.notified().await;
+            // A request has become whole or has had its answer since: the reason is gone.
+            if self.end.get() == Some(Close::Immediate) && self.changes.get() != self.told.get() {
+                self.end.set(None);
+                continue;
+            }
+            return self.end.get().unwrap_or(Close::Graceful);
+        }
     }
 
     /// Comes back when it is told to end now.
@@ -177,7 +206,7 @@
         if self.discards.get() {
             return None;
         }
-        if self.phase.get() == Phase::Waiting && received > self.mark.get() {
+        if self.phase.get() == Phase::Waiting && self.view.has_begun() {
             // A new connection has its time for the whole request from its start.
             self.phase.set(Phase::Reading);
             if self.used.get() {
@@ -187,23 +216,34 @@
         let age = now.saturating_duration_since(self.since.get());
         let stuck =
             self.view.stuck_since().is_some_and(|since| now.saturating_duration_since(since) > STUCK_WAIT);
-        match self.phase.get() {
+        let end = match self.phase.get() {
             _ if stuck => Some(Close::Immediate),
+            // What stands behind is answered once its client has taken this.
+            _ if self.is_unsent() => None,
             Phase::Waiting if self.used.get() => (age > IDLE_WAIT).then_some(Close::Graceful),
             Phase::Waiting => (age > FIRST_WAIT).then_some(Close::Immediate),
             Phase::Reading => (age > READ_WAIT).then_some(Close::Immediate),
             Phase::Leaving => (age > LEAVE_WAIT).then_some(Close::Immediate),
             Phase::Body | Phase::Busy => None,
-        }
+        };
+        let reads = matches!(self.phase.get(), Phase::Waiting | Phase::Reading);
+        // The process may have been held up: what has come is read first, and only then is its client too late.
+        let spare = !stuck && reads && end == Some(Close::Immediate) && self.view.has_unread();
+        end.filter(|_| !spare || self.spared.replace(true))
+    }
+
+    /// Something of its last answer still waits to be written; a client that takes nothing of it is another matter.
+    pub fn is_unsent(&self) -> bool {
+        self.view.stuck_since().is_some()
     }
 
     /// How readily it makes room for another, the lowest first; `None` if it must not.
     fn rank(&self, now: Instant) -> Option<(u8, Instant)> {
         let since = self.since.get();
         let age = now.saturating_duration_since(since);
-        let heard = self.view.received() > self.mark.get();
+        let heard = self.view.has_begun();
         let rank = match self.phase.get() {
-            _ if self.end.get().is_some() => None,
+            _ if self.end.get().is_some() || self.is_unsent() => None,
             Phase::Busy => None,
             // A body that goes on coming is no reason to end it.
             Phase::Body => {
@@ -249,13 +289,16 @@
             view,
             phase: Cell::new(Phase::Waiting),
             since: Cell::new(Instant::now()),
+            framing: Cell::new(None),
             used: Cell::new(false),
             reused: Cell::new(false),
             passing: Cell::new(false),
             leaves: Cell::new(false),
             discards: Cell::new(false),
             heard: Cell::new((0, Instant::now())),
-            mark: Cell::new(0),
+            changes: Cell::new(0),
+            told: Cell::new(0),
+            spared: Cell::new(false),
             end: Cell::new(None),
             ending: Notify::new(),
         });
@@ -272,17 +315,19 @@
     /// Tells the one that can best be spared to go.
     pub fn make_room(&self) {
         let (now, seats) = (Instant::now(), self.seats.borrow());
-        loop {
-            let ranked = seats.values().filter_map(|seat| Some((seat.rank(now)?, seat)));
-            let Some(((rank, _), seat)) = ranked.min_by_key(|(rank, _)| *rank) else { return };
-            if rank == 0 && seat.phase.get() == Phase::Waiting && seat.view.has_unread() {
+        let mut ranked: Vec<_> = seats.values().filter_map(|seat| Some((seat.rank(now)?, seat))).collect();
+        ranked.sort_by_key(|(rank, _)| *rank);
+        for ((rank, _), seat) in ranked {
+            match seat.phase.get() {
+                // A request may just be on its way on one that has been used.
+                _ if rank == 2 => return seat.tell(Close::Graceful),
+                Phase::Leaving => return seat.tell(Close::Immediate),
+                _ if !seat.view.has_unread() => return seat.tell(Close::Immediate),
                 // It has spoken, and hyper has not come round to it.
-                seat.enter(Phase::Reading);
-                continue;
+                Phase::Waiting => seat.enter(Phase::Reading),
+                // What has come may be all of it. A body waits to be read for as long as its server takes nothing.
+                Phase::Reading | Phase::Body | Phase::Busy => {}
             }
-            // A request may just be on its way on one that has been used.
-            seat.tell(if rank == 2 { Close::Graceful } else { Close::Immediate });
-            return;
         }
     }
 
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -245,8 +245,13 @@
                     () = seat.view().closed() => return Err(Gone),
                 };
                 // Clients that ask once and stay would leave the others none of the connections that all may hold.
-                if server.stopping.get() || server.open.count() > server.limits.get().keep_most {
-                    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                let is_crowded = server.open.count() > server.limits.get().keep_most;
+                if is_crowded || server.stopping.get() || seat.is_ending() {
+                    answer = closing(answer);
+                }
+                // What has been read behind the request is owed an answer too.
+                if seat.has_next() {
+                    answer.headers_mut().remove(CONNECTION);
                 }
                 seat.answer(answer.headers().contains_key(CONNECTION));
                 Ok(answer)
@@ -257,13 +262,20 @@
         builder.header_read_timeout(None).max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
         let mut connection = pin!(builder.serve_connection(wire, service));
         tokio::select! {
+            biased;
             _ = connection.as_mut() => return Close::Graceful,
             end = seat.ended() => if end == Close::Immediate { return end },
         }
         let graceful = async {
             // A request that is on its way, or has come and was not read yet, must not be cut off by the close.
-            while seat.is_coming() {
-                if timeout(Duration::from_millis(1), connection.as_mut()).await.is_ok() {
+            loop {
+                // The answer that is owed ends the connection, or is followed by those to what stands behind it.
+                let wait = match () {
+                    () if seat.is_busy() || seat.is_unsent() => CLOSE_WAIT,
+                    () if seat.is_coming() => Duration::from_millis(1),
+                    () => break,
+                };
+                if timeout(wait, connection.as_mut()).await.is_ok() {
                     return;
                 }
             }
@@ -275,10 +287,11 @@
             // What is left is to pass on an answer that is owed or has been given; a client that does not read, or
             // has begun a request and says no more, must not keep its seat.
             while timeout(CLOSE_WAIT, connection.as_mut()).await.is_err()
-                && (seat.is_busy() || self.stopping.get())
+                && (seat.is_busy() || seat.is_unsent() || self.stopping.get())
             {}
         };
         tokio::select! {
+            biased;
             () = graceful => Close::Graceful,
             () = seat.closed_immediately() => Close::Immediate,
         }
@@ -287,7 +300,6 @@
     /// One request, one answer.
     async fn handle(&self, front: &Front, seat: &Rc<Seat>, request: Request<Incoming>) -> Response<Reply> {
         if request.uri().path() == "/health/ready" && request.method() == Method::GET {
-            let _ = seat.view().next_head();
             let ready = self.lanes.can_decide();
             return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
         }
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -150,6 +150,11 @@
         self.meter.requests.as_ref().and_then(|requests| requests.borrow_mut().next_head())
     }
 
+    /// Another request has begun to come behind the one that was asked for last, and has been read so far.
+    pub fn has_begun(&self) -> bool {
+        self.meter.requests.as_ref().is_some_and(|requests| requests.borrow().has_begun())
+    }
+
     /// More has come than a request, and it is not the beginning of another.
     pub fn has_junk(&self) -> bool {
         self.meter.requests.as_ref().is_some_and(|requests| requests.borrow().has_junk())
--- a/crates/agent/tests/loopback/clients.rs
+++ b/crates/agent/tests/loopback/clients.rs
@@ -167,3 +167,134 @@
         agent.wait_figure("app_in_flight", 0.0);
     }
 }
+
+/// Whoever stops in the middle of a request gets an error, wherever in it that is; half a request behind another is no
+/// better than one alone.
+#[test]
+fn a_client_that_stops_in_mid_request_gets_its_error() {
+    let backend = Backend::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with(&[&backend]);
+    let (length, once) = ("Content-Length: 4\r\n\r\nbody", request("once", 9000));
+    let long = "x".repeat(90_000);
+    let chunked = |behind: &str| once.replace(length, &format!("Transfer-Encoding: chunked\r\n\r\n{behind}"));
+    let stops = [
+        ("half a head", once[..20].to_string(), None),
+        ("a head without its end", once[..once.find(length).unwrap()].to_string(), None),
+        ("half a body", once[..once.len() - 2].to_string(), Some(408)),
+        ("no chunk", chunked(""), Some(408)),
+        ("half a chunk header", chunked("4"), Some(408)),
+        ("half a chunk", chunked("4\r\nbo"), Some(408)),
+        ("no last chunk", chunked("4\r\nbody\r\n"), Some(408)),
+        ("half a trailer", chunked("4\r\nbody\r\n0\r\nX"), Some(408)),
+        ("half a long body", once.replace(length, &format!("Content-Length: 180000\r\n\r\n{long}")), None),
+        ("half a long chunk", chunked(&format!("2BF20\r\n{long}")), None),
+    ];
+    let mut clients: Vec<(String, Client, Option<u16>)> = Vec::new();
+    for (what, text, status) in stops {
+        for behind in [false, true] {
+            let mut client = Client::to(&agent);
+            let first = if behind { request("read", 9000) } else { String::new() };
+            client.write(&(first + &text));
+            if behind {
+                assert_eq!(client.read().map(|m| m.status()), Some(200), "{what}");
+            }
+            clients.push((format!("{what}, behind another: {behind}"), client, status));
+        }
+    }
+    for (what, mut client, status) in clients {
+        // Nothing read is a close only if it is no time-out of the test's own.
+        let mut text = String::new();
+        let end = std::io::Read::read_to_string(&mut client.stream, &mut text);
+        let timed_out = end.as_ref().is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+        assert!(!timed_out, "{what}: the connection is still open");
+        // Heads may be let go without a word, and a long body be refused before its client is given up.
+        let answered = text.get(9..12).map(|code| code.parse().unwrap());
+        assert!(status.is_none_or(|_| status == answered), "{what}: {text}");
+        assert!(answered.is_none_or(|s: u16| (400..=503).contains(&s)), "{what}: {text}");
+    }
+}
+
+/// Requests that are sent one behind the other are answered one by one, also behind one that is turned away.
+#[test]
+fn what_waits_behind_a_refusal_is_answered() {
+    let backend = Backend::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with(&[&backend]);
+    let (read, once) = (request("read", 9000), request("once", 9000));
+    let bad = [
+        read.replace("read", "write"),
+        once.replace("9000", "soon"),
+        read.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody"),
+    ];
+    let mut client = Client::to(&agent);
+    client.write(&(bad.concat() + &request("read", 9000) + &request("once", 9000)));
+    let statuses: Vec<u16> = (0..5).map_while(|_| client.read()).map(|m| m.status()).collect();
+    assert_eq!(statuses, [400, 400, 400, 200, 200]);
+    assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+}
+
+/// Very little time, and servers that drop what they get without a word: one final answer each, and the connection goes on.
+#[test]
+fn requests_with_very_little_time_get_one_answer_each() {
+    for act in [|| Act::Last(String::new()), || Act::Silence] {
+        let backend = Backend::new(move |_| act());
+        let (agent, _discovery) = Agent::with(&[&backend]);
+        let mut client = Client::to(&agent);
+        for class in ["read", "once", "zoned", "all"] {
+            for budget in [0, 1, 5] {
+                let status = client.ask(&request(class, budget)).status();
+                assert!(matches!(status, 502..=504), "{class} with {budget} ms: {status}");
+            }
+        }
+        let ready = client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        assert_eq!(ready.status(), 200, "and no second answer to any");
+    }
+}
+
+/// Every attempt fails at once, first ones and further ones: one final answer, and no more attempts than there may be.
+#[test]
+fn attempts_that_all_fail_at_once_end_in_one_answer() {
+    let acts: [fn() -> Act; 4] = [
+        || Act::Last(String::new()),
+        || Act::Last("HTTP/1.1 200 OK\r\nContent-Le".into()),
+        || status(500, ""),
+        || status(503, "X-Rejected: 1\r\n"),
+    ];
+    for (number, act) in acts.into_iter().enumerate() {
+        let backends = [0; 3].map(|_| Backend::new(move |_| act()));
+        let (agent, _discovery) = Agent::with(&backends.each_ref());
+        let mut client = Client::to(&agent);
+        for class in ["read", "once", "zoned", "all"] {
+            let before: usize = backends.iter().map(|b| b.heard.all().len()).sum();
+            let status = client.ask(&request(class, 900)).status();
+            assert!((500..600).contains(&status), "{class}, {number}: {status}");
+            let heard = backends.iter().map(|b| b.heard.all().len()).sum::<usize>() - before;
+            assert!(heard <= 3, "{class}, {number}: {heard} attempts");
+        }
+        let ready = client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        assert_eq!(ready.status(), 200, "and no second answer to any");
+    }
+}
+
+/// A client that closes in the middle of a long body has gone: what servers turn away after that is sent to no other.
+#[test]
+fn nothing_begins_for_a_client_that_closes_in_the_middle_of_an_upload() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let line =
+        serving("s", listener.local_addr().unwrap()) + "," + &serving("t", listener.local_addr().unwrap());
+    let discovery = Discovery::new(line.clone());
+    let agent = Agent::start(&with_ops(&config(discovery.address, &line, SETTINGS, 1024)));
+    let text = request("once", 9000);
+    let head = &text[..text.find("Content-Length").unwrap()];
+    let mut client = Client::to(&agent);
+    client.write(&format!("{head}Content-Length: 180000\r\n\r\n{}", "x".repeat(90_000)));
+    let (mut server, _) = listener.accept().unwrap();
+    std::io::Read::read_exact(&mut server, &mut [0; 1000]).unwrap();
+    drop(client);
+    // Its end is the sign that the agent has seen the close.
+    std::io::copy(&mut server, &mut std::io::sink()).unwrap();
+    let answer = "HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
+    let _ = std::io::Write::write_all(&mut server, answer.as_bytes());
+    assert_eq!(Client::to(&agent).ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    listener.set_nonblocking(true).unwrap();
+    assert!(listener.accept().is_err(), "another attempt began");
+}
--- /dev/null
+++ b/crates/agent/tests/loopback/held_up.rs
@@ -0,0 +1,72 @@
+//! A process that is held up: what came meanwhile is read before anybody's time is taken to be over.
+
+use crate::common::*;
+use std::process::Command;
+use std::thread::sleep;
+use std::time::Duration;
+
+/// Longer than any client is given for its head.
+const LONG: Duration = Duration::from_millis(3000);
+
+fn signal(agent: &Agent, signal: &str) {
+    let pid = agent.child.id().to_string();
+    assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
+}
+
+/// Stops the process while this happens.
+fn held_up(agent: &Agent, meanwhile: impl FnOnce()) {
+    signal(agent, "-STOP");
+    let stat = format!("/proc/{}/stat", agent.child.id());
+    while !std::fs::read_to_string(&stat).unwrap().rsplit(')').next().unwrap().starts_with(" T") {
+        std::thread::yield_now();
+    }
+    meanwhile();
+    signal(agent, "-CONT");
+}
+
+/// Its requests were whole before the process came to look at their time.
+#[test]
+fn what_has_come_is_read_before_its_client_is_too_late() {
+    let backend = Backend::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with(&[&backend]);
+    let texts: Vec<String> = (0..3).map(|_| request("read", 9000)).collect();
+    let (mut silent, mut half, mut used) = (Client::to(&agent), Client::to(&agent), Client::to(&agent));
+    half.write(&texts[1][..9]);
+    assert_eq!(used.ask(&request("read", 9000)).status(), 200);
+    used.write(&texts[2][..9]);
+    // By this answer all of that has been read.
+    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).status(), 200);
+    held_up(&agent, || {
+        sleep(LONG);
+        silent.write(&texts[0]);
+        half.write(&texts[1][9..]);
+        used.write(&texts[2][9..]);
+    });
+    for (what, mut client) in [("silent", silent), ("half", half), ("used", used)] {
+        assert_eq!(client.read().map(|m| m.status()), Some(200), "{what}");
+    }
+}
+
+/// The same where others need its place.
+#[test]
+fn what_has_come_is_read_before_its_client_makes_room() {
+    let backend = Backend::new(|_| ok("x"));
+    // 64 descriptors less the reserve leave 8 seats.
+    let (agent, _discovery) = Agent::with_sockets(&backend, 64);
+    let mut others: Vec<Client> = (0..6).map(|_| Client::to(&agent)).collect();
+    for other in &mut others {
+        assert_eq!(other.ask(&request("read", 9000)).status(), 200);
+    }
+    let text = request("read", 9000);
+    let (mut half, mut crowd) = (Client::to(&agent), Vec::new());
+    half.write(&text[..9]);
+    assert_eq!(others[0].ask(&request("read", 9000)).status(), 200);
+    held_up(&agent, || {
+        // Longer than half a request is safe from others.
+        sleep(Duration::from_millis(300));
+        crowd.extend((0..8).map(|_| Client::to(&agent)));
+        half.write(&text[9..]);
+    });
+    assert_eq!(half.read().map(|m| m.status()), Some(200));
+    drop(crowd);
+}
--- a/crates/agent/tests/loopback/limits.rs
+++ b/crates/agent/tests/loopback/limits.rs
@@ -164,3 +164,43 @@
     assert_eq!(Client::to(&agent).ask(&request("read", 9000)).body, b"new");
     drop((crowd, silent));
 }
+
+/// A body that waits because its server takes no more of it is whole as far as its client can tell, and does not make room
+/// for others.
+#[test]
+fn a_body_that_waits_for_its_server_keeps_its_seat() {
+    const BODY: usize = 900_000;
+    // What the server does not read stays with the agent's machine.
+    let small = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    small.set_recv_buffer_size(4096).unwrap();
+    small.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+    small.listen(8).unwrap();
+    let server = std::net::TcpListener::from(small);
+    let line = serving("s", server.local_addr().unwrap());
+    let discovery = Discovery::new(line.clone());
+    // 64 descriptors less the reserve leave 8 seats.
+    let agent = Agent::start(&config(discovery.address, &line, SETTINGS, 64));
+    let text = request("once", 9000);
+    let head = &text[..text.find("Content-Length").unwrap()];
+    let mut client = Client::to(&agent);
+    let body = format!("{head}Content-Length: {BODY}\r\n\r\n{}", "x".repeat(BODY));
+    let mut stream = client.stream.try_clone().unwrap();
+    let writer = std::thread::spawn(move || std::io::Write::write_all(&mut stream, body.as_bytes()));
+    let (stream, _) = server.accept().unwrap();
+    // Longer than a body that does not come is safe from others.
+    std::thread::sleep(std::time::Duration::from_millis(1000));
+    let crowd: Vec<Client> = (0..16)
+        .map(|_| {
+            let mut other = Client::to(&agent);
+            assert_eq!(other.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+            other
+        })
+        .collect();
+    let mut input = std::io::BufReader::new(stream.try_clone().unwrap());
+    let heard = Message::read(&mut input).expect("all of it");
+    assert_eq!(heard.body.len(), BODY);
+    std::io::Write::write_all(&mut &stream, b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").unwrap();
+    assert_eq!(client.read().map(|m| m.status()), Some(200));
+    writer.join().unwrap().unwrap();
+    drop(crowd);
+}
--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -5,6 +5,7 @@
 mod close_delimited;
 mod common;
 mod handover;
+mod held_up;
 mod legacy;
 mod limits;
 mod lists;
--- a/crates/agent/tests/loopback/stopping.rs
+++ b/crates/agent/tests/loopback/stopping.rs
@@ -105,6 +105,64 @@
     assert_eq!(unanswered.unwrap_err().kind(), std::io::ErrorKind::WouldBlock);
 }
 
+/// What has been read behind a request is owed an answer too: the connection ends after that.
+#[test]
+fn a_request_behind_the_last_one_is_answered_before_the_close() {
+    let (backend, release) = Backend::gated();
+    let (mut agent, _discovery) = Agent::with(&[&backend]);
+    let mut client = Client::to(&agent);
+    client.write(&request("once", 9000));
+    backend.heard.wait(1);
+    client.write(&request("read", 9000));
+    agent.terminate();
+    // By then the agent has been told to stop, and has read what was written before.
+    while Client::to(&agent).ask(&request("read", 9000)).header("Connection") != Some("close") {}
+    release.send(()).unwrap();
+    let first = client.read().expect("the first answer");
+    assert_eq!((first.status(), first.header("Connection")), (200, None));
+    let second = client.read().expect("the second answer");
+    assert_eq!((second.status(), second.header("Connection")), (200, Some("close")));
+    assert!(client.read().is_none());
+    assert_eq!(agent.ended(), Some(0));
+}
+
+/// A long answer that its client takes slowly is not cut off, be it the last one of its connection, and however much of it
+/// the machine can hold.
+#[test]
+fn a_client_that_takes_its_last_answer_slowly_gets_all_of_it() {
+    let backend = Backend::new(|m| match String::from_utf8_lossy(&m.body).parse() {
+        Ok(length) => ok(&"y".repeat(length)),
+        Err(_) => ok("x"),
+    });
+    let (mut agent, _discovery) = Agent::with(&[&backend]);
+    let mut idle = Client::to(&agent);
+    let lengths: Vec<usize> = (0..24).map(|n| 100_000 + n * 10_000).collect();
+    let mut slow: Vec<Client> = lengths
+        .iter()
+        .map(|_| {
+            let small = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+            small.set_recv_buffer_size(2048).unwrap();
+            small.connect(&agent.address.into()).unwrap();
+            Client::over(small.into())
+        })
+        .collect();
+    assert_eq!(idle.ask(&request("read", 9000)).status(), 200);
+    agent.terminate();
+    assert!(idle.read().is_none());
+    for (client, length) in slow.iter_mut().zip(&lengths) {
+        client.write(&request("once", 9000).replace("4\r\n\r\nbody", &format!("6\r\n\r\n{length}")));
+    }
+    backend.heard.wait(1 + lengths.len());
+    // Longer than a connection that is left may take to end.
+    std::thread::sleep(std::time::Duration::from_millis(1500));
+    for (client, length) in slow.iter_mut().zip(&lengths) {
+        let answer = client.read().unwrap_or_else(|| panic!("not all of {length}"));
+        assert_eq!((answer.header("Connection"), answer.body.len()), (Some("close"), *length));
+    }
+    drop(slow);
+    assert_eq!(agent.ended(), Some(0));
+}
+
 /// A request that has begun to come on a connection that rested is on its way: its other half is waited for.
 #[test]
 fn half_a_request_at_the_stop_becomes_a_whole_one() {
