--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -17,9 +17,10 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
-use tokio::task::AbortHandle;
+use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, Instant};
 
 /// How long a watch waits for news. What a watch misses that has fallen silent counts as told 6 s after that, so this,
@@ -33,8 +34,10 @@
 const LIST_WAIT: Duration = Duration::from_secs(10);
 const CONNECT_WAIT: Duration = Duration::from_secs(1);
 /// How long the head of a new source's first answer may take before it is asked again: what it has to tell must be known
-/// within 4 s.
+/// within 4 s. The call before goes on beside, up to so many at a time: one that is slow, since many ask it at once, would
+/// never be heard if each call were given up.
 const MOVED_WAIT: Duration = Duration::from_millis(1200);
+const NEW_CALLS_MOST: usize = 3;
 /// The whole list; with a version it is a watch on what is newer.
 const LIST_PATH: &str = "/registry/instances";
 /// The largest list that is read: some 500 bytes for each server that a pool takes. While it is read it takes about four
@@ -221,8 +224,9 @@
 
 impl Discovery {
     /// Follows the source, over connections that are made so.
-    async fn follow(self, connector: impl Connector, feed: Feed<SocketAddr>) {
+    async fn follow(self, connector: impl Connector + 'static, feed: Feed<SocketAddr>) {
         let Discovery { mut source, pushed, old_kinds } = self;
+        let connector = Rc::new(connector);
         if pushed {
             feed.follow();
         }
@@ -243,13 +247,13 @@
 
 /// Calls one source.
 struct Client<'a, C> {
-    connector: &'a C,
+    connector: &'a Rc<C>,
     feed: &'a Feed<SocketAddr>,
     address: SocketAddr,
     old_kinds: &'a [String],
 }
 
-impl<C: Connector> Client<'_, C> {
+impl<C: Connector + 'static> Client<'_, C> {
     /// Hands a list over; false if it was older than the one that stands.
     fn tell(&self, reply: ListReply) -> bool {
         let mut list = List::from(reply);
@@ -259,20 +263,37 @@
         self.feed.listed(list)
     }
 
-    /// Watches as long as the module follows the list. Where lists are pushed the watch is the push: it runs at
-    /// all times, and a failure is no news to the module, which has asked for nothing.
-    async fn watch(&self, pushed: bool) {
-        let mut connection = None;
-        // A new source owes nothing to the version of the old one: it is asked for the whole list first, whatever
-        // the module is waiting for, until it has answered. What is known stands till then.
-        while self.feed.version().is_none() {
-            match call(self.connector, self.address, &mut connection, LIST_PATH, MOVED_WAIT).await {
-                Some(list) => {
+    /// A new source owes nothing to the version of the old one: it is asked for the whole list first, whatever the module is
+    /// waiting for, until it has answered. What is known stands till then.
+    async fn begin(&self) -> Option<Connection> {
+        let (mut calls, address) = (JoinSet::new(), self.address);
+        loop {
+            if calls.len() < NEW_CALLS_MOST {
+                let connector = Rc::clone(self.connector);
+                calls.spawn_local(async move {
+                    let mut connection = None;
+                    let list = call(&*connector, address, &mut connection, LIST_PATH, HOLD + HEAD_WAIT).await;
+                    (list, connection)
+                });
+            }
+            match timeout(MOVED_WAIT, calls.join_next()).await {
+                Ok(Some(Ok((Some(list), connection)))) => {
                     self.tell(ListReply { all: true, ..list });
+                    return connection;
                 }
-                None => sleep(AGAIN_PAUSE).await,
+                Ok(_) => sleep(AGAIN_PAUSE).await,
+                Err(_) => {}
             }
         }
+    }
+
+    /// Watches as long as the module follows the list. Where lists are pushed the watch is the push: it runs at
+    /// all times, and a failure is no news to the module, which has asked for nothing.
+    async fn watch(&self, pushed: bool) {
+        let mut connection = match self.feed.version() {
+            Some(_) => None,
+            None => self.begin().await,
+        };
         loop {
             self.feed.followed(true).await;
             let version = self.feed.version();
@@ -280,7 +301,7 @@
                 format!("{LIST_PATH}?from={}&hold_ms={}", version.unwrap_or_default(), HOLD.as_millis());
             let asked = Instant::now();
             let answer = tokio::select! {
-                answer = call(self.connector, self.address, &mut connection, &path, HOLD + HEAD_WAIT) => answer,
+                answer = call(&**self.connector, self.address, &mut connection, &path, HOLD + HEAD_WAIT) => answer,
                 () = self.feed.followed(false) => continue,
             };
             match answer {
@@ -301,7 +322,7 @@
     async fn fetch(&self) {
         loop {
             self.feed.asked().await;
-            match call(self.connector, self.address, &mut None, LIST_PATH, HOLD + HEAD_WAIT).await {
+            match call(&**self.connector, self.address, &mut None, LIST_PATH, HOLD + HEAD_WAIT).await {
                 // Left out if the watch has brought something newer meanwhile.
                 Some(list) => {
                     self.tell(list);
--- a/crates/agent/src/discovery/tests.rs
+++ b/crates/agent/src/discovery/tests.rs
@@ -45,6 +45,8 @@
     Half(usize),
     /// The list, a few bytes at a time with so many milliseconds between.
     Trickle(u64),
+    /// The list, after so many milliseconds.
+    Late(u64),
     /// The list.
     List,
     /// What a watch gets to whom nothing is new: an empty answer once its time is over.
@@ -100,6 +102,10 @@
                         }
                         Ok(())
                     }
+                    Act::Late(pause) => {
+                        sleep(Duration::from_millis(pause)).await;
+                        stream.write_all(text.as_bytes()).await
+                    }
                     Act::List => stream.write_all(text.as_bytes()).await,
                     Act::NoNews => {
                         sleep(Duration::from_millis(hold.unwrap_or(0))).await;
@@ -114,14 +120,19 @@
     }
 }
 
-/// How long it takes from the start until a drain is known that the last of these acts tells; and the calls.
-async fn drained_after(way: Way, acts: &'static [Act]) -> (Duration, Vec<(Instant, String)>) {
-    drained_over(way, acts, |discovery| Box::new(discovery)).await
+/// Longer than any play, by the runtime's clock.
+const LONGEST: Duration = Duration::from_secs(3600);
+
+/// How long it takes from the start until a drain is known that the last of these acts tells; and the calls. The source is
+/// the one that the list is from, or a new one, of which nothing is known.
+async fn drained_after(way: Way, acts: &'static [Act], is_new: bool) -> (Duration, Vec<(Instant, String)>) {
+    drained_over(way, acts, is_new, |discovery| Box::new(discovery)).await
 }
 
 async fn drained_over(
     way: Way,
     acts: &'static [Act],
+    is_new: bool,
     over: impl FnOnce(Discovery) -> Box<dyn Membership<SocketAddr>>,
 ) -> (Duration, Vec<(Instant, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -136,7 +147,7 @@
         seed: 7,
         names: ServerNames::default(),
         known: Some(known),
-        known_stands: true,
+        known_stands: !is_new,
         epoch: None,
         upstream: Nobody,
         requests: Quota::alone(9),
@@ -147,8 +158,8 @@
     spawn_local(serve(listener, acts, Rc::clone(&asked)));
     spawn_local(pool.clone().run(over(discovery)));
     while pool.can_decide() {
-        assert!(begun.elapsed() < Duration::from_secs(120), "the drain is never heard of");
-        sleep(Duration::from_millis(10)).await;
+        assert!(begun.elapsed() < LONGEST, "the drain is never heard of");
+        sleep(Duration::from_millis(50)).await;
     }
     let asked = asked.borrow().clone();
     (begun.elapsed(), asked)
@@ -156,9 +167,20 @@
 
 /// Both ways in which lists come, before the same script.
 fn each_way(acts: &'static [Act], judge: impl Fn(Duration, &[(Instant, String)])) {
-    for way in [Way::Pushed, Way::OnRequest] {
+    each_of(&BOTH, acts, false, judge);
+}
+
+/// The same where the source is a new one.
+fn each_way_anew(acts: &'static [Act], judge: impl Fn(Duration, &[(Instant, String)])) {
+    each_of(&BOTH, acts, true, judge);
+}
+
+const BOTH: [Way; 2] = [Way::Pushed, Way::OnRequest];
+
+fn each_of(ways: &[Way], acts: &'static [Act], is_new: bool, judge: impl Fn(Duration, &[(Instant, String)])) {
+    for way in ways.iter().copied() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-        let (took, asked) = LocalSet::new().block_on(&runtime.unwrap(), drained_after(way, acts));
+        let (took, asked) = LocalSet::new().block_on(&runtime.unwrap(), drained_after(way, acts, is_new));
         judge(took, &asked);
     }
 }
@@ -217,3 +239,99 @@
         assert!(again - lost < TOLD, "{:?}", again - lost);
     });
 }
+
+/// What a new source has to tell must be known within this.
+const TOLD_ANEW: Duration = Duration::from_secs(4);
+
+/// A new source that is slow to answer, as one is that many ask at once, is heard all the same: whoever gives each call up
+/// before its answer never hears it.
+#[test]
+fn a_new_source_that_is_slow_is_heard_in_time() {
+    for acts in [&[Act::Late(1000)], &[Act::Late(2000)], &[Act::Late(3500)]] {
+        each_way_anew(acts, |took, asked| {
+            assert!(took < TOLD_ANEW, "{took:?}");
+            assert!(asked.len() <= NEW_CALLS_MOST + 1, "no more calls than help: {asked:?}");
+        });
+    }
+}
+
+/// One call to it that nobody answers keeps nothing back, and neither do many that fail.
+#[test]
+fn a_new_source_that_is_silent_once_is_asked_again_in_time() {
+    each_way_anew(&[Act::Silence, Act::List], |took, _| assert!(took < TOLD_ANEW, "{took:?}"));
+    each_way_anew(&[Act::Silence, Act::Silence, Act::List], |took, _| {
+        assert!(took < TOLD_ANEW, "{took:?}");
+    });
+    each_way_anew(&[Act::Close, Act::Half(0), Act::Close, Act::List], |took, _| {
+        assert!(took < TOLD_ANEW, "{took:?}");
+    });
+}
+
+/// It stays silent for minutes: few calls are open at any time, and what it tells in the end counts at once.
+#[test]
+fn a_new_source_that_is_silent_for_long_is_not_flooded() {
+    const SILENT: [Act; 61] = {
+        let mut acts = [Act::Silence; 61];
+        acts[60] = Act::List;
+        acts
+    };
+    // Where lists are asked for, the module's own calls come beside.
+    each_of(&[Way::Pushed], &SILENT, true, |_, asked| {
+        let apart = asked[60].0 - asked[59].0;
+        assert!(apart < TOLD_ANEW, "{apart:?}");
+        for calls in asked[..60].windows(1 + NEW_CALLS_MOST) {
+            let within = calls[NEW_CALLS_MOST].0 - calls[0].0;
+            assert!(within >= HOLD + HEAD_WAIT, "{within:?}");
+        }
+    });
+}
+
+/// Many minutes in which nothing happens, and then the watch falls silent, is closed or stops in the middle of a list, as if in the
+/// first seconds.
+#[test]
+fn a_fault_after_a_long_quiet_time_is_noticed_in_time() {
+    const QUIET: usize = 300;
+    const fn then(fault: Act) -> [Act; QUIET + 2] {
+        let mut acts = [Act::NoNews; QUIET + 2];
+        acts[QUIET] = fault;
+        acts[QUIET + 1] = Act::List;
+        acts
+    }
+    const SILENCE: [Act; QUIET + 2] = then(Act::Silence);
+    const CLOSE: [Act; QUIET + 2] = then(Act::Close);
+    const HALF: [Act; QUIET + 2] = then(Act::Half(30));
+    for acts in [&SILENCE, &CLOSE, &HALF] {
+        each_way(acts, |took, asked| {
+            assert!(took > HOLD * QUIET as u32, "the time was quiet: {took:?}");
+            let apart = asked[QUIET + 1].0 - asked[QUIET].0;
+            assert!(apart < TOLD, "{apart:?}");
+        });
+    }
+}
+
+/// An outage of several minutes, first with connections closed and then with silence: what discovery tells at its return is
+/// known at once, and it was asked neither without end nor too seldom.
+#[test]
+fn after_a_long_outage_what_discovery_tells_counts_at_once() {
+    const CLOSED: usize = 400;
+    const OUT: usize = CLOSED + 100;
+    const OUTAGE: [Act; OUT + 1] = {
+        let mut acts = [Act::Silence; OUT + 1];
+        let mut call = 0;
+        while call < CLOSED {
+            acts[call] = Act::Close;
+            call += 1;
+        }
+        acts[OUT] = Act::List;
+        acts
+    };
+    each_way(&OUTAGE, |took, asked| {
+        assert!(took > HOLD * 100, "the outage was long: {took:?}");
+        assert_eq!(asked.len().min(OUT + 1), OUT + 1);
+        for pair in asked.windows(2) {
+            assert!(pair[1].0 - pair[0].0 < TOLD, "{:?}", pair[1].0 - pair[0].0);
+        }
+        let a_minute_of_refusals = asked[..CLOSED].iter().filter(|call| call.0 - asked[0].0 < TOLD * 10);
+        assert!(a_minute_of_refusals.count() < 500, "no storm of calls");
+    });
+}
--- a/crates/agent/src/discovery/tests/local_errors.rs
+++ b/crates/agent/src/discovery/tests/local_errors.rs
@@ -54,7 +54,8 @@
         let calls = Calls::default();
         let connector = Failing { errno, times: 40, calls: Rc::clone(&calls) };
         let over = |discovery| Box::new(Over(discovery, connector)) as Box<dyn Membership<SocketAddr>>;
-        let (_, asked) = LocalSet::new().block_on(&runtime.unwrap(), drained_over(way, &[Act::List], over));
+        let (_, asked) =
+            LocalSet::new().block_on(&runtime.unwrap(), drained_over(way, &[Act::List], false, over));
         assert!(!asked.is_empty());
         let calls = calls.borrow();
         assert!(calls.len() > 40, "{errno:?}: {}", calls.len());
