--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -77,6 +77,14 @@
 }
 
 impl Call {
+    /// How long an attempt that begins now may take, in whole milliseconds, if it is called off at `until`.
+    fn left(&self, until: Instant) -> Duration {
+        let unread_since = self.body.upload().and_then(|upload| upload.unread_since());
+        let until = unread_since.map_or(until, |since| until.min(since + self.budget));
+        let left = until.saturating_duration_since(Instant::now()).min(self.budget);
+        Duration::from_millis(left.as_millis() as u64)
+    }
+
     /// Fewer bytes than this are certainly not the whole message; `None` while its length is not known.
     fn least_bytes(&self, dialect: DialectId) -> Option<u64> {
         let old = self.old.as_deref().filter(|_| dialect == OLD);
@@ -218,7 +226,9 @@
             };
             // What was told while the process was held up closes the gate too.
             caught_up().await;
-            if !gate.open() {
+            // Told no more than its client has left, and nothing if that is nothing.
+            let left = call.left(gate.until);
+            if left.is_zero() || !gate.open() {
                 self.connections.give_back(place, lease);
                 return Outcome::NotSent.into();
             }
@@ -238,7 +248,7 @@
             let answer = tokio::select! {
                 biased;
                 () = counted => Err(Spoilt::Answer),
-                answer = self.exchange(&mut lease, call, place, gate.until) => answer,
+                answer = self.exchange(&mut lease, call, place, left) => answer,
                 () = stuck(&view) => Err(Spoilt::Stuck),
             };
             let written = view.written() - before;
@@ -286,11 +296,11 @@
         lease: &mut Lease,
         call: &Call,
         place: Place,
-        until: Instant,
+        left: Duration,
     ) -> Result<Ended, Spoilt> {
         let view = lease.view.clone();
         let sender = lease.sender().ok_or(Spoilt::Connection)?;
-        let mut request = message(call, place, until);
+        let mut request = message(call, place, left);
         // Answers 1xx come ahead of the one that counts, which may take its time after them.
         let informed = Arc::new(AtomicBool::new(false));
         let inform = Arc::clone(&informed);
@@ -492,8 +502,8 @@
     }
 }
 
-/// The message to a backend: the client's own, with the time that this attempt has.
-fn message(call: &Call, place: Place, until: Instant) -> Request<Outgoing> {
+/// The message to a backend: the client's own, with the time that this attempt has left. (The old dialect has no place for it.)
+fn message(call: &Call, place: Place, left: Duration) -> Request<Outgoing> {
     let host = HeaderValue::from_str(&place.address.to_string());
     if let Some(old) = call.old.as_deref().filter(|_| place.dialect == OLD) {
         let mut request = Request::new(Payload::Held(old.body.clone()).outgoing());
@@ -509,8 +519,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
-    let left = until.saturating_duration_since(Instant::now()).min(call.budget).as_millis() as u64;
-    request.headers_mut().insert("x-budget-ms", HeaderValue::from(left));
+    request.headers_mut().insert("x-budget-ms", HeaderValue::from(left.as_millis() as u64));
     if let Ok(host) = host {
         request.headers_mut().entry(HOST).or_insert(host);
     }
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -26,6 +26,11 @@
 const WAIT_BASE: Duration = Duration::from_millis(1500);
 const WAIT_BYTES_PER_S: f64 = 32_000.0;
 
+/// Of a body whose rest nobody reads, this much at most may have left its client all the same: what the two sockets can hold.
+const UNREAD_MOST: u64 = 4 * 1024 * 1024;
+/// What lies in the socket is read without so long a wait.
+const PAUSE_LEAST: Duration = Duration::from_millis(10);
+
 /// Why a body did not come whole.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Broken {
@@ -44,6 +49,8 @@
     /// How long the client was waited for in all, and since when it is now.
     waited: Duration,
     waiting_since: Option<Instant>,
+    /// It was waited for in earnest since this was last set to false: then not all of it had come.
+    has_paused: bool,
     limit: Limit,
 }
 
@@ -51,7 +58,7 @@
     /// Nothing read yet.
     pub fn new(body: Incoming) -> Self {
         let limit = Limit::new(Instant::now());
-        Source { body, read: 0, waited: Duration::ZERO, waiting_since: None, limit }
+        Source { body, read: 0, waited: Duration::ZERO, waiting_since: None, has_paused: false, limit }
     }
 
     /// The next bytes; `None` at the end. Time counts against the client only while it is waited for.
@@ -69,7 +76,9 @@
                 return Poll::Ready(Some(Err(Broken::Slow)));
             };
             if let Some(since) = self.waiting_since.take() {
-                self.waited += since.elapsed();
+                let wait = since.elapsed();
+                self.waited += wait;
+                self.has_paused |= wait >= PAUSE_LEAST;
             }
             return Poll::Ready(match frame {
                 None => None,
@@ -118,6 +127,9 @@
     /// Bytes of it in all, if its head says so.
     length: Option<u64>,
     spent: Cell<bool>,
+    /// Since when nobody has read on in it, and for how long that was so before an attempt did.
+    unread_since: Instant,
+    unread_for: Cell<Option<Duration>>,
     coming: watch::Sender<Coming>,
 }
 
@@ -126,7 +138,21 @@
     pub fn new(held: Vec<Bytes>, rest: Source, length: Option<u64>) -> Rc<Self> {
         let coming = watch::Sender::new(Coming::More);
         let (held, rest) = (RefCell::new(held), RefCell::new(Some(rest)));
-        Rc::new(Upload { held, rest, length, spent: Cell::new(false), coming })
+        let (spent, unread_since, unread_for) = (Cell::new(false), Instant::now(), Cell::new(None));
+        Rc::new(Upload { held, rest, length, spent, unread_since, unread_for, coming })
+    }
+
+    /// Since when its client may have sent all of it with nobody reading on; `None` if somebody has, or if it can't.
+    pub fn unread_since(&self) -> Option<Instant> {
+        let may_be_whole = self.length.is_none_or(|bytes| bytes <= UNREAD_MOST);
+        (may_be_whole && self.unread_for.get().is_none()).then_some(self.unread_since)
+    }
+
+    /// The last of it has been read. If it was never waited for, it lay here whole before an attempt read on.
+    fn whole(&self, rest: &Source) -> Coming {
+        let lay = self.unread_for.get().filter(|_| !rest.has_paused && rest.read <= UNREAD_MOST);
+        let now = Instant::now();
+        Coming::Whole(now.checked_sub(lay.unwrap_or_default()).unwrap_or(now))
     }
 
     /// What it holds is not all that an attempt had any more.
@@ -175,17 +201,21 @@
         }
         let mut rest = self.rest.borrow_mut();
         let Some(rest) = rest.as_mut() else { return Poll::Ready(Some(Err(Broken::Unreadable))) };
+        if self.unread_for.get().is_none() {
+            self.unread_for.set(Some(self.unread_since.elapsed()));
+            rest.has_paused = false;
+        }
         let next = ready!(rest.poll_next(cx));
         match &next {
             Some(Ok(_)) => {
                 self.spent.set(true);
                 self.held.borrow_mut().clear();
                 if self.length == Some(rest.read) {
-                    self.coming.send_replace(Coming::Whole(Instant::now()));
+                    self.coming.send_replace(self.whole(rest));
                 }
             }
             Some(Err(broken)) => drop(self.coming.send_replace(Coming::Broken(*broken))),
-            None => drop(self.coming.send_replace(Coming::Whole(Instant::now()))),
+            None => drop(self.coming.send_replace(self.whole(rest))),
         }
         Poll::Ready(next)
     }
@@ -200,6 +230,10 @@
         Upload::is_spent(self)
     }
 
+    fn unread_since(&self) -> Option<Instant> {
+        Upload::unread_since(self)
+    }
+
     fn ended(&self) -> Pin<Box<dyn Future<Output = heronhoist_engine::Coming> + '_>> {
         Box::pin(async { Upload::ended(self).await.into() })
     }
--- a/crates/agent/tests/loopback/common.rs
+++ b/crates/agent/tests/loopback/common.rs
@@ -80,12 +80,17 @@
 }
 
 /// A count that can be waited on.
-#[derive(Default)]
 pub struct Tally<T> {
     seen: Mutex<Vec<T>>,
     more: Condvar,
 }
 
+impl<T> Default for Tally<T> {
+    fn default() -> Self {
+        Tally { seen: Mutex::default(), more: Condvar::new() }
+    }
+}
+
 impl<T: Clone> Tally<T> {
     pub fn push(&self, item: T) {
         self.seen.lock().unwrap().push(item);
--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -1,5 +1,6 @@
 //! The agent's own program between scripted peers on loopback.
 
+mod budgets;
 mod bulk;
 mod clients;
 mod close_delimited;
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -775,12 +775,22 @@
     pub async fn answer(mut self, whole: impl FnOnce(Instant) -> Instant) -> Final<U::Answer> {
         let call = Rc::clone(&self.call);
         if let (None, Some(arriving)) = (self.deadline, call.arriving()) {
+            // Where nobody reads on, its client may be waiting already.
+            let unread = async {
+                if let Some(since) = arriving.unread_since() {
+                    read_until(since + self.budget - reserve(ANSWER_RESERVE, self.budget / 2)).await;
+                }
+                if arriving.unread_since().is_none() {
+                    std::future::pending::<()>().await;
+                }
+            };
             let coming = {
                 let answer = pin!(&mut self.answer);
                 tokio::select! {
                     biased;
                     answer = answer => return answer.unwrap_or(Final::Failed),
                     coming = arriving.ended() => coming,
+                    () = unread => return Final::OutOfTime,
                 }
             };
             let Coming::Whole(at) = coming else { return Final::Unfinished };
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -37,6 +37,10 @@
     fn state(&self) -> Coming;
     /// Part of it went with an attempt and is not held any more, so that it can't be sent again.
     fn is_spent(&self) -> bool;
+    /// Since when its client may have sent all of it with nobody reading on; `None` if somebody has, or if it can't have.
+    fn unread_since(&self) -> Option<Instant> {
+        None
+    }
     /// Comes back when the last of it has come, or never will.
     fn ended(&self) -> Pin<Box<dyn Future<Output = Coming> + '_>>;
 }
