--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -47,7 +47,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
-use tokio::sync::watch;
+use tokio::sync::{watch, Notify};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, Instant};
 
@@ -55,9 +55,12 @@
 const ACCEPT_ON: Duration = Duration::from_millis(500);
 /// Once nothing is owed, connections that have not been used yet are given this long.
 const LINGER: Duration = Duration::from_millis(400);
-/// Whoever stops a process waits for the longest deadline before it is killed, for no more than this of it, and a little
-/// over [`ACCEPT_ON`].
+/// Whoever stops a process kills it after the longest deadline, of which no more than this counts,
 const KILL_AFTER: Duration = Duration::from_secs(3);
+/// and this. Until then clients go on sending on connections that are open.
+const KILL_SLACK: Duration = Duration::from_millis(700);
+/// All that has been read is answered this long before, and nothing more is read.
+const KILL_RESERVE: Duration = Duration::from_millis(200);
 /// The end of a process of which something still does not end, over all the time that its requests have.
 const STOP_SLACK: Duration = Duration::from_secs(1);
 
@@ -189,7 +192,17 @@
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         tracing::info!(front = &*front.name, "listening on {address}");
         let (server, front) = (Rc::clone(&server), Rc::new(front.clone()));
-        accepting.push(spawn_local(async move { server.accept(&front, &*listener).await }));
+        let closing = Rc::new(Notify::new());
+        let closed = Rc::clone(&closing);
+        let accept = async move {
+            tokio::select! {
+                // Whoever has come by then is let in: a listener that closes resets what waits at it.
+                biased;
+                () = server.accept(&front, &*listener) => {}
+                () = closed.notified() => {}
+            }
+        };
+        accepting.push((closing, spawn_local(accept)));
     }
     if let Some(predecessor) = predecessor {
         spawn_local(predecessor.relieve());
@@ -198,26 +211,36 @@
 
     // Clients go on coming until they have noticed; what they send is served to the end.
     let stop = Instant::now();
-    server.begin_stop();
+    let longest = server.longest_deadline();
+    let answer_by = stop + longest.min(KILL_AFTER) + KILL_SLACK - KILL_RESERVE;
+    server.begin_stop(answer_by);
     end(offers).await;
     if sharers.has_successor() {
         // New connections are the successor's from now on; those that are open may still be used for a while.
-        end(accepting).await;
+        end(accepting.into_iter().map(|(_, task)| task).collect()).await;
         read_until(stop + ACCEPT_ON).await;
     } else {
         // Whoever has come by then is let in, also if this process was held up meanwhile.
         read_until(stop + ACCEPT_ON).await;
-        end(accepting).await;
+        for (closing, task) in accepting {
+            closing.notify_one();
+            let _ = task.await;
+        }
     }
-    let longest = server.longest_deadline();
-    server.close_all(stop + ACCEPT_ON + longest.min(KILL_AFTER));
+    server.close_all();
     let quiet_from = stop + ACCEPT_ON + LINGER;
-    // Requests have been taken up to now, and each has its whole time.
+    // Long answers may be under way for longer.
     let last = stop + ACCEPT_ON + longest + STOP_SLACK;
+    let mut finished = false;
     while server.connections() > 0 && Instant::now() < last {
-        if server.owed() == 0 && Instant::now() >= quiet_from {
+        let (now, quiet) = (Instant::now(), server.owed() == 0);
+        if finished && quiet {
             break;
         }
+        if !finished && (quiet && now >= quiet_from || now >= answer_by) {
+            finished = true;
+            server.finish();
+        }
         sleep(Duration::from_millis(5)).await;
     }
     if let Some(member) = member {
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -36,6 +36,7 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 use tokio::net::TcpStream;
+use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
 /// How long a connection that has been asked to close may take to pass on an answer.
@@ -103,14 +104,18 @@
     open: Gauge,
     limits: Cell<Limits>,
     stopping: Cell<bool>,
-    /// At a stop, what comes from now on has its answer by then.
+    /// At a stop, all that has come has its answer by then.
     answer_by: Cell<Option<Instant>>,
+    /// The end of a stop: what is owed is answered at once, and connections that have not been used go too.
+    finished: Cell<bool>,
+    finishing: Notify,
 }
 
 impl Server {
     /// Serves nobody yet.
     pub fn new(serving: Serving, lanes: Rc<Lanes>, metrics: Rc<Metrics>, limits: Limits) -> Rc<Self> {
         let (seats, open, stopping, listening, answer_by) = Default::default();
+        let (finished, finishing) = Default::default();
         let longest = Cell::new(serving.catalogue.longest_deadline());
         let (serving, limits) = (RefCell::new(Rc::new(serving)), Cell::new(limits));
         Rc::new(Server {
@@ -124,6 +129,8 @@
             limits,
             stopping,
             answer_by,
+            finished,
+            finishing,
         })
     }
 
@@ -187,18 +194,31 @@
         }
     }
 
-    /// From now on every answer ends its connection.
-    pub fn begin_stop(&self) {
+    /// From now on every answer ends its connection, and comes by then, whatever its client would wait.
+    pub fn begin_stop(&self, answer_by: Instant) {
         self.stopping.set(true);
+        self.answer_by.set(Some(answer_by));
     }
 
-    /// Closes the connections that are idle, and the others after their answer. What still comes, on one that has not been
-    /// used yet, is answered by then, whatever its client would wait.
-    pub fn close_all(&self, answer_by: Instant) {
-        self.answer_by.set(Some(answer_by));
+    /// Closes the connections that are idle, and the others after their answer; those that have not been used yet are kept
+    /// for one more.
+    pub fn close_all(&self) {
         self.seats.close_all();
     }
 
+    /// Answers what is owed now, and closes the connections that have not been used too.
+    pub fn finish(&self) {
+        self.finished.set(true);
+        self.finishing.notify_waiters();
+    }
+
+    /// Comes back when what is owed is to be answered now.
+    async fn finished(&self) {
+        if !self.finished.get() {
+            self.finishing.notified().await;
+        }
+    }
+
     /// How many connections are open.
     pub fn connections(&self) -> usize {
         self.open.count()
@@ -267,23 +287,31 @@
             end = seat.ended() => if end == Close::Immediate { return end },
         }
         let graceful = async {
-            // A request that is on its way, or has come and was not read yet, must not be cut off by the close.
             loop {
-                // The answer that is owed ends the connection, or is followed by those to what stands behind it.
-                let wait = match () {
-                    () if seat.is_busy() || seat.is_unsent() => CLOSE_WAIT,
-                    () if seat.is_coming() => Duration::from_millis(1),
-                    () => break,
-                };
-                if timeout(wait, connection.as_mut()).await.is_ok() {
-                    return;
+                // A request that is on its way, or has come and was not read yet, must not be cut off by the close.
+                loop {
+                    // The answer that is owed ends the connection, or is followed by those to what stands behind it.
+                    let wait = match () {
+                        () if seat.is_busy() || seat.is_unsent() => CLOSE_WAIT,
+                        () if seat.is_coming() => Duration::from_millis(1),
+                        () => break,
+                    };
+                    if timeout(wait, connection.as_mut()).await.is_ok() {
+                        return;
+                    }
+                }
+                // hyper would close one that has had no request yet. At a stop its client has just come and is about to
+                // ask, with no listener left to turn to: it keeps its connection for that one answer.
+                if seat.is_used() || !self.stopping.get() || self.finished.get() {
+                    break;
+                }
+                tokio::select! {
+                    biased;
+                    _ = connection.as_mut() => return,
+                    () = self.finished() => {}
                 }
             }
-            // hyper would close one that has had no request yet. At a stop its client has just come and is about to
-            // ask, with no listener left to turn to: it keeps its connection for that one answer.
-            if seat.is_used() || !self.stopping.get() {
-                connection.as_mut().graceful_shutdown();
-            }
+            connection.as_mut().graceful_shutdown();
             // What is left is to pass on an answer that is owed or has been given; a client that does not read, or
             // has begun a request and says no more, must not keep its seat.
             while timeout(CLOSE_WAIT, connection.as_mut()).await.is_err()
@@ -459,10 +487,19 @@
         };
         // Nothing is decided before what was told while the process was held up is known.
         caught_up().await;
+        // What was taken before the stop has its time, but no more than there is.
+        let finished = async {
+            self.finished().await;
+            Final::OutOfTime
+        };
         // Dropped by hyper with this future when the client closes its connection.
         let owed = lane.pool.submit(exchange)?;
         let id = owed.id();
-        let answer = owed.answer(whole).await;
+        let answer = tokio::select! {
+            biased;
+            answer = owed.answer(whole) => answer,
+            answer = finished => answer,
+        };
         if let Some(since) = since.get() {
             let outcome = match &answer {
                 Final::Served(_) => Outcome::Served,
--- a/crates/agent/tests/loopback/held_up.rs
+++ b/crates/agent/tests/loopback/held_up.rs
@@ -70,3 +70,24 @@
     assert_eq!(half.read().map(|m| m.status()), Some(200));
     drop(crowd);
 }
+
+/// Connections that wait at the listener have come as far as their clients can tell: a listener that closes over them
+/// would reset them with what they have sent.
+#[test]
+fn who_waits_at_the_listener_is_let_in_before_it_closes() {
+    let backend = Backend::new(|_| ok("x"));
+    let (mut agent, _discovery) = Agent::with(&[&backend]);
+    agent.terminate();
+    while Client::to(&agent).ask(&request("read", 9000)).header("Connection") != Some("close") {}
+    let mut waiting = Vec::new();
+    held_up(&agent, || {
+        waiting.extend((0..5).map(|_| Client::to(&agent)));
+        waiting.iter_mut().for_each(|client| client.write(&request("read", 9000)));
+        // The listener's time is over when the process goes on.
+        sleep(Duration::from_millis(600));
+    });
+    for client in &mut waiting {
+        assert_eq!(client.read().map(|m| m.status()), Some(200));
+    }
+    assert_eq!(agent.ended(), Some(0));
+}
--- a/crates/agent/tests/loopback/stopping.rs
+++ b/crates/agent/tests/loopback/stopping.rs
@@ -84,25 +84,46 @@
     assert_eq!(agent.ended(), Some(0));
 }
 
-/// Whoever stops a process waits for a deadline of 3 s at most: what comes after the listener has closed is answered by then,
-/// and what was taken before has its time.
+/// Whoever stops a process kills it after the longest deadline, of which 3 s count at most, and 0.7 s. Servers hang through all
+/// of it, and discovery has them drain: what was taken before the signal, after it, and after the listener has closed is
+/// answered by then, and the process has ended.
 #[test]
-fn what_comes_late_is_answered_before_the_process_is_killed() {
-    let backend = Backend::new(|m| if m.path().starts_with("/once") { Act::Silence } else { ok("x") });
-    let (agent, _discovery) = started(&backend, SETTINGS);
-    let mut idle = Client::to(&agent);
-    assert_eq!(idle.ask(&request("read", 9000)).status(), 200);
-    let mut busy = Client::to(&agent);
-    busy.write(&request("once", 9000));
-    backend.heard.wait(2);
-    let mut new = Client::to(&agent);
-    agent.terminate();
-    assert!(idle.read().is_none());
-    new.write(&request("once", 9000));
-    assert!(new.read().is_some(), "its answer is owed");
-    busy.stream.set_nonblocking(true).unwrap();
-    let unanswered = std::io::Read::read(&mut busy.stream, &mut [0; 1]);
-    assert_eq!(unanswered.unwrap_err().kind(), std::io::ErrorKind::WouldBlock);
+fn all_that_is_read_is_answered_before_the_process_is_killed() {
+    for deadline_ms in [200, 3000, 10_000] {
+        let backend = Backend::new(|m| if m.path().starts_with("/once") { Act::Silence } else { ok("x") });
+        let deadlines = format!(r#""aimMs":100,"deadlineMs":{deadline_ms}"#);
+        let settings = SETTINGS.replace(r#""aimMs":5000,"deadlineMs":10000"#, &deadlines);
+        let (mut agent, discovery) = started(&backend, &settings);
+        let mut idle = Client::to(&agent);
+        assert_eq!(idle.ask(&request("read", 150)).status(), 200);
+        let mut clients: Vec<Client> = (0..5).map(|_| Client::to(&agent)).collect();
+        let mut unused = Client::to(&agent);
+        assert_eq!(idle.ask(&request("read", 150)).status(), 200, "by now all of them are known");
+        let text = move || request("once", deadline_ms);
+        clients[0].write(&text());
+        agent.terminate();
+        let asking = std::thread::spawn(move || {
+            clients[1].write(&text());
+            discovery.change(target("s", backend.address, "DRAINING", 0));
+            clients[2].write(&(text() + &text()));
+            assert!(idle.read().is_none(), "what rests is closed with the listener");
+            clients[3].write(&text());
+            clients[4].write(&(text() + &text()));
+            for (number, answers) in [1, 1, 2, 1, 2].into_iter().enumerate() {
+                for _ in 0..answers {
+                    let status = clients[number].read().map(|m| m.status());
+                    assert!(status.is_some_and(|s| s >= 500), "{deadline_ms} ms, {number}: {status:?}");
+                }
+                assert!(clients[number].read().is_none(), "{deadline_ms} ms, {number}: one answer");
+            }
+            assert!(unused.read().is_none());
+        });
+        std::thread::sleep(std::time::Duration::from_millis(deadline_ms.min(3000) + 700));
+        // It does nothing to a process that has ended.
+        let _ = agent.child.kill();
+        assert_eq!(agent.ended(), Some(0), "{deadline_ms} ms: it was killed");
+        asking.join().unwrap();
+    }
 }
 
 /// What has been read behind a request is owed an answer too: the connection ends after that.
