--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -3,7 +3,11 @@
 
 use heronhoist_council::formation::Identity;
 use heronhoist_council::log::{Disk, DiskFault, Image, Save};
-use redb::{Builder, Database, Durability, ReadableTable, TableDefinition};
+use redb::backends::FileBackend;
+use redb::{Builder, Database, Durability, ReadableTable, StorageBackend, TableDefinition};
+use rustix::fs::{fadvise, Advice};
+use std::fs::OpenOptions;
+use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,8 +27,33 @@
     pub repaired: bool,
 }
 
-fn fault(e: impl std::fmt::Display) -> DiskFault {
-    DiskFault(e.to_string())
+fn fault(e: impl Into<redb::Error>) -> DiskFault {
+    match e.into() {
+        redb::Error::Io(e) => io_fault(&e),
+        e @ redb::Error::PreviousIo => DiskFault::Failed(e.to_string()),
+        e => DiskFault::Unusable(e.to_string()),
+    }
+}
+
+/// A file that ends too early is damaged; whatever else the system says may be over in a while.
+fn io_fault(e: &io::Error) -> DiskFault {
+    match e.kind() {
+        io::ErrorKind::UnexpectedEof => DiskFault::Unusable(e.to_string()),
+        _ => DiskFault::Failed(e.to_string()),
+    }
+}
+
+fn unreadable(e: impl std::fmt::Display) -> DiskFault {
+    DiskFault::Unusable(e.to_string())
+}
+
+/// The same fault, with where it was.
+fn at(path: &Path, doing: &str, fault: DiskFault) -> DiskFault {
+    let place = |why: String| format!("{}: {doing}{why}", path.display());
+    match fault {
+        DiskFault::Failed(why) => DiskFault::Failed(place(why)),
+        DiskFault::Unusable(why) => DiskFault::Unusable(place(why)),
+    }
 }
 
 fn sealed(bytes: &[u8]) -> Vec<u8> {
@@ -33,7 +62,7 @@
 }
 
 fn opened<'b>(what: &str, bytes: &'b [u8]) -> Result<&'b [u8], DiskFault> {
-    let broken = || DiskFault(format!("the checksum of {what} does not fit; the file is damaged"));
+    let broken = || DiskFault::Unusable(format!("the checksum of {what} does not fit; the file is damaged"));
     let (sum, rest) = bytes.split_first_chunk::<4>().ok_or_else(broken)?;
     (u32::from_le_bytes(*sum) == crc32fast::hash(rest)).then_some(rest).ok_or_else(broken)
 }
@@ -41,28 +70,47 @@
 impl Store {
     /// Opens the file, or makes it. One that is damaged, of another form or in use is a fault.
     pub fn open(path: &Path) -> Result<Store, DiskFault> {
+        Store::open_file(path, true)
+    }
+
+    fn open_file(path: &Path, make: bool) -> Result<Store, DiskFault> {
+        let open = || {
+            let file = OpenOptions::new().read(true).write(true).create(make).truncate(false).open(path)?;
+            // After a sync that failed, the system's cache may show as kept what the disk does not hold, and a later sync does
+            // not write it. So what can still be written is, and the rest is read from the disk.
+            file.sync_all()?;
+            fadvise(&file, 0, None, Advice::DontNeed)?;
+            Ok(file)
+        };
+        let file = open().map_err(|e| at(path, "cannot be opened: ", io_fault(&e)))?;
+        let backend = FileBackend::new(file).map_err(|e| at(path, "cannot be opened: ", fault(e)))?;
+        Store::on(backend, path)
+    }
+
+    /// On what keeps the bytes; `path` is only said.
+    pub fn on(backend: impl StorageBackend, path: &Path) -> Result<Store, DiskFault> {
         let repaired = Arc::new(AtomicBool::new(false));
         let seen = Arc::clone(&repaired);
         let open = move || {
             let mut builder = Builder::new();
             builder.set_cache_size(CACHE).set_repair_callback(move |_| seen.store(true, Ordering::Relaxed));
-            builder.create(path)
+            builder.create_with_backend(backend)
         };
         // The store panics at some files that are cut short: a plain line is owed all the same.
         let hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(|_| {}));
         let database = catch_unwind(AssertUnwindSafe(open));
         std::panic::set_hook(hook);
-        let at = |why: String| DiskFault(format!("{}: {why}", path.display()));
+        let unusable = |why: &str| at(path, "", DiskFault::Unusable(why.into()));
         let database = database
-            .map_err(|_| at("it is damaged, or cut short".into()))?
-            .map_err(|e| at(format!("cannot be opened: {e}")))?;
+            .map_err(|_| unusable("it is damaged, or cut short"))?
+            .map_err(|e| at(path, "cannot be opened: ", fault(e)))?;
         let store = Store { database, repaired: repaired.load(Ordering::Relaxed) };
-        match store.part("form").map_err(|e| at(e.0))? {
-            Some(form) if form != FORM => Err(at("it is of another form; is it a later version's?".into())),
+        match store.part("form").map_err(|fault| at(path, "", fault))? {
+            Some(form) if form != FORM => Err(unusable("it is of another form; is it a later version's?")),
             Some(_) => Ok(store),
             None => {
-                store.write(&[("form", FORM)]).map_err(|e| at(e.0))?;
+                store.write(&[("form", FORM)]).map_err(|fault| at(path, "", fault))?;
                 Ok(store)
             }
         }
@@ -95,12 +143,12 @@
     /// Who this disk is; none if it is new.
     pub fn identity(&self) -> Result<Option<Identity>, DiskFault> {
         let part = self.part("identity")?;
-        part.map(|bytes| serde_json::from_slice(&bytes).map_err(fault)).transpose()
+        part.map(|bytes| serde_json::from_slice(&bytes).map_err(unreadable)).transpose()
     }
 
     /// Keeps who this disk is, with what its council begins with.
     pub fn begin(&self, identity: &Identity, image: Option<&Image>) -> Result<(), DiskFault> {
-        let identity = serde_json::to_vec(identity).map_err(fault)?;
+        let identity = serde_json::to_vec(identity).map_err(unreadable)?;
         let mut parts: Vec<(&str, &[u8])> = vec![("identity", &identity)];
         let cut = image.map(|image| [image.cut.0, image.cut.1].map(u64::to_le_bytes).concat());
         if let Some(image) = image {
--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -28,7 +28,7 @@
         assert_eq!(store.image().expect("read"), memory);
     }
     let mut store = Store::open(&path).expect("open");
-    assert!(Store::open(&path).is_err_and(|e| e.0.contains("already open")), "one process a file");
+    assert!(Store::open(&path).is_err_and(|e| e.to_string().contains("already open")), "one process a file");
     let other = Save { snapshot: Some(b"t".to_vec()), replaces: true, cut: Some((9, 2)), ..Save::default() };
     store.save(&other).expect("saved");
     memory.take(&other);
@@ -57,6 +57,6 @@
     turned[at] ^= 1;
     std::fs::write(&path, &turned).expect("written");
     let fault = Store::open(&path).and_then(|store| store.image()).expect_err("a broken checksum");
-    assert!(fault.0.contains("checksum of entry"), "{fault}");
+    assert!(fault.to_string().contains("checksum of entry"), "{fault}");
     let _ = std::fs::remove_file(&path);
 }
--- a/crates/council/src/desk.rs
+++ b/crates/council/src/desk.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Carries on with all that has come in. After a fault the process must end without sending anything.
+    /// Carries on with all that has come in. After a fault nothing is sent or answered: it is dropped, with its node.
     pub fn work(&mut self, disk: &mut dyn Disk, now: Time) -> Result<Output, Fault> {
         let crate::node::Output { messages, answers } = self.node.work(disk, now)?;
         for (ticket, answer) in answers {
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -5,12 +5,14 @@
 //! - [`lease`]: how long a member may believe that it holds, and how long the council waits.
 //! - [`node`]: one council process: the state behind the Raft library's core.
 //! - [`desk`]: requests in, responses out, before a node.
+//! - [`backoff`]: when a process whose store has failed opens it again.
 //! - [`caller`], [`holder`]: the other side: whom to ask and when; a member that joins and renews its lease.
 //! - [`formation`]: who may form a council, and who may not any more.
 //! - [`log`]: what a process holds of the log, and what it writes down of it.
 //! - [`permit`]: permits out of a stated number, as records.
 //! - [`wire`]: what processes say to each other.
 
+pub mod backoff;
 pub mod caller;
 pub mod desk;
 pub mod formation;
--- a/crates/council/src/log.rs
+++ b/crates/council/src/log.rs
@@ -8,8 +8,15 @@
 
 /// Why a disk did not keep, or does not give back, what it was given.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct DiskFault(pub String);
+pub enum DiskFault {
+    /// A write, a sync or a read failed, as where there is no room. A step that was under way is there or is not; only
+    /// what is read back tells. It may work again later.
+    #[error("{0}")]
+    Failed(String),
+    /// What is there is not what was written, or is not this process's. It stays so.
+    #[error("{0}")]
+    Unusable(String),
+}
 
 /// What is written down in one step: all of it, or nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -71,8 +78,8 @@
 
 /// Where a process writes down.
 pub trait Disk {
-    /// Keeps a step. Once this has come back without a fault, the step is there after any crash; after a fault the
-    /// process must not go on.
+    /// Keeps a step. Once this has come back without a fault, the step is there after any crash. After a fault nobody knows
+    /// whether it is there: the node must be dropped, and made anew from what is read back.
     fn save(&mut self, save: &Save) -> Result<(), DiskFault>;
 }
 
@@ -88,7 +95,7 @@
 }
 
 fn read<M: protobuf::Message>(what: &str, bytes: &[u8]) -> Result<M, DiskFault> {
-    M::parse_from_bytes(bytes).map_err(|e| DiskFault(format!("{what} can't be read: {e}")))
+    M::parse_from_bytes(bytes).map_err(|e| DiskFault::Unusable(format!("{what} can't be read: {e}")))
 }
 
 /// Bytes of one of the library's messages.
@@ -109,14 +116,14 @@
         for (index, bytes) in &image.entries {
             let entry: Entry = read(&format!("entry {index}"), bytes)?;
             if *index != next || entry.index != next {
-                return Err(DiskFault(format!("the log has no entry {next}")));
+                return Err(DiskFault::Unusable(format!("the log has no entry {next}")));
             }
             next += 1;
             entries.push(entry);
         }
         let at = snapshot.get_metadata().index;
         if at < image.cut.0 || at >= next || hard.commit >= next.max(1) {
-            return Err(DiskFault(format!(
+            return Err(DiskFault::Unusable(format!(
                 "the log ends at {}, before its snapshot at {at} or what was committed, {}",
                 next - 1,
                 hard.commit
--- a/crates/council/src/node.rs
+++ b/crates/council/src/node.rs
@@ -91,7 +91,7 @@
     Refused(String),
 }
 
-/// Why a process must not go on.
+/// Why a process must not go on. After a [failure of the store](Fault::is_store_failure) it may from what is read back.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The disk.
@@ -113,6 +113,14 @@
     Raft(String),
 }
 
+impl Fault {
+    /// The store has failed, and may work again: the node is dropped, with all that it has not handed out, and one is made
+    /// from what the store holds then. Any other fault ends the process.
+    pub fn is_store_failure(&self) -> bool {
+        matches!(self, Fault::Disk(DiskFault::Failed(_)))
+    }
+}
+
 /// What a step gives.
 #[derive(Debug, Default)]
 pub struct Output {
@@ -184,6 +192,8 @@
     told: Vec<(u64, Vec<u8>)>,
     ticks: u64,
     now: Time,
+    /// What it must not go on after: it holds what the disk may not.
+    failed: Option<Fault>,
 }
 
 impl Node {
@@ -231,6 +241,7 @@
             told: Vec::new(),
             ticks: 0,
             now,
+            failed: None,
         };
         node.draw_timeout();
         Ok(node)
@@ -253,7 +264,7 @@
 
     /// Whether it believes that it leads.
     pub fn leads(&self) -> bool {
-        self.raw.raft.state == StateRole::Leader
+        self.failed.is_none() && self.raw.raft.state == StateRole::Leader
     }
 
     /// The number of the leader it knows.
@@ -348,6 +359,9 @@
 
     /// A message of another process of the council.
     pub fn receive(&mut self, now: Time, message: &[u8]) -> Result<(), Fault> {
+        if let Some(fault) = &self.failed {
+            return Err(fault.clone());
+        }
         self.now = self.now.max(now);
         let Ok(message) = Message::parse_from_bytes(message) else { return Ok(()) };
         let last = self.raw.raft.raft_log.last_index();
@@ -468,9 +482,18 @@
         }
     }
 
-    /// Carries on with all that has come in: writes down, and says what is to be sent and answered. After a fault the
-    /// process must end without sending anything.
+    /// Carries on with all that has come in: writes down, and says what is to be sent and answered. After a fault nothing
+    /// is, ever: the process ends, or goes on with another node where [the store has failed](Fault::is_store_failure).
     pub fn work(&mut self, disk: &mut dyn Disk, now: Time) -> Result<Output, Fault> {
+        if let Some(fault) = &self.failed {
+            return Err(fault.clone());
+        }
+        let output = self.carry_on(disk, now);
+        self.failed = output.as_ref().err().cloned();
+        output
+    }
+
+    fn carry_on(&mut self, disk: &mut dyn Disk, now: Time) -> Result<Output, Fault> {
         self.now = self.now.max(now);
         let mut output = Output::default();
         self.start_round();
@@ -696,7 +719,7 @@
 
 fn read_state(data: &[u8]) -> Result<State, Fault> {
     serde_json::from_slice(data)
-        .map_err(|e| Fault::Disk(DiskFault(format!("the snapshot can't be read: {e}"))))
+        .map_err(|e| Fault::Disk(DiskFault::Unusable(format!("the snapshot can't be read: {e}"))))
 }
 
 fn numbers(context: &[u8]) -> Option<[u64; 3]> {
--- a/crates/lab/src/processes/mod.rs
+++ b/crates/lab/src/processes/mod.rs
@@ -94,6 +94,10 @@
             if outcome.ended > 0 {
                 let _ = write!(line, "{} ended by themselves, ", outcome.ended);
             }
+            if outcome.disk_failures > 0 {
+                let (failures, reopened) = (outcome.disk_failures, outcome.reopened);
+                let _ = write!(line, "{failures} disk failures, {reopened} times opened again, ");
+            }
             if let Some((messages, bytes)) = outcome.at_leader {
                 let _ =
                     write!(line, "at the leader {messages:.0} messages and {:.1} kB a second, ", bytes / 1e3);
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -91,6 +91,9 @@
     /// A council process is killed twice; before it starts for the second time, its disk is put back to a copy from the first. Once
     /// it hears of that it must end, and is replaced. Safe only while the others keep a leader.
     OldDisk,
+    /// The disk of a council process fails for a while: a write, from any on, fails before anything of it is kept, in its middle or
+    /// after all of it is, and the process is told so or killed. It must go on from what the disk holds, once that works.
+    FailDisk,
     /// An agent is stopped and woken.
     StopAgent,
     /// An agent is killed and started again.
@@ -121,12 +124,13 @@
     Isolate,
 }
 
-const KINDS: [(&str, Kind); 19] = [
+const KINDS: [(&str, Kind); 20] = [
     ("stop-council", Kind::StopCouncil),
     ("kill-council", Kind::KillCouncil),
     ("empty-disk", Kind::EmptyDisk),
     ("cut-disk", Kind::CutDisk),
     ("old-disk", Kind::OldDisk),
+    ("fail-disk", Kind::FailDisk),
     ("stop-agent", Kind::StopAgent),
     ("kill-agent", Kind::KillAgent),
     ("twin-agent", Kind::TwinAgent),
@@ -150,6 +154,8 @@
     Nothing,
     /// A disk acknowledges before it has kept anything.
     AckBeforeSync,
+    /// A council process acknowledges a step whose write has failed, and hears of the failure only then.
+    AckBeforeFailedSync,
     /// A council process answers reads from what it has.
     StaleRead,
     /// A command that is asked again is carried out again.
@@ -166,9 +172,10 @@
     Alone,
 }
 
-const PLANTED: [(&str, Planted); 9] = [
+const PLANTED: [(&str, Planted); 10] = [
     ("nothing", Planted::Nothing),
     ("ack-before-sync", Planted::AckBeforeSync),
+    ("ack-before-failed-sync", Planted::AckBeforeFailedSync),
     ("stale-read", Planted::StaleRead),
     ("applied-twice", Planted::AppliedTwice),
     ("lease-without-margin", Planted::LeaseWithoutMargin),
--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -14,7 +14,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rustix::process::{kill_process, Pid, Signal};
+use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -35,6 +35,8 @@
 /// A client gives an operation up after this.
 const PATIENCE: Duration = Duration::from_secs(6);
 const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Where a process's disk fails, what it says can still be written to its log.
+const LOG_ROOM: u64 = 256 << 10;
 
 /// What a run came to.
 pub struct Outcome {
@@ -80,7 +82,15 @@
     fn start(&self, program: &Path) -> Result<(), String> {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
-        let mut command = tokio::process::Command::new(program);
+        let mut command = match self.arguments.first().is_some_and(|word| word == "council") {
+            // Writes beyond a bound, which `Kind::FailDisk` sets, fail then, and do not kill.
+            true => {
+                let mut shell = tokio::process::Command::new("sh");
+                shell.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]).arg(program);
+                shell
+            }
+            false => tokio::process::Command::new(program),
+        };
         let folder = self.log.parent().unwrap_or(Path::new("."));
         command
             .args(&self.arguments)
@@ -791,6 +801,7 @@
             Kind::EmptyDisk => self.restart(council_process, length, After::Emptied).await,
             Kind::CutDisk => self.restart(council_process, length, After::Cut).await,
             Kind::OldDisk => self.put_back(who, length).await,
+            Kind::FailDisk => self.fail_disk(council_process, length).await,
             Kind::StopOperator | Kind::KillOperator => {
                 let id = self.wrappers.borrow().choose(&mut *self.rng.borrow_mut()).copied();
                 let pid = id.and_then(|id| Pid::from_raw(id as i32));
@@ -918,6 +929,25 @@
         process.held.set(false);
     }
 
+    /// For a while a process's writes beyond a bound within its disk's file fail, and so the one that crosses it in its middle.
+    async fn fail_disk(&self, process: Option<Rc<Process>>, length: Duration) {
+        let Some(process) = process.filter(|process| !process.held.replace(true)) else { return };
+        let size = std::fs::metadata(self.disk(&process)).map_or(0, |about| about.len());
+        let bound = self.rng.borrow_mut().random_range(LOG_ROOM..=size.max(LOG_ROOM));
+        let id = process.child.borrow().as_ref().and_then(Child::id);
+        let pid = id.and_then(|id| Pid::from_raw(id as i32));
+        // What it had from this process, whose child it is.
+        let own = getrlimit(Resource::Fsize);
+        if let Some(pid) = pid {
+            let bounded = prlimit(Some(pid), Resource::Fsize, Rlimit { current: Some(bound), ..own.clone() });
+            sleep(length).await;
+            if let Err(why) = bounded.and_then(|_| prlimit(Some(pid), Resource::Fsize, own)) {
+                self.wrong(format!("{}: its disk cannot be bounded, or stays so: {why}", process.name));
+            }
+        }
+        process.held.set(false);
+    }
+
     fn disk(&self, process: &Process) -> PathBuf {
         self.folder.join(format!("{}.redb", process.name))
     }
--- a/crates/lab/src/processes/tests.rs
+++ b/crates/lab/src/processes/tests.rs
@@ -54,3 +54,23 @@
         "{lines:?}"
     );
 }
+
+/// Disks that fail for a while: nothing is lost or invented, and whoever acknowledges what it could not keep is found.
+#[test]
+fn processes_whose_disks_fail_go_on_from_what_is_kept() {
+    let mut plan = plan(include_str!("../../../../scenarios/council/failing-disk.toml"));
+    plan.length = 10_000_000;
+    let outcomes: Vec<_> = (1..=6).map(|seed| world::play(&plan, seed)).collect();
+    let failures: usize = outcomes.iter().map(|outcome| outcome.disk_failures).sum();
+    let reopened: usize = outcomes.iter().map(|outcome| outcome.reopened).sum();
+    assert!(failures >= 20 && reopened >= 10, "{failures} {reopened}");
+    for outcome in outcomes {
+        assert_eq!(judge::judge(&outcome.seen, plan.permits, plan.servers_out), Vec::<String>::new());
+    }
+    plan.planted = Planted::AckBeforeFailedSync;
+    let is_found = |seed: u64| {
+        let outcome = world::play(&plan, seed);
+        !judge::judge(&outcome.seen, plan.permits, plan.servers_out).is_empty()
+    };
+    assert!((1..=6).any(is_found));
+}
--- a/crates/lab/src/processes/world/faults.rs
+++ b/crates/lab/src/processes/world/faults.rs
@@ -12,7 +12,7 @@
         process.askers.iter_mut().for_each(|asker| asker.out = None);
         let mut led = None;
         let belief = match &mut process.role {
-            Role::Council { desk, disk, number } => {
+            Role::Council { desk, disk, number, .. } => {
                 disk.pending.clear();
                 *desk = None;
                 led = Some(*number);
@@ -39,31 +39,15 @@
         }
         let local = self.local(at);
         let (life_draw, now): (u64, Micros) = (self.rng.random(), self.now);
-        let plan = self.plan;
         let process = &mut self.processes[at];
         process.life = Life::Up;
         process.epoch += 1;
         let epoch = process.epoch;
         match &mut process.role {
-            Role::Council { desk, disk, number } => {
-                let settings = Settings {
-                    terms: plan.terms,
-                    tick: plan.tick,
-                    bounds: Bounds {
-                        log_entries: plan.log_entries,
-                        changes: plan.changes,
-                        ..Bounds::default()
-                    },
-                    ..Settings::default()
-                };
-                match Node::new(*number, &disk.kept, settings, life_draw, local) {
-                    Ok(node) => *desk = Some(Box::new(Desk::new(node))),
-                    Err(fault) => {
-                        self.ends(at, &fault.to_string());
-                        return;
-                    }
+            Role::Council { .. } => {
+                if self.open(at, life_draw, local) {
+                    self.at(now + 1, Event::Tick(at, epoch));
                 }
-                self.at(now + 1, Event::Tick(at, epoch));
             }
             Role::Agent(agent) => {
                 agent.holder = Holder::new(Self::about(&process.name, &process.site), life_draw, 0);
@@ -76,6 +60,64 @@
         }
     }
 
+    /// Makes a council process's node from what its disk holds; whether the process goes on.
+    fn open(&mut self, at: usize, life_draw: u64, local: Micros) -> bool {
+        let plan = self.plan;
+        let Role::Council { desk, disk, number, .. } = &mut self.processes[at].role else { return false };
+        let settings = Settings {
+            terms: plan.terms,
+            tick: plan.tick,
+            bounds: Bounds { log_entries: plan.log_entries, changes: plan.changes, ..Bounds::default() },
+            ..Settings::default()
+        };
+        let node = disk
+            .read_back()
+            .map_err(Fault::Disk)
+            .and_then(|i| Node::new(*number, &i, settings, life_draw, local));
+        match node {
+            Ok(node) => *desk = Some(Box::new(Desk::new(node))),
+            Err(fault) if fault.is_store_failure() => self.store_fails(at),
+            Err(fault) => {
+                self.ends(at, &fault.to_string());
+                return false;
+            }
+        }
+        true
+    }
+
+    /// A council process's disk has failed: it leads no more, answers nobody, and tries again after a pause.
+    pub(super) fn store_fails(&mut self, at: usize) {
+        let Role::Council { disk, .. } = &self.processes[at].role else { return };
+        if disk.after_failure() == Some(After::Killed) {
+            let pause = self.rng.random_range(1_000..1_000_000);
+            self.kill(at);
+            self.at(self.now + pause, Event::Heal(Heal::Start(at)));
+            return;
+        }
+        let (local, draw) = (self.local(at), self.rng.random());
+        let epoch = self.processes[at].epoch;
+        let Role::Council { desk, number, backoff, .. } = &mut self.processes[at].role else { return };
+        *desk = None;
+        let (led, pause) = (*number, backoff.failed(local, draw));
+        self.lose(Some(led));
+        let waiting: Vec<(u64, usize)> =
+            self.callers.iter().filter(|(_, (_, of))| *of == at).map(|(id, (to, _))| (*id, *to)).collect();
+        for (id, to) in waiting {
+            self.callers.remove(&id);
+            self.send(at, to, Parcel::Response(id, Response::Refused(Refusal::Unknown)));
+        }
+        self.at(self.now + pause, Event::Reopen(at, epoch));
+    }
+
+    /// It is tried again.
+    pub(super) fn reopen(&mut self, at: usize) {
+        let (local, life_draw) = (self.local(at), self.rng.random());
+        self.open(at, life_draw, local);
+        if matches!(&self.processes[at].role, Role::Council { desk: Some(_), .. }) {
+            self.outcome.reopened += 1;
+        }
+    }
+
     pub(super) fn stop(&mut self, at: usize, length: Micros) {
         if self.processes[at].life == Life::Up {
             self.processes[at].life = Life::Stopped;
@@ -107,6 +149,11 @@
                 }
                 self.start(at);
             }
+            Heal::MendDisk(at) => {
+                if let Role::Council { disk, .. } = &mut self.processes[at].role {
+                    disk.mend();
+                }
+            }
             Heal::Undrop(links) => {
                 for link in links {
                     let link = self.links.entry(link).or_default();
@@ -143,6 +190,7 @@
         self.heal(Heal::Release(links));
         for at in 0..self.processes.len() {
             self.heal(Heal::Wake(at));
+            self.heal(Heal::MendDisk(at));
             if matches!(self.processes[at].role, Role::Council { .. }) {
                 self.start(at);
             }
@@ -172,7 +220,8 @@
         let council = self.plan.council;
         let up = |process: &Process| process.life == Life::Up;
         let named = fault.who.as_deref().and_then(|who| self.named(who));
-        let is_council = |process: &Process| matches!(process.role, Role::Council { .. }) && up(process);
+        let is_council =
+            |process: &Process| matches!(process.role, Role::Council { desk: Some(_), .. }) && up(process);
         let is_agent = |process: &Process| matches!(process.role, Role::Agent(_)) && up(process);
         let is_operator =
             |process: &Process| matches!(process.role, Role::Operator(_) | Role::Drainer(_)) && up(process);
@@ -226,6 +275,14 @@
                 }
                 self.at(self.now + length, Event::Heal(Heal::Start(at)));
             }
+            Kind::FailDisk => {
+                let seed = self.rng.random();
+                let Some(at) = one_of_council else { return };
+                if let Role::Council { disk, .. } = &mut self.processes[at].role {
+                    disk.begin_to_fail(Pcg64Mcg::seed_from_u64(seed));
+                }
+                self.at(self.now + length, Event::Heal(Heal::MendDisk(at)));
+            }
             Kind::StopAgent => {
                 if let Some(at) = named.or_else(|| self.some(is_agent)) {
                     self.stop(at, length);
@@ -351,11 +408,11 @@
     pub(super) fn replace(&mut self, at: usize) {
         self.kill(at);
         let new: u64 = self.rng.random_range(1..u64::MAX);
-        let lies = self.plan.planted == Planted::AckBeforeSync;
+        let planted = self.plan.planted;
         let name = self.processes[at].name.clone();
         let Role::Council { disk, number, .. } = &mut self.processes[at].role else { return };
         let old = std::mem::replace(number, new);
-        *disk = MemoryDisk { lies, ..MemoryDisk::default() };
+        *disk = MemoryDisk::new(Image::default(), planted);
         self.numbers.remove(&old);
         self.numbers.insert(new, at);
         self.replacing = true;
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -3,6 +3,7 @@
 
 mod askers;
 mod clients;
+mod disk;
 mod drains;
 mod faults;
 mod operators;
@@ -11,12 +12,14 @@
 use super::plan::{Kind, Listed, Plan, Planted};
 use super::workload::Keys;
 use crate::world::Micros;
+use disk::{After, MemoryDisk};
+use heronhoist_council::backoff::Backoff;
 use heronhoist_council::caller::{Caller, DEADLINE};
 use heronhoist_council::desk::Desk;
 use heronhoist_council::formation::{beginning, Formation};
 use heronhoist_council::holder::{About, Holder, Stand};
 use heronhoist_council::log::{Disk, DiskFault, Image, Save};
-use heronhoist_council::node::{Node, Settings};
+use heronhoist_council::node::{Fault, Node, Settings};
 use heronhoist_council::permit::{self, Denied};
 use heronhoist_council::state::{Call, Change, Check, Command, Peer, Reply, Standing, Txn, Write};
 use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
@@ -65,36 +68,14 @@
     pub faults: usize,
     /// Processes that ended by themselves, since their disks were not what they had been.
     pub ended: usize,
+    /// Writes and reads of disks that failed.
+    pub disk_failures: usize,
+    /// How often a process went on from what its disk held, after it had failed.
+    pub reopened: usize,
     /// Tells runs apart.
     pub digest: u64,
 }
 
-/// A disk that keeps what it says it keeps, unless it is planted not to.
-#[derive(Default)]
-struct MemoryDisk {
-    kept: Image,
-    /// What was acknowledged but is not kept yet.
-    pending: Vec<Save>,
-    lies: bool,
-    saves: u64,
-    /// A fault made it other than it was left: its process must end, at the start or once it hears from the others.
-    spoilt: bool,
-    /// As it was when the fault began that will put it back.
-    copy: Option<Image>,
-}
-
-impl Disk for MemoryDisk {
-    fn save(&mut self, save: &Save) -> Result<(), DiskFault> {
-        self.saves += 1;
-        self.pending.push(save.clone());
-        // One that lies gets round to it only now and then.
-        if !self.lies || self.saves % 64 == 0 {
-            self.pending.drain(..).for_each(|save| self.kept.take(&save));
-        }
-        Ok(())
-    }
-}
-
 #[derive(Clone, Copy, PartialEq)]
 enum Life {
     Up,
@@ -141,6 +122,8 @@
     Tick(usize, u32),
     Deliver(usize, usize, Box<Parcel>),
     Wake(usize, u32),
+    /// A council process whose disk has failed opens it again.
+    Reopen(usize, u32),
     GivenUp(usize, u32, u64),
     Chaos,
     Fault(usize),
@@ -152,6 +135,7 @@
     Start(usize),
     /// It is killed, and its disk put back to the copy that was made of it; it is started.
     PutBack(usize),
+    MendDisk(usize),
     Undrop(Vec<(usize, usize)>),
     Undelay(Vec<(usize, usize)>),
     Release(Vec<(usize, usize)>),
@@ -228,6 +212,7 @@
         desk: Option<Box<Desk>>,
         disk: MemoryDisk,
         number: u64,
+        backoff: Backoff,
     },
     Agent(Box<Agent>),
     Client(Client),
@@ -263,7 +248,8 @@
     processes: Vec<Process>,
     links: BTreeMap<(usize, usize), Link>,
     numbers: BTreeMap<u64, usize>,
-    callers: HashMap<u64, usize>,
+    /// Who waits for an answer, and of which council process.
+    callers: BTreeMap<u64, (usize, usize)>,
     keys: Keys,
     values: u64,
     agreed: Vec<(Micros, u64)>,
@@ -299,6 +285,8 @@
             permits: 0,
             faults: 0,
             ended: 0,
+            disk_failures: 0,
+            reopened: 0,
             digest: 0,
         };
         let mut world = World {
@@ -311,7 +299,7 @@
             processes: Vec::new(),
             links: BTreeMap::new(),
             numbers: BTreeMap::new(),
-            callers: HashMap::new(),
+            callers: BTreeMap::new(),
             keys: Keys::default(),
             values: 0,
             agreed: Vec::new(),
@@ -333,9 +321,9 @@
         let mut peers: Vec<(u64, Peer)> = peers.into_iter().collect();
         peers.sort_by(|a, b| a.1.name.cmp(&b.1.name));
         for (number, peer) in peers {
-            let lies = plan.planted == Planted::AckBeforeSync;
-            let disk = MemoryDisk { kept: image.clone(), lies, ..MemoryDisk::default() };
-            let at = world.add(&peer.name, "", Role::Council { desk: None, disk, number }, Life::Down);
+            let disk = MemoryDisk::new(image.clone(), plan.planted);
+            let council = Role::Council { desk: None, disk, number, backoff: Backoff::default() };
+            let at = world.add(&peer.name, "", council, Life::Down);
             world.numbers.insert(number, at);
         }
         for at in 0..plan.council {
@@ -567,6 +555,17 @@
                     Life::Up => self.poll(at),
                 }
             }
+            Event::Reopen(at, epoch) => {
+                let process = &mut self.processes[at];
+                if process.epoch != epoch {
+                    return;
+                }
+                match process.life {
+                    Life::Down => {}
+                    Life::Stopped => process.deferred.push(Event::Reopen(at, epoch)),
+                    Life::Up => self.reopen(at),
+                }
+            }
             Event::GivenUp(at, epoch, id) => {
                 let process = &mut self.processes[at];
                 if process.epoch != epoch {
@@ -646,13 +645,18 @@
                 self.work(to);
             }
             Parcel::Request(id, asker, envelope, mut request) => {
-                let Role::Council { desk: Some(desk), .. } = &mut self.processes[to].role else { return };
+                let Role::Council { desk, .. } = &mut self.processes[to].role else { return };
+                let Some(desk) = desk else {
+                    let refusal = Refusal::NotFormed("its disk fails".into());
+                    self.send(to, asker, Parcel::Response(id, Response::Refused(refusal)));
+                    return;
+                };
                 match &mut request {
                     Request::Read { stale, .. } if planted == Planted::StaleRead => *stale = true,
                     Request::Command(call) if planted == Planted::AppliedTwice => call.session = None,
                     _ => {}
                 }
-                self.callers.insert(id, asker);
+                self.callers.insert(id, (asker, to));
                 desk.request(local, id, &envelope, request);
                 self.work(to);
             }
@@ -666,21 +670,23 @@
         let Role::Council { desk: Some(desk), disk, .. } = &mut self.processes[at].role else { return };
         let output = match desk.work(disk, local) {
             Ok(output) => output,
-            Err(fault) => {
-                self.ends(at, &fault.to_string());
-                return;
-            }
+            Err(fault) if fault.is_store_failure() => return self.store_fails(at),
+            Err(fault) => return self.ends(at, &fault.to_string()),
         };
+        let failed_unseen = disk.after_failure().is_some();
         for (number, message) in output.messages {
             if let Some(to) = self.numbers.get(&number).copied() {
                 self.send(at, to, Parcel::Raft(message));
             }
         }
         for (id, response) in output.responses {
-            if let Some(to) = self.callers.remove(&id) {
+            if let Some((to, _)) = self.callers.remove(&id) {
                 self.send(at, to, Parcel::Response(id, response));
             }
         }
+        if failed_unseen {
+            return self.store_fails(at);
+        }
         self.look_at(at);
     }
 
@@ -734,6 +740,11 @@
     // The end.
 
     fn finish(&mut self) {
+        for process in &self.processes {
+            if let Role::Council { disk, .. } = &process.role {
+                self.outcome.disk_failures += disk.failures;
+            }
+        }
         let mut states: BTreeMap<u64, (String, heronhoist_council::state::State)> = BTreeMap::new();
         for at in 0..self.processes.len() {
             let belief = match &mut self.processes[at].role {
