--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -129,6 +129,42 @@
     }
 }
 
+/// Tells how a connection has served an attempt; also that it was called off when its time was up, with nothing read: servers may
+/// forget connections that rest, and say nothing.
+struct AtWork<'a> {
+    connections: &'a Connections,
+    view: View,
+    rested: Duration,
+    received: u64,
+    until: Instant,
+    ended: bool,
+}
+
+impl<'a> AtWork<'a> {
+    fn new(connections: &'a Connections, lease: &Lease, until: Instant) -> Self {
+        let (view, rested, received) = (lease.view.clone(), lease.rested(), lease.view.received());
+        AtWork { connections, view, rested, received, until, ended: false }
+    }
+
+    /// The attempt has ended by itself, and has failed or not.
+    fn end(mut self, failed: bool) {
+        self.ended = true;
+        self.note(failed);
+    }
+
+    fn note(&self, failed: bool) {
+        self.connections.note(self.rested, failed && self.view.received() == self.received);
+    }
+}
+
+impl Drop for AtWork<'_> {
+    fn drop(&mut self) {
+        if !self.ended && Instant::now() >= self.until {
+            self.note(true);
+        }
+    }
+}
+
 /// Why there is no answer.
 enum Spoilt {
     /// The connection ended, or what came could not be read.
@@ -233,7 +269,8 @@
                 return Outcome::NotSent.into();
             }
             let view = lease.view.clone();
-            let (before, received) = (view.written(), view.received());
+            let before = view.written();
+            let at_work = AtWork::new(&self.connections, &lease, gate.until);
             view.count_nothing();
             let counted = async {
                 // Of a long body nobody may know the length before its end.
@@ -254,7 +291,7 @@
             let written = view.written() - before;
             let is_whole = call.least_bytes(place.dialect).is_some_and(|least| written >= least);
             let broken = call.body.upload().is_some_and(|upload| matches!(upload.state(), Coming::Broken(_)));
-            self.connections.note(&lease, answer.is_err() && view.received() == received);
+            at_work.end(answer.is_err());
             match answer {
                 // An answer to what was not all there yet is none to this request.
                 Ok(mut ended) if is_whole => {
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -227,3 +227,49 @@
     };
     assert_eq!(ended_by(both).await, Outcome::ConnectionReset);
 }
+
+/// A server may forget connections that rest, and say nothing: they have to rest shorter, as where it closes them.
+#[tokio::test]
+async fn connections_that_are_forgotten_at_rest_are_soon_not_used() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let peer = async {
+        let mut forgotten = Vec::new();
+        loop {
+            let (mut stream, _) = listener.accept().await.unwrap();
+            let mut request = Vec::new();
+            while !request.ends_with(&[7; 9]) {
+                stream.read_buf(&mut request).await.unwrap();
+            }
+            stream.try_write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").unwrap();
+            forgotten.push(stream);
+        }
+    };
+    let backends = of(16, &[]);
+    let client = async {
+        let mut served = 0;
+        for _ in 0..40 {
+            let place = Place { server: ServerId(0), address, life: 0, dialect: NEW };
+            let (sent, lawful, until) =
+                (Cell::new(false), || true, Instant::now() + Duration::from_millis(200));
+            let (gate, call) = (Gate::new(&sent, &lawful, until), post(9));
+            // As the engine calls it off.
+            let ended = timeout_at(until, backends.attempt(place, &call, &gate)).await;
+            served += usize::from(ended.is_ok_and(|ended| ended.outcome == Outcome::Success));
+            sleep(Duration::from_millis(70)).await;
+        }
+        served
+    };
+    let all = async {
+        tokio::select! {
+            served = client => served,
+            () = peer => 0,
+        }
+    };
+    // It is tried again now and then whether they still do.
+    let served = LocalSet::new().run_until(all).await;
+    assert!(
+        served >= 28,
+        "{served} of 40 served: half is what is left where each connection that has rested is used"
+    );
+}
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -82,6 +82,11 @@
         self.rested.is_none()
     }
 
+    /// How long it had been idle.
+    pub fn rested(&self) -> Duration {
+        self.rested.unwrap_or_default()
+    }
+
     /// What sends on it.
     pub fn sender(&mut self) -> Option<&mut SendRequest<Outgoing>> {
         self.sender.as_mut()
@@ -209,14 +214,13 @@
         None
     }
 
-    /// Learns from how a connection served that had been idle: it has broken with nothing read, or has not.
-    pub fn note(&self, lease: &Lease, broken: bool) {
+    /// Learns from how a connection served that had been idle for so long: it has broken, or stayed silent to the end of its
+    /// request's time, with nothing read, or has not. New ones, of no age, show what is so by mere chance.
+    pub fn note(&self, rested: Duration, broken: bool) {
         if !broken {
             self.reachability.note_reached();
         }
-        if let Some(rested) = lease.rested {
-            self.idle_timeout.note(rested, broken);
-        }
+        self.idle_timeout.note(rested, broken);
     }
 
     /// Keeps a connection for the next request.
