--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -16,6 +16,7 @@
 mod outcomes;
 mod pools;
 mod reload;
+mod resting;
 mod spoilt;
 mod stalls;
 mod start_times;
