--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -4,6 +4,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
+use tokio::time::sleep;
 
 fn of(most: usize, fields: &[&str]) -> Rc<Inner> {
     let fields: Vec<String> = fields.iter().map(|f| f.to_string()).collect();
--- a/crates/agent/src/seats.rs
+++ b/crates/agent/src/seats.rs
@@ -226,10 +226,13 @@
             Phase::Leaving => (age > LEAVE_WAIT).then_some(Close::Immediate),
             Phase::Body | Phase::Busy => None,
         };
+        // The process may have been held up: what has come is read first, and what has been taken seen, and only then is
+        // its client too late.
+        let late = end == Some(Close::Immediate);
         let reads = matches!(self.phase.get(), Phase::Waiting | Phase::Reading);
-        // The process may have been held up: what has come is read first, and only then is its client too late.
-        let spare = !stuck && reads && end == Some(Close::Immediate) && self.view.has_unread();
-        end.filter(|_| !spare || self.spared.replace(true))
+        let spare = late && !self.spared.get() && (stuck || reads && self.view.has_unread());
+        self.spared.set(late);
+        end.filter(|_| !spare)
     }
 
     /// Something of its last answer still waits to be written; a client that takes nothing of it is another matter.
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -77,7 +77,8 @@
             };
             if let Some(since) = self.waiting_since.take() {
                 let wait = since.elapsed();
-                self.waited += wait;
+                // What this process was held up itself is not all the client's.
+                self.waited += wait.min(SILENCE_MOST);
                 self.has_paused |= wait >= PAUSE_LEAST;
             }
             return Poll::Ready(match frame {
--- a/crates/agent/tests/loopback/held_up.rs
+++ b/crates/agent/tests/loopback/held_up.rs
@@ -47,6 +47,63 @@
     }
 }
 
+/// The same for a body, be it one that is held or one that is passed on as it comes.
+#[test]
+fn what_has_come_of_a_body_is_read_before_its_client_is_too_slow() {
+    let backend = Backend::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with(&[&backend]);
+    let text = request("once", 9000);
+    let long = "x".repeat(90_000);
+    let head = &text[..text.find("Content-Length").unwrap()];
+    let texts = [text.clone(), format!("{head}Content-Length: 90000\r\n\r\n{long}")];
+    let mut clients = texts.map(|text| {
+        let text = text.replace("call-", if text.len() > 1000 { "long-" } else { "short-" });
+        let mut client = Client::to(&agent);
+        client.write(&text[..text.len() - 2]);
+        (client, text)
+    });
+    assert_eq!(
+        Client::to(&agent).ask(&request("read", 9000)).status(),
+        200,
+        "by now all of that has been read"
+    );
+    held_up(&agent, || {
+        sleep(LONG);
+        for (client, text) in &mut clients {
+            client.write(&text[text.len() - 2..]);
+        }
+    });
+    for (client, text) in &mut clients {
+        assert_eq!(client.read().map(|m| m.status()), Some(200), "{} bytes", text.len());
+    }
+}
+
+/// A client that has taken some of its answer meanwhile has not been stuck.
+#[test]
+fn what_has_been_taken_is_seen_before_its_client_is_stuck() {
+    const LONG_ANSWER: usize = 900_000;
+    let backend =
+        Backend::new(|m| if m.path().starts_with("/once") { ok(&"y".repeat(LONG_ANSWER)) } else { ok("x") });
+    let (agent, _discovery) = Agent::with(&[&backend]);
+    let small = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    small.set_recv_buffer_size(2048).unwrap();
+    small.connect(&agent.address.into()).unwrap();
+    let mut slow = Client::over(small.into());
+    slow.write(&request("once", 9000));
+    backend.heard.wait(1);
+    // The machine can hold no more of it by then.
+    sleep(Duration::from_millis(500));
+    let mut taken = vec![0; 20_000];
+    held_up(&agent, || {
+        // Longer than a client may take nothing.
+        sleep(Duration::from_millis(4500));
+        std::io::Read::read_exact(&mut slow.stream, &mut taken).unwrap();
+    });
+    let begun = taken.iter().position(|byte| *byte == b'y').unwrap();
+    let mut rest = vec![0; LONG_ANSWER - (taken.len() - begun)];
+    std::io::Read::read_exact(&mut slow.stream, &mut rest).expect("all of its answer");
+}
+
 /// The same where others need its place.
 #[test]
 fn what_has_come_is_read_before_its_client_makes_room() {
