--- a/crates/agent/tests/loopback/held_up.rs
+++ b/crates/agent/tests/loopback/held_up.rs
@@ -148,3 +148,37 @@
     }
     assert_eq!(agent.ended(), Some(0));
 }
+
+/// A request that crosses the end of a resting connection, be it for a crowd or for a stop, is answered if it has come when
+/// the process comes to look.
+#[test]
+fn what_crosses_the_end_of_a_resting_connection_is_answered() {
+    let backend = Backend::new(|_| ok("x"));
+    // A crowd begins beyond a sixth of the descriptors, and answers do not end their connections yet.
+    let (mut agent, _discovery) = Agent::with_sockets(&backend, 192);
+    let mut resting: Vec<Client> = (0..40).map(|_| Client::to(&agent)).collect();
+    let asked: Vec<Message> = resting.iter_mut().map(|c| c.ask(&request("read", 9000))).collect();
+    assert!(asked.iter().all(|m| m.status() == 200 && m.header("Connection").is_none()));
+    held_up(&agent, || {
+        // Longer than any of a crowd may rest.
+        sleep(Duration::from_millis(2200));
+        resting.iter_mut().for_each(|client| client.write(&request("read", 9000)));
+    });
+    for (number, client) in resting.iter_mut().enumerate() {
+        assert_eq!(client.read().map(|m| m.status()), Some(200), "{number} in a crowd");
+    }
+    let mut resting: Vec<Client> = (0..5).map(|_| Client::to(&agent)).collect();
+    resting.iter_mut().for_each(|client| assert_eq!(client.ask(&request("read", 9000)).status(), 200));
+    agent.terminate();
+    while Client::to(&agent).ask(&request("read", 9000)).header("Connection") != Some("close") {}
+    held_up(&agent, || {
+        // Those that rest are closed when the process goes on.
+        sleep(Duration::from_millis(600));
+        resting.iter_mut().for_each(|client| client.write(&request("read", 9000)));
+    });
+    for (number, client) in resting.iter_mut().enumerate() {
+        assert_eq!(client.read().map(|m| m.status()), Some(200), "{number} at a stop");
+        assert!(client.read().is_none());
+    }
+    assert_eq!(agent.ended(), Some(0));
+}
