--- a/crates/decision/src/policy/draw.rs
+++ b/crates/decision/src/policy/draw.rs
@@ -81,7 +81,7 @@
         }
         // Cold ones stand in for suspect warm ones, each with its roll; for full ones they get too much.
         let stands = |&i: &usize| self.servers[i].suspicion.is_none() && !self.is_cold(now, i);
-        if self.serving.iter().any(stands) && candidates.iter().all(|&i| self.is_cold(now, i)) {
+        if candidates.iter().all(|&i| self.is_cold(now, i)) && self.serving.iter().any(stands) {
             candidates.clear();
         }
         candidates
--- a/crates/decision/src/policy/intake.rs
+++ b/crates/decision/src/policy/intake.rs
@@ -149,11 +149,11 @@
     /// When a request of this class may find room: a place is free when an answer has come, and if nobody
     /// is open, when the first suspect is tried again.
     pub(super) fn come_back(&self, now: Time, class: ClassId) -> Span {
-        let trials = self
-            .serving
-            .iter()
-            .map(|&i| self.servers[i].suspicion.as_ref().map_or(Span::ZERO, |q| q.next_trial.since(now)));
+        let suspicion = |&i: &usize| self.servers[i].suspicion.as_ref();
+        let open = self.serving.iter().any(|i| suspicion(i).is_none());
+        let trials = self.serving.iter().filter(|_| !open).filter_map(suspicion);
         let usual = Span::from_ms(self.classes[&class].usual());
-        usual.max(trials.min().unwrap_or(usual)).min(self.settings.max_retry_after)
+        let soonest = trials.map(|q| q.next_trial.since(now)).min().unwrap_or(usual);
+        usual.max(soonest).min(self.settings.max_retry_after)
     }
 }
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -108,6 +108,13 @@
     free: Vec<usize>,
     /// Those that the list says are serving.
     serving: Vec<usize>,
+    /// Those that it says have left, until they are dropped.
+    leaving: Vec<usize>,
+    /// `serving` in this balancer's own random order, each with its rank; brought up to date by `gather`.
+    ranked: Vec<(u32, usize)>,
+    rank_again: bool,
+    /// Places of suspects, and of some that are none any more.
+    suspects: Vec<usize>,
     /// Those of them that draws are made from.
     near: Vec<usize>,
     live: BTreeMap<RequestId, Live>,
--- a/crates/decision/src/policy/roster.rs
+++ b/crates/decision/src/policy/roster.rs
@@ -53,6 +53,8 @@
         }
         let servers = &self.servers;
         self.serving = (0..servers.len()).filter(|&i| servers[i].listed.status == Status::Serving).collect();
+        self.leaving = self.index.values().copied().filter(|&i| servers[i].gone_at.is_some()).collect();
+        self.rank_again = true;
         self.memory.retain(|&m| servers[m].listed.status == Status::Serving);
         self.gather(now);
         self.pump(now, out);
@@ -60,21 +62,33 @@
 
     /// Many balancers draw each from a random part of the fleet of its own, or connections would grow as
     /// balancers times servers, and counts by server would be zero. The part grows with what is usually out
-    /// here, is made up by its servers' warmth, and takes in others for those that are lost.
+    /// here, is made up by its servers' warmth, and takes in others for those that are lost. This is done at
+    /// each tick, and looks no further into the fleet than the part reaches.
     pub(super) fn gather(&mut self, now: Time) {
-        let mut near = self.serving.clone();
-        if self.is_many() {
-            for &i in &near {
-                self.servers[i].rank.get_or_insert_with(|| self.rng.u32(..));
+        if !self.is_many() {
+            self.near.clone_from(&self.serving);
+            return;
+        }
+        if std::mem::take(&mut self.rank_again) {
+            self.ranked.clear();
+            for &i in &self.serving {
+                let rank = *self.servers[i].rank.get_or_insert_with(|| self.rng.u32(..));
+                self.ranked.push((rank, i));
+            }
+            self.ranked.sort_unstable();
+        }
+        let mut room = NEAR_LEAST + NEAR_OUT * self.usual_out();
+        let mut near = std::mem::take(&mut self.near);
+        near.clear();
+        for &(_, i) in &self.ranked {
+            let s = &self.servers[i];
+            if room <= 0.0 {
+                break;
+            }
+            if s.suspicion.as_ref().is_none_or(|q| !q.by_probe) {
+                near.push(i);
+                room -= self.warmth(s, now);
             }
-            near.retain(|&i| self.servers[i].suspicion.as_ref().is_none_or(|q| !q.by_probe));
-            near.sort_unstable_by_key(|&i| self.servers[i].rank);
-            let mut room = NEAR_LEAST + NEAR_OUT * self.usual_out();
-            near.retain(|&i| {
-                let wanted = room > 0.0;
-                room -= self.warmth(&self.servers[i], now);
-                wanted
-            });
         }
         self.near = near;
     }
@@ -86,14 +100,17 @@
         let grace = self.settings.drain_grace;
         let over = |s: &Server| s.gone_at.is_some_and(|at| now.since(at) > grace);
         let mut dropped: Vec<usize> =
-            self.index.values().copied().filter(|&i| over(&self.servers[i])).collect();
+            self.leaving.iter().copied().filter(|&i| over(&self.servers[i])).collect();
         if dropped.is_empty() {
             return;
         }
         let tried = |i: usize| self.live.values().any(|live| live.attempts.iter().any(|a| a.server == i));
         let flown = |i: usize| self.flights.values().any(|flight| flight.server == i);
         dropped.retain(|&i| !flown(i) && !tried(i));
-        self.index.retain(|_, i| !dropped.contains(i));
+        for &i in &dropped {
+            self.index.remove(&self.servers[i].listed.server);
+        }
+        self.leaving.retain(|i| !dropped.contains(i));
         self.free.extend(dropped);
     }
 }
--- a/crates/decision/src/policy/suspicion.rs
+++ b/crates/decision/src/policy/suspicion.rs
@@ -88,6 +88,9 @@
         let next_trial = now + pause * jitter;
         s.suspicion = Some(Suspicion { next_trial, pause, on_trial: false, by_probe });
         self.memory.retain(|&m| m != server);
+        if !self.suspects.contains(&server) {
+            self.suspects.push(server);
+        }
         out.push(Action::Log { text: format!("server {} {why}: suspect", s.listed.server.0) });
     }
 
@@ -116,11 +119,14 @@
 
     /// Probes the suspects whose trial is due, the longest due first, as far as probes are saved up.
     pub(super) fn probe_suspects(&mut self, now: Time, out: &mut Vec<Action>) {
+        let servers = &self.servers;
+        self.suspects.retain(|&i| servers[i].suspicion.is_some());
         let due = |i: &usize| {
-            let q = self.servers[*i].suspicion.as_ref().filter(|q| q.by_probe && q.due(now))?;
-            Some((q.next_trial, *i))
+            let s = &servers[*i];
+            let q = s.suspicion.as_ref().filter(|q| q.by_probe && q.due(now))?;
+            (s.listed.status == Status::Serving).then_some((q.next_trial, *i))
         };
-        let mut due: Vec<_> = self.serving.iter().filter(|_| self.settings.probes).filter_map(due).collect();
+        let mut due: Vec<_> = self.suspects.iter().filter(|_| self.settings.probes).filter_map(due).collect();
         due.sort_unstable();
         for (_, i) in due.into_iter().take(self.trials as usize) {
             let s = &mut self.servers[i];
--- a/crates/decision/tests/new_settings.rs
+++ b/crates/decision/tests/new_settings.rs
@@ -74,3 +74,36 @@
     rig.answer(id, 0, Outcome::ServerError, 5.0);
     assert!(rig.sent_to(id).is_some());
 }
+
+/// The order that a part of the fleet is taken by is made when it is first needed, and again after each list.
+#[test]
+fn one_that_becomes_one_of_many_draws_from_a_part_and_from_all_again() {
+    let few = Settings { classes: vec![class(Effect::Idempotent)], balancers: 1, ..Settings::default() };
+    let many = Settings { balancers: 300, ..few.clone() };
+    let mut rig = Rig::new(few.clone(), 5);
+    rig.list(fleet(60, 1, 1));
+    let asked_of = |rig: &mut Rig| {
+        let servers: std::collections::BTreeSet<_> =
+            (0..400).filter_map(|_| rig.ask_and_answer(50.0)).collect();
+        servers.len()
+    };
+    let by_few = asked_of(&mut rig);
+    let tell = |rig: &mut Rig, settings: &Settings| {
+        let event = Event::Settings { settings: Box::new(settings.clone()), classes: vec![ClassId(0)] };
+        rig.tell(event);
+        rig.wait(Span::from_ms(100.0));
+    };
+    tell(&mut rig, &many);
+    let by_many = asked_of(&mut rig);
+    // All others, and the old ones again.
+    rig.list(fleet(120, 1, 1).split_off(60));
+    let after_a_list = asked_of(&mut rig);
+    rig.list(fleet(60, 1, 1));
+    let after_the_old_list = asked_of(&mut rig);
+    tell(&mut rig, &few);
+    let by_few_again = asked_of(&mut rig);
+    let parts = [by_many, after_a_list, after_the_old_list];
+    assert!(parts.iter().all(|n| (4..20).contains(n)), "{parts:?} of 60");
+    assert!(by_few > 40 && by_few_again > 40, "{by_few}, {by_few_again} of 60");
+    rig.assert_rules();
+}
