--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -479,6 +479,17 @@
         self.tell(Event::Arrived { request: id, time_left: Span(left.as_micros() as u64) });
     }
 
+    /// Comes back once a request has had no attempt out for all the time that the module may hold it. The module must have
+    /// panicked over it.
+    async fn forgotten(&self, id: RequestId, budget: Duration) {
+        let mut idle = 0;
+        while idle < 2 {
+            sleep(budget).await;
+            let is_out = self.0.core.borrow().open.get(&id).is_some_and(|open| !open.out.is_empty());
+            idle = if is_out { 0 } else { idle + 1 };
+        }
+    }
+
     /// Nothing is owed to a request any more: its client has gone, or its time is up.
     fn abandon(&self, id: RequestId) {
         let owed = self.0.core.borrow_mut().open.get_mut(&id).is_some_and(|o| o.reply.take().is_some());
@@ -791,6 +802,8 @@
                     answer = answer => return answer.unwrap_or(Final::Failed),
                     coming = arriving.ended() => coming,
                     () = unread => return Final::OutOfTime,
+                    // Nobody reads on what no attempt sends, so its end would never come.
+                    () = self.pool.forgotten(self.id, self.budget) => return Final::OutOfTime,
                 }
             };
             let Coming::Whole(at) = coming else { return Final::Unfinished };
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::membership::Member;
 use crate::quota::Quota;
+use crate::upstream::Arriving;
+use std::pin::Pin;
 use tokio::task::{yield_now, LocalSet};
 
 /// Its servers never answer.
@@ -241,6 +243,80 @@
     LocalSet::new().run_until(test).await;
 }
 
+/// A request of which more is always to come.
+struct Endless;
+
+impl Arriving for Endless {
+    fn state(&self) -> Coming {
+        Coming::More
+    }
+    fn is_spent(&self) -> bool {
+        false
+    }
+    fn ended(&self) -> Pin<Box<dyn Future<Output = Coming> + '_>> {
+        Box::pin(std::future::pending())
+    }
+}
+
+impl Payload for Endless {
+    fn arriving(&self) -> Option<&dyn Arriving> {
+        Some(self)
+    }
+}
+
+/// Its servers never answer.
+struct Silent;
+
+impl Upstream for Silent {
+    type Address = u16;
+    type Call = Endless;
+    type Answer = ();
+    async fn attempt(&self, _: Place<u16>, _: &Endless, gate: Gate<'_>) -> Ended<()> {
+        gate.open();
+        std::future::pending().await
+    }
+    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+        Outcome::TimedOut.into()
+    }
+    fn close_idle(&self, _: ServerId) {}
+    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+}
+
+/// That each request has its answer does not hang on the module, for one that is still coming either: what the module forgets
+/// goes to no server, so nobody would come to its end. One that is being sent may take its time.
+#[tokio::test(start_paused = true)]
+async fn a_request_that_the_module_forgets_while_it_comes_is_answered() {
+    for forgets in [true, false] {
+        let test = async {
+            let pool = Pool::new(Setup {
+                name: "main".into(),
+                settings: Settings::default(),
+                seed: 7,
+                names: ServerNames::default(),
+                known: Some(List { version: 1, whole: true, members: vec![Member::serving("s", 80)] }),
+                known_stands: true,
+                epoch: None,
+                upstream: Silent,
+                requests: Quota::alone(9),
+            });
+            let pool = pool.expect("usable");
+            let budget = Duration::from_secs(60);
+            let coming = Exchange { deadline: None, ..Exchange::new(Endless, ClassId(0), budget) };
+            let owed = pool.submit(coming).expect("taken");
+            if forgets {
+                pool.tell(Event::ClientGone { request: owed.id });
+                pool.perform(vec![Action::Cancel { request: owed.id, attempt: AttemptNo(0) }]);
+            }
+            let answer = tokio::time::timeout(10 * budget, owed.answer(|deadline| deadline)).await;
+            match answer {
+                Ok(answer) => assert!(forgets && matches!(answer, Final::OutOfTime), "{answer:?}"),
+                Err(_) => assert!(!forgets, "no answer"),
+            }
+        };
+        LocalSet::new().run_until(test).await;
+    }
+}
+
 /// The window of a keyed class runs on while the repeat's connection comes up: nothing is sent after it.
 #[tokio::test(start_paused = true)]
 async fn no_repeat_begins_after_its_window() {
