--- a/crates/decision/src/policy/accounts.rs
+++ b/crates/decision/src/policy/accounts.rs
@@ -96,6 +96,15 @@
         OUT_SHARE * self.wanted / window
     }
 
+    /// The share of what came in lately that has been answered; all of it while little has been seen.
+    pub(super) fn served_share(&self) -> f64 {
+        if self.counted < COUNT_MS {
+            1.0
+        } else {
+            (self.answered / self.wanted).min(1.0)
+        }
+    }
+
     /// Of a tenant that takes more than its fraction of this balancer's traffic, the excess is over share.
     /// No balancer sees the whole; its own traffic is the sample that it has.
     pub(super) fn over_share(&mut self, request: &Request) -> bool {
--- a/crates/decision/src/policy/draw.rs
+++ b/crates/decision/src/policy/draw.rs
@@ -79,10 +79,16 @@
                 candidates.push(pool[self.rng.usize(0..pool.len())]);
             }
         }
-        // Cold ones stand in for suspect warm ones, each with its roll; for full ones they get too much.
+        // Cold ones stand in for suspect warm ones, each with its roll. For full ones each of few balancers
+        // gives them their part of what is served; of what is asked for, a crowd would ask too much of them.
         let stands = |&i: &usize| self.servers[i].suspicion.is_none() && !self.is_cold(now, i);
-        if candidates.iter().all(|&i| self.is_cold(now, i)) && self.serving.iter().any(stands) {
-            candidates.clear();
+        let only_cold = !candidates.is_empty() && candidates.iter().all(|&i| self.is_cold(now, i));
+        if only_cold && self.serving.iter().any(stands) {
+            let part = self.served_share() / self.mean_warmth(now);
+            // Nobody can tell that part before traffic has been counted for a while.
+            if many || self.counted < COUNT_MS || self.rng.f64() >= part {
+                candidates.clear();
+            }
         }
         candidates
     }
--- a/crates/decision/src/policy/intake.rs
+++ b/crates/decision/src/policy/intake.rs
@@ -82,8 +82,7 @@
         }
         let trusted = |f: &&Flight| !f.arriving && self.servers[f.server].suspicion.is_none();
         let out = self.flights.values().filter(trusted).count() as f64;
-        let answered = if self.counted < COUNT_MS { 1.0 } else { (self.answered / self.wanted).min(1.0) };
-        let usual = self.usual_out() * answered * self.warmest(now);
+        let usual = self.usual_out() * self.served_share() * self.warmest(now);
         out >= OUT_LEAST + usual + usual.sqrt()
     }
 
--- a/crates/decision/src/policy/warmth.rs
+++ b/crates/decision/src/policy/warmth.rs
@@ -21,6 +21,12 @@
             .unwrap_or_else(|w| w)
     }
 
+    /// What the servers that there are to send to can do, as a share of what they could if all were warm.
+    pub(super) fn mean_warmth(&self, now: Time) -> f64 {
+        let all: f64 = self.serving.iter().map(|&i| self.warmth(&self.servers[i], now)).sum();
+        all / self.serving.len().max(1) as f64
+    }
+
     pub(super) fn is_cold(&self, now: Time, server: usize) -> bool {
         self.warmth(&self.servers[server], now) < 1.0
     }
--- a/crates/decision/tests/cold_server_not_pushed_over.rs
+++ b/crates/decision/tests/cold_server_not_pushed_over.rs
@@ -181,6 +181,53 @@
     // The observer measures cold ones by what warm ones are sent, and the only warm one here is dead.
 }
 
+/// Where too few warm servers are left for what comes in, they are always full. Cold ones beside them serve their part all the
+/// same, and each no more of it than its warmth's part of what a warm one is sent.
+#[test]
+fn cold_servers_beside_full_ones_serve_their_part() {
+    let mut rig =
+        Rig::new(Settings { max_attempts: 1, warm_after: Span::from_ms(60_000.0), ..settings() }, 4);
+    rig.list(fleet(6, 1, 1));
+    load(&mut rig, 100.0, 4000.0, ServerId(0));
+    let mut lines = fleet(6, 1, 1);
+    lines[3..].iter_mut().for_each(|line| line.started = Some(rig.now));
+    rig.tell(Event::List(ListUpdate::Changes(lines[3..].to_vec())));
+    // Each takes so much of the aim for a request now that few may be out to it at a time.
+    let answer_ms = 100.0;
+    let (mut out, mut sent) = (Vec::new(), [0.0; 6]);
+    for _ in 0..8000 {
+        let (id, to) = rig.ask(0);
+        if let Some(to) = to {
+            sent[to.0 as usize] += 1.0;
+            out.push((rig.now + Span::from_ms(answer_ms), id));
+        }
+        let held = rig.wait(Span::from_ms(2.0));
+        for action in held.iter().chain(&rig.actions.clone()) {
+            if let Action::Send { request, server, .. } = action {
+                if *request != id || to.is_none() {
+                    sent[server.0 as usize] += 1.0;
+                    out.push((rig.now + Span::from_ms(answer_ms), *request));
+                }
+            }
+        }
+        let now = rig.now;
+        let due: Vec<_> = out.iter().filter(|o| o.0 <= now).map(|o| o.1).collect();
+        out.retain(|o| o.0 > now);
+        for id in due {
+            rig.answer(id, 0, Outcome::Success, answer_ms);
+            for action in rig.actions.clone() {
+                if let Action::Send { request, server, .. } = action {
+                    sent[server.0 as usize] += 1.0;
+                    out.push((rig.now + Span::from_ms(answer_ms), request));
+                }
+            }
+        }
+    }
+    let (warm, cold) = (sent[..3].iter().sum::<f64>() / 3.0, sent[3..].iter().sum::<f64>() / 3.0);
+    assert!(cold >= 0.05 * warm, "cold ones are sent {cold}, warm ones {warm} each: {sent:?}");
+    assert!(cold <= warm, "cold ones are sent {cold}, warm ones {warm} each: {sent:?}");
+}
+
 /// The clock may start near zero; that is no restart.
 #[test]
 fn a_clock_near_zero_makes_no_server_cold() {
