--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -73,6 +73,13 @@
         Store::open_file(path, true)
     }
 
+    /// Opens the file anew after a failure. It is not made: a new one would hold nothing of what was acknowledged.
+    pub fn reopen(path: &Path) -> Result<Store, DiskFault> {
+        let store = Store::open_file(path, false)?;
+        store.try_to_write().map_err(|fault| at(path, "", fault))?;
+        Ok(store)
+    }
+
     fn open_file(path: &Path, make: bool) -> Result<Store, DiskFault> {
         let open = || {
             let file = OpenOptions::new().read(true).write(true).create(make).truncate(false).open(path)?;
@@ -140,6 +147,11 @@
         writing.commit().map_err(fault)
     }
 
+    /// Reading may work where there is no room to write.
+    pub fn try_to_write(&self) -> Result<(), DiskFault> {
+        self.write(&[("form", FORM)])
+    }
+
     /// Who this disk is; none if it is new.
     pub fn identity(&self) -> Result<Option<Identity>, DiskFault> {
         let part = self.part("identity")?;
@@ -211,5 +223,7 @@
     }
 }
 
+#[cfg(test)]
+pub(super) mod medium;
 #[cfg(test)]
 mod tests;
--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -1,3 +1,4 @@
+use super::medium::{Found, Medium, Place, IO_ERROR, NO_ROOM};
 use super::*;
 
 fn place(name: &str) -> std::path::PathBuf {
@@ -60,3 +61,97 @@
     assert!(fault.to_string().contains("checksum of entry"), "{fault}");
     let _ = std::fs::remove_file(&path);
 }
+
+fn saves() -> Vec<Save> {
+    let entry = |index: u64, fill: u8| (index, vec![fill; 700 * index as usize]);
+    let mut saves = vec![
+        Save { hard: Some(b"h1".to_vec()), entries: vec![entry(1, 1), entry(2, 2)], ..Save::default() },
+        Save { entries: vec![entry(2, 12), entry(3, 13)], ..Save::default() },
+        Save { hard: Some(b"h2".to_vec()), ..Save::default() },
+        Save { snapshot: Some(vec![7; 5000]), cut: Some((2, 1)), ..Save::default() },
+    ];
+    saves.extend((4..6).map(|index| Save { entries: vec![entry(index, 4)], ..Save::default() }));
+    saves.push(Save { snapshot: Some(vec![8; 9000]), replaces: true, cut: Some((9, 2)), ..Save::default() });
+    saves
+}
+
+fn on(medium: &Medium) -> Result<Store, DiskFault> {
+    Store::on(medium.clone(), Path::new("medium"))
+}
+
+/// The file that each run begins with.
+fn begun() -> Medium {
+    let (medium, identity) = (Medium::default(), Identity { number: 5, name: "c1".into(), formation: None });
+    on(&medium).and_then(|store| store.begin(&identity, None)).expect("a sound store");
+    medium
+}
+
+/// Each write, change of length and sync of a run fails in turn, before it is carried out, in its middle or after it, and so
+/// does closing and opening. What is read back is what was there before the step that failed, or what was there after it;
+/// what had been saved before is always there, and it goes on from there.
+#[test]
+fn each_write_and_sync_may_fail_and_what_is_read_back_is_whole() {
+    const PLACES: [Place; 3] = [Place::Before, Place::Middle, Place::After];
+    const FINDS: [Found; 3] = [Found::All, Found::Synced, Found::Some];
+    let begun = begun();
+    let counted = begun.copy();
+    let mut store = on(&counted).expect("open");
+    saves().iter().for_each(|save| store.save(save).expect("saved"));
+    drop(store);
+    let (first, last) = (begun.operations(), counted.operations());
+    assert!(last > first + 40, "{first} to {last}");
+    let mut seen = [0, 0];
+    for operation in first..last {
+        // Each operation at one place and with one find; all nine in turn, the next run of them at the other places.
+        let turn = operation + (operation - first) / 9;
+        let (place, found) = (PLACES[turn % 3], FINDS[turn / 3 % 3]);
+        let case = format!("operation {operation}, {place:?}, found {found:?}");
+        let medium = begun.copy();
+        medium.fail_at(operation, place, if operation % 2 == 0 { NO_ROOM } else { IO_ERROR });
+        let mut before = Image::default();
+        let mut after = before.clone();
+        let failed = on(&medium).and_then(|mut store| {
+            for save in saves() {
+                after.take(&save);
+                store.save(&save)?;
+                before.clone_from(&after);
+            }
+            // Nothing tells that closing failed.
+            Ok(())
+        });
+        assert!(medium.has_failed(), "{case} was not reached");
+        if let Err(fault) = &failed {
+            assert!(matches!(fault, DiskFault::Failed(_)), "{case}: {fault}");
+        }
+        medium.found(found);
+        let mut store = on(&medium).unwrap_or_else(|fault| panic!("{case}: {fault}"));
+        assert_eq!(store.identity().expect("read").map(|identity| identity.number), Some(5));
+        let mut image = store.image().unwrap_or_else(|fault| panic!("{case}: {fault}"));
+        assert!(image == before || image == after, "{case}: {failed:?}");
+        if failed.is_err() && before != after {
+            seen[usize::from(image == after)] += 1;
+        }
+        let next = Save { entries: vec![(20, vec![9; 3000])], ..Save::default() };
+        store.save(&next).unwrap_or_else(|fault| panic!("{case}: {fault}"));
+        image.take(&next);
+        assert_eq!(store.image().expect("read"), image, "{case}");
+    }
+    assert!(seen.iter().all(|count| *count > 0), "kept and not kept: {seen:?}");
+}
+
+/// A store that has failed says so until it is opened again, also where the medium works once more.
+#[test]
+fn after_a_failure_nothing_is_saved_until_it_is_opened_again() {
+    let medium = begun();
+    let mut store = on(&medium).expect("open");
+    store.save(&saves()[0]).expect("saved");
+    medium.set_down(Some(NO_ROOM));
+    assert!(matches!(store.save(&saves()[1]), Err(DiskFault::Failed(why)) if why.contains("No space left")));
+    medium.set_down(None);
+    assert!(matches!(store.save(&saves()[1]), Err(DiskFault::Failed(_))));
+    drop(store);
+    medium.found(Found::Synced);
+    let mut store = on(&medium).expect("open");
+    store.try_to_write().expect("it works again");
+    store.save(&saves()[1]).expect("saved");
+}
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -29,6 +29,10 @@
 pub trait Shown {
     /// Listening, with settings, and with servers to send to.
     fn is_ready(&self) -> bool;
+    /// Why it is not, where there is more to say.
+    fn why_not(&self) -> String {
+        String::new()
+    }
     /// The page of figures.
     fn figures(&self) -> String;
 }
@@ -68,7 +72,11 @@
             return answer;
         }
         "/-/ready" if shown.is_ready() => return plain(StatusCode::OK, "ready\n".into()),
-        "/-/ready" => return plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into()),
+        "/-/ready" => {
+            let why = shown.why_not();
+            let why = if why.is_empty() { why } else { why + "\n" };
+            return plain(StatusCode::SERVICE_UNAVAILABLE, format!("not ready\n{why}"));
+        }
         "/-/metrics" => shown.figures(),
         _ => return plain(StatusCode::NOT_FOUND, "there are /-/ready and /-/metrics\n".into()),
     };
--- a/crates/agent/tests/fleet/processes.rs
+++ b/crates/agent/tests/fleet/processes.rs
@@ -3,6 +3,7 @@
 use heronhoist_council::caller::DEADLINE;
 use heronhoist_council::state::{Call, Command, Reply, Standing};
 use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
+use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -106,6 +107,22 @@
         *self.child.borrow_mut() = Some(child.expect("started"));
     }
 
+    /// Its files may have any length from now on.
+    pub fn unbound(&self) {
+        let unbound = Rlimit { current: None, maximum: None };
+        let pid = Pid::from_raw(self.id() as i32);
+        prlimit(pid, Resource::Fsize, unbound).expect("its bound was a soft one");
+    }
+
+    pub fn is_running(&self) -> bool {
+        self.child.borrow_mut().as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+    }
+
+    /// What it has said so far.
+    pub fn said(&self) -> String {
+        std::fs::read_to_string(&self.log).unwrap_or_default()
+    }
+
     pub fn kill(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
             let _ = child.kill();
--- a/crates/council/src/backoff.rs
+++ b/crates/council/src/backoff.rs
@@ -5,7 +5,7 @@
 /// The first pause after a failure; it doubles up to [`PAUSE_MOST`]. Of each, half to all is waited.
 pub const PAUSE_LEAST: Time = 100_000;
 /// The longest pause.
-pub const PAUSE_MOST: Time = 5_000_000;
+pub const PAUSE_MOST: Time = 2_000_000;
 /// A store that has not failed for so long has recovered: the next failure is a first one.
 pub const RECOVERED_AFTER: Time = 2 * PAUSE_MOST;
 
