--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -939,7 +939,7 @@
         // What it had from this process, whose child it is.
         let own = getrlimit(Resource::Fsize);
         if let Some(pid) = pid {
-            let bounded = prlimit(Some(pid), Resource::Fsize, Rlimit { current: Some(bound), ..own.clone() });
+            let bounded = prlimit(Some(pid), Resource::Fsize, Rlimit { current: Some(bound), ..own });
             sleep(length).await;
             if let Err(why) = bounded.and_then(|_| prlimit(Some(pid), Resource::Fsize, own)) {
                 self.wrong(format!("{}: its disk cannot be bounded, or stays so: {why}", process.name));
--- a/crates/lab/src/processes/world/faults.rs
+++ b/crates/lab/src/processes/world/faults.rs
@@ -412,7 +412,7 @@
         let name = self.processes[at].name.clone();
         let Role::Council { disk, number, .. } = &mut self.processes[at].role else { return };
         let old = std::mem::replace(number, new);
-        *disk = MemoryDisk::new(Image::default(), planted);
+        **disk = MemoryDisk::new(Image::default(), planted);
         self.numbers.remove(&old);
         self.numbers.insert(new, at);
         self.replacing = true;
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -210,7 +210,7 @@
 enum Role {
     Council {
         desk: Option<Box<Desk>>,
-        disk: MemoryDisk,
+        disk: Box<MemoryDisk>,
         number: u64,
         backoff: Backoff,
     },
@@ -321,7 +321,7 @@
         let mut peers: Vec<(u64, Peer)> = peers.into_iter().collect();
         peers.sort_by(|a, b| a.1.name.cmp(&b.1.name));
         for (number, peer) in peers {
-            let disk = MemoryDisk::new(image.clone(), plan.planted);
+            let disk = Box::new(MemoryDisk::new(image.clone(), plan.planted));
             let council = Role::Council { desk: None, disk, number, backoff: Backoff::default() };
             let at = world.add(&peer.name, "", council, Life::Down);
             world.numbers.insert(number, at);
@@ -466,7 +466,7 @@
     }
 
     fn unsettled(&self) -> String {
-        let late = self.processes.iter().filter(|process| !Self::is_right(process));
+        let late = self.processes.iter().filter(|process| !self.is_right(process));
         let about = |process: &Process| match &process.role {
             Role::Operator(operator) => {
                 format!("{} ({:?}, {:?})", process.name, operator.holder.stand(), operator.doing)
@@ -489,11 +489,15 @@
         format!("leader {:?}, {names}, behind: {behind}; {budgets:?}", self.leader.is_some())
     }
 
-    fn is_right(process: &Process) -> bool {
+    fn is_right(&self, process: &Process) -> bool {
         match &process.role {
             Role::Council { .. } | Role::Watcher(_) => true,
             Role::Agent(agent) => {
-                process.life == Life::Down || matches!(agent.holder.stand(), Stand::Member | Stand::Displaced)
+                // One that holds no lease may only not have heard yet that it has ended.
+                let local = process.clock.local(self.now);
+                process.life == Life::Down
+                    || agent.holder.stand() == Stand::Displaced
+                    || agent.holder.holds(local).is_some()
             }
             Role::Client(client) => client.now.is_none(),
             Role::Operator(operator) => process.life == Life::Down || operator.doing == Doing::Idle,
@@ -503,7 +507,9 @@
     }
 
     fn is_settled(&self) -> bool {
-        self.leader.is_some() && self.processes.iter().all(Self::is_right) && self.laggards().is_empty()
+        self.leader.is_some()
+            && self.processes.iter().all(|process| self.is_right(process))
+            && self.laggards().is_empty()
     }
 
     /// Processes of the council that are behind the others.
@@ -668,7 +674,7 @@
     fn work(&mut self, at: usize) {
         let local = self.local(at);
         let Role::Council { desk: Some(desk), disk, .. } = &mut self.processes[at].role else { return };
-        let output = match desk.work(disk, local) {
+        let output = match desk.work(&mut **disk, local) {
             Ok(output) => output,
             Err(fault) if fault.is_store_failure() => return self.store_fails(at),
             Err(fault) => return self.ends(at, &fault.to_string()),
