--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -155,3 +155,31 @@
     store.try_to_write().expect("it works again");
     store.save(&saves()[1]).expect("saved");
 }
+
+/// A file as the version before made it, by the path alone, opens and is read.
+#[test]
+fn a_file_of_the_version_before_opens() {
+    let path = place("before");
+    {
+        let mut builder = Builder::new();
+        builder.set_cache_size(CACHE);
+        let store = Store { database: builder.create(&path).expect("made"), repaired: false };
+        store.write(&[("form", FORM)]).expect("written");
+        let identity = Identity { number: 7, name: "c1".into(), formation: None };
+        store.begin(&identity, None).expect("begun");
+        let mut store = store;
+        store.save(&saves()[0]).expect("saved");
+    }
+    let store = Store::reopen(&path).expect("opened");
+    let mut memory = Image::default();
+    memory.take(&saves()[0]);
+    assert_eq!(store.image().expect("read"), memory);
+    assert_eq!(store.identity().expect("read").map(|identity| identity.number), Some(7));
+    drop(store);
+    std::fs::remove_file(&path).expect("removed");
+    assert!(
+        matches!(Store::reopen(&path), Err(DiskFault::Failed(_))),
+        "a file that is away is not made anew"
+    );
+    assert!(!path.exists());
+}
