--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -35,11 +35,14 @@
     }
 }
 
-/// A file that ends too early is damaged; whatever else the system says may be over in a while.
+/// What the system says may be over in a while, but for who may open what. What the store says of the file, as that it ends too
+/// early or is none of its own, stays so.
 fn io_fault(e: &io::Error) -> DiskFault {
-    match e.kind() {
-        io::ErrorKind::UnexpectedEof => DiskFault::Unusable(e.to_string()),
-        _ => DiskFault::Failed(e.to_string()),
+    let stays = matches!(e.kind(), io::ErrorKind::PermissionDenied | io::ErrorKind::IsADirectory);
+    let passes = (e.raw_os_error().is_some() && !stays) || e.kind() == io::ErrorKind::WriteZero;
+    match passes {
+        true => DiskFault::Failed(e.to_string()),
+        false => DiskFault::Unusable(e.to_string()),
     }
 }
 
--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -50,8 +50,13 @@
     for length in [0, 1, 100, 4096, whole.len() / 2, whole.len() - 1] {
         std::fs::write(&path, &whole[..length]).expect("written");
         let image = Store::open(&path).and_then(|store| store.image());
+        let stays = image.as_ref().is_err_and(|fault| matches!(fault, DiskFault::Unusable(_)));
+        assert!(image.is_ok() || stays, "{length}: tried again for ever: {image:?}");
         assert!(length == 0 || image.is_err() || image.is_ok_and(|i| i.entries.len() == 39), "{length}");
     }
+    std::fs::write(&path, "another program's file".repeat(1000)).expect("written");
+    let fault = Store::open(&path).map(drop).expect_err("none of its own");
+    assert!(matches!(fault, DiskFault::Unusable(_)), "tried again for ever: {fault:?}");
     // A bit that has turned in the middle of an entry.
     let at = whole.windows(64).position(|w| w == &long[..64]).expect("an entry") + 32;
     let mut turned = whole.clone();
