--- a/crates/agent/src/fleet/council.rs
+++ b/crates/agent/src/fleet/council.rs
@@ -95,7 +95,7 @@
 pub fn run(config: Council, folder: &Path, restore: Option<&Path>) -> Result<(), String> {
     let disk = folder.join(&config.disk);
     crate::on_one_thread(async move {
-        let store = Store::open(&disk).map_err(|e| e.to_string())?;
+        let store = open_first(!disk.exists(), || Store::open(&disk)).await.map_err(|e| e.to_string())?;
         if store.repaired {
             tracing::warn!(disk = %disk.display(), "the disk was not closed: looked through, an unfinished step was dropped");
         }
@@ -103,6 +103,29 @@
     })?
 }
 
+/// Opens the store at the start. One that is there and fails holds what is owed: it is tried again as after a failure later, and
+/// nobody is listened to meanwhile.
+async fn open_first(is_new: bool, open: impl Fn() -> Result<Store, DiskFault>) -> Result<Store, DiskFault> {
+    let (begun, mut backoff, mut failed) = (Instant::now(), Backoff::default(), false);
+    loop {
+        match open() {
+            Err(fault @ DiskFault::Failed(_)) if !is_new => {
+                if !std::mem::replace(&mut failed, true) {
+                    tracing::warn!("the store failed, and is tried again; until then this process takes no part: {fault}");
+                }
+                let pause = backoff.failed(begun.elapsed().as_micros() as Time, fastrand::f64());
+                sleep(Duration::from_micros(pause)).await;
+            }
+            opened => {
+                if failed && opened.is_ok() {
+                    tracing::info!("the store works again");
+                }
+                return opened;
+            }
+        }
+    }
+}
+
 /// Who the disk is, new or not, and a copy made its beginning if that is asked.
 fn identify(store: &Store, config: &Council, restore: Option<&Path>) -> Result<Identity, String> {
     let known = store.identity().map_err(|e| e.to_string())?;
--- a/crates/agent/src/fleet/council/tests.rs
+++ b/crates/agent/src/fleet/council/tests.rs
@@ -212,3 +212,29 @@
     let why = ended.expect("a runtime").expect_err("it ends");
     assert_eq!(why, "disk: another disk is there than the one that failed");
 }
+
+/// Where the store fails at the start too, as after a kill while there was no room, the process waits for it; it does not where
+/// the store is new, since nothing is owed then, nor where it is damaged.
+#[test]
+fn a_store_that_fails_at_the_start_is_waited_for_unless_it_is_new() {
+    let (lines, _log) = Lines::kept();
+    let medium = Medium::default();
+    drop(on(&medium).expect("a store"));
+    let opened = crate::on_one_thread(async {
+        medium.set_down(Some(NO_ROOM));
+        let fault = open_first(true, || on(&medium)).await.err();
+        assert!(matches!(fault, Some(DiskFault::Failed(_))), "{fault:?}");
+        let damaged = || Err(DiskFault::Unusable("cut short".into()));
+        assert!(open_first(false, damaged).await.is_err());
+        let tries = medium.operations();
+        let mended = async {
+            until("it is tried again", async || (medium.operations() > tries + 1).then_some(())).await;
+            assert_eq!((lines.with("the store failed"), lines.with("the store works again")), (1, 0));
+            medium.set_down(None);
+        };
+        let (opened, ()) = tokio::join!(open_first(false, || on(&medium)), mended);
+        opened
+    });
+    opened.expect("a runtime").expect("it is opened");
+    assert_eq!((lines.with("the store failed"), lines.with("the store works again")), (1, 1));
+}
