--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -18,6 +18,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::rc::Rc;
@@ -35,8 +36,9 @@
 /// A client gives an operation up after this.
 const PATIENCE: Duration = Duration::from_secs(6);
 const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Where a process's disk fails, what it says can still be written to its log.
-const LOG_ROOM: u64 = 256 << 10;
+/// Where a process's disk fails, writes beyond a bound do that is drawn from these: within what a small council writes at each
+/// step, and beyond what it has said in its log.
+const FAILS_BEYOND: RangeInclusive<u64> = 16 << 10..=64 << 10;
 
 /// What a run came to.
 pub struct Outcome {
@@ -932,8 +934,7 @@
     /// For a while a process's writes beyond a bound within its disk's file fail, and so the one that crosses it in its middle.
     async fn fail_disk(&self, process: Option<Rc<Process>>, length: Duration) {
         let Some(process) = process.filter(|process| !process.held.replace(true)) else { return };
-        let size = std::fs::metadata(self.disk(&process)).map_or(0, |about| about.len());
-        let bound = self.rng.borrow_mut().random_range(LOG_ROOM..=size.max(LOG_ROOM));
+        let bound = self.rng.borrow_mut().random_range(FAILS_BEYOND);
         let id = process.child.borrow().as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id as i32));
         // What it had from this process, whose child it is.
