--- a/crates/decision/src/policy/draw.rs
+++ b/crates/decision/src/policy/draw.rs
@@ -9,6 +9,10 @@
 const DRAWS: usize = 3;
 /// Tries for each fresh draw to hit a server that is open; after that the whole list is gone through.
 const DRAW_TRIES: usize = 8;
+/// Balancers to a server up to which they learn soon enough of a cold one; and of more than these, the part
+/// of what it bears that it is sent at most, in the mean, if it wins every pick.
+const LEARNS_MOST: f64 = 20.0;
+const SURE: f64 = 0.75;
 /// A server in another zone weighs this much more for each 1% of a request that crossing is priced at; never
 /// as much as one request more at zero, so that the price alone does not fill a zone.
 const AWAY: f64 = 0.25;
@@ -47,6 +51,11 @@
         let mut candidates: Vec<usize> = self.memory.iter().copied().filter(open).collect();
         let all = candidates.len() + DRAWS;
         let all_cold = self.warmest(now) < 1.0;
+        // Each learns of a cold server by its own requests: so many balancers that each sends few to a server
+        // have all sent theirs before any has learned, and where others are crowded these win every pick.
+        let unlearned = f64::from(self.settings.balancers) > LEARNS_MOST * self.serving.len() as f64;
+        let bears = self.settings.overload_factor * SURE / DRAWS as f64;
+        let surely = if unlearned { bears } else { f64::INFINITY };
         for _ in 0..DRAWS {
             for turn in 0..DRAW_TRIES.min(self.near.len()) {
                 let i = self.near[self.rng.usize(0..self.near.len())];
@@ -55,7 +64,7 @@
                 // it wins no more than others, and is never remembered. What waits has no second roll.
                 let warmth = self.warmth(&self.servers[i], now);
                 let wins = if many { DRAWS as f64 / (DRAWS + REMEMBERED) as f64 } else { DRAWS as f64 };
-                let chance = warmth / wins;
+                let chance = (warmth / wins).min(warmth * surely);
                 let shut = warmth < 1.0 && (!first || turn > 0 || self.rng.f64() >= chance);
                 // Where counts are zero the coin decides, which gives a slow machine as much as a quick one.
                 let slow = warmth == 1.0 && turn + 1 < DRAW_TRIES && many && {
--- a/crates/decision/tests/many.rs
+++ b/crates/decision/tests/many.rs
@@ -222,6 +222,38 @@
     assert!((0.2..=0.36).contains(&part), "{part} of a warm one's load at a warmth of 0.3");
 }
 
+/// Nine hundred before two dozen servers: none meets a cold one twice before all have met it once, and beside warm ones that a
+/// crowd has made slow it wins most picks that it is drawn for. It bears three times its warmth's part, of which half is left to
+/// repeats, connections and chance.
+#[test]
+fn a_cold_server_beside_crowded_ones_gets_its_part_from_more_than_can_learn_of_it() {
+    let (mut cold, mut warm) = (0.0, 0.0);
+    for seed in 0..300 {
+        let mut set = settings(900, Effect::Idempotent);
+        (set.cold_share, set.warm_after) = (0.2, Span::from_ms(60_000.0));
+        set.overload_factor = 3.0;
+        let mut rig = Rig::new(set, seed);
+        rig.list(fleet(24, ZONES, 1));
+        for (rounds, ms, joined) in [(0..20, 20.0, false), (0..10, 110.0, true)] {
+            if joined {
+                let back = Listed { started: Some(rig.now), ..fleet(24, ZONES, 1).remove(5) };
+                rig.tell(Event::List(ListUpdate::Changes(vec![back])));
+            }
+            for _ in rounds {
+                let server = rig.ask_and_answer(ms);
+                rig.wait(Span::from_ms(40.0));
+                match (server, joined) {
+                    (Some(ServerId(5)), true) => cold += 1.0,
+                    (Some(_), true) => warm += 1.0 / 23.0,
+                    _ => {}
+                }
+            }
+        }
+    }
+    let part: f64 = cold / warm;
+    assert!((0.1..=0.3).contains(&part), "{part} of a warm one's load at a warmth of 0.2");
+}
+
 /// What a balancer of so many is sent by one request after the other, server by server.
 fn spread(balancers: u32, seed: u64, requests: u32) -> Vec<u32> {
     let mut rig = Rig::new(settings(balancers, Effect::Idempotent), seed);
