--- a/crates/agent/tests/loopback/common.rs
+++ b/crates/agent/tests/loopback/common.rs
@@ -312,6 +312,8 @@
     pub ops: Option<SocketAddr>,
     /// What it said until it listened.
     pub said: String,
+    /// The lines of its log once it listens.
+    pub logged: Arc<Tally<String>>,
     config: PathBuf,
 }
 
@@ -413,8 +415,10 @@
             }
         }
         // The log is read to its end, or a full pipe would stop the agent.
-        thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Agent { child, address: listening[0], fronts: listening, ops, said, config }
+        let logged = Arc::<Tally<String>>::default();
+        let lines = Arc::clone(&logged);
+        thread::spawn(move || log.lines().map_while(Result::ok).for_each(|line| lines.push(line)));
+        Agent { child, address: listening[0], fronts: listening, ops, said, logged, config }
     }
 
     /// One call to the operators' address.
--- a/crates/agent/tests/loopback/lists.rs
+++ b/crates/agent/tests/loopback/lists.rs
@@ -1,6 +1,12 @@
 //! Discovery: what it tells is followed, and its failures are survived.
 
 use crate::common::*;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{sleep, spawn, yield_now};
+use std::time::{Duration, Instant};
 
 #[test]
 fn readiness_waits_for_a_list() {
@@ -225,3 +231,225 @@
         assert_eq!(client.ask(&request("read", 9000)).status(), 200, "{way}");
     }
 }
+
+/// Watches and lists from one address that can go and return: while it is away calls are refused.
+struct Source {
+    address: SocketAddr,
+    asked: Arc<AtomicUsize>,
+    is_over: Arc<AtomicBool>,
+    accepting: Option<std::thread::JoinHandle<()>>,
+}
+
+impl Source {
+    /// Answers each call by what the closure does with it, connection by connection.
+    fn open(
+        address: SocketAddr,
+        serve: impl Fn(TcpStream, &AtomicBool, &AtomicUsize) + Send + Sync + 'static,
+    ) -> Source {
+        let listener = TcpListener::bind(address).unwrap();
+        let address = listener.local_addr().unwrap();
+        let (asked, is_over) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
+        let (counted, ended, serve) = (Arc::clone(&asked), Arc::clone(&is_over), Arc::new(serve));
+        let accepting = spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                if ended.load(Ordering::Relaxed) {
+                    return;
+                }
+                let (counted, ended, serve) = (Arc::clone(&counted), Arc::clone(&ended), Arc::clone(&serve));
+                spawn(move || serve(stream, &ended, &counted));
+            }
+        });
+        Source { address, asked, is_over, accepting: Some(accepting) }
+    }
+
+    /// Refuses calls from now on; what is open ends with the next word on it.
+    fn close(mut self) -> SocketAddr {
+        self.is_over.store(true, Ordering::Relaxed);
+        let _ = TcpStream::connect(self.address);
+        self.accepting.take().unwrap().join().unwrap();
+        self.address
+    }
+
+    fn wait(&self, calls: usize) {
+        let begun = Instant::now();
+        while self.asked.load(Ordering::Relaxed) < calls {
+            assert!(begun.elapsed() < BOUND, "{} of {calls} calls came", self.asked.load(Ordering::Relaxed));
+            yield_now();
+        }
+    }
+}
+
+/// Says that it is over when dropped, also where a wait fails: whoever goes on until then would go on for ever.
+struct Over<'a>(&'a AtomicBool);
+
+impl Drop for Over<'_> {
+    fn drop(&mut self) {
+        self.0.store(true, Ordering::Relaxed);
+    }
+}
+
+fn list_of(rev: i64, targets: &str) -> String {
+    let body = format!(r#"{{"rev":{rev},"all":true,"targets":[{targets}]}}"#);
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// The version that a call wants something newer than.
+fn wanted(message: &Message) -> Option<i64> {
+    message.path().split("from=").nth(1).and_then(|text| text.split('&').next()?.parse().ok())
+}
+
+/// Tells one list, and closes where somebody waits for a newer one once it is over. Counts those who have taken it in, as the
+/// version shows that they name.
+fn telling(rev: i64, targets: String) -> impl Fn(TcpStream, &AtomicBool, &AtomicUsize) + Send + Sync {
+    move |mut stream, is_over, asked| {
+        let mut input = BufReader::new(stream.try_clone().unwrap());
+        while let Some(message) = Message::read(&mut input) {
+            let has_it = wanted(&message).is_some_and(|from| from >= rev);
+            asked.fetch_add(usize::from(has_it), Ordering::Relaxed);
+            if has_it {
+                while !is_over.load(Ordering::Relaxed) {
+                    sleep(Duration::from_millis(5));
+                }
+                return;
+            }
+            if stream.write_all(list_of(rev, &targets).as_bytes()).is_err() {
+                return;
+            }
+        }
+    }
+}
+
+/// An outage, scaled down: discovery is refused for a while, then accepts and says nothing; all along clients are served by
+/// the list known. What it tells at its return holds from the moment at which it has been asked.
+#[test]
+fn an_outage_is_served_through_and_its_end_counts_at_once() {
+    std::thread::scope(|scope| {
+        for way in ["pushed", "on_request"] {
+            scope.spawn(move || outage(way));
+        }
+    });
+}
+
+fn outage(way: &str) {
+    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
+    let (first, second) = (serving("s0", old.address), serving("s1", new.address));
+    let anywhere = "127.0.0.1:0".parse().unwrap();
+    let source = Source::open(anywhere, telling(2, first.clone()));
+    let settings = SETTINGS.replace("on_request", way);
+    let agent = Agent::start(&config(source.address, &first, &settings, 1024));
+    source.wait(1);
+    let is_over = AtomicBool::new(false);
+    std::thread::scope(|scope| {
+        let over = Over(&is_over);
+        let client = scope.spawn(|| {
+            let (mut client, mut answers) = (Client::to(&agent), Vec::new());
+            while !is_over.load(Ordering::Relaxed) {
+                let answer = client.ask(&request("once", 9000));
+                assert_eq!(answer.status(), 200, "{way}");
+                answers.push(answer.body);
+                sleep(Duration::from_millis(1));
+            }
+            answers
+        });
+        let address = source.close();
+        // Refused for so long that it is asked several times, then silent for longer than a call may be.
+        sleep(Duration::from_secs(4));
+        let silent = Source::open(address, |stream, is_over, asked| {
+            let mut input = BufReader::new(stream.try_clone().unwrap());
+            while Message::read(&mut input).is_some() {
+                asked.fetch_add(1, Ordering::Relaxed);
+            }
+            drop((stream, is_over.load(Ordering::Relaxed)));
+        });
+        silent.wait(2);
+        let address = silent.close();
+        let returned = Source::open(address, telling(9, second));
+        returned.wait(1);
+        let last = old.heard.all().len();
+        let mut late = Client::to(&agent);
+        for _ in 0..20 {
+            assert_eq!(late.ask(&request("once", 9000)).body, b"new", "{way}");
+        }
+        drop(over);
+        let answers = client.join().unwrap();
+        // One may have been on its way when the list came.
+        assert!(old.heard.all().len() <= last + 1, "{way}");
+        assert!(answers.len() > 100, "{way}: served all along");
+    });
+}
+
+/// Discovery that is short of room: it comes to a call late, answers in small pieces, and one call at a time, while many
+/// others ask for the whole list. Each change is heard, and the agent has no more calls out than it needs.
+#[test]
+fn a_slow_and_crowded_discovery_is_heard() {
+    std::thread::scope(|scope| {
+        for way in ["pushed", "on_request"] {
+            scope.spawn(move || crowded(way));
+        }
+    });
+}
+
+fn crowded(way: &str) {
+    let backends: Vec<Backend> = (0..4).map(|n| Backend::new(move |_| ok(&format!("list {n}")))).collect();
+    let now = Arc::new(Mutex::new((2, serving("s0", backends[0].address))));
+    let (listed, one_at_a_time) = (Arc::clone(&now), Mutex::new(()));
+    let (out, most_out) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
+    let (calls, most) = (Arc::clone(&out), Arc::clone(&most_out));
+    let source = Source::open("127.0.0.1:0".parse().unwrap(), move |mut stream, is_over, asked| {
+        sleep(Duration::from_millis(200));
+        let mut input = BufReader::new(stream.try_clone().unwrap());
+        while let Some(message) = Message::read(&mut input) {
+            let of_the_crowd = message.header("x-crowd").is_some();
+            if !of_the_crowd {
+                asked.fetch_add(1, Ordering::Relaxed);
+                most.fetch_max(calls.fetch_add(1, Ordering::Relaxed) + 1, Ordering::Relaxed);
+            }
+            while wanted(&message).is_some_and(|from| from >= listed.lock().unwrap().0) {
+                if is_over.load(Ordering::Relaxed) {
+                    return;
+                }
+                sleep(Duration::from_millis(5));
+            }
+            let turn = one_at_a_time.lock().unwrap();
+            let (rev, targets) = listed.lock().unwrap().clone();
+            for piece in list_of(rev, &targets).as_bytes().chunks(16) {
+                let _ = stream.write_all(piece);
+                sleep(Duration::from_millis(3));
+            }
+            drop(turn);
+            if !of_the_crowd {
+                calls.fetch_sub(1, Ordering::Relaxed);
+            }
+        }
+    });
+    let settings = SETTINGS.replace("on_request", way);
+    let agent = Agent::start(&config(source.address, "", &settings, 1024));
+    let is_over = AtomicBool::new(false);
+    std::thread::scope(|scope| {
+        let _over = Over(&is_over);
+        for _ in 0..6 {
+            scope.spawn(|| {
+                while !is_over.load(Ordering::Relaxed) {
+                    let mut other = Client::at(source.address);
+                    let call = "GET /registry/instances HTTP/1.1\r\nHost: x\r\nX-Crowd: 1\r\n\r\n";
+                    while !is_over.load(Ordering::Relaxed) {
+                        assert_eq!(other.ask(call).status(), 200);
+                    }
+                }
+            });
+        }
+        let mut client = Client::to(&agent);
+        for (n, backend) in backends.iter().enumerate() {
+            *now.lock().unwrap() = (2 + n as i64, serving(&format!("s{n}"), backend.address));
+            let (begun, heard) = (Instant::now(), format!("list {n}").into_bytes());
+            while client.ask(&request("read", 9000)).body != heard {
+                assert!(begun.elapsed() < BOUND, "{way}: list {n} is never heard of");
+                sleep(Duration::from_millis(1));
+            }
+        }
+    });
+    // The watch, and the module's own call beside.
+    let most = most_out.load(Ordering::Relaxed);
+    assert!(most <= 2, "{way}: {most} calls at a time");
+    source.close();
+}
--- a/crates/agent/tests/loopback/reload.rs
+++ b/crates/agent/tests/loopback/reload.rs
@@ -163,3 +163,134 @@
     agent.reload(&good);
     agent.wait_figure("app_reloads_ok_total", 1.0);
 }
+
+/// Goes on asking until told to stop; how many answers came, all of them served.
+fn ask_on(agent: &Agent, is_over: &std::sync::atomic::AtomicBool) -> usize {
+    let (mut client, mut served) = (Client::to(agent), 0);
+    while !is_over.load(std::sync::atomic::Ordering::Relaxed) {
+        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+        served += 1;
+    }
+    served
+}
+
+/// Does something while clients ask all the time, each of which is served.
+fn under_load(agent: &Agent, what: impl FnOnce()) {
+    let is_over = std::sync::atomic::AtomicBool::new(false);
+    std::thread::scope(|scope| {
+        let clients: Vec<_> = (0..4).map(|_| scope.spawn(|| ask_on(agent, &is_over))).collect();
+        // Told also where a wait fails, or the clients would go on for ever.
+        let told = std::panic::catch_unwind(std::panic::AssertUnwindSafe(what));
+        is_over.store(true, std::sync::atomic::Ordering::Relaxed);
+        clients.into_iter().for_each(|client| assert!(client.join().unwrap() > 0));
+        told.unwrap();
+    });
+}
+
+/// Five signals in a row for a file that says what it said: the watch is not even made anew.
+#[test]
+fn five_signals_in_a_row_disturb_nothing() {
+    let (agent, discovery, backend) = with_backend(|_| ok("x"));
+    let same = ops_config(&discovery, &backend, SETTINGS);
+    discovery.asked.wait(2);
+    under_load(&agent, || {
+        (0..5).for_each(|_| agent.reload(&same));
+        // Signals that come before the one before has been taken are one.
+        while agent.reloads().0 < 1.0 {
+            std::thread::yield_now();
+        }
+        agent.reload(&same);
+        let taken = agent.reloads().0;
+        while agent.reloads().0 <= taken && taken < 2.0 {
+            std::thread::yield_now();
+        }
+    });
+    assert_eq!(agent.reloads().1, 0.0);
+    let asked = discovery.asked.all();
+    let anew = asked.iter().skip(1).filter(|path| !path.contains("from=")).count();
+    assert_eq!(anew, 0, "{asked:?}");
+}
+
+/// Five in a row, each for another file with another discovery and another class: the last one wins, whatever was in the
+/// middle, and everybody is served all along.
+#[test]
+fn of_five_files_in_a_row_the_last_one_wins() {
+    let (agent, discovery, backend) = with_backend(|_| ok("first"));
+    discovery.asked.wait(2);
+    let backends: Vec<Backend> = (0..5).map(|n| Backend::new(move |_| ok(&format!("file {n}")))).collect();
+    let sources: Vec<Discovery> = backends
+        .iter()
+        .enumerate()
+        .map(|(n, b)| Discovery::new(serving(&format!("n{n}"), b.address)))
+        .collect();
+    let file = |n: usize| {
+        let settings = SETTINGS.replace("\"once\"", &format!("\"once{n}\""));
+        ops_config(&sources[n], &backend, &settings)
+    };
+    let spoilt = file(3).replace("\"maxAttempts\":3", "\"maxAttempts\":0");
+    under_load(&agent, || {
+        for n in 0..5 {
+            agent.reload(&file(n));
+        }
+        // The last one's watch is what stays open.
+        sources[4].asked.wait(2);
+        let mut client = Client::to(&agent);
+        while client.ask(&request("read", 9000)).body != b"file 4" {
+            std::thread::yield_now();
+        }
+        // A broken one after them changes nothing.
+        agent.reload(&spoilt);
+        agent.wait_figure("app_reloads_failed_total", 1.0);
+    });
+    let classes = |agent: &Agent| {
+        let served =
+            |n: usize| Client::to(agent).ask(&request("once", 9000).replace("once", &format!("once{n}")));
+        (0..5).map(|n| served(n).status()).collect::<Vec<_>>()
+    };
+    assert_eq!(classes(&agent), [400, 400, 400, 400, 200]);
+    // The sources in the middle are not asked any more.
+    let asked: Vec<usize> = sources[..4].iter().map(|source| source.asked.all().len()).collect();
+    sources.iter().zip(&backends).for_each(|(source, b)| source.change(serving("later", b.address)));
+    sources[4].asked.wait(3);
+    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).body, b"file 4");
+    let after: Vec<usize> = sources[..4].iter().map(|source| source.asked.all().len()).collect();
+    assert_eq!(asked, after);
+    assert_eq!(turned_down(&agent), 1);
+}
+
+/// How many lines of the log tell of a file that was turned down; there is at least one.
+fn turned_down(agent: &Agent) -> usize {
+    let told = || {
+        let lines = agent.logged.all();
+        lines.iter().filter(|line| line.contains("the configuration stays as it was")).count()
+    };
+    while told() == 0 {
+        std::thread::yield_now();
+    }
+    assert_eq!(agent.logged.all().iter().filter(|line| line.contains("ERROR")).count(), told());
+    told()
+}
+
+/// Five files one after the other, each taken before the next, and the broken one among them says so in one line.
+#[test]
+fn a_broken_file_among_five_changes_nothing() {
+    let (agent, discovery, backend) = with_backend(|_| ok("x"));
+    discovery.asked.wait(2);
+    under_load(&agent, || {
+        for (n, sound) in [(0, true), (1, true), (2, false), (3, true), (4, true)] {
+            let settings = SETTINGS.replace("\"once\"", &format!("\"once{n}\""));
+            let file = ops_config(&discovery, &backend, &settings);
+            let (taken, turned_down) = agent.reloads();
+            agent.reload(if sound { &file } else { &file[..file.len() - 5] });
+            let expected = if sound { (taken + 1.0, turned_down) } else { (taken, turned_down + 1.0) };
+            while agent.reloads() != expected {
+                std::thread::yield_now();
+            }
+            let class = if sound { n } else { n - 1 };
+            let ask = request("once", 9000).replace("once", &format!("once{class}"));
+            assert_eq!(Client::to(&agent).ask(&ask).status(), 200, "{n}");
+        }
+    });
+    assert_eq!(agent.reloads(), (4.0, 1.0));
+    assert_eq!(turned_down(&agent), 1);
+}
