--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -11,7 +11,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
+use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
+use tokio::time::{sleep, timeout, Instant};
 
 /// Pause before a connection is tried again that this machine could not begin. That costs nobody else anything.
 const AGAIN_PAUSE: Duration = Duration::from_millis(150);
@@ -33,6 +35,16 @@
     }
 }
 
+/// A connection; a call that was interrupted is made again. Others get a turn between two, or its time could not end it.
+async fn connect(connector: &impl Connector, address: SocketAddr) -> io::Result<TcpStream> {
+    loop {
+        match connector.connect(address).await {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => yield_now().await,
+            done => return done,
+        }
+    }
+}
+
 /// A connection, for callers with one peer: a failure of this machine is no answer of the peer, which nothing has been asked,
 /// and is tried again soon, for as long as the caller waits. Each try may take so long.
 pub async fn connect_when_able(
@@ -41,7 +53,7 @@
     within: Duration,
 ) -> io::Result<TcpStream> {
     loop {
-        match timeout(within, connector.connect(address)).await {
+        match timeout(within, connect(connector, address)).await {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) if ConnectError::from(&error) != ConnectError::Remote => sleep(AGAIN_PAUSE).await,
             Ok(Err(error)) => return Err(error),
@@ -83,7 +95,7 @@
         place: Place,
         within: Duration,
     ) -> Result<TcpStream, Outcome> {
-        let error = match timeout(within, connector.connect(place.address)).await {
+        let error = match timeout(within, connect(connector, place.address)).await {
             Ok(Ok(stream)) => {
                 self.unrouted.borrow_mut().remove(&place.server);
                 self.note_reached();
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -69,15 +69,8 @@
 #[tokio::test(start_paused = true)]
 async fn want_of_something_here_is_never_the_servers_fault() {
     let (one, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
-    for errno in [
-        Errno::MFILE,
-        Errno::NFILE,
-        Errno::NOBUFS,
-        Errno::NOMEM,
-        Errno::ADDRNOTAVAIL,
-        Errno::AGAIN,
-        Errno::INTR,
-    ] {
+    for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN]
+    {
         for _ in 0..5 {
             assert_eq!(reachability.fails(errno, one.place).await, Outcome::NotSent, "{errno:?}");
             sleep(2 * WITHIN).await;
@@ -164,6 +157,20 @@
     assert_eq!(reachability.unrouted.borrow().len(), 1);
 }
 
+/// A signal that comes while a connection is begun says nothing, and costs no attempt.
+#[tokio::test(start_paused = true)]
+async fn an_interrupted_connect_is_made_again() {
+    let (one, reachability) = (peer(1).await, Reachability::default());
+    let connector = Scripted::failing([Errno::INTR; 9]);
+    let stream = reachability.connect(&connector, one.place, WITHIN).await.expect("in the end");
+    assert_eq!(connector.calls.get(), 10);
+    talks(stream, &one).await;
+    let (connector, begun) = (Scripted::failing([Errno::INTR; 9]), Instant::now());
+    let stream = connect_when_able(&connector, one.place.address, WITHIN).await.expect("in the end");
+    assert_eq!((connector.calls.get(), begun.elapsed()), (10, Duration::ZERO), "at once");
+    talks(stream, &one).await;
+}
+
 /// For one with a single peer, a failure of this machine is tried again soon; one of the peer is told at once.
 #[tokio::test(start_paused = true)]
 async fn what_could_not_be_begun_is_tried_again_soon() {
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -3,8 +3,10 @@
 //! closes its end. The connection between the two stays open: while it does, they share the limits.
 
 use crate::accept::accept;
+use crate::socket_error::uninterrupted;
 use heronhoist_engine::timing::timeout;
 use rustix::cmsg_space;
+use rustix::io::retry_on_intr;
 use rustix::net::{recvmsg, sendmsg};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -91,13 +93,14 @@
 impl Predecessor {
     /// Says that this process can serve, and stays till the other has gone.
     pub async fn relieve(self) {
-        let told = self.stream.writable().await.and_then(|()| self.stream.try_write(&[READY]));
+        let told =
+            self.stream.writable().await.and_then(|()| uninterrupted(|| self.stream.try_write(&[READY])));
         if let Err(e) = told {
             tracing::warn!(error = %e, "cannot tell the process before this one");
         }
         // It never says anything more: what can be read is its end.
         while self.stream.readable().await.is_ok() {
-            match self.stream.try_read(&mut [0; 16]) {
+            match uninterrupted(|| self.stream.try_read(&mut [0; 16])) {
                 Ok(0) => break,
                 Err(e) if e.kind() != io::ErrorKind::WouldBlock => break,
                 Ok(_) | Err(_) => {}
@@ -144,7 +147,7 @@
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut word = [0];
     let flags = RecvFlags::CMSG_CLOEXEC;
-    recvmsg(stream.as_fd(), &mut [IoSliceMut::new(&mut word)], &mut control, flags)?;
+    retry_on_intr(|| recvmsg(stream.as_fd(), &mut [IoSliceMut::new(&mut word)], &mut control, flags))?;
     let passed = control.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
         _ => None,
@@ -172,7 +175,7 @@
     let mut control = SendAncillaryBuffer::new(&mut space);
     let sockets: Vec<_> = listeners.iter().map(|listener| listener.as_fd()).collect();
     control.push(SendAncillaryMessage::ScmRights(&sockets));
-    sendmsg(stream.as_fd(), &[IoSlice::new(b"L")], &mut control, SendFlags::NOSIGNAL)?;
+    retry_on_intr(|| sendmsg(stream.as_fd(), &[IoSlice::new(b"L")], &mut control, SendFlags::NOSIGNAL))?;
     Ok(())
 }
 
@@ -219,7 +222,7 @@
     let mut ready = false;
     while stream.readable().await.is_ok() {
         let mut said = [0; 16];
-        match stream.try_read(&mut said) {
+        match uninterrupted(|| stream.try_read(&mut said)) {
             Ok(0) => break,
             Ok(n) if !ready && said[..n].contains(&READY) => {
                 ready = true;
--- a/crates/agent/src/socket_error.rs
+++ b/crates/agent/src/socket_error.rs
@@ -83,5 +83,15 @@
         )
 }
 
+/// A call to the system, made again for as long as signals interrupt it: that says nothing of what was asked.
+pub fn uninterrupted<T>(mut call: impl FnMut() -> Result<T, Error>) -> Result<T, Error> {
+    loop {
+        match call() {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            done => return done,
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -3,6 +3,7 @@
 
 use crate::head::{Framing, Requests};
 use crate::metrics::ClassCounters;
+use crate::socket_error::uninterrupted;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::any::Any;
@@ -222,7 +223,7 @@
 
 /// What the peer has sent that nobody has read yet; `Ok(0)` says that it has closed.
 fn peek(stream: &TcpStream) -> io::Result<usize> {
-    socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1])
+    uninterrupted(|| socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]))
 }
 
 fn is_quiet(stream: &TcpStream) -> bool {
@@ -238,7 +239,7 @@
 
 /// Says that nothing more will be written.
 fn half_close(stream: &TcpStream) -> io::Result<()> {
-    socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
+    uninterrupted(|| socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write))
 }
 
 /// Says that nothing more will be written, and reads on what nobody wants until the peer has closed too, or has sent more
@@ -250,7 +251,7 @@
         if stream.readable().await.is_err() {
             return;
         }
-        let read = BETWEEN.with_borrow_mut(|between| stream.try_read(between));
+        let read = BETWEEN.with_borrow_mut(|between| uninterrupted(|| stream.try_read(between)));
         match read {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Ok(n) if (1..=most).contains(&n) => most -= n,
@@ -296,16 +297,23 @@
 }
 
 impl Read for Wire {
-    fn poll_read(
-        self: Pin<&mut Self>,
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
+        self.read_with(cx, buf, |stream, bytes| stream.try_read(bytes))
+    }
+}
+
+impl Wire {
+    fn read_with(
+        &self,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
+        mut read: impl FnMut(&TcpStream, &mut [u8]) -> io::Result<usize>,
     ) -> Poll<io::Result<()>> {
         let room = CHUNK.min(buf.remaining());
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
             let read = BETWEEN.with_borrow_mut(|between| {
-                let n = self.stream.try_read(&mut between[..room])?;
+                let n = uninterrupted(|| read(&self.stream, &mut between[..room]))?;
                 if (1..room).contains(&n) {
                     // That was all there is: the next read waits for the kernel to say that there is more, and need
                     // not ask for it in vain. (Events come on edges, so none is missed.)
@@ -345,7 +353,7 @@
                 self.meter.stuck_since.set(Some(since));
                 return Poll::Pending;
             }
-            match write(&self.stream) {
+            match uninterrupted(|| write(&self.stream)) {
                 Ok(n) => {
                     self.meter.give_out(n);
                     return Poll::Ready(Ok(n));
@@ -382,3 +390,6 @@
         Poll::Ready(half_close(&self.stream))
     }
 }
+
+#[cfg(test)]
+mod tests;
