--- a/crates/agent/benches/overhead.rs
+++ b/crates/agent/benches/overhead.rs
@@ -9,6 +9,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,6 +24,9 @@
  "limits":{"cancel":true,"retryAfter":true,"connectTimeoutMs":250,"keepaliveMs":60000,"maxAttempts":3},
  "rules":{"stopSendingWithinMs":500}}"#;
 
+/// Connections that the stand-ins have accepted.
+static OPENED: AtomicUsize = AtomicUsize::new(0);
+
 fn on_a_thread<T>(work: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, work)
@@ -50,6 +54,7 @@
                 tell.send(listener.local_addr().expect("an address")).expect("heard");
                 spawn_local(async move {
                     while let Ok((mut stream, _)) = listener.accept().await {
+                        OPENED.fetch_add(1, Ordering::Relaxed);
                         let _ = stream.set_nodelay(true);
                         spawn_local(async move {
                             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {ANSWER_BYTES}\r\n\r\n")
@@ -181,20 +186,27 @@
     let path = std::env::temp_dir().join(format!("heronhoist-overhead-{}.json", std::process::id()));
     std::fs::write(&path, config).expect("a file");
 
-    // Per binary: CPU microseconds a request, median and 99th percentile latency, requests a second, peak KiB.
-    let mut seen: Vec<Vec<[f64; 5]>> = vec![Vec::new(); binaries.len()];
+    // Per binary: CPU microseconds a request, median and 99th percentile latency, requests a second, peak KiB, connections
+    // opened to the stand-ins per thousand requests, those ahead of the measurement included.
+    let mut seen: Vec<Vec<[f64; 6]>> = vec![Vec::new(); binaries.len()];
     let mut direct = Vec::new();
     for round in 0..rounds {
         direct.push(load(&servers, requests).1);
         // All live at once and are asked in turns of a tenth of the requests, so that what the machine does meanwhile
         // falls on each alike.
         let agents: Vec<Agent> = binaries.iter().map(|binary| Agent::start(binary, &path)).collect();
-        agents.iter().for_each(|agent| drop(load(&[agent.1], requests / 10)));
+        let loaded = |agent: &Agent, requests: usize| {
+            let before = OPENED.load(Ordering::Relaxed);
+            let seen = load(&[agent.1], requests);
+            (seen, OPENED.load(Ordering::Relaxed) - before)
+        };
+        let mut opened: Vec<usize> = agents.iter().map(|agent| loaded(agent, requests / 10).1).collect();
         let before: Vec<Duration> = agents.iter().map(Agent::cpu).collect();
         let (mut times, mut took) = (vec![Vec::new(); agents.len()], vec![0.0; agents.len()]);
         for turn in 0..10 * agents.len() {
             let at = (turn + turn / agents.len() + round) % agents.len();
-            let (seen, rate) = load(&[agents[at].1], requests / 10);
+            let ((seen, rate), more) = loaded(&agents[at], requests / 10);
+            opened[at] += more;
             took[at] += seen.len() as f64 / rate;
             times[at].extend(seen);
         }
@@ -203,15 +215,24 @@
             let count = times[at].len() as f64;
             let cpu = (agent.cpu() - before[at]).as_secs_f64() * 1e6 / count;
             let at_share = |share: f64| times[at][((count - 1.0) * share) as usize] as f64;
-            seen[at].push([cpu, at_share(0.5), at_share(0.99), count / took[at], agent.peak() as f64]);
+            let opened = opened[at] as f64 * 1e3 / (count + (requests / 10) as f64);
+            seen[at].push([
+                cpu,
+                at_share(0.5),
+                at_share(0.99),
+                count / took[at],
+                agent.peak() as f64,
+                opened,
+            ]);
         }
     }
     let _ = std::fs::remove_file(&path);
-    let names = ["CPU us a request", "median us", "99th pct us", "requests/s", "peak KiB"];
+    let names = ["CPU us a request", "median us", "99th pct us", "requests/s", "peak KiB", "opened per 1000"];
     println!("{rounds} rounds of {requests} requests, {CONNECTIONS} connections, {ANSWER_BYTES} bytes, {STAND_INS} stand-ins");
     println!("direct: {:.0} requests/s", median(direct.clone()));
     for (binary, rows) in binaries.iter().zip(&seen) {
-        let told = (0..5).map(|i| format!("{} {:.1}", names[i], median(rows.iter().map(|r| r[i]).collect())));
+        let told = (0..names.len())
+            .map(|i| format!("{} {:.1}", names[i], median(rows.iter().map(|r| r[i]).collect())));
         println!("{}: {}", binary.display(), told.collect::<Vec<_>>().join(", "));
         let share = rows.iter().zip(&direct).map(|(row, direct)| row[3] / direct).collect();
         println!("  proxied/direct {:.3}", median(share));
--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts and probes: a message out, what comes back told as an outcome.
 
-use crate::connections::{Connections, Lease, Place};
+use crate::connections::{Connections, Lease, LeaseUse, Place};
 use crate::dialect::{NEW, OLD};
 use crate::download::{BodyLength, Download, Origin};
 use crate::metrics::ClassCounters;
@@ -133,17 +133,15 @@
 /// forget connections that rest, and say nothing.
 struct AtWork<'a> {
     connections: &'a Connections,
-    view: View,
-    rested: Duration,
-    received: u64,
+    place: Place,
+    usage: LeaseUse,
     until: Instant,
     ended: bool,
 }
 
 impl<'a> AtWork<'a> {
-    fn new(connections: &'a Connections, lease: &Lease, until: Instant) -> Self {
-        let (view, rested, received) = (lease.view.clone(), lease.rested(), lease.view.received());
-        AtWork { connections, view, rested, received, until, ended: false }
+    fn new(connections: &'a Connections, place: Place, lease: &Lease, until: Instant) -> Self {
+        AtWork { connections, place, usage: lease.usage(), until, ended: false }
     }
 
     /// The attempt has ended by itself, and has failed or not.
@@ -153,7 +151,7 @@
     }
 
     fn note(&self, failed: bool) {
-        self.connections.note(self.rested, failed && self.view.received() == self.received);
+        self.connections.note(self.place, &self.usage, failed && self.usage.is_unanswered());
     }
 }
 
@@ -270,7 +268,7 @@
             }
             let view = lease.view.clone();
             let before = view.written();
-            let at_work = AtWork::new(&self.connections, &lease, gate.until);
+            let at_work = AtWork::new(&self.connections, place, &lease, gate.until);
             view.count_nothing();
             let counted = async {
                 // Of a long body nobody may know the length before its end.
--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -13,7 +13,6 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
-use tokio::time::{sleep, timeout, Instant};
 
 /// Pause before a connection is tried again that this machine could not begin. That costs nobody else anything.
 const AGAIN_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -2,6 +2,7 @@
 
 use crate::connect::{Reachability, Tcp};
 use crate::idle_timeout::IdleTimeout;
+use crate::reuse::ReuseTrust;
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
 use heronhoist_decision::{Outcome, ServerId};
@@ -9,6 +10,7 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
+use std::error::Error as _;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -21,6 +23,14 @@
 /// answer twice may do so some milliseconds late: that has to be seen while the connection rests, since what comes after the next
 /// request was written can't be told from its answer.
 const IDLE_LEAST: Duration = Duration::from_millis(20);
+/// A trusted server's connections carry the next request before that, the one that has rested longest first, but only while
+/// so many of them are resting: requests that come less densely have their connections rest as any other server's.
+const UNRESTED_LEAST: usize = 2;
+/// More than so many resting ones of a trusted server are not kept: they were opened while each had to rest, and to go round
+/// among them costs more than the requests do.
+const IDLE_ENOUGH: usize = 3;
+/// Where not even the coldest connection has rested this long, all are in turn to be used again.
+const IN_TURN: Duration = IDLE_LEAST.saturating_mul(2);
 /// How long a connection may take to be ready again once its answer has been read.
 const SETTLE_WAIT: Duration = Duration::from_millis(500);
 /// The largest head of an answer, and its lines; hyper's own bounds would let a few hundred endless heads fill
@@ -38,13 +48,17 @@
     task: AbortHandle,
     since: Instant,
     life: u64,
+    /// Its rest can tell how the server behaves after an answer, and has not yet.
+    is_evidence: bool,
 }
 
 /// What can be done with an idle connection.
-#[derive(PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 enum Use {
     Now,
-    /// Its last answer may not be all that comes, or hyper has not put it behind it yet.
+    /// Its last answer may not be all that comes.
+    Unrested,
+    /// hyper has not put its last answer behind it yet.
     Soon,
     Never,
 }
@@ -55,14 +69,22 @@
         let age = now.saturating_duration_since(self.since);
         if age >= rest || self.life != life || self.sender.is_closed() || !self.view.is_quiet() {
             Use::Never
-        } else if age >= IDLE_LEAST && self.sender.is_ready() {
-            Use::Now
+        } else if self.sender.is_ready() {
+            if self.has_rested(now) {
+                Use::Now
+            } else {
+                Use::Unrested
+            }
         } else if age < SETTLE_WAIT {
             Use::Soon
         } else {
             Use::Never
         }
     }
+
+    fn has_rested(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.since) >= IDLE_LEAST
+    }
 }
 
 /// Closes its connection when dropped, unless that has been given back: nobody waits on it any more, and what
@@ -74,6 +96,9 @@
     task: AbortHandle,
     /// How long it had been idle; `None` if it has carried nothing yet.
     rested: Option<Duration>,
+    /// Bytes written to it and read from it before.
+    written: u64,
+    received: u64,
 }
 
 impl Lease {
@@ -82,9 +107,10 @@
         self.rested.is_none()
     }
 
-    /// How long it had been idle.
-    pub fn rested(&self) -> Duration {
-        self.rested.unwrap_or_default()
+    /// What it had carried when it was leased.
+    pub fn usage(&self) -> LeaseUse {
+        let (view, rested) = (self.view.clone(), self.rested.unwrap_or_default());
+        LeaseUse { view, rested, written: self.written, received: self.received }
     }
 
     /// What sends on it.
@@ -93,6 +119,22 @@
     }
 }
 
+/// A connection as it was when it was leased, to tell afterwards what has come of that.
+pub struct LeaseUse {
+    view: View,
+    /// How long it had been idle; nothing if it had carried nothing yet.
+    rested: Duration,
+    written: u64,
+    received: u64,
+}
+
+impl LeaseUse {
+    /// Nothing has been read on it since.
+    pub fn is_unanswered(&self) -> bool {
+        self.view.received() == self.received
+    }
+}
+
 impl Drop for Lease {
     fn drop(&mut self) {
         if self.sender.is_some() {
@@ -123,6 +165,7 @@
     connect_timeout: Cell<Duration>,
     idle_timeout: IdleTimeout,
     reachability: Reachability,
+    trust: Rc<ReuseTrust>,
 }
 
 impl Connections {
@@ -135,9 +178,9 @@
     ) -> Rc<Self> {
         let idle_timeout = IdleTimeout::new(keepalive.mul_f64(IDLE_SHARE));
         let (idle, connect_timeout) = (RefCell::default(), Cell::new(connect_timeout));
-        let (siblings, reachability) = (Rc::clone(siblings), Reachability::default());
+        let (siblings, reachability, trust) = (Rc::clone(siblings), Reachability::default(), Rc::default());
         let connections =
-            Rc::new(Connections { idle, open, siblings, connect_timeout, idle_timeout, reachability });
+            Rc::new(Connections { idle, open, siblings, connect_timeout, idle_timeout, reachability, trust });
         let mut all = connections.siblings.0.borrow_mut();
         all.retain(|sibling| sibling.strong_count() > 0);
         all.push(Rc::downgrade(&connections));
@@ -166,14 +209,15 @@
         self.open.held()
     }
 
-    /// The warmest idle connection, or a new one.
+    /// The warmest connection that has rested, one that a trusted server has to spare, or a new one.
     pub async fn lease(&self, place: Place) -> Result<Lease, Outcome> {
         if let Some(idle) = self.pop(place) {
             let Idle { sender, view, task, since, .. } = idle;
-            return Ok(Lease { sender: Some(sender), view, task, rested: Some(since.elapsed()) });
+            let (rested, written, received) = (Some(since.elapsed()), view.written(), view.received());
+            return Ok(Lease { sender: Some(sender), view, task, rested, written, received });
         }
         // What is closed for this one gives its descriptor back in a moment.
-        let made_room = || self.close_coldest() || self.siblings.close_borrowed();
+        let made_room = || self.close_one() || self.siblings.close_borrowed();
         let portion = match self.open.take(1) {
             Some(portion) => portion,
             None if made_room() => self.open.overdraw(1),
@@ -195,47 +239,138 @@
         let Ok((sender, connection)) = builder.handshake(wire).await else {
             return Err(Outcome::ConnectFailed);
         };
+        let trust = Rc::clone(&self.trust);
         let task = tokio::task::spawn_local(async move {
-            let _ = connection.await;
+            if connection.await.is_err_and(|e| is_unrequested(&e)) {
+                trust.unrequested(place.server, place.life);
+            }
         });
-        Ok(Lease { sender: Some(sender), view, task: task.abort_handle(), rested: None })
+        let task = task.abort_handle();
+        Ok(Lease { sender: Some(sender), view, task, rested: None, written: 0, received: 0 })
     }
 
     fn pop(&self, place: Place) -> Option<Idle> {
-        let (now, mut idle) = (Instant::now(), self.idle.borrow_mut());
+        let (now, limit) = (Instant::now(), self.idle_timeout.limit());
+        let mut idle = self.idle.borrow_mut();
         let pool = idle.get_mut(&place.server)?;
-        for i in (0..pool.len()).rev() {
-            match pool[i].usable(now, self.idle_timeout.limit(), place.life) {
-                Use::Now => return Some(pool.remove(i)),
-                Use::Soon => {}
-                Use::Never => pool.remove(i).task.abort(),
+        // They stand in the order in which their rests began.
+        let rested = pool.partition_point(|idle| idle.has_rested(now));
+        for i in (0..rested).rev() {
+            match pool[i].usable(now, limit, place.life) {
+                Use::Now => {
+                    let mut idle = pool.remove(i);
+                    self.learn(place.server, &mut idle);
+                    return Some(idle);
+                }
+                Use::Unrested | Use::Soon => {}
+                Use::Never => {
+                    self.close(place.server, &pool.remove(i));
+                }
+            }
+        }
+        if !self.trust.is_earned(place.server, place.life) {
+            return None;
+        }
+        let mut at = pool.partition_point(|idle| idle.has_rested(now));
+        while pool.len() - at >= UNRESTED_LEAST {
+            match pool[at].usable(now, limit, place.life) {
+                Use::Now | Use::Unrested => return Some(pool.remove(at)),
+                Use::Soon => at += 1,
+                Use::Never => {
+                    self.close(place.server, &pool.remove(at));
+                    // What was seen on it may have ended the trust.
+                    if !self.trust.is_earned(place.server, place.life) {
+                        return None;
+                    }
+                }
             }
         }
         None
     }
 
+    /// Counts the rest of a connection that is quiet.
+    fn learn(&self, server: ServerId, idle: &mut Idle) {
+        if std::mem::take(&mut idle.is_evidence) {
+            self.trust.quiet_rest(server, idle.life);
+        }
+    }
+
+    /// Closes an idle connection, and learns what came on it last; false if that makes no room, since it was closed already.
+    fn close(&self, server: ServerId, idle: &Idle) -> bool {
+        // Of what hyper has read already its task has told.
+        if idle.view.has_unread() {
+            self.trust.unrequested(server, idle.life);
+        }
+        idle.task.abort();
+        !idle.sender.is_closed()
+    }
+
     /// Learns from how a connection served that had been idle for so long: it has broken, or stayed silent to the end of its
-    /// request's time, with nothing read, or has not. New ones, of no age, show what is so by mere chance.
-    pub fn note(&self, rested: Duration, broken: bool) {
+    /// request's time, with nothing read, or has not. New ones, of no age, show what is so by mere chance. And bytes may have
+    /// come on it ahead of the request's first.
+    pub fn note(&self, place: Place, usage: &LeaseUse, broken: bool) {
         if !broken {
             self.reachability.note_reached();
         }
-        self.idle_timeout.note(rested, broken);
+        self.idle_timeout.note(usage.rested, broken);
+        let view = &usage.view;
+        let unasked = view.written() == usage.written && view.received() > usage.received;
+        if unasked || view.has_unrequested() {
+            self.trust.unrequested(place.server, place.life);
+        }
     }
 
     /// Keeps a connection for the next request.
     pub fn give_back(&self, place: Place, mut lease: Lease) {
         let Some(sender) = lease.sender.take() else { return };
         let (view, task) = (lease.view.clone(), lease.task.clone());
-        let idle = Idle { sender, view, task, since: Instant::now(), life: place.life };
-        self.idle.borrow_mut().entry(place.server).or_default().push(idle);
+        let (since, life, is_evidence) = (Instant::now(), place.life, view.received() > lease.received);
+        let idle = Idle { sender, view, task, since, life, is_evidence };
+        let mut all = self.idle.borrow_mut();
+        let pool = all.entry(place.server).or_default();
+        pool.push(idle);
+        if pool.len() > IDLE_ENOUGH && self.trust.is_earned(place.server, place.life) {
+            self.close(place.server, &pool.remove(0));
+        }
     }
 
-    /// Makes room for a new connection; false if all are at work.
+    /// Makes room for a new connection; false if all are at work. Where demand exceeds what there may be, the coldest is
+    /// the next that can be used: to close it and open another each time would leave none to rest long enough.
+    fn close_one(&self) -> bool {
+        match self.coldest() {
+            Some(since) if since.elapsed() < IN_TURN => self.close_warmest(),
+            _ => self.close_coldest(),
+        }
+    }
+
+    /// Closes the idle connection that was used last; false if all are at work.
+    fn close_warmest(&self) -> bool {
+        let mut idle = self.idle.borrow_mut();
+        let since = |pool: &Vec<Idle>| pool.last().map(|idle| idle.since);
+        while let Some((&server, pool)) = idle.iter_mut().max_by_key(|(_, pool)| since(pool)) {
+            match pool.pop() {
+                Some(idle) if self.close(server, &idle) => return true,
+                Some(_) => {}
+                None => return false,
+            }
+        }
+        false
+    }
+
+    /// Closes the idle connection that was used longest ago; false if all are at work.
     fn close_coldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|pool| !pool.is_empty()).min_by_key(|pool| pool[0].since);
-        oldest.map(|pool| pool.remove(0).task.abort()).is_some()
+        let mut coldest = || {
+            let pools = idle.iter_mut().filter(|(_, pool)| !pool.is_empty());
+            let (&server, pool) = pools.min_by_key(|(_, pool)| pool[0].since)?;
+            Some((server, pool.remove(0)))
+        };
+        while let Some((server, idle)) = coldest() {
+            if self.close(server, &idle) {
+                return true;
+            }
+        }
+        false
     }
 
     /// When the coldest of the idle connections was last used.
@@ -246,25 +381,37 @@
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
         for idle in self.idle.borrow_mut().remove(&server).unwrap_or_default() {
-            idle.task.abort();
+            self.close(server, &idle);
         }
     }
 
     /// Closes what has rested long enough, has been closed by its server, or leads to one that is not what it
     /// was: `is_current` tells of a server and a life whether that still is.
     pub fn retire(&self, is_current: impl Fn(ServerId, u64) -> bool) {
-        let now = Instant::now();
+        let (now, limit) = (Instant::now(), self.idle_timeout.limit());
         self.idle.borrow_mut().retain(|&server, pool| {
-            pool.retain(|idle| {
-                let keep = is_current(server, idle.life)
-                    && idle.usable(now, self.idle_timeout.limit(), idle.life) != Use::Never;
+            pool.retain_mut(|idle| {
+                let use_of_it = idle.usable(now, limit, idle.life);
+                let keep = use_of_it != Use::Never && is_current(server, idle.life);
                 if !keep {
-                    idle.task.abort();
+                    self.close(server, idle);
+                } else if use_of_it == Use::Now {
+                    self.learn(server, idle);
                 }
                 keep
             });
             !pool.is_empty()
         });
-        self.reachability.retain(is_current);
+        self.reachability.retain(&is_current);
+        self.trust.retain(is_current);
     }
 }
+
+/// hyper has no name for the bytes that come on an idle connection: of what ends one in disorder, they alone are neither the
+/// system's doing nor an end in the middle of a message.
+fn is_unrequested(error: &hyper::Error) -> bool {
+    error.source().is_none() && !error.is_incomplete_message() && !error.is_canceled()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -24,6 +24,7 @@
 mod patience;
 mod plan;
 mod reload;
+mod reuse;
 mod seats;
 mod server;
 mod socket_error;
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -47,6 +47,8 @@
     allowance: Cell<Option<u64>>,
     /// What is asked once more right before the first byte of a request is written.
     armed: Cell<Option<Armed>>,
+    /// Something came before that.
+    unrequested: Cell<bool>,
     /// Since when the peer has taken nothing of what waits to be written.
     stuck_since: Cell<Option<Instant>>,
     /// When the machine has last taken something for sending.
@@ -169,6 +171,11 @@
         self.meter.allowance.set(Some(allowance));
     }
 
+    /// Bytes came ahead of the first one of an armed request.
+    pub fn has_unrequested(&self) -> bool {
+        self.meter.unrequested.get()
+    }
+
     /// Counts an attempt for `counters` when so many bytes have been written in all.
     pub fn count_at(&self, goal: u64, counters: Option<Rc<ClassCounters>>) {
         *self.meter.tally.borrow_mut() = counters.map(|counters| (goal, counters));
@@ -227,7 +234,11 @@
 }
 
 fn is_quiet(stream: &TcpStream) -> bool {
-    matches!(peek(stream), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    nothing_came(&peek(stream))
+}
+
+fn nothing_came(peeked: &io::Result<usize>) -> bool {
+    matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
 /// True if the peer has closed its side, be it behind bytes that nobody has read.
@@ -343,7 +354,10 @@
     ) -> Poll<io::Result<usize>> {
         if let Some(Armed { received, client }) = self.meter.armed.take() {
             let is_gone = client.is_some_and(|client| client.has_closed());
-            if is_gone || received != self.meter.received.get() || !is_quiet(&self.stream) {
+            let peeked = peek(&self.stream);
+            let has_bytes = received != self.meter.received.get() || matches!(peeked, Ok(n) if n > 0);
+            if is_gone || has_bytes || !nothing_came(&peeked) {
+                self.meter.unrequested.set(has_bytes);
                 return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
             }
         }
--- a/crates/agent/tests/loopback/spoilt.rs
+++ b/crates/agent/tests/loopback/spoilt.rs
@@ -113,3 +113,23 @@
         assert_eq!((answer.status(), body.as_str()), (200, sent.header("X-Call-Id").unwrap()));
     }
 }
+
+/// Did a busy server's connections always rest, more would be opened the faster requests come. One that has long sent nothing
+/// too much is asked again on those that it has, once they are as many as a busy server needs.
+#[test]
+fn a_server_that_sends_nothing_too_much_is_asked_again_without_a_rest() {
+    let backend = Backend::new(|_| ok("done"));
+    let (agent, _discovery) = Agent::with(&[&backend]);
+    let mut client = Client::to(&agent);
+    // Each rests for longer than a second answer may take, and shows that none comes.
+    for _ in 0..140 {
+        assert_eq!(client.ask(&request("once", 9000)).status(), 200);
+        thread::sleep(Duration::from_millis(25));
+    }
+    for _ in 0..2000 {
+        assert_eq!(client.ask(&request("once", 9000)).status(), 200);
+    }
+    // Three that rest and the one at work, and some for probes that come between.
+    let opened = backend.opened.all().len();
+    assert!(opened <= 8, "{opened} opened for requests that came one at a time");
+}
