--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -28,7 +28,7 @@
 const UNRESTED_LEAST: usize = 2;
 /// More than so many resting ones of a trusted server are not kept: they were opened while each had to rest, and to go round
 /// among them costs more than the requests do.
-const IDLE_ENOUGH: usize = 3;
+const IDLE_ENOUGH: usize = 5;
 /// Where not even the coldest connection has rested this long, all are in turn to be used again.
 const IN_TURN: Duration = IDLE_LEAST.saturating_mul(2);
 /// How long a connection may take to be ready again once its answer has been read.
