--- a/check.sh
+++ b/check.sh
@@ -31,6 +31,11 @@
     # The same by the budget and its chance alone.
     echo "0 scenarios/cold-ramp.toml --seeds 2 --set agents.count=300 --set fleet.bears_chance=true"
     echo "1 scenarios/cold-ramp.toml --seeds 1 --set agents.count=300 --set agents.balancers=1 --set fleet.bears_chance=true"
+    # The same formula where one is cold beside crowded ones, a building is back at once, and servers come back twice.
+    for world in one site twice; do
+        echo "0 scenarios/cold-$world.toml --seeds 1 --set agents.count=10"
+    done
+    echo "1 scenarios/cold-twice.toml --seeds 1 --set agents.count=300 --set agents.balancers=1"
     # Memory stays flat while servers come and go; agents that keep a little of each attempt.
     echo "0 scenarios/soak.toml --seeds 1 --set length_ms=240000"
     echo "1 scenarios/soak.toml --seeds 1 --set length_ms=240000 --set agents.leak_bytes=200"
@@ -46,6 +51,7 @@
         echo "1 scenarios/council-faults.toml --seeds ${fault#*:} --set 'planted=\"${fault%:*}\"'"
     done
     echo "1 scenarios/council-permits.toml --seeds 3 --set 'planted=\"freed-by-silence\"'"
+    echo "1 scenarios/council/failing-disk.toml --seeds 1..2 --set 'planted=\"ack-before-failed-sync\"'"
     for scenario in scenarios/council/*.toml; do
         echo "0 $scenario --seeds 1..4"
     done
