--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -3,6 +3,7 @@
 use crate::connections::{Connections, Lease, LeaseUse, Place};
 use crate::dialect::{NEW, OLD};
 use crate::download::{BodyLength, Download, Origin};
+use crate::idle_timeout::ConnectionEnd;
 use crate::metrics::ClassCounters;
 use crate::patience::{Patience, SHORT};
 use crate::upload::{Coming, Outgoing, Payload, BODY_MOST, HELD_MOST};
@@ -147,18 +148,19 @@
     /// The attempt has ended by itself, and has failed or not.
     fn end(mut self, failed: bool) {
         self.ended = true;
-        self.note(failed);
+        self.note(if failed { ConnectionEnd::Broken } else { ConnectionEnd::Answered });
     }
 
-    fn note(&self, failed: bool) {
-        self.connections.note(self.place, &self.usage, failed && self.usage.is_unanswered());
+    fn note(&self, end: ConnectionEnd) {
+        let end = if self.usage.is_unanswered() { end } else { ConnectionEnd::Answered };
+        self.connections.note(self.place, &self.usage, end);
     }
 }
 
 impl Drop for AtWork<'_> {
     fn drop(&mut self) {
         if !self.ended && Instant::now() >= self.until {
-            self.note(true);
+            self.note(ConnectionEnd::Silent);
         }
     }
 }
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -1,7 +1,7 @@
 //! The connections to backends: at work, idle, or not there yet.
 
 use crate::connect::{Reachability, Tcp};
-use crate::idle_timeout::IdleTimeout;
+use crate::idle_timeout::{ConnectionEnd, IdleTimeout};
 use crate::reuse::ReuseTrust;
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
@@ -109,7 +109,7 @@
 
     /// What it had carried when it was leased.
     pub fn usage(&self) -> LeaseUse {
-        let (view, rested) = (self.view.clone(), self.rested.unwrap_or_default());
+        let (view, rested) = (self.view.clone(), self.rested);
         LeaseUse { view, rested, written: self.written, received: self.received }
     }
 
@@ -122,8 +122,8 @@
 /// A connection as it was when it was leased, to tell afterwards what has come of that.
 pub struct LeaseUse {
     view: View,
-    /// How long it had been idle; nothing if it had carried nothing yet.
-    rested: Duration,
+    /// How long it had been idle; `None` if it had carried nothing yet.
+    rested: Option<Duration>,
     written: u64,
     received: u64,
 }
@@ -305,14 +305,12 @@
         !idle.sender.is_closed()
     }
 
-    /// Learns from how a connection served that had been idle for so long: it has broken, or stayed silent to the end of its
-    /// request's time, with nothing read, or has not. New ones, of no age, show what is so by mere chance. And bytes may have
-    /// come on it ahead of the request's first.
-    pub fn note(&self, place: Place, usage: &LeaseUse, broken: bool) {
-        if !broken {
+    /// Learns from how a connection has served; and bytes may have come on it ahead of the request's first.
+    pub fn note(&self, place: Place, usage: &LeaseUse, end: ConnectionEnd) {
+        if end == ConnectionEnd::Answered {
             self.reachability.note_reached();
         }
-        self.idle_timeout.note(usage.rested, broken);
+        self.idle_timeout.note(usage.rested, end);
         let view = &usage.view;
         let unasked = view.written() == usage.written && view.received() > usage.received;
         if unasked || view.has_unrequested() {
--- a/crates/agent/src/connections/tests.rs
+++ b/crates/agent/src/connections/tests.rs
@@ -230,7 +230,7 @@
                     block_until(|| lease.view.has_unread());
                     let request = Request::new(Payload::Held(Bytes::new()).outgoing());
                     assert!(lease.sender().unwrap().try_send_request(request).await.is_err());
-                    connections.note(bad.place, &lease.usage(), true);
+                    connections.note(bad.place, &lease.usage(), ConnectionEnd::Broken);
                 }
                 "behind an answer" => {
                     bad.behind.set(ANSWER);
