--- a/crates/agent/benches/growth.rs
+++ b/crates/agent/benches/growth.rs
@@ -5,9 +5,12 @@
 //!
 //! The caps are those that the operators state for a fleet of sixteen times the size. Absolute figures say little; quote the ratios.
 
+#[path = "support/agent.rs"]
+mod agent;
+
+use agent::Agent;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
@@ -114,50 +117,9 @@
     }
 }
 
-struct Agent(Child, SocketAddr);
-
-impl Agent {
-    fn start(config: &std::path::Path) -> Agent {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_heronhoist"));
-        command.env("LB_CONFIG", config).env_remove("TMPDIR").stderr(Stdio::piped());
-        for name in ["LB_LISTEN", "LB_DISCOVERY", "LB_OPS"] {
-            command.env_remove(name);
-        }
-        let mut child = command.spawn().expect("the agent starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
-        let mut line = String::new();
-        let address = loop {
-            line.clear();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "the agent has ended at its start");
-            if let Some((_, address)) = line.split_once("listening on ") {
-                break address.split_whitespace().next().and_then(|a| a.parse().ok()).expect("an address");
-            }
-        };
-        thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Agent(child, address)
-    }
-
-    fn cpu_s(&self) -> f64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.0.id())).expect("its CPU time");
-        text.split(' ').next().and_then(|n| n.parse::<f64>().ok()).expect("a number") / 1e9
-    }
-
-    fn peak_mb(&self) -> f64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).expect("its status");
-        let line = text.lines().find(|line| line.starts_with("VmHWM")).expect("its peak");
-        line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).expect("a number") / 1024.0
-    }
-
-    fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.0.id())).map_or(0, Iterator::count)
-    }
-}
-
-impl Drop for Agent {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
+/// How many descriptors a process has open.
+fn descriptors_of(process: u32) -> usize {
+    std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
 
 /// One request at a time on one connection; whether it was served.
@@ -196,7 +158,7 @@
     );
     let path = std::env::temp_dir().join(format!("heronhoist-growth-{}-{servers}.json", std::process::id()));
     std::fs::write(&path, config).expect("a file");
-    let agent = Agent::start(&path);
+    let agent = Agent::start(std::path::Path::new(env!("CARGO_BIN_EXE_heronhoist")), &path);
     let mut stream = TcpStream::connect(agent.1).expect("connects");
     let _ = stream.set_nodelay(true);
     let (begun, mut served, mut asked, mut changes, mut descriptors) = (Instant::now(), 0, 0, 0, 0);
@@ -211,14 +173,14 @@
             change.1.notify_all();
             changes += 1;
         }
-        descriptors = descriptors.max(agent.descriptors());
+        descriptors = descriptors.max(descriptors_of(agent.0.id()));
         let next = Duration::from_secs_f64(asked as f64 / REQUESTS_PER_S);
         thread::sleep(next.saturating_sub(begun.elapsed()));
     }
     let _ = std::fs::remove_file(&path);
     Needs {
-        cpu_s: agent.cpu_s(),
-        peak_mb: agent.peak_mb(),
+        cpu_s: agent.cpu().as_secs_f64(),
+        peak_mb: agent.peak() as f64 / 1024.0,
         descriptors: descriptors as f64,
         connections: connections.load(Ordering::Relaxed) as f64,
         list_bytes: sent.load(Ordering::Relaxed) as f64,
--- a/crates/agent/benches/overhead.rs
+++ b/crates/agent/benches/overhead.rs
@@ -5,10 +5,12 @@
 //!
 //! Absolute times of a machine say little; quote the ratios, taken in one run.
 
-use std::io::{BufRead, BufReader};
+#[path = "support/agent.rs"]
+mod agent;
+
+use agent::Agent;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -76,51 +78,6 @@
     (0..STAND_INS).map(|_| told.recv().expect("an address")).collect()
 }
 
-struct Agent(Child, SocketAddr);
-
-impl Agent {
-    fn start(binary: &Path, config: &Path) -> Agent {
-        let mut command = Command::new(binary);
-        command.env("LB_CONFIG", config).env_remove("TMPDIR").stderr(Stdio::piped());
-        for name in ["LB_LISTEN", "LB_DISCOVERY", "LB_OPS"] {
-            command.env_remove(name);
-        }
-        let mut child = command.spawn().expect("the agent starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
-        let mut line = String::new();
-        let address = loop {
-            line.clear();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "the agent has ended at its start");
-            if let Some((_, address)) = line.split_once("listening on ") {
-                break address.split_whitespace().next().and_then(|a| a.parse().ok()).expect("an address");
-            }
-        };
-        thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Agent(child, address)
-    }
-
-    /// CPU time of its one thread so far.
-    fn cpu(&self) -> Duration {
-        let path = format!("/proc/{}/schedstat", self.0.id());
-        let text = std::fs::read_to_string(path).expect("a system that tells CPU time");
-        Duration::from_nanos(text.split(' ').next().and_then(|n| n.parse().ok()).expect("a number"))
-    }
-
-    /// Peak memory in KiB.
-    fn peak(&self) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).unwrap_or_default();
-        let line = text.lines().find(|line| line.starts_with("VmHWM")).unwrap_or_default();
-        line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
-    }
-}
-
-impl Drop for Agent {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 /// Latencies in microseconds, sorted, and requests a second.
 fn load(targets: &[SocketAddr], requests: usize) -> (Vec<u64>, f64) {
     let start = Instant::now();
