--- /dev/null
+++ b/crates/settings/tests/golden.rs
@@ -0,0 +1,129 @@
+//! Every key and every word of the settings object, as deployments write them. All values differ from the defaults and from one
+//! another, so that a key or word that is no longer understood shows in what it sets.
+
+use heronhoist_decision::*;
+use heronhoist_settings::SettingsFile;
+use serde_json::{json, Value};
+
+const OBJECT: &str = include_str!("golden/settings.json");
+
+fn read(object: &Value) -> SettingsFile {
+    serde_json::from_value(object.clone()).expect("a settings object")
+}
+
+fn object() -> Value {
+    serde_json::from_str(OBJECT).expect("JSON")
+}
+
+/// The object with one key set to another word.
+fn settings_with(pointer: &str, word: &str) -> Settings {
+    let mut object = object();
+    *object.pointer_mut(pointer).expect("a key of the object") = json!(word);
+    read(&object).settings()
+}
+
+#[test]
+fn scalars_limits_and_rules_are_read_by_their_keys() {
+    let settings = read(&object()).settings();
+    assert_eq!(settings.balancers, 17);
+    assert_eq!(settings.zone, ZoneId(2));
+    assert_eq!(settings.over_share_worth, 0.31);
+    assert!(settings.worth_by_work && settings.warm_keys);
+    assert!(settings.cancel && settings.peers && settings.probes);
+    assert!(settings.retry_after && settings.second_copies);
+    assert_eq!(settings.max_attempts, 7);
+    assert_eq!(settings.max_retry_after, Span::from_ms(2004.0));
+    assert_eq!(settings.ask_within, Span::from_ms(3001.0));
+    assert_eq!(settings.cold_share, 0.71);
+    assert_eq!(settings.warm_after, Span::from_ms(3002.0));
+    assert_eq!(settings.drain_grace, Span::from_ms(3003.0));
+    assert_eq!(settings.overload_factor, 7.25);
+    assert_eq!(settings.fall_after, Span::from_ms(3004.0));
+    assert_eq!(settings.period, Span::from_ms(61.0));
+}
+
+#[test]
+fn goal_prices_and_tenants_are_read_by_their_keys() {
+    let settings = read(&object()).settings();
+    let goal = &settings.goal;
+    assert_eq!(
+        [goal.whole, goal.worst_class, goal.worst_tenant, goal.worst_window],
+        [0.11, 0.12, 0.13, 0.14]
+    );
+    let prices = &settings.prices;
+    assert_eq!([prices.connection, prices.cross_zone, prices.handshake], [0.51, 0.52, 0.53]);
+    assert_eq!([prices.late_fail, prices.probe, prices.waste], [0.54, 0.55, 0.56]);
+    let tenants: Vec<_> = settings.tenants.iter().map(|t| (t.allowance_per_s, t.fraction)).collect();
+    assert_eq!(tenants, [(41.0, 0.42), (43.0, 0.44)]);
+}
+
+#[test]
+fn classes_are_read_by_their_keys_and_words() {
+    let classes = read(&object()).settings().classes;
+    let deduplicated = |group, ms| Effect::Deduplicated { group, window: Span::from_ms(ms) };
+    let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
+    assert_eq!(
+        effects,
+        [
+            Effect::Idempotent,
+            Effect::AtMostOnce,
+            deduplicated(Group::All, 901.0),
+            deduplicated(Group::Zone, 902.0),
+            deduplicated(Group::Cell, 903.0),
+        ]
+    );
+    for (class, ms) in classes.iter().zip(1..) {
+        assert_eq!(class.aim, Span::from_ms(200.0 + f64::from(ms)));
+        assert_eq!(class.deadline, Span::from_ms(400.0 + f64::from(ms)));
+    }
+    let read = &classes[0];
+    assert_eq!([read.aim_stretch, read.late_worth, read.worth], [1.5, 0.25, 2.5]);
+    assert!(read.stream && !classes[1].stream);
+    assert_eq!(classes[1].worth, 3.5);
+}
+
+#[test]
+fn names_and_what_only_the_agent_uses_are_read_by_their_keys() {
+    let file = read(&object());
+    assert_eq!(file.class_names(), ["read", "once", "all", "zone", "cell"]);
+    assert_eq!(file.tenant_names(), ["courts", "clerks"]);
+    assert_eq!(file.zone_names(), ["north", "south", "west"]);
+    assert_eq!(file.kind_names(), ["small", "large"]);
+    assert_eq!(file.report_names(), ["inflight", "queue", "util", "latency_ms", "qps", "eps", "weather"]);
+    assert_eq!(file.connect_timeout(), Some(Span::from_ms(2001.0)));
+    assert_eq!(file.keepalive(), Some(Span::from_ms(2002.0)));
+    assert_eq!(file.max_open(), Some(2003));
+}
+
+#[test]
+fn each_word_of_a_choice_keeps_its_meaning() {
+    let settings = read(&object()).settings();
+    let fields = [
+        ReportField::InFlight,
+        ReportField::Queue,
+        ReportField::Utilisation,
+        ReportField::ServiceTime,
+        ReportField::Rate,
+        ReportField::Errors,
+        ReportField::Other,
+    ];
+    assert_eq!(settings.report_fields, fields);
+    for (word, meaning) in [("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)] {
+        assert_eq!(settings_with("/discovery", word).discovery, meaning, "{word}");
+    }
+    for (word, meaning) in
+        [("piggyback", ReportSource::Answers), ("pull", ReportSource::Probes), ("silent", ReportSource::None)]
+    {
+        assert_eq!(settings_with("/feedback/source", word).report_source, meaning, "{word}");
+    }
+    for (word, meaning) in [
+        ("silent", Weights::None),
+        ("nominal", Weights::Size),
+        ("rough", Weights::Size),
+        ("live", Weights::Live),
+    ] {
+        assert_eq!(settings_with("/weights", word).weights, meaning, "{word}");
+    }
+    assert!(settings_with("/worthBy", "work").worth_by_work);
+    assert!(!settings_with("/worthBy", "request").worth_by_work);
+}
