--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -181,3 +181,6 @@
     NoteDown { what: String },
     Bug { what: String },
 }
+
+#[cfg(test)]
+mod tests;
