--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -1,6 +1,8 @@
 use super::medium::{Found, Medium, Place, IO_ERROR, NO_ROOM};
 use super::*;
 
+mod golden;
+
 fn place(name: &str) -> std::path::PathBuf {
     let place = std::env::temp_dir().join(format!("heronhoist-store-{}-{name}", std::process::id()));
     let _ = std::fs::remove_file(&place);
