--- a/crates/agent/src/fleet/council/tests.rs
+++ b/crates/agent/src/fleet/council/tests.rs
@@ -9,6 +9,8 @@
 use tokio::net::TcpStream;
 use tracing_subscriber::fmt::MakeWriter;
 
+mod golden;
+
 /// Far beyond what a sound process needs.
 const ROUNDS: usize = 3000;
 
