--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -2,7 +2,9 @@
 
 use crate::council::Fleet;
 use crate::reader::*;
-use heronhoist_decision::{Class, Discovery, Effect, Group, Settings, SettingsError, Span, Tenant, ZoneId};
+use heronhoist_decision::{
+    Class, DeduplicationScope, Discovery, Effect, Settings, SettingsError, Span, Tenant, ZoneId,
+};
 use heronhoist_routes::{Conditions, Fault as RouteFault, Rule, Table};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -295,7 +297,11 @@
     let effects = &[("idempotent", 0), ("at_most_once", 1), ("deduplicated", 2)];
     let wanted = "\"idempotent\", \"at_most_once\" or \"deduplicated\"";
     let effect = reader.get(section, "effect", Absent::Fault, wanted, one_of(effects));
-    let groups = &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let groups = &[
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
+    ];
     let group = reader.get(
         section,
         "dedup_group",
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -91,13 +91,13 @@
     /// A zone, as the server list numbers them.
     ZoneId(u32),
     /// A kind of machine, as the server list numbers them.
-    KindId(u32),
+    MachineTypeId(u32),
     /// A cell (a group of servers that remember each other's requests), as the server list numbers them.
     CellId(u32),
     /// The thing that a request concerns; requests for the same thing carry the same key.
     KeyId(u64),
     /// An attempt of a request: 0 for its first send, 1 for its second and so on.
-    AttemptNo(u32),
+    AttemptNumber(u32),
     /// Names a timer; chosen by the balancer.
     TimerId(u64),
     /// Another balancer of the same service.
@@ -113,7 +113,7 @@
     /// Carries a key by which the servers of `group` drop a repeat for `window` from the first send on.
     Deduplicated {
         /// Which servers drop repeats.
-        group: Group,
+        group: DeduplicationScope,
         /// For how long they do.
         window: Span,
     },
@@ -123,7 +123,7 @@
 
 /// The servers that share a memory of what has already run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -199,7 +199,7 @@
     /// They come by themselves.
     #[default]
     Pushed,
-    /// Only after [`Action::Follow`] or [`Action::FetchList`].
+    /// Only after [`Action::Subscribe`] or [`Action::FetchEndpoints`].
     OnRequest,
 }
 
@@ -210,26 +210,26 @@
     #[default]
     None,
     /// In outcomes and in probe results.
-    Answers,
+    Responses,
     /// In probe results only.
-    Probes,
+    HealthChecks,
 }
 
-/// The meaning of [`Listed::weight`].
+/// The meaning of [`Endpoint::weight`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum Weights {
+pub enum WeightMeaning {
     /// They say nothing.
     #[default]
     None,
     /// The size of the machine, exactly or roughly.
     Size,
     /// The size divided by the load of a while ago.
-    Live,
+    CapacityPerLoad,
 }
 
 /// How the service weighs its results; the parts need not sum to one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Goal {
+pub struct ScoreWeights {
     /// All requests together.
     pub whole: f64,
     /// The worst stretch of time.
@@ -240,15 +240,15 @@
     pub worst_tenant: f64,
 }
 
-impl Default for Goal {
+impl Default for ScoreWeights {
     fn default() -> Self {
-        Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
+        ScoreWeights { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
     }
 }
 
 /// What things cost, as a share of the result for one of each per request.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Prices {
+pub struct Costs {
     /// An attempt that leaves the balancer's zone.
     pub cross_zone: f64,
     /// A probe.
@@ -279,9 +279,9 @@
     /// Worth counts by work and not by request.
     pub worth_by_work: bool,
     /// How the results are weighed.
-    pub goal: Goal,
+    pub goal: ScoreWeights,
     /// What things cost.
-    pub prices: Prices,
+    pub prices: Costs,
     /// How the server list is heard.
     pub discovery: Discovery,
     /// Without a subscription the list must be asked for at least this often.
@@ -291,7 +291,7 @@
     /// What a load report holds, in order.
     pub report_fields: Vec<ReportField>,
     /// What the list's weights mean.
-    pub weights: Weights,
+    pub weights: WeightMeaning,
     /// A server that met a key lately serves it for less work; the balancer makes no use of that.
     pub warm_keys: bool,
     /// Most attempts for one request.
@@ -300,11 +300,11 @@
     pub second_copies: bool,
     /// [`Action::Cancel`] is allowed.
     pub cancel: bool,
-    /// [`Action::Probe`] is allowed.
+    /// [`Action::HealthCheck`] is allowed.
     pub probes: bool,
-    /// [`Action::Tell`] is allowed.
+    /// [`Action::Gossip`] is allowed.
     pub peers: bool,
-    /// Clients are passed the advice in [`Action::Refuse`].
+    /// Clients are passed the advice in [`Action::Reject`].
     pub retry_after: bool,
     /// The longest advice that a client heeds.
     pub max_retry_after: Span,
@@ -331,13 +331,13 @@
             tenants: Vec::new(),
             over_share_worth: 1.0,
             worth_by_work: false,
-            goal: Goal::default(),
-            prices: Prices::default(),
+            goal: ScoreWeights::default(),
+            prices: Costs::default(),
             discovery: Discovery::Pushed,
             ask_within: Span::from_ms(10_000.0),
             report_source: ReportSource::None,
             report_fields: Vec::new(),
-            weights: Weights::None,
+            weights: WeightMeaning::None,
             warm_keys: false,
             max_attempts: 3,
             second_copies: false,
@@ -436,7 +436,7 @@
     /// It finishes what it has; send it nothing new.
     Draining,
     /// It has left.
-    Gone,
+    Removed,
 }
 
 /// What a server speaks, by a number that the caller gives it; 0 where all speak alike.
@@ -477,13 +477,13 @@
 
 /// A line of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: KindId,
+    pub kind: MachineTypeId,
     /// Its cell.
     pub cell: CellId,
     /// What it speaks.
@@ -496,19 +496,19 @@
     pub started: Option<Time>,
 }
 
-impl Default for Listed {
+impl Default for Endpoint {
     fn default() -> Self {
-        Listed::serving(ServerId::default())
+        Endpoint::serving(ServerId::default())
     }
 }
 
-impl Listed {
+impl Endpoint {
     /// A serving server that started long ago, in zone, kind and cell 0.
     pub fn serving(server: ServerId) -> Self {
-        Listed {
+        Endpoint {
             server,
             zone: ZoneId(0),
-            kind: KindId(0),
+            kind: MachineTypeId(0),
             cell: CellId(0),
             dialect: DialectId(0),
             status: Status::Serving,
@@ -520,13 +520,13 @@
 
 /// News of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListUpdate {
+pub enum EndpointUpdate {
     /// The changed lines only.
-    Changes(Vec<Listed>),
+    Changes(Vec<Endpoint>),
     /// The whole list: what it leaves out has left.
-    Complete(Vec<Listed>),
+    Complete(Vec<Endpoint>),
     /// The whole list as it was saved before a restart; may be stale.
-    Saved(Vec<Listed>),
+    Saved(Vec<Endpoint>),
     /// A call or the subscription failed; what was known still stands.
     Failed,
 }
@@ -546,7 +546,7 @@
     pub cost_hint: Option<Span>,
     /// The client says that this is a repeat.
     pub repeat: bool,
-    /// How long the client still waits for this try; from [`Event::Arrived`] on if it is `arriving`.
+    /// How long the client still waits for this try; from [`Event::RequestComplete`] on if it is `arriving`.
     pub time_left: Span,
     /// How long the client said that it waits for this try, from when all of it had come. It is no less than `time_left`: some of
     /// it may have passed before the module is told.
@@ -604,7 +604,7 @@
 }
 
 /// A server's load report: values as [`Settings::report_fields`] orders them.
-pub type Report = [f64];
+pub type LoadReport = [f64];
 
 /// What the balancer is told.
 #[derive(Debug, Clone, PartialEq)]
@@ -616,21 +616,21 @@
         /// The request.
         request: RequestId,
         /// The attempt that it is bound to.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// The last part of a request has come: its client's time runs from here.
-    Arrived {
+    RequestComplete {
         /// The request.
         request: RequestId,
         /// How long the client waits for the answer.
         time_left: Span,
     },
     /// An attempt is over.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// How it ended.
         outcome: Outcome,
         /// The time since it was sent, or since the request's last part came if that was later.
@@ -643,14 +643,14 @@
         spent: bool,
     },
     /// The client has gone; nothing is owed any more.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer is due.
     Timer(TimerId),
     /// The answer to a probe.
-    Probed {
+    HealthCheckResult {
         /// The server.
         server: ServerId,
         /// How the probe ended.
@@ -661,7 +661,7 @@
         report: Option<Vec<f64>>,
     },
     /// News of the server list.
-    List(ListUpdate),
+    EndpointList(EndpointUpdate),
     /// The settings have changed. Requests under way keep their class and the attempts that they had; how the
     /// server list is heard does not change.
     Settings {
@@ -672,7 +672,7 @@
         classes: Vec<ClassId>,
     },
     /// Another balancer's message.
-    PeerMessage {
+    Gossip {
         /// Who sent it.
         from: PeerId,
         /// What it holds.
@@ -699,10 +699,10 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Final answer: refused, and harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When a new try makes sense, if that is known.
@@ -721,7 +721,7 @@
         timer: TimerId,
     },
     /// Send a health probe.
-    Probe {
+    HealthCheck {
         /// Where to.
         server: ServerId,
     },
@@ -731,19 +731,19 @@
         server: ServerId,
     },
     /// Send a message to one other balancer, or to all.
-    Tell {
+    Gossip {
         /// Whom; `None` for all.
         to: Option<PeerId>,
         /// What.
         payload: Vec<u8>,
     },
     /// Open or close the subscription to the server list.
-    Follow {
+    Subscribe {
         /// Open it.
         active: bool,
     },
     /// Ask for the whole server list once.
-    FetchList,
+    FetchEndpoints,
     /// Something that people on call may want to read.
     Log {
         /// The text.
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -14,8 +14,8 @@
 //!
 //! // The agent hears which servers there are ...
 //! let now = Time::from_ms(1000.0);
-//! let servers = vec![Listed::serving(ServerId(0)), Listed::serving(ServerId(1))];
-//! balancer.handle(now, Event::List(ListUpdate::Complete(servers)), &mut actions);
+//! let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
+//! balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(servers)), &mut actions);
 //!
 //! // ... and passes on a request: the balancer says where to send it.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
--- a/crates/decision/src/policy/intake.rs
+++ b/crates/decision/src/policy/intake.rs
@@ -21,7 +21,7 @@
     pub(super) fn arrive(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let Some(known) = self.classes.get_mut(&request.class) else {
-            out.push(Action::Refuse { request: id, retry_after: None });
+            out.push(Action::Reject { request: id, retry_after: None });
             return;
         };
         if self.live.contains_key(&id) {
@@ -139,7 +139,7 @@
         if self.lawful(&live, now).refuse {
             let advice = self.come_back(now, live.request.class);
             let retry_after = self.settings.retry_after.then_some(advice);
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail { request: id });
         }
--- a/crates/decision/src/policy/kinds.rs
+++ b/crates/decision/src/policy/kinds.rs
@@ -12,11 +12,11 @@
 
 /// Answer time over work, by kind of machine: what is learned of one server holds for all of its kind.
 #[derive(Default)]
-pub(crate) struct Kinds(BTreeMap<KindId, (f64, f64)>);
+pub(crate) struct Kinds(BTreeMap<MachineTypeId, (f64, f64)>);
 
 impl Kinds {
     /// A server of this kind has taken `elapsed` over so many milliseconds of work.
-    pub(crate) fn learn(&mut self, kind: KindId, elapsed: Span, work: f64) {
+    pub(crate) fn learn(&mut self, kind: MachineTypeId, elapsed: Span, work: f64) {
         // As a logarithm: one that took ten times as long must not weigh like ten.
         let slow = (elapsed.ms().max(0.1) / work.max(0.1)).ln();
         let (mean, n) = self.0.entry(kind).or_default();
@@ -25,7 +25,7 @@
     }
 
     /// The chance with which a draw of this kind stands: the quickest kind's draws all do.
-    pub(crate) fn chance(&self, kind: KindId) -> f64 {
+    pub(crate) fn chance(&self, kind: MachineTypeId) -> f64 {
         let known = |&&(_, n): &&(f64, f64)| n >= KIND_LEAST;
         let best = self.0.values().filter(known).map(|kind| kind.0).fold(f64::INFINITY, f64::min);
         let own = self.0.get(&kind).filter(known);
--- a/crates/decision/src/policy/lawful.rs
+++ b/crates/decision/src/policy/lawful.rs
@@ -47,9 +47,9 @@
             (None, _) | (_, Effect::Idempotent) => (Reach::Anywhere, Time(u64::MAX), true),
             (Some(_), Effect::AtMostOnce) => (Reach::Nowhere, Time(u64::MAX), false),
             (Some(first), Effect::Deduplicated { group, window }) => match group {
-                Group::All => (Reach::Anywhere, first.sent + window, true),
-                Group::Zone => (Reach::Zone(first.zone), first.sent + window, false),
-                Group::Cell => (Reach::Cell(first.cell), first.sent + window, false),
+                DeduplicationScope::All => (Reach::Anywhere, first.sent + window, true),
+                DeduplicationScope::Zone => (Reach::Zone(first.zone), first.sent + window, false),
+                DeduplicationScope::Cell => (Reach::Cell(first.cell), first.sent + window, false),
             },
         };
         let send = if shut || now > begin_by { Reach::Nowhere } else { reach };
--- a/crates/decision/src/policy/limits.rs
+++ b/crates/decision/src/policy/limits.rs
@@ -35,7 +35,7 @@
     }
 
     /// The load that a report tells, if it tells one.
-    pub(super) fn read_report(&mut self, server: usize, report: &Report) -> Option<f64> {
+    pub(super) fn read_report(&mut self, server: usize, report: &LoadReport) -> Option<f64> {
         let mut fields = self.settings.report_fields.iter().zip(report);
         let load = |f: &ReportField| matches!(f, ReportField::InFlight | ReportField::Queue);
         let told = fields.rfind(|(field, value)| load(field) && value.is_finite())?.1;
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -26,7 +26,7 @@
 type Key = (RequestId, u32);
 
 /// How an attempt ended, after how long, with what report.
-type Ended<'a> = (Outcome, Span, Option<&'a Report>);
+type Ended<'a> = (Outcome, Span, Option<&'a LoadReport>);
 
 /// The one record of an accepted request; it goes when the request has its final answer.
 struct Live {
@@ -67,7 +67,7 @@
 
 #[derive(Default)]
 struct Server {
-    listed: Listed,
+    listed: Endpoint,
     in_flight: u32,
     /// Answer time over its class's usual: how slow the machine is. Leans to the quick ones, but of many.
     stretch: f64,
@@ -92,7 +92,7 @@
 }
 
 impl Server {
-    fn new(listed: Listed, now: Time) -> Self {
+    fn new(listed: Endpoint, now: Time) -> Self {
         Server { listed, last_answer: now, stretch: 1.0, limit: LIMIT_FIRST, ..Server::default() }
     }
 }
@@ -160,7 +160,7 @@
     /// To be called once, before the first event.
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::OnRequest {
-            out.push(Action::Follow { active: true });
+            out.push(Action::Subscribe { active: true });
         }
         self.set_tick(now, TICK_IDLE, out);
     }
@@ -174,24 +174,24 @@
                     live.bound = (attempt.0 as usize) < live.attempts.len();
                 }
             }
-            Event::Arrived { request, time_left } => self.arrived(now, request, time_left),
-            Event::Outcome { request, attempt, outcome, elapsed, report, closed, spent } => {
+            Event::RequestComplete { request, time_left } => self.arrived(now, request, time_left),
+            Event::AttemptEnded { request, attempt, outcome, elapsed, report, closed, spent } => {
                 if let Some(live) = self.live.get_mut(&request) {
                     live.spent |= spent;
                 }
                 let ended = (outcome, elapsed, report.as_deref());
                 self.outcome(now, (request, attempt.0), ended, closed, out);
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.live.remove(&request);
             }
             Event::Timer(TICK) => self.tick(now, out),
-            Event::Timer(_) | Event::PeerMessage { .. } => {}
-            Event::Probed { server, outcome, elapsed, report } => {
+            Event::Timer(_) | Event::Gossip { .. } => {}
+            Event::HealthCheckResult { server, outcome, elapsed, report } => {
                 let Some(&s) = self.index.get(&server) else { return };
                 self.probed(now, s, outcome != Outcome::Success, elapsed, report.as_deref());
             }
-            Event::List(update) => self.list(now, update, out),
+            Event::EndpointList(update) => self.list(now, update, out),
             Event::Settings { settings, classes } => self.reconfigure(now, *settings, classes),
         }
     }
@@ -207,7 +207,7 @@
         }
         if self.ask_at.is_some_and(|at| now >= at) {
             self.ask_at = None;
-            out.push(Action::Follow { active: true });
+            out.push(Action::Subscribe { active: true });
         }
         self.forget(now);
         self.forget_classes(now);
--- a/crates/decision/src/policy/roster.rs
+++ b/crates/decision/src/policy/roster.rs
@@ -9,21 +9,21 @@
 pub(super) const ASK_AGAIN: Span = Span(200_000);
 
 impl Balancer {
-    pub(super) fn list(&mut self, now: Time, update: ListUpdate, out: &mut Vec<Action>) {
+    pub(super) fn list(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Action>) {
         let (lines, complete) = match update {
-            ListUpdate::Failed => {
+            EndpointUpdate::Failed => {
                 self.ask_at = Some(now + self.ask_pause * (0.5 + self.rng.f64()));
                 let most = (self.settings.ask_within * 0.25).min(ASK_AGAIN * 5.0);
                 self.ask_pause = (self.ask_pause * 2.0).min(most);
                 return;
             }
-            ListUpdate::Changes(lines) => (lines, false),
-            ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (lines, true),
+            EndpointUpdate::Changes(lines) => (lines, false),
+            EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
         };
         self.ask_pause = ASK_AGAIN;
         if complete {
             for s in &mut self.servers {
-                s.listed.status = Status::Gone;
+                s.listed.status = Status::Removed;
             }
         }
         for line in lines {
@@ -48,7 +48,7 @@
             }
         }
         for s in &mut self.servers {
-            let gone = s.listed.status == Status::Gone;
+            let gone = s.listed.status == Status::Removed;
             s.gone_at = gone.then(|| s.gone_at.unwrap_or(now));
         }
         let servers = &self.servers;
--- a/crates/decision/src/policy/suspicion.rs
+++ b/crates/decision/src/policy/suspicion.rs
@@ -63,7 +63,7 @@
         let avoided = |&&i: &&usize| match self.servers[i].listed.status {
             Status::Serving => self.servers[i].suspicion.as_ref().is_some_and(|q| q.shut(now)),
             Status::Draining => true,
-            Status::Gone => false,
+            Status::Removed => false,
         };
         self.index.values().filter(avoided).count()
     }
@@ -132,12 +132,19 @@
             let s = &mut self.servers[i];
             s.suspicion.iter_mut().for_each(|q| q.on_trial = true);
             self.trials -= 1.0;
-            out.push(Action::Probe { server: s.listed.server });
+            out.push(Action::HealthCheck { server: s.listed.server });
         }
     }
 
     /// What a probe says of a suspect: its report, and the time it had to wait there.
-    pub(super) fn probed(&mut self, now: Time, s: usize, failed: bool, took: Span, report: Option<&Report>) {
+    pub(super) fn probed(
+        &mut self,
+        now: Time,
+        s: usize,
+        failed: bool,
+        took: Span,
+        report: Option<&LoadReport>,
+    ) {
         let told = report.and_then(|report| self.read_report(s, report)).unwrap_or_default();
         let usual = self.current().map(Known::usual).fold(f64::INFINITY, f64::min);
         if self.servers[s].suspicion.as_ref().is_some_and(|q| q.by_probe && q.on_trial) {
@@ -164,7 +171,7 @@
             let last = attempt as usize + 1 == live.attempts.len();
             let spare = live.attempts.len() < live.max_attempts && self.retries >= 1.0;
             if repeatable && self.settings.cancel && last && spare && !self.hopeless(now, live) {
-                out.push(Action::Cancel { request: id, attempt: AttemptNo(attempt) });
+                out.push(Action::Cancel { request: id, attempt: AttemptNumber(attempt) });
             }
         }
     }
--- a/crates/decision/tests/arriving.rs
+++ b/crates/decision/tests/arriving.rs
@@ -18,9 +18,9 @@
 }
 
 fn end(rig: &mut Rig, id: u64, outcome: Outcome, spent: bool) {
-    rig.tell(Event::Outcome {
+    rig.tell(Event::AttemptEnded {
         request: RequestId(id),
-        attempt: AttemptNo(0),
+        attempt: AttemptNumber(0),
         outcome,
         elapsed: Span::from_ms(5.0),
         report: None,
@@ -36,10 +36,10 @@
     let actions = rig.wait(Span::from_ms(30_000.0));
     assert!(!actions
         .iter()
-        .any(|a| matches!(a, Action::Cancel { .. } | Action::Fail { .. } | Action::Refuse { .. })));
+        .any(|a| matches!(a, Action::Cancel { .. } | Action::Fail { .. } | Action::Reject { .. })));
     assert_eq!(rig.balancer.excluded(rig.now), 0);
     // From its last part on it is like any other.
-    rig.tell(Event::Arrived { request: RequestId(900), time_left: Span::from_ms(1000.0) });
+    rig.tell(Event::RequestComplete { request: RequestId(900), time_left: Span::from_ms(1000.0) });
     let actions = rig.wait(Span::from_ms(900.0));
     assert!(
         actions.iter().any(|a| matches!(a, Action::Log { text } if text.contains("silent"))),
@@ -57,7 +57,7 @@
     assert!(rig.ask(0).1.is_some());
     // And once they are there, they are load.
     for id in 900..1000 {
-        rig.tell(Event::Arrived { request: RequestId(id), time_left: Span::from_ms(1000.0) });
+        rig.tell(Event::RequestComplete { request: RequestId(id), time_left: Span::from_ms(1000.0) });
     }
     assert!(rig.ask(0).1.is_none());
 }
@@ -75,7 +75,7 @@
     }
     let mut rig = rig(Effect::AtMostOnce);
     ask_arriving(&mut rig, 900);
-    rig.tell(Event::Arrived { request: RequestId(900), time_left: Span::from_ms(1000.0) });
+    rig.tell(Event::RequestComplete { request: RequestId(900), time_left: Span::from_ms(1000.0) });
     end(&mut rig, 900, Outcome::ConnectionReset, true);
     assert!(failed(&rig.actions.clone(), RequestId(900)), "it may have run");
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -31,7 +31,7 @@
 pub struct Observer {
     settings: Settings,
     requests: BTreeMap<RequestId, Seen>,
-    servers: BTreeMap<ServerId, Listed>,
+    servers: BTreeMap<ServerId, Endpoint>,
     leaving: BTreeMap<ServerId, Time>,
     sends: VecDeque<(Time, ServerId, f64)>,
     warm: BTreeSet<ServerId>,
@@ -71,7 +71,7 @@
                 };
                 self.requests.entry(r.id).or_insert(seen);
             }
-            Event::Outcome { request, attempt, outcome, closed, .. } => {
+            Event::AttemptEnded { request, attempt, outcome, closed, .. } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     if let Some(attempt) = seen.tries.get_mut(attempt.0 as usize) {
                         attempt.ended.get_or_insert(*outcome);
@@ -84,16 +84,16 @@
                     seen.bound = true;
                 }
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     seen.over = true;
                 }
             }
-            Event::List(update) => {
+            Event::EndpointList(update) => {
                 let (lines, whole) = match update {
-                    ListUpdate::Changes(lines) => (lines, false),
-                    ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (lines, true),
-                    ListUpdate::Failed => return,
+                    EndpointUpdate::Changes(lines) => (lines, false),
+                    EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
+                    EndpointUpdate::Failed => return,
                 };
                 let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
                 if whole {
@@ -135,9 +135,9 @@
             Effect::Idempotent => Some((None, None)),
             Effect::AtMostOnce => None,
             Effect::Deduplicated { window, .. } if now.since(ran.at) > window => None,
-            Effect::Deduplicated { group: Group::All, .. } => Some((None, None)),
-            Effect::Deduplicated { group: Group::Zone, .. } => Some((Some(ran.zone), None)),
-            Effect::Deduplicated { group: Group::Cell, .. } => Some((None, Some(ran.cell))),
+            Effect::Deduplicated { group: DeduplicationScope::All, .. } => Some((None, None)),
+            Effect::Deduplicated { group: DeduplicationScope::Zone, .. } => Some((Some(ran.zone), None)),
+            Effect::Deduplicated { group: DeduplicationScope::Cell, .. } => Some((None, Some(ran.cell))),
         }
     }
 
@@ -146,7 +146,7 @@
         match self.settings.classes[seen.class].effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => !ran,
-            Effect::Deduplicated { group, .. } => !ran || group == Group::All,
+            Effect::Deduplicated { group, .. } => !ran || group == DeduplicationScope::All,
         }
     }
 
@@ -199,7 +199,7 @@
                 self.sends.push_back((now, *server, work));
                 self.cold(now, *server);
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 if self.requests.get(request).is_some_and(|seen| !self.may_refuse(seen)) {
                     self.fault(now, format!("{request:?}: refused though it may have run"));
                 }
@@ -231,7 +231,7 @@
         while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
             self.sends.pop_front();
         }
-        let warmth = |line: &Listed| {
+        let warmth = |line: &Endpoint| {
             line.started.map_or(1.0, |s| {
                 let grown = (now.since(s).ms() / self.settings.warm_after.ms()).min(1.0);
                 self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
@@ -334,8 +334,8 @@
         all
     }
 
-    pub fn list(&mut self, lines: Vec<Listed>) {
-        self.tell(Event::List(ListUpdate::Complete(lines)));
+    pub fn list(&mut self, lines: Vec<Endpoint>) {
+        self.tell(Event::EndpointList(EndpointUpdate::Complete(lines)));
     }
 
     /// A new request of a class; the server it was sent to, if it was.
@@ -374,9 +374,9 @@
         ms: f64,
         report: Option<Vec<f64>>,
     ) -> &[Action] {
-        self.tell(Event::Outcome {
+        self.tell(Event::AttemptEnded {
             request,
-            attempt: AttemptNo(attempt),
+            attempt: AttemptNumber(attempt),
             outcome,
             elapsed: Span::from_ms(ms),
             report,
@@ -400,7 +400,7 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
@@ -408,9 +408,13 @@
 }
 
 /// `n` warm servers, server `i` in zone `i % zones` and cell `i % cells`.
-pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Listed> {
+pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Endpoint> {
     (0..n)
-        .map(|i| Listed { zone: ZoneId(i % zones), cell: CellId(i % cells), ..Listed::serving(ServerId(i)) })
+        .map(|i| Endpoint {
+            zone: ZoneId(i % zones),
+            cell: CellId(i % cells),
+            ..Endpoint::serving(ServerId(i))
+        })
         .collect()
 }
 
@@ -418,6 +422,6 @@
     Class { effect, aim: Span::from_ms(200.0), deadline: Span::from_ms(800.0), ..Class::default() }
 }
 
-pub fn keyed(group: Group, window_ms: f64) -> Effect {
+pub fn keyed(group: DeduplicationScope, window_ms: f64) -> Effect {
     Effect::Deduplicated { group, window: Span::from_ms(window_ms) }
 }
--- a/crates/decision/tests/decisions_in_one_place.rs
+++ b/crates/decision/tests/decisions_in_one_place.rs
@@ -152,7 +152,7 @@
     for (file, code) in sources_elsewhere() {
         let draws = ["fastrand", "rand::", "getrandom", "RandomState"].iter().any(|word| code.contains(word));
         let knows_servers =
-            ["ServerId", "Listed", "Place<", "Balancer"].iter().any(|word| code.contains(word));
+            ["ServerId", "Endpoint", "Place<", "Balancer"].iter().any(|word| code.contains(word));
         assert!(!draws || !knows_servers, "{file} draws at random, and knows servers");
     }
     for package in ["engine", "routes", "settings", "simhost", "config"] {
--- a/crates/decision/tests/dialects.rs
+++ b/crates/decision/tests/dialects.rs
@@ -6,15 +6,18 @@
 const OLD: DialectId = DialectId(1);
 
 fn settings(balancers: u32) -> Settings {
-    let classes =
-        vec![class(Effect::Idempotent), class(keyed(Group::Cell, 600.0)), class(Effect::AtMostOnce)];
+    let classes = vec![
+        class(Effect::Idempotent),
+        class(keyed(DeduplicationScope::Cell, 600.0)),
+        class(Effect::AtMostOnce),
+    ];
     Settings { classes, balancers, max_attempts: 3, ..Settings::default() }
 }
 
 /// Old servers are those with even numbers, in cells of both kinds.
-fn mixed(n: u32) -> Vec<Listed> {
-    let dialect = |line: &Listed| if line.server.0 % 2 == 0 { OLD } else { DialectId(0) };
-    fleet(n, 2, 3).into_iter().map(|line| Listed { dialect: dialect(&line), ..line }).collect()
+fn mixed(n: u32) -> Vec<Endpoint> {
+    let dialect = |line: &Endpoint| if line.server.0 % 2 == 0 { OLD } else { DialectId(0) };
+    fleet(n, 2, 3).into_iter().map(|line| Endpoint { dialect: dialect(&line), ..line }).collect()
 }
 
 /// Sends to old and to new servers of requests that may go to `dialects`; a third of all attempts fails.
--- a/crates/decision/tests/keeps_attempting.rs
+++ b/crates/decision/tests/keeps_attempting.rs
@@ -89,8 +89,10 @@
                         (out.0, out.3) = (self.rig.now, Outcome::Cancelled);
                     }
                 }
-                Action::Probe { server } => self.probes.push((self.rig.now + Span::from_ms(200.0), *server)),
-                Action::Refuse { .. } | Action::Fail { .. } => self.turned_away += 1,
+                Action::HealthCheck { server } => {
+                    self.probes.push((self.rig.now + Span::from_ms(200.0), *server))
+                }
+                Action::Reject { .. } | Action::Fail { .. } => self.turned_away += 1,
                 _ => {}
             }
         }
@@ -121,15 +123,17 @@
             while let Some(at) = self.probes.iter().position(|p| p.0 <= now) {
                 let (_, server) = self.probes.remove(at);
                 let (outcome, elapsed) = (Outcome::ConnectFailed, Span::from_ms(200.0));
-                let actions =
-                    self.rig.tell(Event::Probed { server, outcome, elapsed, report: None }).to_vec();
+                let actions = self
+                    .rig
+                    .tell(Event::HealthCheckResult { server, outcome, elapsed, report: None })
+                    .to_vec();
                 self.see(&actions);
             }
         }
     }
 
-    fn list(&mut self, update: ListUpdate) {
-        let actions = self.rig.tell(Event::List(update)).to_vec();
+    fn list(&mut self, update: EndpointUpdate) {
+        let actions = self.rig.tell(Event::EndpointList(update)).to_vec();
         self.see(&actions);
     }
 
@@ -167,7 +171,7 @@
 fn a_balancer_whose_every_server_is_ejected_goes_on_attempting() {
     for servers in [1, 2, 3, 4, 20] {
         in_all_troubles(30.0, |load, per_s| {
-            load.list(ListUpdate::Complete(fleet(servers, 2, 2)));
+            load.list(EndpointUpdate::Complete(fleet(servers, 2, 2)));
             let comes = std::mem::replace(&mut load.comes, Comes::Of(Outcome::Success, 40.0));
             load.run(per_s, 5000.0);
             load.comes = comes;
@@ -180,10 +184,10 @@
     in_all_troubles(15.0, |load, per_s| {
         load.run(per_s, 12_000.0);
         assert!(load.sends.is_empty());
-        load.list(ListUpdate::Failed);
+        load.list(EndpointUpdate::Failed);
         load.run(per_s, 3000.0);
         load.may_send();
-        load.list(ListUpdate::Complete(fleet(4, 2, 2)));
+        load.list(EndpointUpdate::Complete(fleet(4, 2, 2)));
     });
 }
 
@@ -191,23 +195,23 @@
 #[test]
 fn a_first_list_that_is_old_does_not_keep_from_attempts() {
     in_all_troubles(15.0, |load, per_s| {
-        load.list(ListUpdate::Saved(fleet(6, 2, 2)));
+        load.list(EndpointUpdate::Saved(fleet(6, 2, 2)));
         load.run(per_s, 9000.0);
         load.assert_attempts("by the old list");
-        let fresh = (6..12).map(|i| Listed::serving(ServerId(i))).collect();
-        load.list(ListUpdate::Complete(fresh));
+        let fresh = (6..12).map(|i| Endpoint::serving(ServerId(i))).collect();
+        load.list(EndpointUpdate::Complete(fresh));
     });
 }
 
 #[test]
 fn a_first_list_that_is_all_draining_does_not_keep_from_attempts() {
     in_all_troubles(15.0, |load, per_s| {
-        let draining = |l: Listed| Listed { status: Status::Draining, ..l };
-        load.list(ListUpdate::Complete(fleet(4, 2, 2).into_iter().map(draining).collect()));
+        let draining = |l: Endpoint| Endpoint { status: Status::Draining, ..l };
+        load.list(EndpointUpdate::Complete(fleet(4, 2, 2).into_iter().map(draining).collect()));
         load.run(per_s, 12_000.0);
         let back = fleet(4, 2, 2).remove(2);
         load.may_send();
-        load.list(ListUpdate::Changes(vec![back]));
+        load.list(EndpointUpdate::Changes(vec![back]));
     });
 }
 
@@ -218,12 +222,12 @@
         in_all_troubles(15.0, |load, per_s| {
             load.warm_are_dead = true;
             let mut lines = fleet(4, 2, 2);
-            load.list(ListUpdate::Complete(lines.clone()));
+            load.list(EndpointUpdate::Complete(lines.clone()));
             load.run(per_s, 3000.0);
             let now = load.rig.now;
             lines.iter_mut().skip(warm).for_each(|line| line.started = Some(now));
             load.may_send();
-            load.list(ListUpdate::Complete(lines));
+            load.list(EndpointUpdate::Complete(lines));
         });
     }
 }
--- a/crates/decision/tests/many.rs
+++ b/crates/decision/tests/many.rs
@@ -8,7 +8,7 @@
 
 /// A hundred balancers that may probe.
 fn settings(balancers: u32, effect: Effect) -> Settings {
-    let prices = Prices { probe: 0.08, ..Prices::default() };
+    let prices = Costs { probe: 0.08, ..Costs::default() };
     let report_fields = vec![ReportField::InFlight];
     Settings {
         balancers,
@@ -48,10 +48,10 @@
             attempt += 1;
             on_the_way.extend(rig.wait(Span::from_ms(10.0)));
             for action in on_the_way {
-                if let Action::Probe { server } = action {
+                if let Action::HealthCheck { server } = action {
                     probed += 1;
                     assert_eq!(server.0 % ZONES, 2, "only suspects are probed");
-                    rig.tell(Event::Probed {
+                    rig.tell(Event::HealthCheckResult {
                         server,
                         outcome: Outcome::TimedOut,
                         elapsed: Span::from_ms(120.0),
@@ -93,10 +93,10 @@
             rig.answer(id, 0, Outcome::Success, 30.0);
         }
         for action in actions.into_iter().chain(rig.wait(Span::from_ms(40.0))) {
-            if let Action::Probe { server } = action {
+            if let Action::HealthCheck { server } = action {
                 probes += 1;
                 let (outcome, elapsed, report) = (Outcome::Success, Span::from_ms(1.0), Some(vec![0.0]));
-                rig.tell(Event::Probed { server, outcome, elapsed, report });
+                rig.tell(Event::HealthCheckResult { server, outcome, elapsed, report });
             }
         }
     }
@@ -131,7 +131,7 @@
         out += u32::from(server.is_some());
         asked.push((id, rig.now));
         for action in rig.wait(Span::from_ms(25.0)) {
-            if let Action::Refuse { request, .. } = action {
+            if let Action::Reject { request, .. } = action {
                 let came = asked.iter().find(|(id, _)| *id == request).map(|a| a.1).unwrap_or_default();
                 assert!(rig.now.since(came).ms() < 400.0, "held for too long");
                 refused += 1;
@@ -148,7 +148,7 @@
 /// Counts are zero nearly everywhere; without what is known of kinds the coin gives a slow machine as much as a quick one.
 #[test]
 fn a_kind_that_is_slow_gets_less_though_all_counts_are_zero() {
-    let kind = |line: Listed| Listed { kind: KindId(line.server.0 % 2), ..line };
+    let kind = |line: Endpoint| Endpoint { kind: MachineTypeId(line.server.0 % 2), ..line };
     let share = |balancers| {
         let mut rig = Rig::new(settings(balancers, Effect::Idempotent), 8);
         rig.list(fleet(SERVERS, 1, 1).into_iter().map(kind).collect());
@@ -206,7 +206,7 @@
         (set.cold_share, set.warm_after) = (0.3, Span::from_ms(60_000.0));
         let mut rig = Rig::new(set, seed);
         let started = Some(rig.now);
-        let line = |line: Listed| Listed { started: started.filter(|_| line.server.0 < 12), ..line };
+        let line = |line: Endpoint| Endpoint { started: started.filter(|_| line.server.0 < 12), ..line };
         rig.list(fleet(SERVERS, ZONES, 1).into_iter().map(line).collect());
         for _ in 0..rounds {
             match rig.ask_and_answer(30.0) {
@@ -236,8 +236,8 @@
         rig.list(fleet(24, ZONES, 1));
         for (rounds, ms, joined) in [(0..20, 20.0, false), (0..10, 110.0, true)] {
             if joined {
-                let back = Listed { started: Some(rig.now), ..fleet(24, ZONES, 1).remove(5) };
-                rig.tell(Event::List(ListUpdate::Changes(vec![back])));
+                let back = Endpoint { started: Some(rig.now), ..fleet(24, ZONES, 1).remove(5) };
+                rig.tell(Event::EndpointList(EndpointUpdate::Changes(vec![back])));
             }
             for _ in rounds {
                 let server = rig.ask_and_answer(ms);
@@ -293,10 +293,10 @@
         rig.wait(Span::from_ms(40.0));
     }
     let part = met.len();
-    let left: Vec<Listed> =
+    let left: Vec<Endpoint> =
         fleet(SERVERS, ZONES, 1).into_iter().filter(|l| !met.contains(&l.server)).collect();
-    let cold = |l: Listed| Listed { started: Some(rig.now), ..l };
-    let lines: Vec<Listed> = left.into_iter().map(cold).collect();
+    let cold = |l: Endpoint| Endpoint { started: Some(rig.now), ..l };
+    let lines: Vec<Endpoint> = left.into_iter().map(cold).collect();
     rig.list(lines);
     let mut others = std::collections::BTreeSet::new();
     for _ in 0..100 {
@@ -326,15 +326,15 @@
 /// A look at servers before each request costs more than it shows, at any price of probes and any number of balancers.
 #[test]
 fn no_probe_is_spent_on_an_ordinary_request() {
-    let prices = Prices::default();
+    let prices = Costs::default();
     let mut rig = Rig::new(Settings { prices, ..settings(1000, Effect::Idempotent) }, 2);
     rig.list(fleet(6, 1, 1));
     for _ in 0..100 {
         let (id, server) = rig.ask(0);
         assert!(server.is_some(), "it is sent at once");
-        assert!(!rig.actions.iter().any(|action| matches!(action, Action::Probe { .. })));
+        assert!(!rig.actions.iter().any(|action| matches!(action, Action::HealthCheck { .. })));
         let later = rig.wait(Span::from_ms(30.0));
-        assert!(!later.iter().any(|action| matches!(action, Action::Probe { .. })));
+        assert!(!later.iter().any(|action| matches!(action, Action::HealthCheck { .. })));
         rig.answer(id, 0, Outcome::Success, 30.0);
         rig.wait(Span::from_ms(30.0));
     }
@@ -350,7 +350,7 @@
         let out = |cold: bool| {
             let mut rig = served(set.clone(), seed);
             let started = Some(rig.now).filter(|_| cold);
-            rig.list(fleet(SERVERS, ZONES, 1).into_iter().map(|l| Listed { started, ..l }).collect());
+            rig.list(fleet(SERVERS, ZONES, 1).into_iter().map(|l| Endpoint { started, ..l }).collect());
             (0..6).filter(|_| rig.ask(0).1.is_some()).count()
         };
         let (cold, warm) = (out(true), out(false));
--- a/crates/decision/tests/memory_does_not_grow.rs
+++ b/crates/decision/tests/memory_does_not_grow.rs
@@ -16,7 +16,7 @@
     let mut actions = Vec::new();
     let mut now = Time::from_ms(1000.0);
     balancer.start(now, &mut actions);
-    balancer.handle(now, Event::List(ListUpdate::Complete(fleet(6, 2, 2))), &mut actions);
+    balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(fleet(6, 2, 2))), &mut actions);
     let mut serve = |from: u64, count: u64| {
         for id in from..from + count {
             now = now + Span::from_ms(5.0);
@@ -25,9 +25,9 @@
             request.key = Some(KeyId(id));
             balancer.handle(now, Event::Request(request), &mut actions);
             assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })), "request {id} was not sent");
-            let outcome = Event::Outcome {
+            let outcome = Event::AttemptEnded {
                 request: RequestId(id),
-                attempt: AttemptNo(0),
+                attempt: AttemptNumber(0),
                 outcome: Outcome::Success,
                 elapsed: Span::from_ms(20.0),
                 report: None,
@@ -55,8 +55,8 @@
     let Some(before) = resident() else { return };
     for turn in 0..50_000 {
         actions.clear();
-        let lines = (0..4).map(|i| Listed::serving(ServerId(turn * 4 + i))).collect();
-        balancer.handle(now, Event::List(ListUpdate::Complete(lines)), &mut actions);
+        let lines = (0..4).map(|i| Endpoint::serving(ServerId(turn * 4 + i))).collect();
+        balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(lines)), &mut actions);
         // The first timer looks after those that have left; the grace is over by then.
         now = now + Span::from_ms(1200.0);
         balancer.handle(now, Event::Timer(TimerId(0)), &mut actions);
@@ -68,9 +68,16 @@
         );
         let server = sent_in(&actions, request).expect("all are new and none is suspect");
         assert_eq!(server.0 / 4, turn, "it is sent to one that is there");
-        let (attempt, outcome, elapsed) = (AttemptNo(0), Outcome::ConnectionReset, Span::from_ms(1.0));
-        let outcome =
-            Event::Outcome { request, attempt, outcome, elapsed, report: None, closed: true, spent: false };
+        let (attempt, outcome, elapsed) = (AttemptNumber(0), Outcome::ConnectionReset, Span::from_ms(1.0));
+        let outcome = Event::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            report: None,
+            closed: true,
+            spent: false,
+        };
         balancer.handle(now, outcome, &mut actions);
     }
     let grown = resident().expect("told before").saturating_sub(before);
--- a/crates/decision/tests/no_doubled_effect.rs
+++ b/crates/decision/tests/no_doubled_effect.rs
@@ -19,9 +19,9 @@
     let effects = [
         Effect::Idempotent,
         Effect::AtMostOnce,
-        keyed(Group::All, 100.0),
-        keyed(Group::Zone, 100.0),
-        keyed(Group::Cell, 100.0),
+        keyed(DeduplicationScope::All, 100.0),
+        keyed(DeduplicationScope::Zone, 100.0),
+        keyed(DeduplicationScope::Cell, 100.0),
     ];
     for copies in [false, true] {
         for effect in effects {
@@ -53,11 +53,13 @@
                             let next = next.map_or(first, |s| s.0);
                             match group {
                                 _ if proven => {}
-                                Group::All => assert_eq!(refused(&actions, id), !inside, "{case}"),
-                                Group::Zone => assert_eq!(next % 3, first % 3, "{case}"),
-                                Group::Cell => assert_eq!(next % 4, first % 4, "{case}"),
+                                DeduplicationScope::All => {
+                                    assert_eq!(refused(&actions, id), !inside, "{case}")
+                                }
+                                DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
+                                DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
                             }
-                            if !proven && !inside && group != Group::All {
+                            if !proven && !inside && group != DeduplicationScope::All {
                                 assert!(failed(&actions, id), "{case}");
                             }
                         }
@@ -72,8 +74,11 @@
 /// The window and the group are those of the first attempt that may have run, not of the first or the last.
 #[test]
 fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
-    let settings =
-        Settings { classes: vec![class(keyed(Group::Zone, 400.0))], max_attempts: 6, ..Settings::default() };
+    let settings = Settings {
+        classes: vec![class(keyed(DeduplicationScope::Zone, 400.0))],
+        max_attempts: 6,
+        ..Settings::default()
+    };
     for seed in 0..40 {
         let mut rig = Rig::new(settings.clone(), seed);
         rig.list(fleet(9, 3, 3));
@@ -90,7 +95,8 @@
 /// A proven non-run after one that may have run does not lift the ban.
 #[test]
 fn a_later_proof_does_not_clear_an_earlier_attempt() {
-    let settings = Settings { classes: vec![class(keyed(Group::Cell, 5000.0))], ..Settings::default() };
+    let settings =
+        Settings { classes: vec![class(keyed(DeduplicationScope::Cell, 5000.0))], ..Settings::default() };
     let mut rig = Rig::new(settings, 9);
     rig.list(fleet(8, 2, 4));
     let (id, first) = rig.ask(0);
--- a/crates/decision/tests/observer_sees_breaches.rs
+++ b/crates/decision/tests/observer_sees_breaches.rs
@@ -12,7 +12,7 @@
     };
     let now = Time::from_ms(1000.0);
     let mut observer = Observer::new(&settings);
-    observer.event(now, &Event::List(ListUpdate::Complete(fleet(4, 2, 4))));
+    observer.event(now, &Event::EndpointList(EndpointUpdate::Complete(fleet(4, 2, 4))));
     observer.event(now, &Event::Request(Request::new(RequestId(1), ClassId(0), Span::from_ms(800.0))));
     (observer, now)
 }
@@ -27,9 +27,9 @@
 }
 
 fn ended(outcome: Outcome, attempt: u32) -> Event {
-    Event::Outcome {
+    Event::AttemptEnded {
         request: RequestId(1),
-        attempt: AttemptNo(attempt),
+        attempt: AttemptNumber(attempt),
         outcome,
         elapsed: Span::from_ms(1.0),
         report: None,
@@ -46,7 +46,7 @@
 fn lost_late_double_and_posthumous() {
     let (mut o, now) = watch(Effect::Idempotent);
     assert_eq!(o.lost(now + Span::from_ms(900.0)), 1);
-    o.action(now, &Action::Refuse { request: RequestId(1), retry_after: None });
+    o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
     assert!(o.faults.is_empty());
     o.action(now, &send(0, now));
     objects(&o, "sent after its end");
@@ -65,10 +65,10 @@
     objects(&o, "two attempts at once");
     o.event(now, &ended(Outcome::ServerError, 0));
     objects(&o, "must not go out again");
-    o.action(now, &Action::Refuse { request: RequestId(1), retry_after: None });
+    o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
     objects(&o, "refused though it may have run");
 
-    let (mut o, now) = watch(keyed(Group::Zone, 100.0));
+    let (mut o, now) = watch(keyed(DeduplicationScope::Zone, 100.0));
     o.action(now, &send(0, now));
     o.event(now, &ended(Outcome::TimedOut, 0));
     o.action(now, &send(2, now));
@@ -85,8 +85,8 @@
 #[test]
 fn drains_and_cold_servers() {
     let (mut o, now) = watch(Effect::Idempotent);
-    let line = Listed { status: Status::Draining, ..Listed::serving(ServerId(0)) };
-    o.event(now, &Event::List(ListUpdate::Changes(vec![line])));
+    let line = Endpoint { status: Status::Draining, ..Endpoint::serving(ServerId(0)) };
+    o.event(now, &Event::EndpointList(EndpointUpdate::Changes(vec![line])));
     let later = now + Span::from_ms(1100.0);
     o.event(later, &Event::Request(Request::new(RequestId(2), ClassId(0), Span::from_ms(800.0))));
     let timeout_at = later + Span::from_ms(1.0);
@@ -97,8 +97,8 @@
     objects(&o, "draining or gone");
 
     let (mut o, now) = watch(Effect::Idempotent);
-    let line = Listed { started: Some(now), ..Listed::serving(ServerId(0)) };
-    o.event(now, &Event::List(ListUpdate::Changes(vec![line])));
+    let line = Endpoint { started: Some(now), ..Endpoint::serving(ServerId(0)) };
+    o.event(now, &Event::EndpointList(EndpointUpdate::Changes(vec![line])));
     let later = now + settings_window();
     for (id, now) in (2..13).map(|id| (id, if id == 2 { now } else { later })) {
         o.event(now, &Event::Request(Request::new(RequestId(id), ClassId(0), Span::from_ms(800.0))));
--- a/crates/decision/tests/one_final_answer.rs
+++ b/crates/decision/tests/one_final_answer.rs
@@ -61,10 +61,10 @@
     for _ in 0..2 {
         assert!(rig.answer(id, 0, Outcome::TimedOut, 20.0).is_empty());
         assert!(rig.answer(id, 9, Outcome::Success, 20.0).is_empty());
-        assert!(rig.tell(Event::ClientGone { request: id }).is_empty());
+        assert!(rig.tell(Event::ClientDisconnected { request: id }).is_empty());
         assert!(rig.answer(RequestId(999), 0, Outcome::ServerError, 1.0).is_empty());
-        assert!(rig.tell(Event::FirstByte { request: id, attempt: AttemptNo(0) }).is_empty());
-        let probe = Event::Probed {
+        assert!(rig.tell(Event::FirstByte { request: id, attempt: AttemptNumber(0) }).is_empty());
+        let probe = Event::HealthCheckResult {
             server: ServerId(99),
             outcome: Outcome::Success,
             elapsed: Span::ZERO,
@@ -82,7 +82,7 @@
     let mut rig = Rig::new(plain(), 1);
     rig.list(fleet(3, 1, 1));
     let (id, _) = rig.ask(0);
-    rig.tell(Event::ClientGone { request: id });
+    rig.tell(Event::ClientDisconnected { request: id });
     assert!(rig.answer(id, 0, Outcome::ServerError, 5.0).is_empty());
     rig.assert_rules();
 }
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -77,7 +77,7 @@
     let mut refusals = 0;
     while rig.now.since(start) < Span::from_ms(200.0) {
         refusals +=
-            rig.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+            rig.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Reject { .. })).count();
         if refusals == held.len() {
             break;
         }
@@ -199,7 +199,7 @@
 #[test]
 fn under_pressure_the_class_worth_most_for_its_work_is_spared() {
     let worth = |worth| Class { worth, ..class(Effect::Idempotent) };
-    let goal = Goal { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let goal = ScoreWeights { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
     let settings =
         Settings { classes: vec![worth(1.0), worth(3.0), worth(10.0)], goal, ..Settings::default() };
     let tally = pressed(settings, |i| {
--- a/crates/decision/tests/random_walk.rs
+++ b/crates/decision/tests/random_walk.rs
@@ -10,16 +10,16 @@
         classes: vec![
             class(Effect::Idempotent),
             class(Effect::AtMostOnce),
-            class(keyed(Group::All, 300.0)),
-            class(keyed(Group::Zone, 200.0)),
-            class(keyed(Group::Cell, 600.0)),
+            class(keyed(DeduplicationScope::All, 300.0)),
+            class(keyed(DeduplicationScope::Zone, 200.0)),
+            class(keyed(DeduplicationScope::Cell, 600.0)),
             Class { late_worth: 0.3, stream: true, ..class(Effect::Idempotent) },
         ],
         second_copies: pick % 2 == 0,
         cancel: pick % 3 != 0,
         retry_after: pick % 5 == 0,
         probes: pick % 4 == 0,
-        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Answers },
+        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
         report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
         discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
         cold_share: 0.2,
@@ -47,7 +47,7 @@
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut said = Vec::new();
     let mut probing: Vec<ServerId> = Vec::new();
-    rig.tell(Event::List(ListUpdate::Saved(lines.clone())));
+    rig.tell(Event::EndpointList(EndpointUpdate::Saved(lines.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
@@ -73,9 +73,9 @@
                 let report =
                     rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
                 let closed = outcome == Outcome::Success || o.streaming;
-                actions.extend_from_slice(rig.tell(Event::Outcome {
+                actions.extend_from_slice(rig.tell(Event::AttemptEnded {
                     request: o.request,
-                    attempt: AttemptNo(o.attempt),
+                    attempt: AttemptNumber(o.attempt),
                     outcome,
                     elapsed: rig.now.since(o.sent),
                     report,
@@ -87,33 +87,33 @@
                 let i = rng.usize(0..out.len());
                 let o = &mut out[i];
                 o.streaming = true;
-                let event = Event::FirstByte { request: o.request, attempt: AttemptNo(o.attempt) };
+                let event = Event::FirstByte { request: o.request, attempt: AttemptNumber(o.attempt) };
                 actions.extend_from_slice(rig.tell(event));
             }
             84..=86 => {
                 let request = RequestId(u64::from(rng.u32(0..step + 1)));
-                actions.extend_from_slice(rig.tell(Event::ClientGone { request }));
+                actions.extend_from_slice(rig.tell(Event::ClientDisconnected { request }));
             }
             87..=90 => {
                 let i = rng.usize(0..lines.len());
                 lines[i].status =
-                    [Status::Serving, Status::Serving, Status::Draining, Status::Gone][rng.usize(0..4)];
+                    [Status::Serving, Status::Serving, Status::Draining, Status::Removed][rng.usize(0..4)];
                 if rng.bool() && lines[i].status == Status::Serving {
                     lines[i].started = Some(rig.now);
                 }
                 let update = match rng.u32(0..6) {
-                    0 => ListUpdate::Failed,
-                    1 => ListUpdate::Complete(lines.clone()),
-                    _ => ListUpdate::Changes(vec![lines[i].clone()]),
+                    0 => EndpointUpdate::Failed,
+                    1 => EndpointUpdate::Complete(lines.clone()),
+                    _ => EndpointUpdate::Changes(vec![lines[i].clone()]),
                 };
-                actions.extend_from_slice(rig.tell(Event::List(update)));
+                actions.extend_from_slice(rig.tell(Event::EndpointList(update)));
             }
             _ => {
                 for server in std::mem::take(&mut probing) {
                     let outcome = [Outcome::Success, Outcome::Success, Outcome::Rejected][rng.usize(0..3)];
                     let report = (outcome == Outcome::Success).then(|| vec![rng.f64() * 4.0, f64::NAN]);
                     let elapsed = Span::from_ms(1.0);
-                    let event = Event::Probed { server, outcome, elapsed, report };
+                    let event = Event::HealthCheckResult { server, outcome, elapsed, report };
                     actions.extend_from_slice(rig.tell(event));
                 }
                 actions.extend(rig.wait(Span::from_ms(rng.f64() * 15.0)));
@@ -139,7 +139,7 @@
                         o.deadline = rig.now;
                     }
                 }
-                Action::Probe { server } => probing.push(*server),
+                Action::HealthCheck { server } => probing.push(*server),
                 _ => {}
             }
         }
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -29,7 +29,7 @@
     let settings = Settings {
         classes: vec![class(Effect::Idempotent)],
         cancel: false,
-        goal: Goal { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        goal: ScoreWeights { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
         warm_after: Span::ZERO,
         ..Settings::default()
     };
--- a/crates/decision/tests/suspects.rs
+++ b/crates/decision/tests/suspects.rs
@@ -75,7 +75,7 @@
     }
     let actions = rig.wait(Span::from_ms(150.0));
     for &(id, _) in asked.iter().filter(|a| a.1 == hung) {
-        assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNo(0) }), "{actions:?}");
+        assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNumber(0) }), "{actions:?}");
         rig.answer(id, 0, Outcome::Cancelled, 150.0);
         assert!(rig.sent_to(id).is_some_and(|s| s != hung));
         rig.answer(id, 1, Outcome::Success, 20.0);
@@ -183,7 +183,7 @@
     assert_eq!(rig.balancer.excluded(rig.now + Span::from_ms(10_000.0)), 0, "its trial is due by then");
     let mut lines = fleet(5, 1, 1);
     lines[0].status = Status::Draining;
-    lines[1].status = Status::Gone;
+    lines[1].status = Status::Removed;
     rig.list(lines);
     assert_eq!(rig.balancer.excluded(rig.now), 2, "one drains, one is suspect, and one is no longer listed");
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -265,7 +265,7 @@
         pool.perform(actions);
         if let Some(known) = known {
             let lines = pool.take_list(known);
-            pool.tell(Event::List(ListUpdate::Saved(lines)));
+            pool.tell(Event::EndpointList(EndpointUpdate::Saved(lines)));
         }
         Ok(pool)
     }
@@ -476,7 +476,7 @@
             open.deadline = Some(deadline);
         }
         let left = deadline.saturating_duration_since(Instant::now());
-        self.tell(Event::Arrived { request: id, time_left: Span(left.as_micros() as u64) });
+        self.tell(Event::RequestComplete { request: id, time_left: Span(left.as_micros() as u64) });
     }
 
     /// Comes back once a request has had no attempt out for all the time that the module may hold it. The module must have
@@ -494,7 +494,7 @@
     fn abandon(&self, id: RequestId) {
         let owed = self.0.core.borrow_mut().open.get_mut(&id).is_some_and(|o| o.reply.take().is_some());
         if owed {
-            self.tell(Event::ClientGone { request: id });
+            self.tell(Event::ClientDisconnected { request: id });
             self.forget_ended(id);
         }
     }
@@ -532,9 +532,9 @@
             elapsed_us = since.elapsed().as_micros() as u64,
             "attempt ended"
         );
-        self.tell(Event::Outcome {
+        self.tell(Event::AttemptEnded {
             request: id,
-            attempt: AttemptNo(attempt),
+            attempt: AttemptNumber(attempt),
             outcome: ended.outcome,
             elapsed: Span(since.elapsed().as_micros() as u64),
             report: ended.report,
@@ -574,21 +574,21 @@
                         }
                     }
                 }
-                Action::Refuse { request, retry_after } => self.answer(request, Final::Refused(retry_after)),
+                Action::Reject { request, retry_after } => self.answer(request, Final::Refused(retry_after)),
                 Action::Fail { request } => self.answer(request, Final::Failed),
                 Action::SetTimer { at, timer } => {
                     self.0.core.borrow_mut().timers.push(Reverse((at, timer.0)));
                     self.0.timers_changed.notify_one();
                 }
-                Action::Probe { server } => self.probe(server),
+                Action::HealthCheck { server } => self.probe(server),
                 Action::CloseIdle { server } => self.0.upstream.close_idle(server),
-                Action::Follow { active } => self.0.wants.follow(active),
-                Action::FetchList => self.0.wants.fetch(),
+                Action::Subscribe { active } => self.0.wants.follow(active),
+                Action::FetchEndpoints => self.0.wants.fetch(),
                 Action::Log { text } => {
                     tracing::info!(target: "heronhoist::decision", pool = self.0.name, "{text}");
                 }
                 // The module sends no messages to other agents.
-                Action::Tell { .. } => {}
+                Action::Gossip { .. } => {}
             }
         }
     }
@@ -710,11 +710,16 @@
                 report = ?ended.report,
                 "probe ended"
             );
-            pool.tell(Event::Probed { server, outcome: ended.outcome, elapsed, report: ended.report });
+            pool.tell(Event::HealthCheckResult {
+                server,
+                outcome: ended.outcome,
+                elapsed,
+                report: ended.report,
+            });
         });
     }
 
-    fn take_list(&self, list: List<U::Address>) -> Vec<Listed> {
+    fn take_list(&self, list: List<U::Address>) -> Vec<Endpoint> {
         let upstream = &self.0.upstream;
         let (version, whole) = (list.version, list.whole);
         let told = tracing::enabled!(target: "heronhoist::membership", tracing::Level::DEBUG);
@@ -749,13 +754,17 @@
     fn listed(&self, list: List<U::Address>) {
         let whole = list.whole;
         let lines = self.take_list(list);
-        self.tell(Event::List(if whole { ListUpdate::Complete(lines) } else { ListUpdate::Changes(lines) }));
+        self.tell(Event::EndpointList(if whole {
+            EndpointUpdate::Complete(lines)
+        } else {
+            EndpointUpdate::Changes(lines)
+        }));
         self.0.has_list.set(true);
         self.0.heard.send_replace(true);
     }
 
     fn failed(&self) {
-        self.tell(Event::List(ListUpdate::Failed));
+        self.tell(Event::EndpointList(EndpointUpdate::Failed));
     }
 }
 
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -54,7 +54,7 @@
         let pool = pool(true, 9);
         let owed = pool.submit(exchange("id")).expect("taken");
         let id = owed.id;
-        let cancel = Action::Cancel { request: id, attempt: AttemptNo(0) };
+        let cancel = Action::Cancel { request: id, attempt: AttemptNumber(0) };
         pool.perform(vec![cancel, Action::Fail { request: id }]);
         assert!(matches!(owed.answer(|deadline| deadline).await, Final::Failed));
         assert!(pool.0.core.borrow().open.contains_key(&id), "its outcome has not been told");
@@ -74,9 +74,9 @@
         let pool = pool(true, 9);
         let owed = pool.submit(exchange("id")).expect("taken");
         let id = owed.id;
-        pool.perform(vec![Action::Fail { request: id }, Action::Refuse { request: id, retry_after: None }]);
+        pool.perform(vec![Action::Fail { request: id }, Action::Reject { request: id, retry_after: None }]);
         assert!(matches!(owed.answer(|deadline| deadline).await, Final::Failed));
-        pool.perform(vec![Action::Cancel { request: id, attempt: AttemptNo(0) }]);
+        pool.perform(vec![Action::Cancel { request: id, attempt: AttemptNumber(0) }]);
         while pool.levels().open > 0 {
             yield_now().await;
         }
@@ -304,8 +304,8 @@
             let coming = Exchange { deadline: None, ..Exchange::new(Endless, ClassId(0), budget) };
             let owed = pool.submit(coming).expect("taken");
             if forgets {
-                pool.tell(Event::ClientGone { request: owed.id });
-                pool.perform(vec![Action::Cancel { request: owed.id, attempt: AttemptNo(0) }]);
+                pool.tell(Event::ClientDisconnected { request: owed.id });
+                pool.perform(vec![Action::Cancel { request: owed.id, attempt: AttemptNumber(0) }]);
             }
             let answer = tokio::time::timeout(10 * budget, owed.answer(|deadline| deadline)).await;
             match answer {
@@ -323,7 +323,7 @@
     let window = Span::from_ms(450.0);
     let test = async {
         for (waited, begins) in [(449, true), (451, false)] {
-            let (pool, up, opened) = slow(Effect::Deduplicated { group: Group::All, window }, 1);
+            let (pool, up, opened) = slow(Effect::Deduplicated { group: DeduplicationScope::All, window }, 1);
             let owed = pool.submit(exchange("id")).expect("taken");
             yield_now().await;
             // Its server may have run it.
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -3,7 +3,9 @@
 use crate::membership::{List, Member, State};
 use crate::timing::stalled_since;
 use crate::upstream::Place;
-use heronhoist_decision::{CellId, Dialects, KindId, Listed, Outcome, ServerId, Status, Time, ZoneId};
+use heronhoist_decision::{
+    CellId, Dialects, Endpoint, MachineTypeId, Outcome, ServerId, Status, Time, ZoneId,
+};
 use rustc_hash::FxHashMap;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -168,10 +170,10 @@
 
     /// Takes over addresses and states; returns the lines in the module's terms. `cut` is told of each server whose
     /// resting connections lead nowhere from now on, or to one that wants nothing new.
-    pub(crate) fn take(&mut self, list: List<A>, mut cut: impl FnMut(ServerId)) -> Vec<Listed> {
+    pub(crate) fn take(&mut self, list: List<A>, mut cut: impl FnMut(ServerId)) -> Vec<Endpoint> {
         let told = list.members.len();
         let members = list.members.into_iter();
-        let lines: Vec<Listed> = members.filter_map(|member| self.take_member(member, &mut cut)).collect();
+        let lines: Vec<Endpoint> = members.filter_map(|member| self.take_member(member, &mut cut)).collect();
         if lines.len() < told {
             tracing::warn!(
                 target: "heronhoist::membership",
@@ -195,7 +197,7 @@
     }
 
     /// `None` of a server that there is no room to know.
-    fn take_member(&mut self, member: Member<A>, cut: &mut impl FnMut(ServerId)) -> Option<Listed> {
+    fn take_member(&mut self, member: Member<A>, cut: &mut impl FnMut(ServerId)) -> Option<Endpoint> {
         let started = member.started;
         let next = ServerId(self.next);
         let id = match self.ids.get(&member.name) {
@@ -228,16 +230,16 @@
                 cut(id);
             }
         }
-        Some(Listed {
+        Some(Endpoint {
             server: id,
             zone: ZoneId(self.zones.of(&member.zone)),
-            kind: KindId(self.kinds.of(&member.kind)),
+            kind: MachineTypeId(self.kinds.of(&member.kind)),
             cell: CellId(member.cell),
             dialect: member.dialect,
             status: match member.state {
                 State::Serving => Status::Serving,
                 State::Draining => Status::Draining,
-                State::Gone => Status::Gone,
+                State::Gone => Status::Removed,
             },
             weight: member.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
             started,
--- a/crates/engine/tests/line/main.rs
+++ b/crates/engine/tests/line/main.rs
@@ -2,7 +2,7 @@
 //! the ledgers of the stand-in servers and not by anything that the engine counts.
 mod line;
 
-use heronhoist_decision::{Class, Effect, Group, Settings, Span};
+use heronhoist_decision::{Class, DeduplicationScope, Effect, Settings, Span};
 use heronhoist_engine::*;
 use heronhoist_routes::{Attributes, Conditions, Rule, Table};
 use line::*;
@@ -24,7 +24,7 @@
         deadline: Span::from_ms(5000.0),
         ..Class::default()
     };
-    let keyed = Effect::Deduplicated { group: Group::All, window: Span::from_ms(60_000.0) };
+    let keyed = Effect::Deduplicated { group: DeduplicationScope::All, window: Span::from_ms(60_000.0) };
     Settings {
         classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(keyed)],
         drain_grace: Span::from_ms(grace_ms),
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -10,7 +10,7 @@
 use crate::wire::{Line, Message};
 use crate::world::{Micros, Reach};
 use hdrhistogram::Histogram;
-use heronhoist_decision::{Effect, Group, Outcome, ReportSource};
+use heronhoist_decision::{DeduplicationScope, Effect, Outcome, ReportSource};
 use heronhoist_engine::State;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -408,9 +408,9 @@
         let (effect, group, window) = match class.effect {
             Effect::Idempotent => ("idempotent", "all", 0.0),
             Effect::AtMostOnce => ("at_most_once", "all", 0.0),
-            Effect::Deduplicated { group: Group::All, window } => ("deduplicated", "all", ms(window.0)),
-            Effect::Deduplicated { group: Group::Zone, window } => ("deduplicated", "zone", ms(window.0)),
-            Effect::Deduplicated { group: Group::Cell, window } => ("deduplicated", "cell", ms(window.0)),
+            Effect::Deduplicated { group: DeduplicationScope::All, window } => ("deduplicated", "all", ms(window.0)),
+            Effect::Deduplicated { group: DeduplicationScope::Zone, window } => ("deduplicated", "zone", ms(window.0)),
+            Effect::Deduplicated { group: DeduplicationScope::Cell, window } => ("deduplicated", "cell", ms(window.0)),
         };
         json!({"name": mix.name, "effect": effect, "group": group, "dedupWindowMs": window, "points": 1.0,
             "aimMs": ms(mix.aim), "deadlineMs": ms(mix.deadline), "lateWorth": class.late_worth, "stream": false})
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -7,7 +7,9 @@
 use crate::world::{Kind, Micros};
 use heronhoist_config::reader::{flag, number, tables, text, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
-use heronhoist_decision::{Class, Effect, Group, ReportField, ReportSource, Settings, Span, Tenant};
+use heronhoist_decision::{
+    Class, DeduplicationScope, Effect, ReportField, ReportSource, Settings, Span, Tenant,
+};
 use std::ops::Range;
 use toml::de::DeValue;
 
@@ -338,7 +340,7 @@
         second_copies: copies?,
         cancel: cancel?,
         probes: probes?,
-        report_source: if reports? { ReportSource::Answers } else { ReportSource::None },
+        report_source: if reports? { ReportSource::Responses } else { ReportSource::None },
         report_fields: vec![ReportField::InFlight, ReportField::Queue, ReportField::Utilisation],
         retry_after: advises?,
         drain_grace: Span(grace?),
@@ -529,14 +531,17 @@
         _ => None,
     });
     let window = reader.get(section, "dedup_window_ms", Absent::Default(60_000_000), MS, ms);
-    let group =
-        reader.get(section, "dedup_group", Absent::Default(Group::Cell), "\"all\" or \"cell\"", |v| {
-            match text(v)?.as_str() {
-                "all" => Some(Group::All),
-                "cell" => Some(Group::Cell),
-                _ => None,
-            }
-        });
+    let group = reader.get(
+        section,
+        "dedup_group",
+        Absent::Default(DeduplicationScope::Cell),
+        "\"all\" or \"cell\"",
+        |v| match text(v)?.as_str() {
+            "all" => Some(DeduplicationScope::All),
+            "cell" => Some(DeduplicationScope::Cell),
+            _ => None,
+        },
+    );
     let part = reader.get(section, "share", Absent::Default(1.0), "a part above 0", positive);
     let work = reader.get(section, "work_ms", Absent::Fault, MS, ms);
     let spread = reader.get(section, "work_spread", Absent::Default(0.5), "0 to 3", |v| {
@@ -554,7 +559,7 @@
         1 => (Effect::AtMostOnce, Repeats::Doubled),
         _ => (
             Effect::Deduplicated { group, window: Span(window) },
-            Repeats::Dropped { everywhere: group == Group::All, window },
+            Repeats::Dropped { everywhere: group == DeduplicationScope::All, window },
         ),
     };
     let (aim, deadline) = (aim?, deadline?);
--- a/crates/lab/tests/cli.rs
+++ b/crates/lab/tests/cli.rs
@@ -53,7 +53,8 @@
     let files = ["1", "3"].map(|threads| {
         let out = file(&format!("threads-{threads}.json"));
         let path = out.to_string_lossy().into_owned();
-        let ran = run(&["run", &scenario("zone-cut"), "--seeds", "1..4", "--threads", threads, "--out", &path]);
+        let ran =
+            run(&["run", &scenario("zone-cut"), "--seeds", "1..4", "--threads", threads, "--out", &path]);
         let digests = digests(&out);
         assert_eq!(digests.len(), 4, "{}: {}", ran.status, String::from_utf8_lossy(&ran.stderr));
         digests
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -38,13 +38,13 @@
                 .collect(),
             over_share_worth: params.over_share_worth.unwrap_or(standard.over_share_worth),
             worth_by_work: params.worth_by == Some(words::WorthBy::Work),
-            goal: Goal {
+            goal: ScoreWeights {
                 whole: params.goal.whole,
                 worst_window: params.goal.worst_window,
                 worst_class: params.goal.worst_class,
                 worst_tenant: params.goal.worst_tenant,
             },
-            prices: Prices {
+            prices: Costs {
                 cross_zone: params.penalties.cross_zone,
                 probe: params.penalties.probe,
                 handshake: params.penalties.handshake,
@@ -58,15 +58,15 @@
             },
             ask_within: span(rules.ask_within_ms, standard.ask_within),
             report_source: match params.feedback.source {
-                words::Source::Piggyback => ReportSource::Answers,
-                words::Source::Pull => ReportSource::Probes,
+                words::Source::Piggyback => ReportSource::Responses,
+                words::Source::Pull => ReportSource::HealthChecks,
                 words::Source::Silent => ReportSource::None,
             },
             report_fields: params.feedback.fields.iter().map(field).collect(),
             weights: match params.weights {
-                Some(words::Weights::Nominal | words::Weights::Rough) => Weights::Size,
-                Some(words::Weights::Live) => Weights::Live,
-                Some(words::Weights::Silent) | None => Weights::None,
+                Some(words::Weights::Nominal | words::Weights::Rough) => WeightMeaning::Size,
+                Some(words::Weights::Live) => WeightMeaning::CapacityPerLoad,
+                Some(words::Weights::Silent) | None => WeightMeaning::None,
             },
             warm_keys: params.family_info.warm_keys,
             max_attempts: params.limits.max_attempts.unwrap_or(standard.max_attempts),
@@ -135,10 +135,10 @@
         words::Effect::AtMostOnce => Effect::AtMostOnce,
         words::Effect::Deduplicated => Effect::Deduplicated {
             group: match params.group {
-                Some(words::Group::All) => Group::All,
-                Some(words::Group::Zone) => Group::Zone,
+                Some(words::Group::All) => DeduplicationScope::All,
+                Some(words::Group::Zone) => DeduplicationScope::Zone,
                 // Without a stated group the narrowest one is the safe reading.
-                Some(words::Group::Cell) | None => Group::Cell,
+                Some(words::Group::Cell) | None => DeduplicationScope::Cell,
             },
             window: Span::from_ms(params.dedup_window_ms),
         },
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 struct Known {
     name: Rc<str>,
-    line: Listed,
+    line: Endpoint,
 }
 
 /// What an open request still waits for, so that its name can be dropped afterwards.
@@ -89,8 +89,8 @@
         }
         let instance = self.instances.get_mut(&who).ok_or("an event came before ATTACH")?;
         let event = match incoming {
-            Incoming::Registry { form, r#ref, .. } => Some(Event::List(match form {
-                wire::Form::Error => ListUpdate::Failed,
+            Incoming::Registry { form, r#ref, .. } => Some(Event::EndpointList(match form {
+                wire::Form::Error => EndpointUpdate::Failed,
                 form => {
                     let number = r#ref.ok_or("REGISTRY names no catalogue")?;
                     let list = self.catalogues.get(&number).ok_or_else(|| {
@@ -98,9 +98,9 @@
                     })?;
                     let lines = instance.intern_list(list);
                     match form {
-                        wire::Form::Partial => ListUpdate::Changes(lines),
-                        wire::Form::Complete => ListUpdate::Complete(lines),
-                        _ => ListUpdate::Saved(lines),
+                        wire::Form::Partial => EndpointUpdate::Changes(lines),
+                        wire::Form::Complete => EndpointUpdate::Complete(lines),
+                        _ => EndpointUpdate::Saved(lines),
                     }
                 }
             })),
@@ -155,7 +155,7 @@
 
     /// Servers are numbered in the order in which this instance hears of them, so that its decisions do not
     /// hang on what else the process hosts.
-    fn intern_list(&mut self, list: &[Known]) -> Vec<Listed> {
+    fn intern_list(&mut self, list: &[Known]) -> Vec<Endpoint> {
         list.iter()
             .map(|known| {
                 let next = ServerId(self.server_names.len() as u32);
@@ -163,7 +163,7 @@
                 if server == next {
                     self.server_names.push(known.name.clone());
                 }
-                Listed { server, ..known.line.clone() }
+                Endpoint { server, ..known.line.clone() }
             })
             .collect()
     }
@@ -198,14 +198,14 @@
             Incoming::FirstByte { ticket, attempt } => self
                 .tickets
                 .get(&*ticket)
-                .map(|t| Event::FirstByte { request: t.id, attempt: AttemptNo(attempt) }),
+                .map(|t| Event::FirstByte { request: t.id, attempt: AttemptNumber(attempt) }),
             Incoming::Done { ticket, finished, time_taken_ms, ending, attempt, gauge } => {
                 self.tickets.get_mut(&*ticket).map(|t| {
                     t.out = t.out.saturating_sub(1);
                     t.ended |= finished;
-                    Event::Outcome {
+                    Event::AttemptEnded {
                         request: t.id,
-                        attempt: AttemptNo(attempt),
+                        attempt: AttemptNumber(attempt),
                         outcome: outcome(ending),
                         elapsed: Span::from_ms(time_taken_ms),
                         report: gauge,
@@ -216,7 +216,7 @@
             }
             Incoming::Aborted { ticket } => self.tickets.get_mut(&*ticket).map(|t| {
                 t.ended = true;
-                Event::ClientGone { request: t.id }
+                Event::ClientDisconnected { request: t.id }
             }),
             Incoming::Elapsed { key_back } => Some(Event::Timer(TimerId(key_back))),
             Incoming::Probed { backend, ending, time_taken_ms, gauge } => {
@@ -225,10 +225,10 @@
                     .get(&*backend)
                     .ok_or_else(|| format!("PROBED names backend {backend}, which no list has named"))?;
                 let elapsed = Span::from_ms(time_taken_ms);
-                Some(Event::Probed { server, outcome: outcome(ending), elapsed, report: gauge })
+                Some(Event::HealthCheckResult { server, outcome: outcome(ending), elapsed, report: gauge })
             }
             Incoming::Mail { src_peer, raw } => {
-                Some(Event::PeerMessage { from: PeerId(src_peer), payload: unhex(&raw)? })
+                Some(Event::Gossip { from: PeerId(src_peer), payload: unhex(&raw)? })
             }
             Incoming::Attach { .. }
             | Incoming::Retire {}
@@ -257,7 +257,7 @@
                 let Some((ticket, _)) = self.ticket(request) else { return gone() };
                 Outgoing::Abandon { ticket, attempt: attempt.0 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.ended = true;
                 Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::ms) }
@@ -268,17 +268,17 @@
                 Outgoing::Abort { ticket }
             }
             Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.ms(), key_back: timer.0 },
-            Action::Probe { server } => {
+            Action::HealthCheck { server } => {
                 Outgoing::HealthCheck { backend: backend(server, &self.server_names) }
             }
             Action::CloseIdle { server } => {
                 Outgoing::CloseIdle { backend: backend(server, &self.server_names) }
             }
-            Action::Tell { to, payload } => {
+            Action::Gossip { to, payload } => {
                 Outgoing::Announce { to: to.map_or(-1, |peer| i64::from(peer.0)), raw: hex(&payload) }
             }
-            Action::Follow { active } => Outgoing::Follow { active },
-            Action::FetchList => Outgoing::Pull {},
+            Action::Subscribe { active } => Outgoing::Follow { active },
+            Action::FetchEndpoints => Outgoing::Pull {},
             Action::Log { text } => Outgoing::NoteDown { what: text },
         }
     }
@@ -307,16 +307,16 @@
     let started = entry.last_start_ms.filter(|ms| *ms > 0.0).map(Time::from_ms);
     Ok(Known {
         name: Rc::from(&*entry.backend),
-        line: Listed {
+        line: Endpoint {
             server: ServerId(0),
             zone: ZoneId(entry.campus),
-            kind: KindId(entry.class_of_host),
+            kind: MachineTypeId(entry.class_of_host),
             cell: CellId(entry.cluster),
             dialect: DialectId(0),
             status: match entry.status {
                 wire::EntryStatus::Serving => Status::Serving,
                 wire::EntryStatus::Draining => Status::Draining,
-                wire::EntryStatus::Deleted => Status::Gone,
+                wire::EntryStatus::Deleted => Status::Removed,
             },
             weight,
             started,
