--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -272,12 +272,16 @@
     let effect = |effect: &Effect| match effect {
         Effect::Idempotent => "idempotent".to_string(),
         Effect::AtMostOnce => "at most once".to_string(),
-        Effect::Deduplicated { group, window } => {
+        Effect::Deduplicated { scope: group, window } => {
             format!("deduplicated by {} for {} ms", format!("{group:?}").to_lowercase(), window.ms())
         }
     };
     let rows = classes.iter().zip(terms).map(|(name, class)| {
-        [name.clone(), effect(&class.effect), format!("{} of {} ms", class.aim.ms(), class.deadline.ms())]
+        [
+            name.clone(),
+            effect(&class.effect),
+            format!("{} of {} ms", class.latency_objective.ms(), class.deadline.ms()),
+        ]
     });
     text += &table(["class", "effect", "aim of deadline"], rows);
     let members = |pool: &PoolPlan| match &pool.members {
@@ -292,7 +296,7 @@
         let rules = format!(
             "{} attempts, {}drain {} ms",
             settings.max_attempts,
-            if settings.second_copies { "second copies, " } else { "" },
+            if settings.hedging { "second copies, " } else { "" },
             settings.drain_grace.ms()
         );
         [pool.name.clone(), rules, members(pool)]
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -312,10 +312,12 @@
     let window = reader.get(section, "dedup_window_ms", needed(effect == Some(2)), MS, positive);
     let aim = reader.get(section, "aim_ms", Absent::Fault, MS, positive);
     let deadline = reader.get(section, "deadline_ms", Absent::Fault, MS, positive);
-    let worth = reader.get(section, "worth", Absent::Default(standard.worth), "a number", not_negative);
-    let late = reader.get(section, "late_worth", Absent::Default(standard.late_worth), "0 to 1", |v| {
-        number(v).filter(|n| (0.0..=1.0).contains(n))
-    });
+    let worth =
+        reader.get(section, "worth", Absent::Default(standard.priority_weight), "a number", not_negative);
+    let late =
+        reader.get(section, "late_worth", Absent::Default(standard.late_weight_share), "0 to 1", |v| {
+            number(v).filter(|n| (0.0..=1.0).contains(n))
+        });
     if let (Some(aim), Some(deadline)) = (aim, deadline) {
         if aim > deadline {
             reader.fault(
@@ -328,14 +330,14 @@
     let effect = match effect? {
         0 => Effect::Idempotent,
         1 => Effect::AtMostOnce,
-        _ => Effect::Deduplicated { group: group?, window: Span::from_ms(window?) },
+        _ => Effect::Deduplicated { scope: group?, window: Span::from_ms(window?) },
     };
     Some(Class {
         effect,
-        aim: Span::from_ms(aim?),
+        latency_objective: Span::from_ms(aim?),
         deadline: Span::from_ms(deadline?),
-        worth: worth?,
-        late_worth: late?,
+        priority_weight: worth?,
+        late_weight_share: late?,
         ..standard
     })
 }
@@ -355,8 +357,10 @@
             "requests a second",
             not_negative,
         );
-        let tenant =
-            fraction.zip(allowance).map(|(fraction, allowance_per_s)| Tenant { fraction, allowance_per_s });
+        let tenant = fraction.zip(allowance).map(|(fraction, allowance_per_s)| Tenant {
+            quota_fraction: fraction,
+            quota_per_second: allowance_per_s,
+        });
         tenants.extend(name.map(|name| (name, tenant)));
         reader.end(section);
     }
@@ -432,8 +436,8 @@
     let connect_timeout = ms(section, "connect_timeout_ms", Span::from_ms(250.0));
     let keepalive = ms(section, "keepalive_ms", Span::from_ms(10_000.0));
     let max_retry_after = ms(section, "max_retry_after_ms", standard.max_retry_after);
-    let warm_after = ms(section, "warm_after_ms", standard.warm_after);
-    let fall_after = ms(section, "fall_after_ms", standard.fall_after);
+    let warm_after = ms(section, "warm_after_ms", standard.warm_up_time);
+    let fall_after = ms(section, "fall_after_ms", standard.overload_tolerance);
     let zone =
         reader.get(section, "zone", Absent::Default(String::new()), "the name of the agent's zone", |v| {
             match v {
@@ -456,13 +460,15 @@
         count(1),
     );
     let second_copies =
-        reader.get(section, "second_copies", Absent::Default(standard.second_copies), "true or false", flag);
+        reader.get(section, "second_copies", Absent::Default(standard.hedging), "true or false", flag);
     let cancel = reader.get(section, "cancel", Absent::Default(standard.cancel), "true or false", flag);
-    let probes = reader.get(section, "probes", Absent::Default(standard.probes), "true or false", flag);
+    let probes =
+        reader.get(section, "probes", Absent::Default(standard.health_checks), "true or false", flag);
     let retry_after = reader.get(section, "retry_after", Absent::Default(true), "true or false", flag);
-    let cold_share = reader.get(section, "cold_share", Absent::Default(standard.cold_share), "0 to 1", |v| {
-        number(v).filter(|n| (0.0..=1.0).contains(n))
-    });
+    let cold_share =
+        reader.get(section, "cold_share", Absent::Default(standard.initial_capacity_share), "0 to 1", |v| {
+            number(v).filter(|n| (0.0..=1.0).contains(n))
+        });
     let overload_factor = reader.get(
         section,
         "overload_factor",
@@ -491,16 +497,16 @@
             (true, true) | (false, _) => Discovery::Pushed,
         },
         max_attempts: max_attempts?,
-        second_copies: second_copies?,
+        hedging: second_copies?,
         cancel: cancel?,
-        probes: probes?,
+        health_checks: probes?,
         retry_after: retry_after?,
         max_retry_after: max_retry_after?,
         drain_grace: drain_grace?,
-        cold_share: cold_share?,
-        warm_after: warm_after?,
+        initial_capacity_share: cold_share?,
+        warm_up_time: warm_after?,
         overload_factor: overload_factor?,
-        fall_after: fall_after?,
+        overload_tolerance: fall_after?,
         ..standard
     };
     match settings.validate() {
--- a/crates/config/src/file/tests.rs
+++ b/crates/config/src/file/tests.rs
@@ -69,7 +69,7 @@
     let file = parse(SOUND, &environment).expect("sound");
     assert_eq!(file.ops, address("127.0.0.1:9090"));
     assert_eq!(file.classes, ["lookup", "correction"]);
-    let effect = Effect::Deduplicated { group: DeduplicationScope::Cell, window: Span::from_ms(600.0) };
+    let effect = Effect::Deduplicated { scope: DeduplicationScope::Cell, window: Span::from_ms(600.0) };
     assert_eq!(file.pools[1].settings.classes[1].effect, effect);
     assert_eq!(file.pools[0].settings.drain_grace, Span::from_ms(500.0));
     let second = &file.pools[0].servers[1];
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -113,7 +113,7 @@
     /// Carries a key by which the servers of `group` drop a repeat for `window` from the first send on.
     Deduplicated {
         /// Which servers drop repeats.
-        group: DeduplicationScope,
+        scope: DeduplicationScope,
         /// For how long they do.
         window: Span,
     },
@@ -137,16 +137,16 @@
 pub struct Class {
     /// What a repeat would do.
     pub effect: Effect,
-    /// An answer within this is worth all of `worth`.
-    pub aim: Span,
+    /// An answer within this is worth all of `priority_weight`.
+    pub latency_objective: Span,
     /// The aim grows by this multiple of the request's own work, up to the deadline.
-    pub aim_stretch: f64,
+    pub objective_work_factor: f64,
     /// How long a client waits in all, over all its tries.
     pub deadline: Span,
     /// What a request answered within its aim is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that an answer between aim and deadline keeps.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
     /// The answer is a stream, announced by [`Event::FirstByte`].
     pub stream: bool,
 }
@@ -155,11 +155,11 @@
     fn default() -> Self {
         Class {
             effect: Effect::Idempotent,
-            aim: Span::from_ms(500.0),
-            aim_stretch: 0.0,
+            latency_objective: Span::from_ms(500.0),
+            objective_work_factor: 0.0,
             deadline: Span::from_ms(1000.0),
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_weight_share: 0.0,
             stream: false,
         }
     }
@@ -169,9 +169,9 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenant {
     /// Its fraction of the service.
-    pub fraction: f64,
+    pub quota_fraction: f64,
     /// Requests a second, over all balancers, that lie within its share.
-    pub allowance_per_s: f64,
+    pub quota_per_second: f64,
 }
 
 /// What a server's report can say, in the order that [`Settings::report_fields`] gives.
@@ -231,7 +231,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScoreWeights {
     /// All requests together.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst stretch of time.
     pub worst_window: f64,
     /// The class that is served worst.
@@ -242,7 +242,7 @@
 
 impl Default for ScoreWeights {
     fn default() -> Self {
-        ScoreWeights { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
+        ScoreWeights { overall: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
     }
 }
 
@@ -252,15 +252,15 @@
     /// An attempt that leaves the balancer's zone.
     pub cross_zone: f64,
     /// A probe.
-    pub probe: f64,
+    pub health_check: f64,
     /// A fresh connection.
     pub handshake: f64,
     /// An open connection, per hundred servers' worth.
     pub connection: f64,
     /// Work that served no answer.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// A request that ends unserved after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
 }
 
 /// All that a balancer is told at its start.
@@ -275,35 +275,35 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request over its tenant's share is still worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth counts by work and not by request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How the results are weighed.
-    pub goal: ScoreWeights,
+    pub score_weights: ScoreWeights,
     /// What things cost.
-    pub prices: Costs,
+    pub costs: Costs,
     /// How the server list is heard.
     pub discovery: Discovery,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_within: Span,
+    pub poll_within: Span,
     /// Where load reports come from.
     pub report_source: ReportSource,
     /// What a load report holds, in order.
     pub report_fields: Vec<ReportField>,
     /// What the list's weights mean.
-    pub weights: WeightMeaning,
+    pub weight_meaning: WeightMeaning,
     /// A server that met a key lately serves it for less work; the balancer makes no use of that.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// [`Action::Cancel`] is allowed.
     pub cancel: bool,
     /// [`Action::HealthCheck`] is allowed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// [`Action::Gossip`] is allowed.
-    pub peers: bool,
+    pub gossip: bool,
     /// Clients are passed the advice in [`Action::Reject`].
     pub retry_after: bool,
     /// The longest advice that a client heeds.
@@ -311,15 +311,15 @@
     /// Nothing new may go to a draining or gone server this long after the balancer was told.
     pub drain_grace: Span,
     /// A server starts at this share of its capacity or more.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// And is warm after this.
-    pub warm_after: Span,
+    pub warm_up_time: Span,
     /// Sent more than this multiple of what it can do ...
     pub overload_factor: f64,
     /// ... for this long, a cold server falls over.
-    pub fall_after: Span,
+    pub overload_tolerance: Span,
     /// How often at most events come.
-    pub period: Span,
+    pub event_interval: Span,
 }
 
 impl Default for Settings {
@@ -329,29 +329,29 @@
             zone: ZoneId(0),
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            goal: ScoreWeights::default(),
-            prices: Costs::default(),
+            over_quota_weight: 1.0,
+            weight_by_work: false,
+            score_weights: ScoreWeights::default(),
+            costs: Costs::default(),
             discovery: Discovery::Pushed,
-            ask_within: Span::from_ms(10_000.0),
+            poll_within: Span::from_ms(10_000.0),
             report_source: ReportSource::None,
             report_fields: Vec::new(),
-            weights: WeightMeaning::None,
-            warm_keys: false,
+            weight_meaning: WeightMeaning::None,
+            key_affinity: false,
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancel: true,
-            probes: false,
-            peers: false,
+            health_checks: false,
+            gossip: false,
             retry_after: false,
             max_retry_after: Span::from_ms(1000.0),
             drain_grace: Span::from_ms(1000.0),
-            cold_share: 0.1,
-            warm_after: Span::from_ms(20_000.0),
+            initial_capacity_share: 0.1,
+            warm_up_time: Span::from_ms(20_000.0),
             overload_factor: 2.0,
-            fall_after: Span::from_ms(1000.0),
-            period: Span::from_ms(1.0),
+            overload_tolerance: Span::from_ms(1000.0),
+            event_interval: Span::from_ms(1.0),
         }
     }
 }
@@ -366,7 +366,7 @@
             return Err(SettingsError::NoAttempts);
         }
         for class in &self.classes {
-            if class.aim == Span::ZERO {
+            if class.latency_objective == Span::ZERO {
                 return Err(SettingsError::ZeroSpan { setting: "aim" });
             }
             if class.deadline == Span::ZERO {
@@ -374,12 +374,15 @@
             }
         }
         let numbers = [
-            ("cold_share", self.cold_share),
+            ("cold_share", self.initial_capacity_share),
             ("overload_factor", self.overload_factor),
-            ("over_share_worth", self.over_share_worth),
+            ("over_share_worth", self.over_quota_weight),
         ];
-        let worths = self.classes.iter().flat_map(|c| [("worth", c.worth), ("late_worth", c.late_worth)]);
-        let fractions = self.tenants.iter().map(|t| ("fraction", t.fraction));
+        let worths = self
+            .classes
+            .iter()
+            .flat_map(|c| [("worth", c.priority_weight), ("late_worth", c.late_weight_share)]);
+        let fractions = self.tenants.iter().map(|t| ("fraction", t.quota_fraction));
         for (setting, value) in numbers.into_iter().chain(worths).chain(fractions) {
             if !value.is_finite() || value < 0.0 {
                 return Err(SettingsError::BadNumber { setting, value });
@@ -483,17 +486,17 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: MachineTypeId,
+    pub machine_type: MachineTypeId,
     /// Its cell.
     pub cell: CellId,
     /// What it speaks.
     pub dialect: DialectId,
     /// Its status.
     pub status: Status,
-    /// Its size among the others; see [`Settings::weights`].
+    /// Its size among the others; see [`Settings::weight_meaning`].
     pub weight: f64,
     /// When it last started, if that was lately.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 impl Default for Endpoint {
@@ -508,12 +511,12 @@
         Endpoint {
             server,
             zone: ZoneId(0),
-            kind: MachineTypeId(0),
+            machine_type: MachineTypeId(0),
             cell: CellId(0),
             dialect: DialectId(0),
             status: Status::Serving,
             weight: 1.0,
-            started: None,
+            started_at: None,
         }
     }
 }
@@ -545,14 +548,14 @@
     /// A guess at its work, in core time.
     pub cost_hint: Option<Span>,
     /// The client says that this is a repeat.
-    pub repeat: bool,
-    /// How long the client still waits for this try; from [`Event::RequestComplete`] on if it is `arriving`.
+    pub is_retry: bool,
+    /// How long the client still waits for this try; from [`Event::RequestComplete`] on if it is `is_streaming_in`.
     pub time_left: Span,
     /// How long the client said that it waits for this try, from when all of it had come. It is no less than `time_left`: some of
     /// it may have passed before the module is told.
-    pub wait: Span,
+    pub client_timeout: Span,
     /// Its last part is still to come: it can be sent on meanwhile, but no server starts on it yet.
-    pub arriving: bool,
+    pub is_streaming_in: bool,
     /// It is sent to servers only that speak one of these.
     pub dialects: Dialects,
 }
@@ -566,10 +569,10 @@
             tenant: None,
             key: None,
             cost_hint: None,
-            repeat: false,
+            is_retry: false,
             time_left,
-            wait: time_left,
-            arriving: false,
+            client_timeout: time_left,
+            is_streaming_in: false,
             dialects: Dialects::ALL,
         }
     }
@@ -638,9 +641,9 @@
         /// The server's report, if one came.
         report: Option<Vec<f64>>,
         /// The request has its final answer; without this one is still owed.
-        closed: bool,
+        is_request_finished: bool,
         /// Part of the request went with this attempt and is not held any more: it can't be sent again.
-        spent: bool,
+        is_body_consumed: bool,
     },
     /// The client has gone; nothing is owed any more.
     ClientDisconnected {
@@ -669,7 +672,7 @@
         settings: Box<Settings>,
         /// The number of each class, in the order of [`Settings::classes`]. A class that goes on unchanged
         /// keeps its number; any other has a number that no class ever had.
-        classes: Vec<ClassId>,
+        class_ids: Vec<ClassId>,
     },
     /// Another balancer's message.
     Gossip {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use heronhoist_decision::*;
 //!
-//! let class = Class { aim: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
+//! let class = Class { latency_objective: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 7).expect("usable settings");
 //! let mut actions = Vec::new();
--- a/crates/decision/src/policy/accounts.rs
+++ b/crates/decision/src/policy/accounts.rs
@@ -44,7 +44,7 @@
 
     /// The usual answer time in milliseconds.
     pub(super) fn usual(&self) -> f64 {
-        (self.pace * self.class.aim.ms()).max(0.001)
+        (self.pace * self.class.latency_objective.ms()).max(0.001)
     }
 }
 
@@ -110,8 +110,8 @@
     pub(super) fn over_share(&mut self, request: &Request) -> bool {
         let Some(tenant) = request.tenant.filter(|t| t.0 < self.settings.tenants.len()) else { return false };
         let all: f64 = self.tenant_asked.iter().sum();
-        let fair = SHARE_SLACK * self.settings.tenants[tenant.0].fraction * all;
-        self.settings.over_share_worth < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
+        let fair = SHARE_SLACK * self.settings.tenants[tenant.0].quota_fraction * all;
+        self.settings.over_quota_weight < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
     }
 
     /// The classes that new requests may name.
--- a/crates/decision/src/policy/draw.rs
+++ b/crates/decision/src/policy/draw.rs
@@ -68,7 +68,7 @@
                 let shut = warmth < 1.0 && (!first || turn > 0 || self.rng.f64() >= chance);
                 // Where counts are zero the coin decides, which gives a slow machine as much as a quick one.
                 let slow = warmth == 1.0 && turn + 1 < DRAW_TRIES && many && {
-                    self.rng.f64() >= self.kinds.chance(self.servers[i].listed.kind)
+                    self.rng.f64() >= self.kinds.chance(self.servers[i].listed.machine_type)
                 };
                 if !shut && !slow && !tries.contains(&i) && self.open_to(now, id, i) {
                     candidates.push(i);
@@ -122,7 +122,7 @@
     /// crossing. A coin is last.
     pub(super) fn lightest(&mut self, candidates: &[usize], heavy: f64) -> Option<usize> {
         let coins: Vec<u32> = candidates.iter().map(|_| self.rng.u32(..)).collect();
-        let away = (1.0 + 100.0 * AWAY * self.settings.prices.cross_zone).clamp(1.0, AWAY_MOST);
+        let away = (1.0 + 100.0 * AWAY * self.settings.costs.cross_zone).clamp(1.0, AWAY_MOST);
         let many = self.is_many();
         let key = |c: usize, coin: u32| {
             let s = &self.servers[c];
@@ -140,7 +140,7 @@
     pub(super) fn send(&mut self, now: Time, id: RequestId, server: usize, out: &mut Vec<Action>) {
         let (work, begin_by) = (self.work(&self.live[&id]), self.lawful(&self.live[&id], now).begin_by);
         let Some(live) = self.live.get_mut(&id) else { return };
-        if live.request.arriving {
+        if live.request.is_streaming_in {
             // No time runs for it until its last part has come; the caller sees to it that it goes on coming.
             (live.deadline, live.wanted_by) = (Time(u64::MAX), Time(u64::MAX));
         }
@@ -149,7 +149,7 @@
         let attempt = live.attempts.len() as u32;
         let (zone, cell) = (s.listed.zone, s.listed.cell);
         live.attempts.push(Attempt { server, zone, cell, sent: now, fate: Fate::Out });
-        let arriving = live.request.arriving;
+        let arriving = live.request.is_streaming_in;
         s.in_flight += u32::from(!arriving);
         s.told += 1.0;
         let trial = match &mut s.suspicion {
--- a/crates/decision/src/policy/intake.rs
+++ b/crates/decision/src/policy/intake.rs
@@ -28,19 +28,20 @@
             return;
         }
         // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
-        let period = self.settings.period;
+        let period = self.settings.event_interval;
         let (class, (usual, votes)) = (&known.class, &mut known.usual_wait);
-        let near = request.wait.less(*usual) <= period && usual.less(request.wait) <= period;
+        let near =
+            request.client_timeout.less(*usual) <= period && usual.less(request.client_timeout) <= period;
         let alike = near || *votes == 0;
         match *votes {
-            0 => (*usual, *votes) = (request.wait, 1),
+            0 => (*usual, *votes) = (request.client_timeout, 1),
             _ if alike => *votes = (*votes + 1).min(VOTES_MOST),
             _ => *votes -= 1,
         }
-        let spent = if alike { Span::ZERO } else { class.deadline.less(request.wait) };
+        let spent = if alike { Span::ZERO } else { class.deadline.less(request.client_timeout) };
         let deadline = now + request.time_left;
-        let wanted_by = (now + class.aim.less(spent)).min(deadline);
-        let aim = if alike { class.aim.ms() } else { 0.0 };
+        let wanted_by = (now + class.latency_objective.less(spent)).min(deadline);
+        let aim = if alike { class.latency_objective.ms() } else { 0.0 };
         self.count(now, &request, aim);
         let over_share = self.over_share(&request);
         let (attempts, bound, spent, drawn) = (Vec::new(), false, false, false);
@@ -62,8 +63,8 @@
     /// The last part of a request has come, perhaps long after it was sent on: only now can it be late.
     pub(super) fn arrived(&mut self, now: Time, id: RequestId, time_left: Span) {
         let Some(live) = self.live.get_mut(&id) else { return };
-        live.request.arriving = false;
-        live.start_over(now, time_left, self.classes[&live.request.class].class.aim);
+        live.request.is_streaming_in = false;
+        live.start_over(now, time_left, self.classes[&live.request.class].class.latency_objective);
         for (_, flight) in self.flights.range_mut((id, 0)..=(id, u32::MAX)) {
             flight.sent = now;
             if std::mem::take(&mut flight.arriving) {
@@ -89,8 +90,8 @@
     /// Sent now, it would not be answered while that is worth something.
     pub(super) fn hopeless(&self, now: Time, live: &Live) -> bool {
         let Known { class: c, pace, .. } = &self.classes[&live.request.class];
-        let soon = c.aim * (0.7 * pace);
-        now + soon >= if c.late_worth > 0.0 { live.deadline } else { live.wanted_by }
+        let soon = c.latency_objective * (0.7 * pace);
+        now + soon >= if c.late_weight_share > 0.0 { live.deadline } else { live.wanted_by }
     }
 
     /// Keeps a request for later, or ends it if that is hopeless.
@@ -114,8 +115,8 @@
         }
         let mut held = std::mem::take(&mut self.held);
         let cheap = |l: &Live| {
-            let (c, by_work) = (&self.classes[&l.request.class], self.settings.worth_by_work);
-            (-1e6 * c.class.worth / if by_work { 1.0 } else { c.usual() }) as i64
+            let (c, by_work) = (&self.classes[&l.request.class], self.settings.weight_by_work);
+            (-1e6 * c.class.priority_weight / if by_work { 1.0 } else { c.usual() }) as i64
         };
         held.sort_by_cached_key(|id| self.live.get(id).map(|l| (l.over_share, cheap(l))));
         held.retain(|&id| {
@@ -124,7 +125,7 @@
             let margin = (WAIT_MARGIN * pace).min(WAIT_MOST);
             let left = live.request.time_left * (1.0 - HOLD_MOST);
             let long = self.is_many() && live.attempts.is_empty() && now + left >= live.deadline;
-            if long || self.hopeless(now, live) || now + class.aim * margin >= live.wanted_by {
+            if long || self.hopeless(now, live) || now + class.latency_objective * margin >= live.wanted_by {
                 self.end(now, id, out);
                 return false;
             }
--- a/crates/decision/src/policy/lawful.rs
+++ b/crates/decision/src/policy/lawful.rs
@@ -41,12 +41,12 @@
         let out = live.attempts.iter().any(|a| a.fate == Fate::Out);
         let full = live.attempts.len() >= live.max_attempts;
         let shut =
-            full || live.bound || live.spent || now >= live.deadline || (out && !self.settings.second_copies);
+            full || live.bound || live.spent || now >= live.deadline || (out && !self.settings.hedging);
         let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
         let (reach, begin_by, refuse) = match (first, self.classes[&live.request.class].class.effect) {
             (None, _) | (_, Effect::Idempotent) => (Reach::Anywhere, Time(u64::MAX), true),
             (Some(_), Effect::AtMostOnce) => (Reach::Nowhere, Time(u64::MAX), false),
-            (Some(first), Effect::Deduplicated { group, window }) => match group {
+            (Some(first), Effect::Deduplicated { scope: group, window }) => match group {
                 DeduplicationScope::All => (Reach::Anywhere, first.sent + window, true),
                 DeduplicationScope::Zone => (Reach::Zone(first.zone), first.sent + window, false),
                 DeduplicationScope::Cell => (Reach::Cell(first.cell), first.sent + window, false),
--- a/crates/decision/src/policy/limits.rs
+++ b/crates/decision/src/policy/limits.rs
@@ -57,13 +57,14 @@
         } else if let Some(live) = self.live.get_mut(&id) {
             let fate = if outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
             live.attempts[key.1 as usize].fate = fate;
-            if live.request.arriving {
+            if live.request.is_streaming_in {
                 // It waits for a place again, and not longer than if it were whole.
-                let (time_left, aim) = (live.request.time_left, self.classes[&flight.class].class.aim);
+                let (time_left, aim) =
+                    (live.request.time_left, self.classes[&flight.class].class.latency_objective);
                 live.start_over(now, time_left, aim);
             }
             // One that never came up has been waited for, as has a full server.
-            let at_once = elapsed < self.classes[&flight.class].class.aim * AT_ONCE;
+            let at_once = elapsed < self.classes[&flight.class].class.latency_objective * AT_ONCE;
             let broken = matches!(outcome, Outcome::ConnectionReset | Outcome::ServerError)
                 || outcome == Outcome::ConnectFailed && at_once;
             self.follow_up(now, id, if broken { RETRY_BROKEN } else { 1.0 }, out);
@@ -94,7 +95,7 @@
         let (outcome, elapsed, _) = ended;
         let (warmth, many) = (self.warmth(&self.servers[flight.server], now), self.is_many());
         let Some(known) = self.classes.get_mut(&flight.class) else { return };
-        let aim = known.class.aim.ms();
+        let aim = known.class.latency_objective.ms();
         let s = &mut self.servers[flight.server];
         let used = match outcome {
             // Late is late: one costly request must not weigh like ten. Called back is not stopped.
@@ -125,12 +126,12 @@
         }
         let answered = matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Cancelled);
         if answered && warmth == 1.0 && s.suspicion.is_none() {
-            self.kinds.learn(s.listed.kind, elapsed, flight.work);
+            self.kinds.learn(s.listed.machine_type, elapsed, flight.work);
         }
         if warmth < 1.0 && matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
             let least = Span::from_ms(known.usual()) * (1.0 / warmth.max(0.01));
             let again = |(until, pause)| if now < until || !many { pause } else { pause * 2.0 };
-            let pause = s.full.map_or(least, again).min(self.settings.fall_after * 0.5).max(least);
+            let pause = s.full.map_or(least, again).min(self.settings.overload_tolerance * 0.5).max(least);
             s.full = Some((now + pause, pause));
         }
         match outcome {
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -175,7 +175,15 @@
                 }
             }
             Event::RequestComplete { request, time_left } => self.arrived(now, request, time_left),
-            Event::AttemptEnded { request, attempt, outcome, elapsed, report, closed, spent } => {
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                report,
+                is_request_finished: closed,
+                is_body_consumed: spent,
+            } => {
                 if let Some(live) = self.live.get_mut(&request) {
                     live.spent |= spent;
                 }
@@ -192,7 +200,7 @@
                 self.probed(now, s, outcome != Outcome::Success, elapsed, report.as_deref());
             }
             Event::EndpointList(update) => self.list(now, update, out),
-            Event::Settings { settings, classes } => self.reconfigure(now, *settings, classes),
+            Event::Settings { settings, class_ids: classes } => self.reconfigure(now, *settings, classes),
         }
     }
 
--- a/crates/decision/src/policy/roster.rs
+++ b/crates/decision/src/policy/roster.rs
@@ -13,7 +13,7 @@
         let (lines, complete) = match update {
             EndpointUpdate::Failed => {
                 self.ask_at = Some(now + self.ask_pause * (0.5 + self.rng.f64()));
-                let most = (self.settings.ask_within * 0.25).min(ASK_AGAIN * 5.0);
+                let most = (self.settings.poll_within * 0.25).min(ASK_AGAIN * 5.0);
                 self.ask_pause = (self.ask_pause * 2.0).min(most);
                 return;
             }
@@ -31,7 +31,7 @@
             match self.index.get(&server) {
                 Some(&i) => {
                     let s = &mut self.servers[i];
-                    if line.started.is_some() && line.started != s.listed.started {
+                    if line.started_at.is_some() && line.started_at != s.listed.started_at {
                         // A new process: what was learned of the old one says nothing, and it is cold.
                         let (in_flight, last_answer) = (s.in_flight, s.last_answer);
                         *s = Server { in_flight, last_answer, ..Server::new(line, now) };
--- a/crates/decision/src/policy/suspicion.rs
+++ b/crates/decision/src/policy/suspicion.rs
@@ -79,7 +79,7 @@
     pub(super) fn suspect(&mut self, now: Time, server: usize, why: &str, out: &mut Vec<Action>) {
         let gone = self.serving.iter().filter(|&&i| self.servers[i].suspicion.is_some()).count();
         let (crowd, jitter) = (self.crowd(), self.jitter());
-        let by_probe = self.is_many() && self.settings.probes && why != "failing";
+        let by_probe = self.is_many() && self.settings.health_checks && why != "failing";
         let s = &mut self.servers[server];
         if s.suspicion.is_some() || (gone + 1) as f64 > SUSPECT_SHARE * self.serving.len() as f64 {
             return;
@@ -126,7 +126,8 @@
             let q = s.suspicion.as_ref().filter(|q| q.by_probe && q.due(now))?;
             (s.listed.status == Status::Serving).then_some((q.next_trial, *i))
         };
-        let mut due: Vec<_> = self.suspects.iter().filter(|_| self.settings.probes).filter_map(due).collect();
+        let mut due: Vec<_> =
+            self.suspects.iter().filter(|_| self.settings.health_checks).filter_map(due).collect();
         due.sort_unstable();
         for (_, i) in due.into_iter().take(self.trials as usize) {
             let s = &mut self.servers[i];
@@ -156,7 +157,8 @@
     /// may be repeated and can still be answered in time is called back from it and sent elsewhere.
     pub(super) fn find_silent(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |(&key, flight): (&(RequestId, u32), &Flight)| {
-            let (server, aim) = (&self.servers[flight.server], self.classes[&flight.class].class.aim);
+            let (server, aim) =
+                (&self.servers[flight.server], self.classes[&flight.class].class.latency_objective);
             let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
             let pace = self.classes[&flight.class].pace.max(flight.work / aim.ms());
             let wait = aim * (OVERDUE * pace).max(least);
--- a/crates/decision/src/policy/warmth.rs
+++ b/crates/decision/src/policy/warmth.rs
@@ -4,12 +4,12 @@
 impl Balancer {
     /// The share of its capacity that a server surely has.
     pub(super) fn warmth(&self, s: &Server, now: Time) -> f64 {
-        let Some(started) = s.listed.started else { return 1.0 };
-        let (age, warm) = (now.since(started).ms(), self.settings.warm_after.ms());
+        let Some(started) = s.listed.started_at else { return 1.0 };
+        let (age, warm) = (now.since(started).ms(), self.settings.warm_up_time.ms());
         if age >= warm {
             return 1.0;
         }
-        let cold = self.settings.cold_share.min(1.0);
+        let cold = self.settings.initial_capacity_share.min(1.0);
         cold + (1.0 - cold) * age / warm
     }
 
--- a/crates/decision/tests/arriving.rs
+++ b/crates/decision/tests/arriving.rs
@@ -12,7 +12,7 @@
 
 fn ask_arriving(rig: &mut Rig, id: u64) -> Option<ServerId> {
     let request =
-        Request { arriving: true, ..Request::new(RequestId(id), ClassId(0), Span::from_ms(1000.0)) };
+        Request { is_streaming_in: true, ..Request::new(RequestId(id), ClassId(0), Span::from_ms(1000.0)) };
     rig.tell(Event::Request(request));
     rig.sent_to(RequestId(id))
 }
@@ -24,8 +24,8 @@
         outcome,
         elapsed: Span::from_ms(5.0),
         report: None,
-        closed: outcome == Outcome::Success,
-        spent,
+        is_request_finished: outcome == Outcome::Success,
+        is_body_consumed: spent,
     });
 }
 
--- a/crates/decision/tests/cold_server_not_pushed_over.rs
+++ b/crates/decision/tests/cold_server_not_pushed_over.rs
@@ -6,10 +6,10 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![class(Effect::Idempotent)],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(10_000.0),
+        initial_capacity_share: 0.2,
+        warm_up_time: Span::from_ms(10_000.0),
         overload_factor: 2.5,
-        fall_after: Span::from_ms(1500.0),
+        overload_tolerance: Span::from_ms(1500.0),
         balancers: 3,
         ..Settings::default()
     }
@@ -45,7 +45,7 @@
 fn a_cold_server_gets_its_share_of_a_warm_ones_load() {
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
-    lines[5].started = Some(rig.now);
+    lines[5].started_at = Some(rig.now);
     rig.list(lines);
     let (cold, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
     let warm = f64::from(all - cold) / 5.0;
@@ -61,10 +61,10 @@
 fn a_second_restart_while_warming_starts_over() {
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
-    lines[5].started = Some(rig.now);
+    lines[5].started_at = Some(rig.now);
     rig.list(lines.clone());
     load(&mut rig, 200.0, 8000.0, ServerId(5));
-    lines[5].started = Some(rig.now);
+    lines[5].started_at = Some(rig.now);
     rig.tell(Event::EndpointList(EndpointUpdate::Changes(vec![lines[5].clone()])));
     let (cold, all) = load(&mut rig, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
@@ -76,7 +76,7 @@
     for n in [1, 4] {
         let mut rig = Rig::new(settings(), 4);
         let start = rig.now;
-        rig.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+        rig.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
         let (_, all) = load(&mut rig, 20.0, 1000.0, ServerId(0));
         assert!(all > 10, "{all} sent");
         rig.assert_rules();
@@ -88,7 +88,7 @@
 fn an_all_cold_fleet_is_paced_by_its_answers() {
     let mut rig = Rig::new(settings(), 4);
     let start = rig.now;
-    rig.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+    rig.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
     let mut sent = 0;
     for _ in 0..200 {
         sent += u32::from(rig.ask(0).1.is_some());
@@ -104,7 +104,10 @@
         let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 4);
         let start = rig.now;
         rig.list(
-            fleet(1, 1, 1).into_iter().map(|l| Endpoint { started: started.then_some(start), ..l }).collect(),
+            fleet(1, 1, 1)
+                .into_iter()
+                .map(|l| Endpoint { started_at: started.then_some(start), ..l })
+                .collect(),
         );
         let mut sent = 0;
         for _ in 0..200 {
@@ -130,7 +133,7 @@
 fn a_cold_server_that_stays_full_is_asked_ever_more_seldom() {
     let mut rig = Rig::new(Settings { max_attempts: 1, balancers: 45, ..settings() }, 4);
     let start = rig.now;
-    rig.list(fleet(2, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+    rig.list(fleet(2, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
     // Sends in each second; from the sixth on the servers serve.
     let mut all = Vec::new();
     let sent: Vec<usize> = (0..8)
@@ -163,7 +166,7 @@
     rig.list(fleet(3, 1, 1));
     load(&mut rig, 100.0, 500.0, ServerId(0));
     let mut lines = fleet(3, 1, 1);
-    (lines[1].started, lines[2].started) = (Some(rig.now), Some(rig.now));
+    (lines[1].started_at, lines[2].started_at) = (Some(rig.now), Some(rig.now));
     rig.tell(Event::EndpointList(EndpointUpdate::Changes(lines[1..].to_vec())));
     let (mut sent, mut asked) = (0, 0);
     for _ in 0..300 {
@@ -186,11 +189,11 @@
 #[test]
 fn cold_servers_beside_full_ones_serve_their_part() {
     let mut rig =
-        Rig::new(Settings { max_attempts: 1, warm_after: Span::from_ms(60_000.0), ..settings() }, 4);
+        Rig::new(Settings { max_attempts: 1, warm_up_time: Span::from_ms(60_000.0), ..settings() }, 4);
     rig.list(fleet(6, 1, 1));
     load(&mut rig, 100.0, 4000.0, ServerId(0));
     let mut lines = fleet(6, 1, 1);
-    lines[3..].iter_mut().for_each(|line| line.started = Some(rig.now));
+    lines[3..].iter_mut().for_each(|line| line.started_at = Some(rig.now));
     rig.tell(Event::EndpointList(EndpointUpdate::Changes(lines[3..].to_vec())));
     // Each takes so much of the aim for a request now that few may be out to it at a time.
     let answer_ms = 100.0;
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -71,7 +71,7 @@
                 };
                 self.requests.entry(r.id).or_insert(seen);
             }
-            Event::AttemptEnded { request, attempt, outcome, closed, .. } => {
+            Event::AttemptEnded { request, attempt, outcome, is_request_finished: closed, .. } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     if let Some(attempt) = seen.tries.get_mut(attempt.0 as usize) {
                         attempt.ended.get_or_insert(*outcome);
@@ -103,7 +103,7 @@
                 }
                 for line in lines {
                     let before = self.servers.insert(line.server, line.clone());
-                    if before.is_some_and(|b| b.started != line.started) {
+                    if before.is_some_and(|b| b.started_at != line.started_at) {
                         // A new process: what the old one was sent weighs nothing on it.
                         self.sends.retain(|(_, s, _)| *s != line.server);
                     }
@@ -116,7 +116,7 @@
                     }
                 }
             }
-            Event::Settings { settings, classes } => {
+            Event::Settings { settings, class_ids: classes } => {
                 for (id, class) in classes.iter().zip(&settings.classes) {
                     let known = &mut self.settings.classes;
                     known.resize(known.len().max(id.0 + 1), Class::default());
@@ -135,9 +135,9 @@
             Effect::Idempotent => Some((None, None)),
             Effect::AtMostOnce => None,
             Effect::Deduplicated { window, .. } if now.since(ran.at) > window => None,
-            Effect::Deduplicated { group: DeduplicationScope::All, .. } => Some((None, None)),
-            Effect::Deduplicated { group: DeduplicationScope::Zone, .. } => Some((Some(ran.zone), None)),
-            Effect::Deduplicated { group: DeduplicationScope::Cell, .. } => Some((None, Some(ran.cell))),
+            Effect::Deduplicated { scope: DeduplicationScope::All, .. } => Some((None, None)),
+            Effect::Deduplicated { scope: DeduplicationScope::Zone, .. } => Some((Some(ran.zone), None)),
+            Effect::Deduplicated { scope: DeduplicationScope::Cell, .. } => Some((None, Some(ran.cell))),
         }
     }
 
@@ -146,7 +146,7 @@
         match self.settings.classes[seen.class].effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => !ran,
-            Effect::Deduplicated { group, .. } => !ran || group == DeduplicationScope::All,
+            Effect::Deduplicated { scope: group, .. } => !ran || group == DeduplicationScope::All,
         }
     }
 
@@ -174,7 +174,7 @@
                 if seen.tries.len() >= self.settings.max_attempts as usize {
                     wrong.push("sent beyond the attempts allowed");
                 }
-                if out && !self.settings.second_copies {
+                if out && !self.settings.hedging {
                     wrong.push("two attempts at once");
                 }
                 if now > seen.deadline || *timeout_at > seen.deadline {
@@ -227,14 +227,14 @@
     /// Holds this balancer's sends to a cold server against what it sends to the warm ones: its share, times
     /// the site's factor, with room for some requests of chance: one balancer draws few.
     fn cold(&mut self, now: Time, server: ServerId) {
-        let window = self.settings.fall_after;
+        let window = self.settings.overload_tolerance;
         while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
             self.sends.pop_front();
         }
         let warmth = |line: &Endpoint| {
-            line.started.map_or(1.0, |s| {
-                let grown = (now.since(s).ms() / self.settings.warm_after.ms()).min(1.0);
-                self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
+            line.started_at.map_or(1.0, |s| {
+                let grown = (now.since(s).ms() / self.settings.warm_up_time.ms()).min(1.0);
+                self.settings.initial_capacity_share + (1.0 - self.settings.initial_capacity_share) * grown
             })
         };
         let own = warmth(&self.servers[&server]);
@@ -380,8 +380,8 @@
             outcome,
             elapsed: Span::from_ms(ms),
             report,
-            closed: outcome == Outcome::Success,
-            spent: false,
+            is_request_finished: outcome == Outcome::Success,
+            is_body_consumed: false,
         })
     }
 
@@ -419,9 +419,14 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { effect, aim: Span::from_ms(200.0), deadline: Span::from_ms(800.0), ..Class::default() }
+    Class {
+        effect,
+        latency_objective: Span::from_ms(200.0),
+        deadline: Span::from_ms(800.0),
+        ..Class::default()
+    }
 }
 
 pub fn keyed(group: DeduplicationScope, window_ms: f64) -> Effect {
-    Effect::Deduplicated { group, window: Span::from_ms(window_ms) }
+    Effect::Deduplicated { scope: group, window: Span::from_ms(window_ms) }
 }
--- a/crates/decision/tests/keeps_attempting.rs
+++ b/crates/decision/tests/keeps_attempting.rs
@@ -28,12 +28,12 @@
 fn settings(balancers: u32, probes: bool) -> Settings {
     Settings {
         classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)],
-        cold_share: 0.05,
-        warm_after: Span::from_ms(20_000.0),
-        fall_after: Span::from_ms(3000.0),
+        initial_capacity_share: 0.05,
+        warm_up_time: Span::from_ms(20_000.0),
+        overload_tolerance: Span::from_ms(3000.0),
         overload_factor: 3.0,
         balancers,
-        probes,
+        health_checks: probes,
         ..Settings::default()
     }
 }
@@ -225,7 +225,7 @@
             load.list(EndpointUpdate::Complete(lines.clone()));
             load.run(per_s, 3000.0);
             let now = load.rig.now;
-            lines.iter_mut().skip(warm).for_each(|line| line.started = Some(now));
+            lines.iter_mut().skip(warm).for_each(|line| line.started_at = Some(now));
             load.may_send();
             load.list(EndpointUpdate::Complete(lines));
         });
--- a/crates/decision/tests/many.rs
+++ b/crates/decision/tests/many.rs
@@ -8,14 +8,14 @@
 
 /// A hundred balancers that may probe.
 fn settings(balancers: u32, effect: Effect) -> Settings {
-    let prices = Costs { probe: 0.08, ..Costs::default() };
+    let prices = Costs { health_check: 0.08, ..Costs::default() };
     let report_fields = vec![ReportField::InFlight];
     Settings {
         balancers,
         classes: vec![class(effect)],
-        probes: true,
+        health_checks: true,
         cancel: true,
-        prices,
+        costs: prices,
         report_fields,
         ..Settings::default()
     }
@@ -148,7 +148,7 @@
 /// Counts are zero nearly everywhere; without what is known of kinds the coin gives a slow machine as much as a quick one.
 #[test]
 fn a_kind_that_is_slow_gets_less_though_all_counts_are_zero() {
-    let kind = |line: Endpoint| Endpoint { kind: MachineTypeId(line.server.0 % 2), ..line };
+    let kind = |line: Endpoint| Endpoint { machine_type: MachineTypeId(line.server.0 % 2), ..line };
     let share = |balancers| {
         let mut rig = Rig::new(settings(balancers, Effect::Idempotent), 8);
         rig.list(fleet(SERVERS, 1, 1).into_iter().map(kind).collect());
@@ -203,10 +203,10 @@
     let (mut cold, mut warm, rounds) = (0.0, 0.0, 40);
     for seed in 0..100 {
         let mut set = settings(100, Effect::Idempotent);
-        (set.cold_share, set.warm_after) = (0.3, Span::from_ms(60_000.0));
+        (set.initial_capacity_share, set.warm_up_time) = (0.3, Span::from_ms(60_000.0));
         let mut rig = Rig::new(set, seed);
         let started = Some(rig.now);
-        let line = |line: Endpoint| Endpoint { started: started.filter(|_| line.server.0 < 12), ..line };
+        let line = |line: Endpoint| Endpoint { started_at: started.filter(|_| line.server.0 < 12), ..line };
         rig.list(fleet(SERVERS, ZONES, 1).into_iter().map(line).collect());
         for _ in 0..rounds {
             match rig.ask_and_answer(30.0) {
@@ -230,13 +230,13 @@
     let (mut cold, mut warm) = (0.0, 0.0);
     for seed in 0..300 {
         let mut set = settings(900, Effect::Idempotent);
-        (set.cold_share, set.warm_after) = (0.2, Span::from_ms(60_000.0));
+        (set.initial_capacity_share, set.warm_up_time) = (0.2, Span::from_ms(60_000.0));
         set.overload_factor = 3.0;
         let mut rig = Rig::new(set, seed);
         rig.list(fleet(24, ZONES, 1));
         for (rounds, ms, joined) in [(0..20, 20.0, false), (0..10, 110.0, true)] {
             if joined {
-                let back = Endpoint { started: Some(rig.now), ..fleet(24, ZONES, 1).remove(5) };
+                let back = Endpoint { started_at: Some(rig.now), ..fleet(24, ZONES, 1).remove(5) };
                 rig.tell(Event::EndpointList(EndpointUpdate::Changes(vec![back])));
             }
             for _ in rounds {
@@ -295,7 +295,7 @@
     let part = met.len();
     let left: Vec<Endpoint> =
         fleet(SERVERS, ZONES, 1).into_iter().filter(|l| !met.contains(&l.server)).collect();
-    let cold = |l: Endpoint| Endpoint { started: Some(rig.now), ..l };
+    let cold = |l: Endpoint| Endpoint { started_at: Some(rig.now), ..l };
     let lines: Vec<Endpoint> = left.into_iter().map(cold).collect();
     rig.list(lines);
     let mut others = std::collections::BTreeSet::new();
@@ -327,7 +327,7 @@
 #[test]
 fn no_probe_is_spent_on_an_ordinary_request() {
     let prices = Costs::default();
-    let mut rig = Rig::new(Settings { prices, ..settings(1000, Effect::Idempotent) }, 2);
+    let mut rig = Rig::new(Settings { costs: prices, ..settings(1000, Effect::Idempotent) }, 2);
     rig.list(fleet(6, 1, 1));
     for _ in 0..100 {
         let (id, server) = rig.ask(0);
@@ -346,11 +346,13 @@
 fn one_of_many_has_one_request_out_in_a_fleet_that_is_all_cold() {
     for seed in 1..=5 {
         let mut set = settings(300, Effect::Idempotent);
-        (set.cold_share, set.warm_after) = (0.2, Span::from_ms(60_000.0));
+        (set.initial_capacity_share, set.warm_up_time) = (0.2, Span::from_ms(60_000.0));
         let out = |cold: bool| {
             let mut rig = served(set.clone(), seed);
             let started = Some(rig.now).filter(|_| cold);
-            rig.list(fleet(SERVERS, ZONES, 1).into_iter().map(|l| Endpoint { started, ..l }).collect());
+            rig.list(
+                fleet(SERVERS, ZONES, 1).into_iter().map(|l| Endpoint { started_at: started, ..l }).collect(),
+            );
             (0..6).filter(|_| rig.ask(0).1.is_some()).count()
         };
         let (cold, warm) = (out(true), out(false));
@@ -412,7 +414,7 @@
         let mut rig = Rig::new(settings(3, Effect::Idempotent), seed);
         rig.list(fleet(SERVERS, ZONES, 1));
         let more = Box::new(settings(100, Effect::Idempotent));
-        rig.tell(Event::Settings { settings: more, classes: vec![ClassId(0)] });
+        rig.tell(Event::Settings { settings: more, class_ids: vec![ClassId(0)] });
         for _ in 0..50 {
             rig.wait(Span::from_ms(40.0));
             all[rig.ask_and_answer(30.0).expect("an idle fleet").0 as usize] += 1;
--- a/crates/decision/tests/memory_does_not_grow.rs
+++ b/crates/decision/tests/memory_does_not_grow.rs
@@ -31,8 +31,8 @@
                 outcome: Outcome::Success,
                 elapsed: Span::from_ms(20.0),
                 report: None,
-                closed: true,
-                spent: false,
+                is_request_finished: true,
+                is_body_consumed: false,
             };
             balancer.handle(now, outcome, &mut actions);
         }
@@ -75,8 +75,8 @@
             outcome,
             elapsed,
             report: None,
-            closed: true,
-            spent: false,
+            is_request_finished: true,
+            is_body_consumed: false,
         };
         balancer.handle(now, outcome, &mut actions);
     }
--- a/crates/decision/tests/new_settings.rs
+++ b/crates/decision/tests/new_settings.rs
@@ -8,7 +8,7 @@
 
 fn new_settings(class: Class, max_attempts: u32, id: ClassId) -> Event {
     let settings = Settings { classes: vec![class], max_attempts, ..Settings::default() };
-    Event::Settings { settings: Box::new(settings), classes: vec![id] }
+    Event::Settings { settings: Box::new(settings), class_ids: vec![id] }
 }
 
 fn rig(max_attempts: u32) -> Rig {
@@ -69,7 +69,7 @@
 fn settings_that_cannot_be_used_change_nothing() {
     let mut rig = rig(3);
     rig.tell(new_settings(class(Effect::AtMostOnce), 0, READ));
-    rig.tell(Event::Settings { settings: Box::default(), classes: vec![READ, LATER] });
+    rig.tell(Event::Settings { settings: Box::default(), class_ids: vec![READ, LATER] });
     let (id, _) = rig.ask(READ.0);
     rig.answer(id, 0, Outcome::ServerError, 5.0);
     assert!(rig.sent_to(id).is_some());
@@ -89,7 +89,7 @@
     };
     let by_few = asked_of(&mut rig);
     let tell = |rig: &mut Rig, settings: &Settings| {
-        let event = Event::Settings { settings: Box::new(settings.clone()), classes: vec![ClassId(0)] };
+        let event = Event::Settings { settings: Box::new(settings.clone()), class_ids: vec![ClassId(0)] };
         rig.tell(event);
         rig.wait(Span::from_ms(100.0));
     };
--- a/crates/decision/tests/no_doubled_effect.rs
+++ b/crates/decision/tests/no_doubled_effect.rs
@@ -27,11 +27,8 @@
         for effect in effects {
             for outcome in OUTCOMES {
                 for ms in [5.0, 120.0] {
-                    let settings = Settings {
-                        classes: vec![class(effect)],
-                        second_copies: copies,
-                        ..Settings::default()
-                    };
+                    let settings =
+                        Settings { classes: vec![class(effect)], hedging: copies, ..Settings::default() };
                     let mut rig = Rig::new(settings, 3);
                     rig.list(fleet(12, 3, 4));
                     let (id, first) = rig.ask(0);
@@ -48,7 +45,7 @@
                             assert_eq!(next.is_some(), proven, "{case}");
                             assert_eq!(failed(&actions, id), !proven, "{case}");
                         }
-                        Effect::Deduplicated { group, .. } => {
+                        Effect::Deduplicated { scope: group, .. } => {
                             assert_eq!(next.is_some(), proven || inside, "{case}");
                             let next = next.map_or(first, |s| s.0);
                             match group {
--- a/crates/decision/tests/observer_sees_breaches.rs
+++ b/crates/decision/tests/observer_sees_breaches.rs
@@ -6,8 +6,8 @@
 fn watch(effect: Effect) -> (Observer, Time) {
     let settings = Settings {
         classes: vec![class(effect)],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(10_000.0),
+        initial_capacity_share: 0.2,
+        warm_up_time: Span::from_ms(10_000.0),
         ..Settings::default()
     };
     let now = Time::from_ms(1000.0);
@@ -33,8 +33,8 @@
         outcome,
         elapsed: Span::from_ms(1.0),
         report: None,
-        closed: false,
-        spent: false,
+        is_request_finished: false,
+        is_body_consumed: false,
     }
 }
 
@@ -97,7 +97,7 @@
     objects(&o, "draining or gone");
 
     let (mut o, now) = watch(Effect::Idempotent);
-    let line = Endpoint { started: Some(now), ..Endpoint::serving(ServerId(0)) };
+    let line = Endpoint { started_at: Some(now), ..Endpoint::serving(ServerId(0)) };
     o.event(now, &Event::EndpointList(EndpointUpdate::Changes(vec![line])));
     let later = now + settings_window();
     for (id, now) in (2..13).map(|id| (id, if id == 2 { now } else { later })) {
@@ -117,5 +117,5 @@
 
 /// A whole window: the observer judges only once the fleet has been as it is for so long.
 fn settings_window() -> Span {
-    Settings::default().fall_after
+    Settings::default().overload_tolerance
 }
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -198,10 +198,13 @@
 
 #[test]
 fn under_pressure_the_class_worth_most_for_its_work_is_spared() {
-    let worth = |worth| Class { worth, ..class(Effect::Idempotent) };
-    let goal = ScoreWeights { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
-    let settings =
-        Settings { classes: vec![worth(1.0), worth(3.0), worth(10.0)], goal, ..Settings::default() };
+    let worth = |worth| Class { priority_weight: worth, ..class(Effect::Idempotent) };
+    let goal = ScoreWeights { overall: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let settings = Settings {
+        classes: vec![worth(1.0), worth(3.0), worth(10.0)],
+        score_weights: goal,
+        ..Settings::default()
+    };
     let tally = pressed(settings, |i| {
         Request::new(RequestId(u64::from(i)), ClassId((i % 3) as usize), Span::from_ms(800.0))
     });
@@ -212,10 +215,10 @@
 
 #[test]
 fn a_flooding_tenant_pays_for_its_flood() {
-    let tenant = |fraction| Tenant { fraction, allowance_per_s: 100.0 };
+    let tenant = |fraction| Tenant { quota_fraction: fraction, quota_per_second: 100.0 };
     let settings = Settings {
         tenants: vec![tenant(0.3), tenant(0.7)],
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         classes: vec![class(Effect::Idempotent)],
         ..Settings::default()
     };
--- a/crates/decision/tests/random_walk.rs
+++ b/crates/decision/tests/random_walk.rs
@@ -13,17 +13,17 @@
             class(keyed(DeduplicationScope::All, 300.0)),
             class(keyed(DeduplicationScope::Zone, 200.0)),
             class(keyed(DeduplicationScope::Cell, 600.0)),
-            Class { late_worth: 0.3, stream: true, ..class(Effect::Idempotent) },
+            Class { late_weight_share: 0.3, stream: true, ..class(Effect::Idempotent) },
         ],
-        second_copies: pick % 2 == 0,
+        hedging: pick % 2 == 0,
         cancel: pick % 3 != 0,
         retry_after: pick % 5 == 0,
-        probes: pick % 4 == 0,
+        health_checks: pick % 4 == 0,
         report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
         report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
         discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
-        cold_share: 0.2,
-        warm_after: Span::from_ms(4000.0),
+        initial_capacity_share: 0.2,
+        warm_up_time: Span::from_ms(4000.0),
         ..Settings::default()
     }
 }
@@ -79,8 +79,8 @@
                     outcome,
                     elapsed: rig.now.since(o.sent),
                     report,
-                    closed,
-                    spent: false,
+                    is_request_finished: closed,
+                    is_body_consumed: false,
                 }));
             }
             80..=83 if !out.is_empty() => {
@@ -99,7 +99,7 @@
                 lines[i].status =
                     [Status::Serving, Status::Serving, Status::Draining, Status::Removed][rng.usize(0..4)];
                 if rng.bool() && lines[i].status == Status::Serving {
-                    lines[i].started = Some(rig.now);
+                    lines[i].started_at = Some(rig.now);
                 }
                 let update = match rng.u32(0..6) {
                     0 => EndpointUpdate::Failed,
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -12,14 +12,20 @@
     };
     assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|s| s.classes[0].aim = Span::ZERO), Some(SettingsError::ZeroSpan { setting: "aim" }));
+    assert_eq!(
+        with(|s| s.classes[0].latency_objective = Span::ZERO),
+        Some(SettingsError::ZeroSpan { setting: "aim" })
+    );
     assert_eq!(
         with(|s| s.classes[0].deadline = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "deadline" })
     );
-    assert!(matches!(with(|s| s.cold_share = f64::NAN), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(with(|s| s.initial_capacity_share = f64::NAN), Some(SettingsError::BadNumber { .. })));
     assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.classes[0].worth = f64::INFINITY), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(
+        with(|s| s.classes[0].priority_weight = f64::INFINITY),
+        Some(SettingsError::BadNumber { .. })
+    ));
     assert_eq!(with(|_| ()), None);
 }
 
@@ -29,8 +35,8 @@
     let settings = Settings {
         classes: vec![class(Effect::Idempotent)],
         cancel: false,
-        goal: ScoreWeights { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        warm_after: Span::ZERO,
+        score_weights: ScoreWeights { overall: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        warm_up_time: Span::ZERO,
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 1);
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -230,7 +230,7 @@
         }
         let max_attempts = Cell::new(settings.max_attempts);
         let drain_grace = Cell::new(settings.drain_grace.into());
-        let warming = Cell::new((settings.warm_after, settings.cold_share));
+        let warming = Cell::new((settings.warm_up_time, settings.initial_capacity_share));
         let core = Core {
             balancer: Balancer::new(settings, seed)?,
             open: FxHashMap::default(),
@@ -378,12 +378,12 @@
     pub fn revise(&self, settings: Settings, classes: Vec<ClassId>, zones: &[String]) {
         self.0.max_attempts.set(settings.max_attempts);
         self.0.drain_grace.set(settings.drain_grace.into());
-        self.0.warming.set((settings.warm_after, settings.cold_share));
+        self.0.warming.set((settings.warm_up_time, settings.initial_capacity_share));
         // The list's lines are numbered as the first settings named the zones.
         let zone =
             zones.get(settings.zone.0 as usize).map(|name| self.0.core.borrow_mut().servers.zone(name));
         let settings = Settings { zone: zone.unwrap_or(settings.zone), ..settings };
-        self.tell(Event::Settings { settings: Box::new(settings), classes });
+        self.tell(Event::Settings { settings: Box::new(settings), class_ids: classes });
     }
 
     /// What the servers speak that there are to send to.
@@ -461,10 +461,10 @@
             tenant,
             key,
             cost_hint,
-            repeat,
+            is_retry: repeat,
             time_left: Span(left.as_micros() as u64),
-            wait: Span(budget.as_micros() as u64),
-            arriving: deadline.is_none(),
+            client_timeout: Span(budget.as_micros() as u64),
+            is_streaming_in: deadline.is_none(),
             dialects,
         }));
         Ok(Owed { pool: self.clone(), id, answer, call, budget, deadline })
@@ -538,8 +538,8 @@
             outcome: ended.outcome,
             elapsed: Span(since.elapsed().as_micros() as u64),
             report: ended.report,
-            closed,
-            spent,
+            is_request_finished: closed,
+            is_body_consumed: spent,
         });
         self.forget_ended(id);
     }
@@ -732,7 +732,7 @@
             lines
         };
         for (line, name) in lines.iter().zip(names) {
-            let age_ms = line.started.map(|at| self.0.clock.now().since(at).ms() as u64);
+            let age_ms = line.started_at.map(|at| self.0.clock.now().since(at).ms() as u64);
             tracing::debug!(
                 target: "heronhoist::membership",
                 pool = self.0.name,
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -90,7 +90,7 @@
     let test = async {
         let (pool, begun, budget) = (pool(true, 9), Instant::now(), Duration::from_millis(23));
         let mut settings = Settings::default();
-        settings.classes[0].aim = Span::from_ms(11.0);
+        settings.classes[0].latency_objective = Span::from_ms(11.0);
         pool.revise(settings, vec![ClassId(1)], &[]);
         let owed = pool.submit(Exchange::new(Nothing, ClassId(1), budget)).expect("taken");
         let answer = owed.answer(|deadline| deadline).await;
@@ -323,7 +323,7 @@
     let window = Span::from_ms(450.0);
     let test = async {
         for (waited, begins) in [(449, true), (451, false)] {
-            let (pool, up, opened) = slow(Effect::Deduplicated { group: DeduplicationScope::All, window }, 1);
+            let (pool, up, opened) = slow(Effect::Deduplicated { scope: DeduplicationScope::All, window }, 1);
             let owed = pool.submit(exchange("id")).expect("taken");
             yield_now().await;
             // Its server may have run it.
@@ -354,7 +354,7 @@
         let pool = pool(true, 9);
         let mut settings = Settings::default();
         let ms = Span::from_ms;
-        (settings.classes[0].aim, settings.classes[0].deadline) = (ms(5000.0), ms(10_000.0));
+        (settings.classes[0].latency_objective, settings.classes[0].deadline) = (ms(5000.0), ms(10_000.0));
         pool.revise(settings, vec![ClassId(1)], &[]);
         for late in [0, 5] {
             let exchange = Exchange::new(Nothing, ClassId(1), Duration::from_secs(5));
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers.rs
@@ -233,7 +233,7 @@
         Some(Endpoint {
             server: id,
             zone: ZoneId(self.zones.of(&member.zone)),
-            kind: MachineTypeId(self.kinds.of(&member.kind)),
+            machine_type: MachineTypeId(self.kinds.of(&member.kind)),
             cell: CellId(member.cell),
             dialect: member.dialect,
             status: match member.state {
@@ -242,7 +242,7 @@
                 State::Gone => Status::Removed,
             },
             weight: member.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-            started,
+            started_at: started,
         })
     }
 }
--- a/crates/engine/tests/line/main.rs
+++ b/crates/engine/tests/line/main.rs
@@ -20,15 +20,15 @@
 fn settings(grace_ms: f64) -> Settings {
     let class = |effect| Class {
         effect,
-        aim: Span::from_ms(2000.0),
+        latency_objective: Span::from_ms(2000.0),
         deadline: Span::from_ms(5000.0),
         ..Class::default()
     };
-    let keyed = Effect::Deduplicated { group: DeduplicationScope::All, window: Span::from_ms(60_000.0) };
+    let keyed = Effect::Deduplicated { scope: DeduplicationScope::All, window: Span::from_ms(60_000.0) };
     Settings {
         classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(keyed)],
         drain_grace: Span::from_ms(grace_ms),
-        second_copies: true,
+        hedging: true,
         retry_after: true,
         ..Settings::default()
     }
--- a/crates/engine/tests/starts.rs
+++ b/crates/engine/tests/starts.rs
@@ -49,7 +49,11 @@
 impl World {
     /// A pool whose clock begins at the epoch, and that knows this list from the start.
     async fn new(lines: &[(&str, Option<i64>)]) -> World {
-        let settings = Settings { cold_share: 0.2, warm_after: Span::from_ms(3000.0), ..Settings::default() };
+        let settings = Settings {
+            initial_capacity_share: 0.2,
+            warm_up_time: Span::from_ms(3000.0),
+            ..Settings::default()
+        };
         let known = List { version: 0, whole: true, members: members(lines) };
         let (lists, told) = watch::channel(known.members.clone());
         let (drained, by_others) = watch::channel(BTreeSet::new());
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -408,29 +408,29 @@
         let (effect, group, window) = match class.effect {
             Effect::Idempotent => ("idempotent", "all", 0.0),
             Effect::AtMostOnce => ("at_most_once", "all", 0.0),
-            Effect::Deduplicated { group: DeduplicationScope::All, window } => ("deduplicated", "all", ms(window.0)),
-            Effect::Deduplicated { group: DeduplicationScope::Zone, window } => ("deduplicated", "zone", ms(window.0)),
-            Effect::Deduplicated { group: DeduplicationScope::Cell, window } => ("deduplicated", "cell", ms(window.0)),
+            Effect::Deduplicated { scope: DeduplicationScope::All, window } => ("deduplicated", "all", ms(window.0)),
+            Effect::Deduplicated { scope: DeduplicationScope::Zone, window } => ("deduplicated", "zone", ms(window.0)),
+            Effect::Deduplicated { scope: DeduplicationScope::Cell, window } => ("deduplicated", "cell", ms(window.0)),
         };
         json!({"name": mix.name, "effect": effect, "group": group, "dedupWindowMs": window, "points": 1.0,
-            "aimMs": ms(mix.aim), "deadlineMs": ms(mix.deadline), "lateWorth": class.late_worth, "stream": false})
+            "aimMs": ms(mix.aim), "deadlineMs": ms(mix.deadline), "lateWorth": class.late_weight_share, "stream": false})
     });
     let parties = scenario.tenants.iter().zip(&settings.tenants);
     let parties = parties.map(|((name, share), tenant)| {
-        json!({"name": name, "fraction": share, "allowancePerS": tenant.allowance_per_s})
+        json!({"name": name, "fraction": share, "allowancePerS": tenant.quota_per_second})
     });
     let source = if settings.report_source == ReportSource::None { "silent" } else { "piggyback" };
     json!({
         "balancers": scenario.settings.balancers, "zones": ["a"], "kinds": ["m"], "zone": 0, "discovery": "pushed",
         "classes": classes.collect::<Vec<_>>(), "parties": parties.collect::<Vec<_>>(),
         "feedback": {"fields": ["inflight", "queue", "util"], "source": source},
-        "limits": {"cancel": settings.cancel, "retryAfter": settings.retry_after, "probes": settings.probes,
+        "limits": {"cancel": settings.cancel, "retryAfter": settings.retry_after, "probes": settings.health_checks,
             "connectTimeoutMs": CONNECT_WAIT.as_millis() as u64, "keepaliveMs": KEEPALIVE.as_millis() as u64,
-            "maxAttempts": settings.max_attempts, "secondCopies": settings.second_copies,
+            "maxAttempts": settings.max_attempts, "secondCopies": settings.hedging,
             "maxRetryAfterMs": ms(settings.max_retry_after.0)},
-        "rules": {"stopSendingWithinMs": ms(settings.drain_grace.0), "coldShare": settings.cold_share,
-            "warmAfterMs": ms(settings.warm_after.0), "overloadFactor": settings.overload_factor,
-            "fallMs": ms(settings.fall_after.0)}
+        "rules": {"stopSendingWithinMs": ms(settings.drain_grace.0), "coldShare": settings.initial_capacity_share,
+            "warmAfterMs": ms(settings.warm_up_time.0), "overloadFactor": settings.overload_factor,
+            "fallMs": ms(settings.overload_tolerance.0)}
     })
 }
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -337,17 +337,17 @@
         classes: terms,
         tenants: tenants.iter().map(|(_, tenant)| tenant.clone()).collect(),
         max_attempts: attempts? as u32,
-        second_copies: copies?,
+        hedging: copies?,
         cancel: cancel?,
-        probes: probes?,
+        health_checks: probes?,
         report_source: if reports? { ReportSource::Responses } else { ReportSource::None },
         report_fields: vec![ReportField::InFlight, ReportField::Queue, ReportField::Utilisation],
         retry_after: advises?,
         drain_grace: Span(grace?),
-        cold_share: fleet.kind.cold_share,
-        warm_after: Span(fleet.kind.warm_after),
+        initial_capacity_share: fleet.kind.cold_share,
+        warm_up_time: Span(fleet.kind.warm_after),
         overload_factor: fleet.kind.overload_factor,
-        fall_after: Span(fleet.kind.fall_after),
+        overload_tolerance: Span(fleet.kind.fall_after),
         ..Settings::default()
     };
     Some(Scenario {
@@ -362,7 +362,7 @@
         settings,
         clients: clients?,
         classes: mixes,
-        tenants: tenants.into_iter().map(|(name, tenant)| (name, tenant.fraction)).collect(),
+        tenants: tenants.into_iter().map(|(name, tenant)| (name, tenant.quota_fraction)).collect(),
         events: events?,
         holds,
     })
@@ -492,13 +492,13 @@
         reader.end(section);
         let tenant = name.zip(fraction.zip(allowance));
         tenants = tenants.zip(tenant).map(|(mut tenants, (name, (fraction, allowance_per_s)))| {
-            tenants.push((name, Tenant { fraction, allowance_per_s }));
+            tenants.push((name, Tenant { quota_fraction: fraction, quota_per_second: allowance_per_s }));
             tenants
         });
     }
     let mut tenants = tenants?;
-    let all: f64 = tenants.iter().map(|(_, tenant)| tenant.fraction).sum();
-    tenants.iter_mut().for_each(|(_, tenant)| tenant.fraction /= all);
+    let all: f64 = tenants.iter().map(|(_, tenant)| tenant.quota_fraction).sum();
+    tenants.iter_mut().for_each(|(_, tenant)| tenant.quota_fraction /= all);
     Some(tenants)
 }
 
@@ -558,13 +558,18 @@
         0 => (Effect::Idempotent, Repeats::Harmless),
         1 => (Effect::AtMostOnce, Repeats::Doubled),
         _ => (
-            Effect::Deduplicated { group, window: Span(window) },
+            Effect::Deduplicated { scope: group, window: Span(window) },
             Repeats::Dropped { everywhere: group == DeduplicationScope::All, window },
         ),
     };
     let (aim, deadline) = (aim?, deadline?);
-    let terms =
-        Class { effect, aim: Span(aim), deadline: Span(deadline), late_worth: 0.5, ..Class::default() };
+    let terms = Class {
+        effect,
+        latency_objective: Span(aim),
+        deadline: Span(deadline),
+        late_weight_share: 0.5,
+        ..Class::default()
+    };
     let (name, share, work, spread, hints) = (name?, part?, work?, spread?, hints?);
     Some((ClassMix { name, share, work, spread, tail, hints, repeats, aim, deadline }, terms))
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -34,57 +34,57 @@
             tenants: params
                 .parties
                 .iter()
-                .map(|p| Tenant { fraction: p.fraction, allowance_per_s: p.allowance_per_s })
+                .map(|p| Tenant { quota_fraction: p.fraction, quota_per_second: p.allowance_per_s })
                 .collect(),
-            over_share_worth: params.over_share_worth.unwrap_or(standard.over_share_worth),
-            worth_by_work: params.worth_by == Some(words::WorthBy::Work),
-            goal: ScoreWeights {
-                whole: params.goal.whole,
+            over_quota_weight: params.over_share_worth.unwrap_or(standard.over_quota_weight),
+            weight_by_work: params.worth_by == Some(words::WorthBy::Work),
+            score_weights: ScoreWeights {
+                overall: params.goal.whole,
                 worst_window: params.goal.worst_window,
                 worst_class: params.goal.worst_class,
                 worst_tenant: params.goal.worst_tenant,
             },
-            prices: Costs {
+            costs: Costs {
                 cross_zone: params.penalties.cross_zone,
-                probe: params.penalties.probe,
+                health_check: params.penalties.probe,
                 handshake: params.penalties.handshake,
                 connection: params.penalties.connection,
-                waste: params.penalties.waste,
-                late_fail: params.penalties.late_fail,
+                wasted_work: params.penalties.waste,
+                late_failure: params.penalties.late_fail,
             },
             discovery: match params.discovery {
                 Some(words::Discovery::OnRequest) => Discovery::OnRequest,
                 Some(words::Discovery::Pushed) | None => Discovery::Pushed,
             },
-            ask_within: span(rules.ask_within_ms, standard.ask_within),
+            poll_within: span(rules.ask_within_ms, standard.poll_within),
             report_source: match params.feedback.source {
                 words::Source::Piggyback => ReportSource::Responses,
                 words::Source::Pull => ReportSource::HealthChecks,
                 words::Source::Silent => ReportSource::None,
             },
             report_fields: params.feedback.fields.iter().map(field).collect(),
-            weights: match params.weights {
+            weight_meaning: match params.weights {
                 Some(words::Weights::Nominal | words::Weights::Rough) => WeightMeaning::Size,
                 Some(words::Weights::Live) => WeightMeaning::CapacityPerLoad,
                 Some(words::Weights::Silent) | None => WeightMeaning::None,
             },
-            warm_keys: params.family_info.warm_keys,
+            key_affinity: params.family_info.warm_keys,
             max_attempts: params.limits.max_attempts.unwrap_or(standard.max_attempts),
-            second_copies: params.limits.second_copies,
+            hedging: params.limits.second_copies,
             cancel: params.limits.cancel,
-            probes: params.limits.probes,
-            peers: params.limits.peers,
+            health_checks: params.limits.probes,
+            gossip: params.limits.peers,
             retry_after: params.limits.retry_after,
             max_retry_after: match params.limits.max_retry_after_ms {
                 ms if ms > 0.0 => Span::from_ms(ms),
                 _ => standard.max_retry_after,
             },
             drain_grace: span(rules.stop_sending_within_ms, standard.drain_grace),
-            cold_share: rules.cold_share.unwrap_or(standard.cold_share),
-            warm_after: span(rules.warm_after_ms, standard.warm_after),
+            initial_capacity_share: rules.cold_share.unwrap_or(standard.initial_capacity_share),
+            warm_up_time: span(rules.warm_after_ms, standard.warm_up_time),
             overload_factor: rules.overload_factor.unwrap_or(standard.overload_factor),
-            fall_after: span(rules.fall_ms, standard.fall_after),
-            period: span(params.period_ms, standard.period),
+            overload_tolerance: span(rules.fall_ms, standard.overload_tolerance),
+            event_interval: span(params.period_ms, standard.event_interval),
         }
     }
 
@@ -134,7 +134,7 @@
         words::Effect::Idempotent => Effect::Idempotent,
         words::Effect::AtMostOnce => Effect::AtMostOnce,
         words::Effect::Deduplicated => Effect::Deduplicated {
-            group: match params.group {
+            scope: match params.group {
                 Some(words::Group::All) => DeduplicationScope::All,
                 Some(words::Group::Zone) => DeduplicationScope::Zone,
                 // Without a stated group the narrowest one is the safe reading.
@@ -145,11 +145,11 @@
     };
     Class {
         effect,
-        aim: Span::from_ms(params.aim_ms),
-        aim_stretch: params.aim_stretch.unwrap_or(0.0),
+        latency_objective: Span::from_ms(params.aim_ms),
+        objective_work_factor: params.aim_stretch.unwrap_or(0.0),
         deadline: Span::from_ms(params.deadline_ms),
-        worth: params.points,
-        late_worth: params.late_worth,
+        priority_weight: params.points,
+        late_weight_share: params.late_worth,
         stream: params.stream,
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -9,7 +9,7 @@
     let settings = file.settings();
     assert_eq!(settings.zone, ZoneId(1));
     assert_eq!(settings.max_attempts, Settings::default().max_attempts);
-    let effect = Effect::Deduplicated { group: DeduplicationScope::Zone, window: Span::from_ms(900.0) };
+    let effect = Effect::Deduplicated { scope: DeduplicationScope::Zone, window: Span::from_ms(900.0) };
     assert_eq!(settings.classes[0].effect, effect);
     assert_eq!(settings.report_fields, [ReportField::Rate, ReportField::Queue]);
     assert_eq!((file.class_names(), file.tenant_names()), (vec!["read".into()], vec!["courts".into()]));
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -188,10 +188,10 @@
                     tenant: party.map(TenantId),
                     key: affinity.map(|key| KeyId(fnv1a(&key))),
                     cost_hint: hint.map(Span::from_ms),
-                    repeat: opts & 2 != 0,
+                    is_retry: opts & 2 != 0,
                     time_left: Span::from_ms(expires_in_ms),
-                    wait: Span::from_ms(expires_in_ms),
-                    arriving: false,
+                    client_timeout: Span::from_ms(expires_in_ms),
+                    is_streaming_in: false,
                     dialects: Dialects::ALL,
                 }))
             }
@@ -209,8 +209,8 @@
                         outcome: outcome(ending),
                         elapsed: Span::from_ms(time_taken_ms),
                         report: gauge,
-                        closed: finished,
-                        spent: false,
+                        is_request_finished: finished,
+                        is_body_consumed: false,
                     }
                 })
             }
@@ -310,7 +310,7 @@
         line: Endpoint {
             server: ServerId(0),
             zone: ZoneId(entry.campus),
-            kind: MachineTypeId(entry.class_of_host),
+            machine_type: MachineTypeId(entry.class_of_host),
             cell: CellId(entry.cluster),
             dialect: DialectId(0),
             status: match entry.status {
@@ -319,7 +319,7 @@
                 wire::EntryStatus::Deleted => Status::Removed,
             },
             weight,
-            started,
+            started_at: started,
         },
     })
 }
