--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -273,14 +273,14 @@
         Effect::Idempotent => "idempotent".to_string(),
         Effect::AtMostOnce => "at most once".to_string(),
         Effect::Deduplicated { scope: group, window } => {
-            format!("deduplicated by {} for {} ms", format!("{group:?}").to_lowercase(), window.ms())
+            format!("deduplicated by {} for {} ms", format!("{group:?}").to_lowercase(), window.as_ms())
         }
     };
     let rows = classes.iter().zip(terms).map(|(name, class)| {
         [
             name.clone(),
             effect(&class.effect),
-            format!("{} of {} ms", class.latency_objective.ms(), class.deadline.ms()),
+            format!("{} of {} ms", class.latency_objective.as_ms(), class.deadline.as_ms()),
         ]
     });
     text += &table(["class", "effect", "aim of deadline"], rows);
@@ -297,7 +297,7 @@
             "{} attempts, {}drain {} ms",
             settings.max_attempts,
             if settings.hedging { "second copies, " } else { "" },
-            settings.drain_grace.ms()
+            settings.drain_grace.as_ms()
         );
         [pool.name.clone(), rules, members(pool)]
     });
--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -23,7 +23,7 @@
 
 /// What servers speak, in the translator's terms.
 pub fn sides(dialects: Dialects) -> Sides {
-    Sides { old: dialects.has(OLD), new: dialects.has(NEW) }
+    Sides { old: dialects.contains(OLD), new: dialects.contains(NEW) }
 }
 
 /// And in the module's.
@@ -39,7 +39,7 @@
         return;
     }
     exchange.dialects = Dialects::only(NEW);
-    if !serving.has(OLD) {
+    if !serving.contains(OLD) {
         return;
     }
     let call = &exchange.call;
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -662,7 +662,7 @@
 /// A refusal, with the time to come back after.
 fn refused(retry_after: Option<Span>) -> Response<Reply> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-    if let Some(Ok(value)) = retry_after.map(|s| HeaderValue::try_from(format!("{:.3}", s.ms() / 1e3))) {
+    if let Some(Ok(value)) = retry_after.map(|s| HeaderValue::try_from(format!("{:.3}", s.as_ms() / 1e3))) {
         answer.headers_mut().insert(RETRY_AFTER, value);
     }
     answer
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -430,7 +430,7 @@
         reader.end(section);
     }
     let mut ms = |section: &mut Section<'t>, key, standard: Span| {
-        reader.get(section, key, Absent::Default(standard.ms()), MS, positive).map(Span::from_ms)
+        reader.get(section, key, Absent::Default(standard.as_ms()), MS, positive).map(Span::from_ms)
     };
     let drain_grace = ms(section, "drain_grace_ms", Span::from_ms(500.0));
     let connect_timeout = ms(section, "connect_timeout_ms", Span::from_ms(250.0));
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -18,7 +18,7 @@
         Time(Span::from_ms(ms).0)
     }
     /// Milliseconds since the epoch.
-    pub fn ms(self) -> f64 {
+    pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
     /// The time that has passed since `earlier`, zero if it lies ahead.
@@ -35,11 +35,11 @@
         Span((ms * 1e3).round() as u64)
     }
     /// The length in milliseconds.
-    pub fn ms(self) -> f64 {
+    pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
     /// This length less `other`, never below zero.
-    pub fn less(self, other: Span) -> Span {
+    pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 }
@@ -468,12 +468,12 @@
     }
 
     /// Whether there is one in both.
-    pub fn meets(self, other: Dialects) -> bool {
+    pub fn intersects(self, other: Dialects) -> bool {
         self.0 & other.0 != 0
     }
 
     /// Whether this one is among them.
-    pub fn has(self, dialect: DialectId) -> bool {
+    pub fn contains(self, dialect: DialectId) -> bool {
         self.0 & Dialects::only(dialect).0 != 0
     }
 }
--- a/crates/decision/src/policy/accounts.rs
+++ b/crates/decision/src/policy/accounts.rs
@@ -44,7 +44,7 @@
 
     /// The usual answer time in milliseconds.
     pub(super) fn usual(&self) -> f64 {
-        (self.pace * self.class.latency_objective.ms()).max(0.001)
+        (self.pace * self.class.latency_objective.as_ms()).max(0.001)
     }
 }
 
@@ -79,7 +79,7 @@
 
     /// Keeps the traffic of the last seconds by tenant.
     pub(super) fn count(&mut self, now: Time, request: &Request, aim: f64) {
-        let passed = if self.wanted == 0.0 { 0.0 } else { now.since(self.counted_at).ms() };
+        let passed = if self.wanted == 0.0 { 0.0 } else { now.since(self.counted_at).as_ms() };
         let keep = (-passed / COUNT_MS).exp();
         self.counted_at = now;
         (self.wanted, self.counted) = (self.wanted * keep + aim, self.counted + passed);
@@ -121,7 +121,7 @@
 
     /// A guess at a request's work: the hint, else the usual answer time of its class.
     pub(super) fn work(&self, live: &Live) -> f64 {
-        live.request.cost_hint.map_or_else(|| self.classes[&live.request.class].usual(), Span::ms)
+        live.request.cost_hint.map_or_else(|| self.classes[&live.request.class].usual(), Span::as_ms)
     }
 }
 
--- a/crates/decision/src/policy/draw.rs
+++ b/crates/decision/src/policy/draw.rs
@@ -113,7 +113,7 @@
         };
         lawful
             && s.listed.status == Status::Serving
-            && live.request.dialects.has(s.listed.dialect)
+            && live.request.dialects.contains(s.listed.dialect)
             && self.has_room(now, server)
             && !s.suspicion.as_ref().is_some_and(|q| q.shut(now) || !self.may_try(now, q, live))
     }
--- a/crates/decision/src/policy/intake.rs
+++ b/crates/decision/src/policy/intake.rs
@@ -30,18 +30,18 @@
         // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
         let period = self.settings.event_interval;
         let (class, (usual, votes)) = (&known.class, &mut known.usual_wait);
-        let near =
-            request.client_timeout.less(*usual) <= period && usual.less(request.client_timeout) <= period;
+        let near = request.client_timeout.saturating_sub(*usual) <= period
+            && usual.saturating_sub(request.client_timeout) <= period;
         let alike = near || *votes == 0;
         match *votes {
             0 => (*usual, *votes) = (request.client_timeout, 1),
             _ if alike => *votes = (*votes + 1).min(VOTES_MOST),
             _ => *votes -= 1,
         }
-        let spent = if alike { Span::ZERO } else { class.deadline.less(request.client_timeout) };
+        let spent = if alike { Span::ZERO } else { class.deadline.saturating_sub(request.client_timeout) };
         let deadline = now + request.time_left;
-        let wanted_by = (now + class.latency_objective.less(spent)).min(deadline);
-        let aim = if alike { class.latency_objective.ms() } else { 0.0 };
+        let wanted_by = (now + class.latency_objective.saturating_sub(spent)).min(deadline);
+        let aim = if alike { class.latency_objective.as_ms() } else { 0.0 };
         self.count(now, &request, aim);
         let over_share = self.over_share(&request);
         let (attempts, bound, spent, drawn) = (Vec::new(), false, false, false);
--- a/crates/decision/src/policy/kinds.rs
+++ b/crates/decision/src/policy/kinds.rs
@@ -18,7 +18,7 @@
     /// A server of this kind has taken `elapsed` over so many milliseconds of work.
     pub(crate) fn learn(&mut self, kind: MachineTypeId, elapsed: Span, work: f64) {
         // As a logarithm: one that took ten times as long must not weigh like ten.
-        let slow = (elapsed.ms().max(0.1) / work.max(0.1)).ln();
+        let slow = (elapsed.as_ms().max(0.1) / work.max(0.1)).ln();
         let (mean, n) = self.0.entry(kind).or_default();
         *n = (*n + 1.0).min(KIND_MOST);
         *mean += (slow - *mean) / *n;
--- a/crates/decision/src/policy/limits.rs
+++ b/crates/decision/src/policy/limits.rs
@@ -95,11 +95,11 @@
         let (outcome, elapsed, _) = ended;
         let (warmth, many) = (self.warmth(&self.servers[flight.server], now), self.is_many());
         let Some(known) = self.classes.get_mut(&flight.class) else { return };
-        let aim = known.class.latency_objective.ms();
+        let aim = known.class.latency_objective.as_ms();
         let s = &mut self.servers[flight.server];
         let used = match outcome {
             // Late is late: one costly request must not weigh like ten. Called back is not stopped.
-            Outcome::Success => (elapsed.ms() / aim).min(1.0),
+            Outcome::Success => (elapsed.as_ms() / aim).min(1.0),
             Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => 1.0,
             _ => 0.0,
         };
--- a/crates/decision/src/policy/suspicion.rs
+++ b/crates/decision/src/policy/suspicion.rs
@@ -59,7 +59,7 @@
     }
 
     /// How many listed servers get nothing new now: those that drain, and suspects whose trial is not due.
-    pub fn excluded(&self, now: Time) -> usize {
+    pub fn excluded_endpoints(&self, now: Time) -> usize {
         let avoided = |&&i: &&usize| match self.servers[i].listed.status {
             Status::Serving => self.servers[i].suspicion.as_ref().is_some_and(|q| q.shut(now)),
             Status::Draining => true,
@@ -149,7 +149,7 @@
         let told = report.and_then(|report| self.read_report(s, report)).unwrap_or_default();
         let usual = self.current().map(Known::usual).fold(f64::INFINITY, f64::min);
         if self.servers[s].suspicion.as_ref().is_some_and(|q| q.by_probe && q.on_trial) {
-            self.tried(now, s, !failed && told.max(took.ms() / usual) < WELL);
+            self.tried(now, s, !failed && told.max(took.as_ms() / usual) < WELL);
         }
     }
 
@@ -160,7 +160,7 @@
             let (server, aim) =
                 (&self.servers[flight.server], self.classes[&flight.class].class.latency_objective);
             let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
-            let pace = self.classes[&flight.class].pace.max(flight.work / aim.ms());
+            let pace = self.classes[&flight.class].pace.max(flight.work / aim.as_ms());
             let wait = aim * (OVERDUE * pace).max(least);
             let quiet = server.last_answer < flight.sent && !flight.arriving;
             (quiet && now.since(flight.sent) > wait).then_some((key, flight.server))
--- a/crates/decision/src/policy/warmth.rs
+++ b/crates/decision/src/policy/warmth.rs
@@ -5,7 +5,7 @@
     /// The share of its capacity that a server surely has.
     pub(super) fn warmth(&self, s: &Server, now: Time) -> f64 {
         let Some(started) = s.listed.started_at else { return 1.0 };
-        let (age, warm) = (now.since(started).ms(), self.settings.warm_up_time.ms());
+        let (age, warm) = (now.since(started).as_ms(), self.settings.warm_up_time.as_ms());
         if age >= warm {
             return 1.0;
         }
--- a/crates/decision/tests/arriving.rs
+++ b/crates/decision/tests/arriving.rs
@@ -37,7 +37,7 @@
     assert!(!actions
         .iter()
         .any(|a| matches!(a, Action::Cancel { .. } | Action::Fail { .. } | Action::Reject { .. })));
-    assert_eq!(rig.balancer.excluded(rig.now), 0);
+    assert_eq!(rig.balancer.excluded_endpoints(rig.now), 0);
     // From its last part on it is like any other.
     rig.tell(Event::RequestComplete { request: RequestId(900), time_left: Span::from_ms(1000.0) });
     let actions = rig.wait(Span::from_ms(900.0));
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -54,7 +54,7 @@
     }
 
     fn fault(&mut self, now: Time, text: String) {
-        self.faults.push(format!("{:.3} ms: {text}", now.ms()));
+        self.faults.push(format!("{:.3} ms: {text}", now.as_ms()));
     }
 
     pub fn event(&mut self, now: Time, event: &Event) {
@@ -62,7 +62,7 @@
             Event::Request(r) => {
                 let seen = Seen {
                     class: r.class.0,
-                    work: r.cost_hint.map_or(1.0, |h| h.ms() / 40.0),
+                    work: r.cost_hint.map_or(1.0, |h| h.as_ms() / 40.0),
                     deadline: now + r.time_left,
                     dialects: r.dialects,
                     tries: Vec::new(),
@@ -162,7 +162,7 @@
                 let work = seen.work;
                 let out = seen.tries.iter().any(|t| t.ended.is_none());
                 let mut wrong = Vec::new();
-                if !seen.dialects.has(line.dialect) {
+                if !seen.dialects.contains(line.dialect) {
                     wrong.push("sent to a server that it can't be said to");
                 }
                 if seen.over {
@@ -233,7 +233,7 @@
         }
         let warmth = |line: &Endpoint| {
             line.started_at.map_or(1.0, |s| {
-                let grown = (now.since(s).ms() / self.settings.warm_up_time.ms()).min(1.0);
+                let grown = (now.since(s).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
                 self.settings.initial_capacity_share + (1.0 - self.settings.initial_capacity_share) * grown
             })
         };
--- a/crates/decision/tests/dialects.rs
+++ b/crates/decision/tests/dialects.rs
@@ -64,9 +64,11 @@
 #[test]
 fn a_set_of_dialects_holds_what_was_put_in() {
     let set = Dialects::only(OLD).with(DialectId(31));
-    assert!(set.has(OLD) && set.has(DialectId(31)) && !set.has(DialectId(0)));
-    assert!(!set.with(DialectId(200)).has(DialectId(200)), "there are 32");
+    assert!(set.contains(OLD) && set.contains(DialectId(31)) && !set.contains(DialectId(0)));
+    assert!(!set.with(DialectId(200)).contains(DialectId(200)), "there are 32");
     assert!(
-        set.meets(Dialects::ALL) && !set.meets(Dialects::only(DialectId(0))) && !set.meets(Dialects::NONE)
+        set.intersects(Dialects::ALL)
+            && !set.intersects(Dialects::only(DialectId(0)))
+            && !set.intersects(Dialects::NONE)
     );
 }
--- a/crates/decision/tests/keeps_attempting.rs
+++ b/crates/decision/tests/keeps_attempting.rs
@@ -79,7 +79,7 @@
                         Comes::Of(outcome, ms) => (self.rig.now + Span::from_ms(ms), outcome),
                         Comes::Nothing => (*timeout_at, Outcome::TimedOut),
                     };
-                    let ms = ends.since(self.rig.now).ms();
+                    let ms = ends.since(self.rig.now).as_ms();
                     self.out.push((ends.min(*timeout_at), *request, *attempt, outcome, ms));
                     *attempt += 1;
                     (self.last_attempt, self.turned_away) = (self.rig.now, 0);
@@ -143,7 +143,7 @@
     }
 
     fn assert_attempts(&self, about: &str) {
-        assert!(self.worst <= LONGEST, "{about}: nothing but refusals for {} ms", self.worst.ms());
+        assert!(self.worst <= LONGEST, "{about}: nothing but refusals for {} ms", self.worst.as_ms());
         // The observer measures cold servers by what warm ones are sent, and can't where the only warm one is dead.
         let measured = |fault: &&String| !self.warm_are_dead || !fault.contains("cold, sent");
         let faults: Vec<_> = self.rig.observer.faults.iter().filter(measured).collect();
--- a/crates/decision/tests/many.rs
+++ b/crates/decision/tests/many.rs
@@ -84,7 +84,7 @@
 fn a_zone_that_is_back_is_taken_back_when_a_probe_finds_one_well() {
     let mut rig = served(settings(100, Effect::Idempotent), 3);
     lose_zone(&mut rig, 100);
-    assert!(rig.balancer.excluded(rig.now) >= 1, "it has met one of the lost");
+    assert!(rig.balancer.excluded_endpoints(rig.now) >= 1, "it has met one of the lost");
     let mut probes = 0;
     for _ in 0..400 {
         let (id, server) = rig.ask(0);
@@ -100,7 +100,7 @@
             }
         }
     }
-    assert_eq!(rig.balancer.excluded(rig.now), 0, "after {probes} probes");
+    assert_eq!(rig.balancer.excluded_endpoints(rig.now), 0, "after {probes} probes");
     assert!(probes <= 30, "{probes} probes for a part of 20 servers");
 }
 
@@ -116,7 +116,7 @@
             rig.answer(id, 0, Outcome::ConnectFailed, 100.0);
         }
     }
-    assert!(rig.balancer.excluded(rig.now) < 40, "{}", rig.balancer.excluded(rig.now));
+    assert!(rig.balancer.excluded_endpoints(rig.now) < 40, "{}", rig.balancer.excluded_endpoints(rig.now));
 }
 
 /// Little's law: with a fleet that stops to answer, the hundred would fill it with all that comes; each keeps to what
@@ -133,7 +133,7 @@
         for action in rig.wait(Span::from_ms(25.0)) {
             if let Action::Reject { request, .. } = action {
                 let came = asked.iter().find(|(id, _)| *id == request).map(|a| a.1).unwrap_or_default();
-                assert!(rig.now.since(came).ms() < 400.0, "held for too long");
+                assert!(rig.now.since(came).as_ms() < 400.0, "held for too long");
                 refused += 1;
             }
         }
--- a/crates/decision/tests/suspects.rs
+++ b/crates/decision/tests/suspects.rs
@@ -174,16 +174,24 @@
 fn the_excluded_are_those_that_get_nothing_new() {
     let mut rig = Rig::new(settings(Effect::Idempotent), 11);
     rig.list(fleet(5, 1, 1));
-    assert_eq!(rig.balancer.excluded(rig.now), 0);
+    assert_eq!(rig.balancer.excluded_endpoints(rig.now), 0);
     let sick = ServerId(2);
     let answer = |s| if s == sick { (Outcome::ServerError, 0.2) } else { (Outcome::Success, 30.0) };
-    while rig.balancer.excluded(rig.now) == 0 {
+    while rig.balancer.excluded_endpoints(rig.now) == 0 {
         serve(&mut rig, 5, 1, answer);
     }
-    assert_eq!(rig.balancer.excluded(rig.now + Span::from_ms(10_000.0)), 0, "its trial is due by then");
+    assert_eq!(
+        rig.balancer.excluded_endpoints(rig.now + Span::from_ms(10_000.0)),
+        0,
+        "its trial is due by then"
+    );
     let mut lines = fleet(5, 1, 1);
     lines[0].status = Status::Draining;
     lines[1].status = Status::Removed;
     rig.list(lines);
-    assert_eq!(rig.balancer.excluded(rig.now), 2, "one drains, one is suspect, and one is no longer listed");
+    assert_eq!(
+        rig.balancer.excluded_endpoints(rig.now),
+        2,
+        "one drains, one is suspect, and one is no longer listed"
+    );
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -333,7 +333,7 @@
         let ((warm_after, cold), now) = (self.0.warming.get(), self.0.clock.now());
         let cold = cold.min(1.0);
         let warmth = |started: Time| {
-            let part = now.since(started).ms() / warm_after.ms();
+            let part = now.since(started).as_ms() / warm_after.as_ms();
             if part < 1.0 {
                 cold + (1.0 - cold) * part
             } else {
@@ -394,7 +394,7 @@
     /// What it is now.
     pub fn levels(&self) -> Levels {
         let core = self.0.core.borrow();
-        let excluded = core.balancer.excluded(self.0.clock.now());
+        let excluded = core.balancer.excluded_endpoints(self.0.clock.now());
         Levels { known: core.servers.known(), excluded, open: core.open.len() }
     }
 
@@ -426,7 +426,7 @@
             return Err(Declined::NoList(COME_BACK));
         }
         // Whoever can speak to all may find one that comes back in time; the others would wait in vain.
-        if dialects != Dialects::ALL && !dialects.meets(self.0.dialects.get()) {
+        if dialects != Dialects::ALL && !dialects.intersects(self.0.dialects.get()) {
             return Err(Declined::NoDialect(COME_BACK));
         }
         let (reply, answer) = oneshot::channel();
@@ -732,7 +732,7 @@
             lines
         };
         for (line, name) in lines.iter().zip(names) {
-            let age_ms = line.started_at.map(|at| self.0.clock.now().since(at).ms() as u64);
+            let age_ms = line.started_at.map(|at| self.0.clock.now().since(at).as_ms() as u64);
             tracing::debug!(
                 target: "heronhoist::membership",
                 pool = self.0.name,
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -439,7 +439,7 @@
         };
         let side = if draw(0) < mixed.old_clients { Side::Old } else { Side::New };
         let serving = life.pool.dialects();
-        let serving = Sides { old: serving.has(OLD), new: serving.has(DialectId(0)) };
+        let serving = Sides { old: serving.contains(OLD), new: serving.contains(DialectId(0)) };
         let asked = speech.asked(ask.class, ask.call, side, draw(1) < mixed.own_keys, serving);
         let mut asked = asked.ok_or(())?;
         match mixed.planted {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -251,7 +251,7 @@
                 let backend = backend(server, &self.server_names);
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.out += 1;
-                Outgoing::Route { ticket, backend, until_ms: timeout_at.ms() }
+                Outgoing::Route { ticket, backend, until_ms: timeout_at.as_ms() }
             }
             Action::Cancel { request, attempt } => {
                 let Some((ticket, _)) = self.ticket(request) else { return gone() };
@@ -260,14 +260,14 @@
             Action::Reject { request, retry_after } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.ended = true;
-                Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::ms) }
+                Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::as_ms) }
             }
             Action::Fail { request } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.ended = true;
                 Outgoing::Abort { ticket }
             }
-            Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.ms(), key_back: timer.0 },
+            Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.as_ms(), key_back: timer.0 },
             Action::HealthCheck { server } => {
                 Outgoing::HealthCheck { backend: backend(server, &self.server_names) }
             }
