--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -27,59 +27,64 @@
     let settings = read(&object()).settings();
     assert_eq!(settings.balancers, 17);
     assert_eq!(settings.zone, ZoneId(2));
-    assert_eq!(settings.over_share_worth, 0.31);
-    assert!(settings.worth_by_work && settings.warm_keys);
-    assert!(settings.cancel && settings.peers && settings.probes);
-    assert!(settings.retry_after && settings.second_copies);
+    assert_eq!(settings.over_quota_weight, 0.31);
+    assert!(settings.weight_by_work && settings.key_affinity);
+    assert!(settings.cancel && settings.gossip && settings.health_checks);
+    assert!(settings.retry_after && settings.hedging);
     assert_eq!(settings.max_attempts, 7);
     assert_eq!(settings.max_retry_after, Span::from_ms(2004.0));
-    assert_eq!(settings.ask_within, Span::from_ms(3001.0));
-    assert_eq!(settings.cold_share, 0.71);
-    assert_eq!(settings.warm_after, Span::from_ms(3002.0));
+    assert_eq!(settings.poll_within, Span::from_ms(3001.0));
+    assert_eq!(settings.initial_capacity_share, 0.71);
+    assert_eq!(settings.warm_up_time, Span::from_ms(3002.0));
     assert_eq!(settings.drain_grace, Span::from_ms(3003.0));
     assert_eq!(settings.overload_factor, 7.25);
-    assert_eq!(settings.fall_after, Span::from_ms(3004.0));
-    assert_eq!(settings.period, Span::from_ms(61.0));
+    assert_eq!(settings.overload_tolerance, Span::from_ms(3004.0));
+    assert_eq!(settings.event_interval, Span::from_ms(61.0));
 }
 
 #[test]
-fn goal_prices_and_tenants_are_read_by_their_keys() {
+fn score_weights_costs_and_tenants_are_read_by_their_keys() {
     let settings = read(&object()).settings();
-    let goal = &settings.goal;
+    let score_weights = &settings.score_weights;
     assert_eq!(
-        [goal.whole, goal.worst_class, goal.worst_tenant, goal.worst_window],
+        [
+            score_weights.overall,
+            score_weights.worst_class,
+            score_weights.worst_tenant,
+            score_weights.worst_window
+        ],
         [0.11, 0.12, 0.13, 0.14]
     );
-    let prices = &settings.prices;
-    assert_eq!([prices.connection, prices.cross_zone, prices.handshake], [0.51, 0.52, 0.53]);
-    assert_eq!([prices.late_fail, prices.probe, prices.waste], [0.54, 0.55, 0.56]);
-    let tenants: Vec<_> = settings.tenants.iter().map(|t| (t.allowance_per_s, t.fraction)).collect();
+    let costs = &settings.costs;
+    assert_eq!([costs.connection, costs.cross_zone, costs.handshake], [0.51, 0.52, 0.53]);
+    assert_eq!([costs.late_failure, costs.health_check, costs.wasted_work], [0.54, 0.55, 0.56]);
+    let tenants: Vec<_> = settings.tenants.iter().map(|t| (t.quota_per_second, t.quota_fraction)).collect();
     assert_eq!(tenants, [(41.0, 0.42), (43.0, 0.44)]);
 }
 
 #[test]
 fn classes_are_read_by_their_keys_and_words() {
     let classes = read(&object()).settings().classes;
-    let deduplicated = |group, ms| Effect::Deduplicated { group, window: Span::from_ms(ms) };
+    let deduplicated = |scope, ms| Effect::Deduplicated { scope, window: Span::from_ms(ms) };
     let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
     assert_eq!(
         effects,
         [
             Effect::Idempotent,
             Effect::AtMostOnce,
-            deduplicated(Group::All, 901.0),
-            deduplicated(Group::Zone, 902.0),
-            deduplicated(Group::Cell, 903.0),
+            deduplicated(DeduplicationScope::All, 901.0),
+            deduplicated(DeduplicationScope::Zone, 902.0),
+            deduplicated(DeduplicationScope::Cell, 903.0),
         ]
     );
     for (class, ms) in classes.iter().zip(1..) {
-        assert_eq!(class.aim, Span::from_ms(200.0 + f64::from(ms)));
+        assert_eq!(class.latency_objective, Span::from_ms(200.0 + f64::from(ms)));
         assert_eq!(class.deadline, Span::from_ms(400.0 + f64::from(ms)));
     }
     let read = &classes[0];
-    assert_eq!([read.aim_stretch, read.late_worth, read.worth], [1.5, 0.25, 2.5]);
+    assert_eq!([read.objective_work_factor, read.late_weight_share, read.priority_weight], [1.5, 0.25, 2.5]);
     assert!(read.stream && !classes[1].stream);
-    assert_eq!(classes[1].worth, 3.5);
+    assert_eq!(classes[1].priority_weight, 3.5);
 }
 
 #[test]
@@ -111,19 +116,21 @@
     for (word, meaning) in [("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)] {
         assert_eq!(settings_with("/discovery", word).discovery, meaning, "{word}");
     }
-    for (word, meaning) in
-        [("piggyback", ReportSource::Answers), ("pull", ReportSource::Probes), ("silent", ReportSource::None)]
-    {
+    for (word, meaning) in [
+        ("piggyback", ReportSource::Responses),
+        ("pull", ReportSource::HealthChecks),
+        ("silent", ReportSource::None),
+    ] {
         assert_eq!(settings_with("/feedback/source", word).report_source, meaning, "{word}");
     }
     for (word, meaning) in [
-        ("silent", Weights::None),
-        ("nominal", Weights::Size),
-        ("rough", Weights::Size),
-        ("live", Weights::Live),
+        ("silent", WeightMeaning::None),
+        ("nominal", WeightMeaning::Size),
+        ("rough", WeightMeaning::Size),
+        ("live", WeightMeaning::CapacityPerLoad),
     ] {
-        assert_eq!(settings_with("/weights", word).weights, meaning, "{word}");
+        assert_eq!(settings_with("/weights", word).weight_meaning, meaning, "{word}");
     }
-    assert!(settings_with("/worthBy", "work").worth_by_work);
-    assert!(!settings_with("/worthBy", "request").worth_by_work);
+    assert!(settings_with("/worthBy", "work").weight_by_work);
+    assert!(!settings_with("/worthBy", "request").weight_by_work);
 }
