--- /dev/null
+++ b/crates/council/tests/golden.rs
@@ -0,0 +1,774 @@
+//! Every form that the coordination side sends, stores or keeps in a snapshot, byte by byte: the files below `golden/` are
+//! what the first version of the protocol writes. A file is never changed to make a test pass: processes of both versions
+//! run side by side, and disks outlive them.
+//!
+//! Each `.jsonl` file has one value a line, in the order of the test. A `.bytes` file has one named value a line, with
+//! bytes that are not printable ASCII as in a Rust byte string.
+
+use heronhoist_council::formation::{beginning, from_copy, Formation, Identity};
+use heronhoist_council::lease::Terms;
+use heronhoist_council::log::{Disk, DiskFault, Image, Save};
+use heronhoist_council::node::{Answer, Ask, Node, Settings, Standpoint};
+use heronhoist_council::permit::{self, Budget, Permit};
+use heronhoist_council::state::{
+    Call, Change, Changed, Check, Command, Compacted, Member, Of, Peer, Record, Reply, Standing, State, Txn,
+    Write, KINDS,
+};
+use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
+use heronhoist_council::{Bounds, Excess};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+use std::path::PathBuf;
+
+/// Fails to compile where a variant is not listed, and fails where a listed one has no value.
+macro_rules! has_every_variant {
+    ($values:expr, $type:ty, $($variant:pat),+ $(,)?) => {{
+        let _ = |value: &$type| match value { $($variant => {})+ };
+        $(assert!(
+            $values.iter().any(|value| matches!(value, $variant)),
+            "no value of {}", stringify!($variant),
+        );)+
+    }};
+}
+
+fn golden_path(file: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
+}
+
+fn golden_text(file: &str) -> String {
+    std::fs::read_to_string(golden_path(file)).unwrap_or_else(|why| panic!("{file}: {why}"))
+}
+
+/// The values are written as the file has them, and the file is read as the values.
+#[track_caller]
+fn assert_golden<T>(file: &str, values: &[T])
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let golden = golden_text(file);
+    let written: String =
+        values.iter().map(|value| serde_json::to_string(value).expect("serializable") + "\n").collect();
+    assert_eq!(written, golden, "{file} is not what is written");
+    let read: Vec<T> = golden
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap_or_else(|why| panic!("{file}: {line}: {why}")))
+        .collect();
+    assert_eq!(read, values, "{file} is read otherwise");
+}
+
+/// Named bytes are those of the file.
+#[track_caller]
+fn assert_golden_bytes(file: &str, values: &[(String, Vec<u8>)]) {
+    let written: String =
+        values.iter().map(|(name, bytes)| format!("{name}: {}\n", bytes.escape_ascii())).collect();
+    assert_eq!(written, golden_text(file), "{file} is not what is written");
+}
+
+/// The named bytes of a file.
+fn golden_bytes(file: &str) -> Vec<(String, Vec<u8>)> {
+    let text = golden_text(file);
+    let line = |line: &str| {
+        let (name, escaped) = line.split_once(": ").expect("a name and bytes");
+        (name.to_string(), unescape(escaped))
+    };
+    text.lines().map(line).collect()
+}
+
+fn unescape(text: &str) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    let mut rest = text.bytes();
+    while let Some(byte) = rest.next() {
+        if byte != b'\\' {
+            bytes.push(byte);
+            continue;
+        }
+        bytes.push(match rest.next().expect("an escape") {
+            b'x' => {
+                let digits = [rest.next(), rest.next()].map(|digit| digit.expect("a digit"));
+                let digits = std::str::from_utf8(&digits).expect("ASCII");
+                u8::from_str_radix(digits, 16).expect("hexadecimal")
+            }
+            b'n' => b'\n',
+            b'r' => b'\r',
+            b't' => b'\t',
+            escaped => escaped,
+        });
+    }
+    bytes
+}
+
+fn peer(name: &str) -> Peer {
+    Peer { name: name.into(), address: format!("{name}.example:7400") }
+}
+
+fn peers() -> BTreeMap<u64, Peer> {
+    BTreeMap::from([(11, peer("c1")), (12, peer("c2"))])
+}
+
+fn member(standing: Standing) -> Member {
+    Member {
+        incarnation: 3,
+        nonce: 77,
+        site: "east".into(),
+        version: "1.2".into(),
+        address: "n1.example:9100".into(),
+        ready: true,
+        report: 4,
+        standing,
+        revision: 5,
+    }
+}
+
+fn record() -> Record {
+    Record { value: "{\"most\":1}".into(), revision: 9 }
+}
+
+fn terms() -> Terms {
+    Terms { term: 9_000_000, drift: 0.01 }
+}
+
+fn excess() -> Excess {
+    Excess { bound: "members".into(), most: 4096 }
+}
+
+fn checks() -> Vec<Check> {
+    vec![
+        Check::Absent("note/a".into()),
+        Check::At("note/b".into(), 7),
+        Check::Living("n1".into(), 3),
+        Check::Ended("n2".into(), 2),
+        Check::Unchanged(Of::Agents, 8),
+        Check::Unchanged(Of::Kind("drain".into()), 8),
+    ]
+}
+
+fn writes() -> Vec<Write> {
+    vec![Write::Put("note/a".into(), "\"value\"".into()), Write::Delete("note/b".into())]
+}
+
+fn joining(after: u64) -> Command {
+    Command::Join {
+        name: "n1".into(),
+        nonce: 77,
+        after,
+        site: "east".into(),
+        version: "1.2".into(),
+        address: "n1.example:9100".into(),
+    }
+}
+
+fn commands() -> Vec<Command> {
+    vec![
+        Command::Open,
+        joining(2),
+        Command::Report { name: "n1".into(), incarnation: 3, number: 4, ready: true },
+        Command::Leave { name: "n1".into(), incarnation: 3 },
+        Command::Expire(vec![("n1".into(), 3), ("n2".into(), 2)]),
+        Command::Forget { name: "n1".into() },
+        Command::Write(Txn { checks: checks(), writes: writes() }),
+    ]
+}
+
+fn replies() -> Vec<Reply> {
+    vec![
+        Reply::Opened(6),
+        Reply::Joined { incarnation: 3 },
+        Reply::Wait { incarnation: 3 },
+        Reply::Present { incarnation: 0 },
+        Reply::Done(9),
+        Reply::Conflict { check: 1 },
+        Reply::NotLiving,
+        Reply::NoSession,
+        Reply::Outdated,
+        Reply::Over(excess()),
+        Reply::Refused("why".into()),
+    ]
+}
+
+fn changes() -> Vec<Change> {
+    vec![
+        Change { revision: 9, what: Changed::Record("note/a".into(), Some("1".into())) },
+        Change { revision: 10, what: Changed::Record("note/a".into(), None) },
+        Change { revision: 11, what: Changed::Member("n1".into(), Some(member(Standing::Living))) },
+        Change { revision: 12, what: Changed::Member("n1".into(), None) },
+    ]
+}
+
+fn identities() -> Vec<Identity> {
+    let formation = Formation { history: 5, peers: peers() };
+    vec![
+        Identity { number: 11, name: "c1".into(), formation: None },
+        Identity { number: 11, name: "c1".into(), formation: Some(formation) },
+    ]
+}
+
+fn views() -> Vec<View> {
+    let empty = View {
+        history: 5,
+        revision: 0,
+        age: None,
+        peers: BTreeMap::new(),
+        members: BTreeMap::new(),
+        records: BTreeMap::new(),
+    };
+    let full = View {
+        history: 5,
+        revision: 12,
+        age: Some(250_000),
+        peers: peers(),
+        members: BTreeMap::from([("n1".into(), member(Standing::Living))]),
+        records: BTreeMap::from([("note/a".into(), record())]),
+    };
+    vec![empty, full]
+}
+
+fn standpoints() -> Vec<Standpoint> {
+    let leader = Standpoint {
+        number: 11,
+        term: 2,
+        leader: 11,
+        last: 40,
+        committed: 39,
+        entries: 20,
+        snapshot_bytes: 512,
+        voters: vec![11, 12],
+        age: Some(100),
+    };
+    vec![leader.clone(), Standpoint { leader: 0, age: None, ..leader }]
+}
+
+fn refusals() -> Vec<Refusal> {
+    vec![
+        Refusal::OtherFleet { own: "gulf".into(), theirs: "lake".into() },
+        Refusal::OtherProtocol { own: 1, theirs: 2 },
+        Refusal::OlderIncarnation { name: "n1".into(), newer: 8 },
+        Refusal::NotLeader { leader: None },
+        Refusal::NotLeader { leader: Some(peer("c2")) },
+        Refusal::Unknown,
+        Refusal::Over(excess()),
+        Refusal::Compacted { history: 5, oldest: 9 },
+        Refusal::NotFormed("it waits for c2".into()),
+        Refusal::Impossible("why".into()),
+    ]
+}
+
+#[test]
+fn envelope() {
+    let envelope =
+        Envelope { fleet: "gulf".into(), protocol: PROTOCOL, from: "n1".into(), incarnation: 3, term: 2 };
+    assert_golden("envelope.jsonl", &[envelope]);
+}
+
+#[test]
+fn request() {
+    let mut requests = vec![
+        Request::Hello,
+        Request::Command(Call { session: Some((6, 1)), command: Command::Open }),
+        Request::Renew,
+        Request::Read { stale: true, prefix: "drain/".into(), members: false },
+        Request::Watch { history: 5, after: 12, prefix: "drain/".into() },
+        Request::Status,
+        Request::Replace { add: Some((13, peer("c3"))), remove: Some(12) },
+        Request::Replace { add: None, remove: None },
+        Request::Copy,
+    ];
+    has_every_variant!(
+        requests,
+        Request,
+        Request::Hello,
+        Request::Command(_),
+        Request::Renew,
+        Request::Read { .. },
+        Request::Watch { .. },
+        Request::Status,
+        Request::Replace { .. },
+        Request::Copy,
+    );
+    let command = |command| Request::Command(Call { session: None, command });
+    requests.extend(commands().into_iter().map(command));
+    assert_golden("request.jsonl", &requests);
+}
+
+#[test]
+fn response() {
+    let [empty, full] = <[View; 2]>::try_from(views()).expect("two");
+    let [leader, without_leader] = <[Standpoint; 2]>::try_from(standpoints()).expect("two");
+    let silent = BTreeMap::from([("n1".into(), 250_000)]);
+    let mut responses: Vec<Response> = identities().into_iter().map(Response::Hello).collect();
+    responses.extend(replies().into_iter().map(|reply| Response::Reply(reply, terms())));
+    responses.extend([
+        Response::Renewed(terms()),
+        Response::Ended,
+        Response::Displaced,
+        Response::Read(empty),
+        Response::Read(full),
+        Response::Changes { changes: changes(), upto: 12 },
+        Response::Changes { changes: Vec::new(), upto: 0 },
+        Response::Status(leader, silent),
+        Response::Status(without_leader, BTreeMap::new()),
+        Response::Replaced,
+        Response::Copy("{\"history\":5}".into()),
+    ]);
+    responses.extend(refusals().into_iter().map(Response::Refused));
+    has_every_variant!(
+        responses,
+        Response,
+        Response::Hello(_),
+        Response::Reply(..),
+        Response::Renewed(_),
+        Response::Ended,
+        Response::Displaced,
+        Response::Read(_),
+        Response::Changes { .. },
+        Response::Status(..),
+        Response::Replaced,
+        Response::Copy(_),
+        Response::Refused(_),
+    );
+    assert_golden("response.jsonl", &responses);
+}
+
+#[test]
+fn view_and_standpoint() {
+    assert_golden("view.jsonl", &views());
+    assert_golden("standpoint.jsonl", &standpoints());
+}
+
+#[test]
+fn refusal_and_excess() {
+    let refusals = refusals();
+    has_every_variant!(
+        refusals,
+        Refusal,
+        Refusal::OtherFleet { .. },
+        Refusal::OtherProtocol { .. },
+        Refusal::OlderIncarnation { .. },
+        Refusal::NotLeader { .. },
+        Refusal::Unknown,
+        Refusal::Over(_),
+        Refusal::Compacted { .. },
+        Refusal::NotFormed(_),
+        Refusal::Impossible(_),
+    );
+    assert_golden("refusal.jsonl", &refusals);
+    assert_golden("excess.jsonl", &[excess()]);
+    assert_golden("compacted.jsonl", &[Compacted { oldest: 9 }]);
+}
+
+#[test]
+fn command_and_call() {
+    let commands = commands();
+    has_every_variant!(
+        commands,
+        Command,
+        Command::Open,
+        Command::Join { .. },
+        Command::Report { .. },
+        Command::Leave { .. },
+        Command::Expire(_),
+        Command::Forget { .. },
+        Command::Write(_),
+    );
+    assert_golden("command.jsonl", &commands);
+    let calls = [
+        Call { session: None, command: Command::Open },
+        Call { session: Some((6, 1)), command: Command::Forget { name: "n1".into() } },
+    ];
+    assert_golden("call.jsonl", &calls);
+}
+
+#[test]
+fn transaction() {
+    let (checks, writes) = (checks(), writes());
+    has_every_variant!(
+        checks,
+        Check,
+        Check::Absent(_),
+        Check::At(..),
+        Check::Living(..),
+        Check::Ended(..),
+        Check::Unchanged(Of::Agents, _),
+        Check::Unchanged(Of::Kind(_), _),
+    );
+    has_every_variant!(writes, Write, Write::Put(..), Write::Delete(_));
+    assert_golden("check.jsonl", &checks);
+    assert_golden("of.jsonl", &[Of::Agents, Of::Kind("drain".into())]);
+    assert_golden("write.jsonl", &writes);
+    assert_golden("txn.jsonl", &[Txn::default(), Txn { checks, writes }]);
+}
+
+#[test]
+fn reply() {
+    let replies = replies();
+    has_every_variant!(
+        replies,
+        Reply,
+        Reply::Opened(_),
+        Reply::Joined { .. },
+        Reply::Wait { .. },
+        Reply::Present { .. },
+        Reply::Done(_),
+        Reply::Conflict { .. },
+        Reply::NotLiving,
+        Reply::NoSession,
+        Reply::Outdated,
+        Reply::Over(_),
+        Reply::Refused(_),
+    );
+    assert_golden("reply.jsonl", &replies);
+}
+
+#[test]
+fn change() {
+    let changes = changes();
+    has_every_variant!(
+        changes,
+        Change,
+        Change { what: Changed::Record(..), .. },
+        Change { what: Changed::Member(..), .. },
+    );
+    assert_golden("change.jsonl", &changes);
+    let changed: Vec<Changed> = changes.into_iter().map(|change| change.what).collect();
+    assert_golden("changed.jsonl", &changed);
+}
+
+#[test]
+fn member_peer_and_record() {
+    let standings = [Standing::Living, Standing::Superseded, Standing::Left, Standing::Expired];
+    has_every_variant!(
+        standings,
+        Standing,
+        Standing::Living,
+        Standing::Superseded,
+        Standing::Left,
+        Standing::Expired,
+    );
+    assert_golden("standing.jsonl", &standings);
+    assert_golden("member.jsonl", &standings.map(member));
+    assert_golden("peer.jsonl", &[peer("c1")]);
+    assert_golden("record.jsonl", &[record()]);
+}
+
+#[test]
+fn identity_and_formation() {
+    assert_golden("identity.jsonl", &identities());
+    assert_golden("formation.jsonl", &[Formation { history: 5, peers: peers() }]);
+}
+
+#[test]
+fn lease_terms() {
+    assert_golden("terms.jsonl", &[terms()]);
+}
+
+fn permits() -> BTreeMap<String, Permit> {
+    let permit = Permit { taker: ("tool:r1".into(), 4), why: "roll".into(), started: None, finished: false };
+    let finished = Permit { started: Some(12), finished: true, ..permit.clone() };
+    BTreeMap::from([(permit::agent("n1"), permit), (permit::agent("n2"), finished)])
+}
+
+/// The numbers and names that are written beside the types.
+#[test]
+fn protocol_number_kinds_and_keys() {
+    assert_eq!(PROTOCOL, 1);
+    assert_eq!(KINDS, ["budget", "drain", "note", "permit", "release", "site", "work"]);
+    assert_eq!(permit::agents_of("east"), "budget/agents:east");
+    assert_eq!(permit::agent("n1"), "agent:n1");
+}
+
+#[test]
+fn budget_and_permit() {
+    let budget = Budget { most: 2, out: permits() };
+    assert_golden("budget.jsonl", &[Budget { most: 0, out: BTreeMap::new() }, budget.clone()]);
+    assert_golden("permit.jsonl", &budget.out.into_values().collect::<Vec<_>>());
+    // Fields that an earlier version did not write.
+    let short: Budget = serde_json::from_str("{\"most\":2}").expect("read");
+    assert_eq!(short, Budget { most: 2, out: BTreeMap::new() });
+    let short: Permit = serde_json::from_str("{\"taker\":[\"t\",4],\"why\":\"w\"}").expect("read");
+    assert_eq!(short, Permit { taker: ("t".into(), 4), why: "w".into(), started: None, finished: false });
+    // Fields that nobody knows.
+    serde_json::from_str::<Budget>("{\"most\":2,\"x\":1}").expect_err("refused");
+    serde_json::from_str::<Permit>("{\"taker\":[\"t\",4],\"why\":\"w\",\"x\":1}").expect_err("refused");
+}
+
+fn call(session: Option<(u64, u64)>, command: Command) -> Call {
+    Call { session, command }
+}
+
+/// What each step of a permit writes, as the commands that ask for it.
+#[test]
+fn transactions_of_permits() {
+    let key = permit::agents_of("east");
+    let mut state = agreed_state();
+    let mut txns = Vec::new();
+    let view = |state: &State| View {
+        history: state.history,
+        revision: state.revision,
+        age: Some(0),
+        peers: state.peers.clone(),
+        members: state.members.clone(),
+        records: state.records.clone(),
+    };
+    let taker = ("tool:r1", state.members["tool:r1"].incarnation);
+    let n1 = state.members["n1"].incarnation;
+    type Step<'s> = Box<dyn Fn(&View) -> Result<Txn, permit::Denied> + 's>;
+    let steps: [Step<'_>; 7] = [
+        Box::new(|view| permit::state_number(view, &key, 1)),
+        Box::new(|view| permit::state_number(view, &key, 2)),
+        Box::new(|view| permit::take(view, &key, "n1", taker, "roll")),
+        Box::new(|view| permit::start(view, &key, "n1", taker)),
+        Box::new(|view| permit::finish(view, &key, "n1", taker)),
+        Box::new(|view| permit::give_back(view, &key, "n1", n1)),
+        Box::new(|view| permit::take(view, &key, "n1", taker, "roll again")),
+    ];
+    for step in steps {
+        let txn = step(&view(&state)).expect("allowed");
+        let reply = state.apply(&call(None, Command::Write(txn.clone())), &Bounds::default());
+        assert!(matches!(reply, Reply::Done(_)), "{reply:?}");
+        txns.push(txn);
+    }
+    txns.push(permit::free(&view(&state), &key, "n1").expect("allowed"));
+    state.apply(
+        &call(None, Command::Leave { name: taker.0.into(), incarnation: taker.1 }),
+        &Bounds::default(),
+    );
+    txns.push(permit::give_back(&view(&state), &key, "n1", n1).expect("the taker has gone"));
+    assert_golden("permit_txn.jsonl", &txns);
+}
+
+/// The names of bounds in replies, each provoked.
+#[test]
+fn names_of_bounds() {
+    let bounds = Bounds { members: 0, records: 1, state_bytes: 40, record_bytes: 20, ..Bounds::default() };
+    let put = |key: &str, length: usize| Write::Put(key.into(), "x".repeat(length));
+    let write = |writes| Command::Write(Txn { checks: Vec::new(), writes });
+    let state = State::new(5, peers());
+    let reply = |command| state.clone().apply(&call(None, command), &bounds);
+    let mut replies = vec![
+        reply(joining(0)),
+        reply(write(vec![put("note/a", 1); 65])),
+        reply(write(vec![put("note/a", 21)])),
+        reply(write(vec![put("note/a", 1), put("note/b", 1)])),
+    ];
+    let few_bytes = Bounds { state_bytes: 10, ..Bounds::default() };
+    replies.push(state.clone().apply(&call(None, write(vec![put("note/a", 20)])), &few_bytes));
+    assert_golden("bounds.jsonl", &replies);
+    let formation = Formation { history: 5, peers: peers() };
+    let bounds = Bounds { in_flight: 0, ..Bounds::default() };
+    let settings = Settings { bounds, ..Settings::default() };
+    let mut node = Node::new(11, &beginning(&formation), settings, 1, 0).expect("a node");
+    node.ask(0, Ask::Read);
+    let answers = node.work(&mut Recorder::default(), 0).expect("worked").answers;
+    let over = Answer::Over(Excess { bound: "in_flight".into(), most: 0 });
+    assert_eq!(answers.into_iter().map(|(_, answer)| answer).collect::<Vec<_>>(), [over]);
+}
+
+/// A state with something in each of its fields.
+fn agreed_state() -> State {
+    let mut state = State::new(5, peers());
+    // Of this many changes only the last are kept.
+    let bounds = Bounds { changes: 64, ..Bounds::default() };
+    let mut apply = |session, command| state.apply(&call(session, command), &bounds);
+    let join = |name: &str, nonce, after| Command::Join {
+        name: name.into(),
+        nonce,
+        after,
+        site: "east".into(),
+        version: "1.2".into(),
+        address: format!("{name}.example:9100"),
+    };
+    let put = |key: &str, value: &str| {
+        let writes = vec![Write::Put(key.into(), value.into())];
+        Command::Write(Txn { checks: Vec::new(), writes })
+    };
+    assert_eq!(apply(None, join("n1", 71, 0)), Reply::Joined { incarnation: 1 });
+    assert_eq!(apply(None, join("n2", 72, 0)), Reply::Joined { incarnation: 2 });
+    assert_eq!(apply(None, join("n3", 73, 0)), Reply::Joined { incarnation: 3 });
+    assert_eq!(apply(None, join("tool:r1", 74, 0)), Reply::Joined { incarnation: 4 });
+    let report = Command::Report { name: "n1".into(), incarnation: 1, number: 1, ready: true };
+    assert_eq!(apply(Some((1, 1)), report), Reply::Done(5));
+    assert_eq!(apply(None, join("n2", 75, 2)), Reply::Wait { incarnation: 2 });
+    assert_eq!(apply(None, Command::Leave { name: "n3".into(), incarnation: 3 }), Reply::Done(7));
+    assert_eq!(apply(None, join("n4", 76, 0)), Reply::Joined { incarnation: 8 });
+    assert_eq!(apply(None, Command::Expire(vec![("n4".into(), 8)])), Reply::Done(9));
+    for n in 0..70 {
+        apply(None, put("note/many", &n.to_string()));
+    }
+    assert_eq!(apply(None, Command::Open), Reply::Opened(80));
+    let conflict = Txn { checks: vec![Check::Absent("note/many".into())], writes: Vec::new() };
+    assert_eq!(apply(Some((80, 1)), Command::Write(conflict)), Reply::Conflict { check: 0 });
+    apply(None, put("drain/s1", "{\"number\":4,\"by\":\"anna\",\"why\":\"disk\"}"));
+    state
+}
+
+/// A whole state, as it stands in a snapshot and in a copy.
+#[test]
+fn whole_state() {
+    let state = agreed_state();
+    let restored = state.clone().restored(6, BTreeMap::from([(13, peer("c3"))]));
+    assert_golden("state.jsonl", &[State::new(5, peers()), state, restored]);
+}
+
+/// The same as it is read: the next commands find the sessions, members, records and changes of the file.
+#[test]
+fn a_state_that_was_read_goes_on() {
+    let golden = golden_text("state.jsonl");
+    let mut state: State = serde_json::from_str(golden.lines().nth(1).expect("a state")).expect("read");
+    let bounds = Bounds::default();
+    let again = Command::Report { name: "n1".into(), incarnation: 1, number: 9, ready: false };
+    assert_eq!(state.apply(&call(Some((1, 1)), again.clone()), &bounds), Reply::Done(5), "a repeat");
+    assert_eq!(state.apply(&call(Some((80, 1)), again.clone()), &bounds), Reply::Conflict { check: 0 });
+    assert_eq!(state.apply(&call(Some((2, 1)), again), &bounds), Reply::Done(82));
+    assert_eq!(state.changes_after(15, 4), Err(Compacted { oldest: 16 }));
+    assert!(state.changes_after(16, 4).is_ok());
+}
+
+fn named_image(name: &str, image: &Image) -> Vec<(String, Vec<u8>)> {
+    let cut = format!("{},{}", image.cut.0, image.cut.1).into_bytes();
+    let mut named = vec![(format!("{name} cut"), cut)];
+    named.extend(image.hard.iter().map(|hard| (format!("{name} hard"), hard.clone())));
+    named.extend(image.snapshot.iter().map(|snapshot| (format!("{name} snapshot"), snapshot.clone())));
+    named.extend(image.entries.iter().map(|(index, entry)| (format!("{name} entry {index}"), entry.clone())));
+    named
+}
+
+fn image_of(named: &[(String, Vec<u8>)], name: &str) -> Image {
+    let mut image = Image::default();
+    for (part, bytes) in named {
+        let Some(part) = part.strip_prefix(name).and_then(|part| part.strip_prefix(' ')) else { continue };
+        match part.split_once(' ') {
+            Some((_, index)) => {
+                image.entries.insert(index.parse().expect("an index"), bytes.clone());
+            }
+            None if part == "hard" => image.hard = Some(bytes.clone()),
+            None if part == "snapshot" => image.snapshot = Some(bytes.clone()),
+            None => {
+                let cut = std::str::from_utf8(bytes).ok().and_then(|cut| cut.split_once(','));
+                let (index, term) = cut.expect("an index and a term");
+                image.cut = (index.parse().expect("an index"), term.parse().expect("a term"));
+            }
+        }
+    }
+    image
+}
+
+/// What a disk has at first.
+#[test]
+fn first_images() {
+    let formed = beginning(&Formation { history: 5, peers: peers() });
+    let restored = from_copy(agreed_state(), 6, 13, peer("c3"));
+    let named = [named_image("formed", &formed), named_image("restored", &restored)].concat();
+    assert_golden_bytes("first_images.bytes", &named);
+    let read = golden_bytes("first_images.bytes");
+    assert_eq!(image_of(&read, "formed"), formed);
+    assert_eq!(image_of(&read, "restored"), restored);
+}
+
+/// Keeps each step, and all of them.
+#[derive(Default)]
+struct Recorder {
+    image: Image,
+}
+
+impl Disk for Recorder {
+    fn save(&mut self, save: &Save) -> Result<(), DiskFault> {
+        self.image.take(save);
+        Ok(())
+    }
+}
+
+/// A council of one that has carried out some commands and taken a second process in, which does not answer.
+fn council_of_one() -> (Image, State) {
+    let formation = Formation { history: 5, peers: BTreeMap::from([(11, peer("c1"))]) };
+    let mut disk = Recorder { image: beginning(&formation) };
+    let mut node = Node::new(11, &disk.image, Settings::default(), 0x0102_0304, 0).expect("a node");
+    let mut now = 0;
+    while !node.leads() {
+        now += 50_000;
+        node.tick(now);
+        node.work(&mut disk, now).expect("worked");
+    }
+    let mut answers = Vec::new();
+    for command in [
+        Command::Open,
+        joining(0),
+        Command::Write(Txn { checks: vec![Check::Absent("note/a".into())], writes: writes() }),
+    ] {
+        node.ask(now, Ask::Command(call(None, command)));
+        answers.extend(node.work(&mut disk, now).expect("worked").answers);
+    }
+    node.ask(now, Ask::Replace { add: Some((12, peer("c2"))), remove: None });
+    answers.extend(node.work(&mut disk, now).expect("worked").answers);
+    let answers: Vec<Answer> = answers.into_iter().map(|(_, answer)| answer).collect();
+    let done = [Reply::Opened(1), Reply::Joined { incarnation: 2 }, Reply::Done(3)].map(Answer::Reply);
+    assert_eq!(answers, [&done[..], &[Answer::Replaced]].concat());
+    (disk.image, node.state().clone())
+}
+
+/// What a node writes to its log: calls and changes of the council as entries, with the bytes of their contexts.
+#[test]
+fn log_of_a_node() {
+    let (image, state) = council_of_one();
+    assert_golden_bytes("log.bytes", &named_image("c1", &image));
+    assert_golden("log_state.jsonl", &[state]);
+}
+
+/// A node that begins with the log of the file comes to the state of the file.
+#[test]
+fn a_log_that_was_written_is_read() {
+    let image = image_of(&golden_bytes("log.bytes"), "c1");
+    let mut disk = Recorder { image: image.clone() };
+    let mut node = Node::new(11, &image, Settings::default(), 9, 0).expect("a node");
+    for now in (0..3_000_000).step_by(50_000) {
+        node.tick(now);
+        node.work(&mut disk, now).expect("worked");
+    }
+    let expected: State = serde_json::from_str(golden_text("log_state.jsonl").trim()).expect("read");
+    assert_eq!(*node.state(), expected);
+    let voters: BTreeSet<u64> = node.standpoint().voters.into_iter().collect();
+    assert_eq!(voters, BTreeSet::from([11, 12]));
+}
+
+/// What the processes of a council of two say to each other until a command of the first has been answered.
+#[test]
+fn messages_between_nodes() {
+    let formation = Formation { history: 5, peers: peers() };
+    let mut said = Vec::new();
+    let mut processes: Vec<(Node, Recorder)> = Vec::new();
+    for number in [11, 12] {
+        let disk = Recorder { image: beginning(&formation) };
+        let node = Node::new(number, &disk.image, Settings::default(), number, 0).expect("a node");
+        processes.push((node, disk));
+    }
+    let (mut now, mut asked, mut answered) = (0, false, false);
+    while !answered {
+        now += 50_000;
+        assert!(now < 10_000_000, "no answer: {said:?}");
+        // The second one's clock stands still: only the first one stands for election.
+        processes[0].0.tick(now);
+        if processes[0].0.leads() && !asked {
+            asked = true;
+            processes[0].0.ask(now, Ask::Command(call(None, commands()[0].clone())));
+            processes[0].0.ask(now, Ask::Read);
+        }
+        loop {
+            let mut messages = Vec::new();
+            for (node, disk) in &mut processes {
+                let output = node.work(disk, now).expect("worked");
+                answered |= output.answers.iter().any(|(_, answer)| matches!(answer, Answer::Reply(_)));
+                messages.extend(output.messages);
+            }
+            if messages.is_empty() {
+                break;
+            }
+            for (to, message) in messages {
+                let at = usize::from(to == 12);
+                processes[at].0.receive(now, &message).expect("heard");
+                said.push((format!("to {to}"), message));
+            }
+        }
+    }
+    assert!(said.iter().any(|(_, message)| message.windows(6).any(|w| w == b"\"open\"")), "{said:?}");
+    assert_golden_bytes("messages.bytes", &said);
+}
