--- a/crates/agent/tests/loopback/main.rs
+++ b/crates/agent/tests/loopback/main.rs
@@ -5,11 +5,14 @@
 mod clients;
 mod close_delimited;
 mod common;
+#[path = "../support/golden.rs"]
+mod golden;
 mod handover;
 mod held_up;
 mod legacy;
 mod limits;
 mod lists;
+mod metrics_page;
 mod mixed;
 mod no_route;
 mod ops;
--- /dev/null
+++ b/crates/agent/tests/loopback/metrics_page.rs
@@ -0,0 +1,89 @@
+//! The whole page of figures, name by name and label by label, against committed pages. Dashboards and alerts hang on it.
+
+use crate::common::*;
+use crate::golden::assert_golden;
+use crate::legacy::{mappings, order, records, CLASSES, ORDER};
+
+/// A line of the page, without its value where that hangs on how long something took.
+fn steady(line: &str) -> String {
+    let by_time = ["app_request_seconds_bucket{", "app_request_seconds_sum{", "app_record_servers_excluded "];
+    let by_time = by_time.into_iter().any(|name| line.starts_with(name)) && !line.starts_with('#');
+    match line.rsplit_once(' ') {
+        Some((name, _)) if by_time && !line.contains("le=\"+Inf\"") => format!("{name} TIME\n"),
+        _ => format!("{line}\n"),
+    }
+}
+
+/// The page once nothing is in flight.
+fn page(agent: &Agent) -> String {
+    agent.wait_figure("app_in_flight", 0.0);
+    let answer = agent.call("GET", "/-/metrics");
+    let kind = answer.header("content-type").expect("a kind");
+    let text = String::from_utf8(answer.body.clone()).expect("UTF-8");
+    let lines: String = text.lines().map(steady).collect();
+    format!("{} {kind}\n{lines}", answer.status())
+}
+
+/// The platform's agent: served, refused and failed requests of several classes, and files that were taken and turned down.
+#[test]
+fn the_page_of_the_platforms_agent_stays() {
+    let backend = Backend::new(|m| match m.path() {
+        p if p.starts_with("/once") => status(500, ""),
+        _ => ok("x"),
+    });
+    let line = serving("s0", backend.address);
+    let discovery = Discovery::new(line.clone());
+    let text = with_ops(&config(discovery.address, &line, SETTINGS, 1024));
+    let agent = Agent::start(&text);
+    let mut client = Client::to(&agent);
+    for _ in 0..3 {
+        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+    }
+    assert_eq!(client.ask(&request("once", 9000)).status(), 502);
+    agent.reload(&text);
+    agent.wait_figure("app_reloads_ok_total", 1.0);
+    agent.reload("{");
+    agent.wait_figure("app_reloads_failed_total", 1.0);
+    assert_golden("tests/golden/metrics-platform.txt", &page(&agent));
+}
+
+fn own(protocol: &str, server: &Backend, dialect: &str) -> Agent {
+    let mappings = mappings();
+    let text = format!(
+        "[ops]\nlisten = \"127.0.0.1:0\"\n{CLASSES}\n[translate]\nmappings = {mappings:?}\n\
+         [[front]]\nname = \"desk\"\nprotocol = \"{protocol}\"\nlisten = \"127.0.0.1:0\"\n\
+         [[pool]]\nname = \"main\"\nmembership = \"static\"\nmax_attempts = 2\n\
+         [[pool.server]]\nname = \"s0\"\naddress = \"{}\"\n{dialect}\n",
+        server.address
+    );
+    Agent::start_own(&folder(), &text)
+}
+
+/// Old clients before a new server: a value that was rounded is counted by its mapping.
+#[test]
+fn the_page_of_a_legacy_front_stays() {
+    let server = records();
+    let agent = own("legacy", &server, "");
+    let mut client = Client::to(&agent);
+    assert_eq!(client.ask(&order(ORDER)).status(), 200);
+    let query = "STN=KMIA&BEG=03%2F08%2F2026+01%3A59&END=03%2F08%2F2026+03%3A00&WHAT=W&CLERK=Ann";
+    let lookup = format!("GET /desk/lookup.cgi?{query} HTTP/1.0\r\n\r\n");
+    assert_eq!(Client::to(&agent).ask(&lookup).status(), 200);
+    assert_golden("tests/golden/metrics-legacy.txt", &page(&agent));
+}
+
+/// A new client before an old server, whose answer has no counterpart.
+#[test]
+fn the_page_of_a_pool_with_an_old_server_stays() {
+    let server = Backend::new(|_| ok("H|QUEUED|7|20261201080509\r\nT|1\r\n"));
+    let agent = own("http", &server, "dialect = \"old\"");
+    let body = "{\"case\":\"7\",\"station\":\"K\",\"period\":{\"first\":\"2026-02-01\",\"last\":\"2026-02-02\"},\"copies\":1,\
+        \"sealed\":false,\"court\":{\"name\":\"x\"},\"parties\":[{\"name\":\"a\",\"role\":\"plaintiff\"}],\"language\":\"en\"}";
+    let request = format!(
+        "POST /certified-copy HTTP/1.1\r\nHost: x\r\nX-Call-Id: new-1\r\nX-Call-Class: certified-copy\r\n\
+         X-Budget-Ms: 9000\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    assert_eq!(Client::to(&agent).ask(&request).status(), 502);
+    assert_golden("tests/golden/metrics-mixed.txt", &page(&agent));
+}
