--- a/crates/agent/tests/fleet/main.rs
+++ b/crates/agent/tests/fleet/main.rs
@@ -2,6 +2,9 @@
 //! what must never be is asserted at every look.
 
 mod drains;
+#[path = "../support/golden.rs"]
+mod golden;
+mod pages;
 mod processes;
 
 use heronhoist_council::state::{Call, Check, Command, Reply, Standing, Txn, Write};
--- a/crates/agent/tests/fleet/processes.rs
+++ b/crates/agent/tests/fleet/processes.rs
@@ -140,6 +140,13 @@
         assert!(sent.expect("kill").success());
     }
 
+    /// The page of an agent's figures.
+    pub fn figures(&self) -> String {
+        let (status, page) = call(self.address, "GET", "/-/metrics", b"").expect("an answer");
+        assert_eq!(status, 200);
+        String::from_utf8(page).expect("UTF-8")
+    }
+
     /// The figures of an agent's lease: whether it holds one, and its incarnation.
     pub fn lease(&self) -> Option<(bool, u64)> {
         let (_, page) = call(self.address, "GET", "/-/metrics", b"")?;
