--- a/crates/agent/src/config/tests.rs
+++ b/crates/agent/src/config/tests.rs
@@ -77,3 +77,27 @@
     assert!(few.contains("at least"), "{few}");
     assert!(parse(r#"{"settings":{"classes":[]}}"#).err().expect("refused").contains("class"));
 }
+
+/// Each key of the platform's file, with values unlike those that stand for absent keys.
+#[test]
+fn the_platforms_file_is_read_by_its_keys() {
+    let text = format!(
+        r#"{{"listen":"127.0.0.1:80","discovery":"127.0.0.1:81","ops":"127.0.0.1:82","seed":"1f",
+            "limits":{{"sockets":777,"memory_mb":33.5}},
+            "known":{{"rev":5,"all":true,"targets":[{{"uid":"s1","endpoint":"127.0.0.1:83","state":"SERVING"}}]}},
+            "settings":{SETTINGS}}}"#
+    );
+    let config = parse(&text).expect("usable");
+    assert_eq!(config.fronts[0].listen.to_string(), "127.0.0.1:80");
+    assert_eq!(config.plan.pools[0].members, Members::Discovery(([127, 0, 0, 1], 81).into()));
+    assert_eq!(config.ops, Some(([127, 0, 0, 1], 82).into()));
+    assert_eq!(config.seed, 0x1f);
+    assert_eq!((config.limits.sockets, config.limits.memory_mb), (Some(777), Some(33.5)));
+    let known = config.known.expect("a list");
+    assert_eq!((known.version, known.whole, known.members[0].name.as_str()), (5, true, "s1"));
+    let config = parse(&text).expect("usable");
+    let entries: Vec<String> = config.entries().into_iter().map(|(key, _, _)| key).collect();
+    for key in ["listen", "discovery", "ops", "seed", "limits.sockets", "limits.memory_mb", "known.rev"] {
+        assert!(entries.iter().any(|entry| entry == key), "{key}: {entries:?}");
+    }
+}
--- a/crates/agent/src/discovery/tests.rs
+++ b/crates/agent/src/discovery/tests.rs
@@ -11,6 +11,7 @@
 use tokio::task::{spawn_local, LocalSet};
 
 mod local_errors;
+mod words;
 
 /// What a watch has missed counts as told so long after it fell silent.
 const TOLD: Duration = Duration::from_secs(6);
