--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -254,3 +254,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
