--- a/crates/decision/tests/decisions_in_one_place.rs
+++ b/crates/decision/tests/decisions_in_one_place.rs
@@ -63,7 +63,7 @@
 
 /// The variants of the module's `Action`, as its interface declares them.
 fn actions() -> BTreeSet<String> {
-    let api = read("crates/decision/src/api.rs");
+    let api = read("crates/decision/src/api/actions.rs");
     let (_, declared) = api.split_once("pub enum Action {").expect("the actions");
     let (declared, _) = declared.split_once("\n}").expect("their end");
     let one_deep = |line: &&str| line.starts_with("    ") && !line.starts_with("     ");
