--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -1,22 +1,22 @@
-//! Every decision of the balancer; its interface (settings, events, actions) is in `src/api.rs`.
+//! Every decision of the balancer; its interface (settings, events, actions) is in `src/api`.
 //!
-//! In the order of a request's life: `intake` takes it in, `draw` decides where it goes, `lawful` says what
-//! may still be done with it, `limits` learns from outcomes and decides what follows. `suspicion` looks after
-//! sick servers, `warmth` after cold ones, `accounts` after classes and tenants, `roster` after the list.
-//! Here is the state.
-mod accounts;
-mod draw;
-mod intake;
-mod kinds;
-mod lawful;
-mod limits;
-mod roster;
-mod suspicion;
-mod warmth;
+//! In the order of a request's life: `admission` takes it in, `selection` decides where it goes,
+//! `retry_rules` says what may still be done with it, `outcomes` learns and decides what follows.
+//! `outlier_detection` looks after sick servers, `slow_start` after cold ones, `class_stats` after classes
+//! and tenants, `endpoints` after the list. Here is the state.
+mod admission;
+mod class_stats;
+mod endpoints;
+mod machine_types;
+mod outcomes;
+mod outlier_detection;
+mod retry_rules;
+mod selection;
+mod slow_start;
 
 use crate::api::*;
 use std::collections::BTreeMap;
-use {accounts::*, kinds::Kinds, lawful::*, limits::*, roster::*, suspicion::*};
+use {class_stats::*, endpoints::*, machine_types::Kinds, outcomes::*, outlier_detection::*, retry_rules::*};
 
 /// How often the balancer looks around when it holds requests, and when it does not.
 const TICK_BUSY: Span = Span(10_000);
