--- a/crates/decision/src/api/classes.rs
+++ b/crates/decision/src/api/classes.rs
@@ -8,7 +8,8 @@
     /// Safe to execute any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key: the servers of `scope` drop a duplicate within `window` of the first attempt.
+    /// Carries an idempotency key: the servers of `scope` drop a duplicate within `window` of the first
+    /// attempt.
     Deduplicated {
         /// Which servers recognise a duplicate.
         scope: DeduplicationScope,
--- a/crates/decision/src/api/ids.rs
+++ b/crates/decision/src/api/ids.rs
@@ -1,8 +1,8 @@
 //! Identifiers of requests, servers and everything else that events and actions name.
 
 macro_rules! id {
-    ($(#[$doc:meta] $name:ident($inner:ty)),* $(,)?) => {$(
-        #[$doc]
+    ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
+        $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
         pub struct $name(pub $inner);
     )*};
@@ -13,7 +13,8 @@
     RequestId(u64),
     /// A server, numbered by the caller; stable for as long as it is the same machine.
     ServerId(u32),
-    /// A request class: its index in the first [`Settings::classes`](crate::Settings::classes), or its number in [`Event::Settings`](crate::Event::Settings).
+    /// A request class: its index in the first [`Settings::classes`](crate::Settings::classes), or its number
+    /// in [`Event::Settings`](crate::Event::Settings).
     ClassId(usize),
     /// A tenant: its index in [`Settings::tenants`](crate::Settings::tenants).
     TenantId(usize),
--- a/crates/decision/src/api/requests.rs
+++ b/crates/decision/src/api/requests.rs
@@ -17,11 +17,11 @@
     pub cost_hint: Option<Span>,
     /// The client marks it as a retry.
     pub is_retry: bool,
-    /// How long the client still waits; counted from [`Event::RequestComplete`](crate::Event::RequestComplete) on
-    /// while the request `is_streaming_in`.
+    /// How long the client still waits; counted from
+    /// [`Event::RequestComplete`](crate::Event::RequestComplete) on while the request `is_streaming_in`.
     pub time_left: Span,
-    /// The client's own timeout, counted from when the whole request had arrived. At least `time_left`, as some of it may
-    /// have passed before the balancer is notified.
+    /// The client's own timeout, counted from when the whole request had arrived. At least `time_left`, as
+    /// some of it may have passed before the balancer is notified.
     pub client_timeout: Span,
     /// Its body is still arriving: it can be forwarded meanwhile, but no server starts to work on it.
     pub is_streaming_in: bool,
--- a/crates/decision/src/api/settings.rs
+++ b/crates/decision/src/api/settings.rs
@@ -90,7 +90,8 @@
     pub report_fields: Vec<ReportField>,
     /// What the weights of the endpoint list mean.
     pub weight_meaning: WeightMeaning,
-    /// A server that has recently served a key serves it again with less work. The balancer makes no use of this.
+    /// A server that has recently served a key serves it again with less work. The balancer makes no use of
+    /// this.
     pub key_affinity: bool,
     /// The maximum number of attempts for one request; at least 1.
     pub max_attempts: u32,
--- a/crates/decision/src/api/settings_validation.rs
+++ b/crates/decision/src/api/settings_validation.rs
@@ -8,8 +8,8 @@
     ///
     /// # Errors
     ///
-    /// The first fault found: no class, no attempt allowed, a time that must not be zero, or a number that is negative or not
-    /// finite.
+    /// The first fault found: no class, no attempt allowed, a time that must not be zero, or a number that is
+    /// negative or not finite.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/crates/decision/src/policy/class_stats.rs
+++ b/crates/decision/src/policy/class_stats.rs
@@ -1,132 +1,145 @@
-//! Accounts of classes, tenants and kinds of machine: usual answer times, traffic and shares.
-use super::*;
-
-/// Weight of a new answer in its class's pace; a slower one counts a quarter.
-const CLASS_GAIN: f64 = 0.04;
-/// The share of its aim that an answer should take: over it a server's limit shrinks, under it it grows.
-pub(super) const TARGET: f64 = 0.25;
-const TARGET_MOST: f64 = 0.6;
-/// How fast the least answer time gives way to slower ones: a network may have become slower.
-pub(super) const LEAST_GAIN: f64 = 0.002;
-/// Traffic is counted over about this many milliseconds, and over no less than the second.
-pub(super) const COUNT_MS: f64 = 3000.0;
-const COUNT_LEAST_MS: f64 = 500.0;
-/// Of the aims that come in, the share that is usually out.
-const OUT_SHARE: f64 = 0.2;
-/// A tenant is over its share at this multiple of its fraction; usage wobbles without anyone flooding.
-const SHARE_SLACK: f64 = 1.4;
-/// A class that new settings leave out is known for this long: a request may have been taken just before.
-const RETIRED_KEPT: Span = Span(60_000_000);
-
-/// A class and what is known of its requests.
-pub(super) struct Known {
-    pub(super) class: Class,
-    /// Answer time as a share of the aim, over all servers, leaning to the quick ones, so that a crowd does
-    /// not pass for the usual state.
-    pub(super) pace: f64,
-    /// The least share of late: the way there and back and the work itself, with nobody else about.
-    pub(super) least: f64,
-    /// The wait that most requests come with, that of a first try, and the votes for it.
-    pub(super) usual_wait: (Span, u32),
-    /// When new settings left it out.
-    pub(super) retired_at: Option<Time>,
-}
+//! Request classes: their usual latency, and the changes of settings that add and retire them.
 
-impl Known {
-    pub(super) fn new(class: Class) -> Self {
-        Known { class, pace: 0.2, least: 1.0, usual_wait: (Span::ZERO, 0), retired_at: None }
-    }
+use super::concurrency_limit::TARGET_LATENCY_RATIO;
+use super::requests::PendingRequest;
+use super::Balancer;
+use crate::api::{Class, ClassId, Settings, Span, Time};
 
-    /// The share of its aim that an answer should take: twice the least that it takes, if the aim is tight.
-    pub(super) fn target(&self) -> f64 {
-        (2.0 * self.least).clamp(TARGET, TARGET_MOST)
-    }
+/// The weight of a new response in a moving average.
+const GAIN: f64 = 0.04;
+/// The weight of one that is slower than the average, so that congestion is not taken for the usual state.
+const GAIN_SLOWER: f64 = GAIN / 4.0;
+/// The weight of a slower response in the least latency ratio: a network may have become slower.
+const MIN_RATIO_GAIN: f64 = 0.002;
+/// The target is this multiple of the least latency ratio ...
+const TARGET_OVER_MIN: f64 = 2.0;
+/// ... and at most this fraction of the latency objective.
+const MAX_TARGET_LATENCY_RATIO: f64 = 0.6;
+/// The latency ratio that is assumed before the first response.
+const INITIAL_LATENCY_RATIO: f64 = 0.2;
+/// The least usual latency, in milliseconds.
+const MIN_USUAL_LATENCY_MS: f64 = 0.001;
+/// The most votes for a usual timeout; as many deviations replace it.
+const MAX_TIMEOUT_VOTES: u32 = 50;
+/// How long a class is known after new settings have left it out: a request may have been taken just before.
+const RETIRED_CLASS_RETENTION: Span = Span(60_000_000);
 
-    /// The usual answer time in milliseconds.
-    pub(super) fn usual(&self) -> f64 {
-        (self.pace * self.class.latency_objective.as_ms()).max(0.001)
-    }
+/// A class and what is known about its requests.
+pub(super) struct ClassState {
+    pub(super) class: Class,
+    /// Smoothed response time as a fraction of the latency objective, over all servers.
+    pub(super) latency_ratio: f64,
+    /// The least latency ratio of late: the round trip and the work itself, without queueing.
+    min_latency_ratio: f64,
+    pub(super) usual_timeout: UsualTimeout,
+    /// When new settings left the class out.
+    retired_at: Option<Time>,
 }
 
-impl Balancer {
-    /// New settings: those that no decision can be made with change nothing. A request under way keeps its
-    /// class and its attempts; what was learned of servers, and of classes that go on, stands.
-    pub(super) fn reconfigure(&mut self, now: Time, settings: Settings, ids: Vec<ClassId>) {
-        if settings.validate().is_err() || ids.len() != settings.classes.len() {
-            return;
-        }
-        for (id, known) in &mut self.classes {
-            known.retired_at = if ids.contains(id) { None } else { known.retired_at.or(Some(now)) };
+/// The timeout that clients' first attempts of a class have. Another one is what earlier attempts have left.
+#[derive(Default)]
+pub(super) struct UsualTimeout {
+    timeout: Span,
+    votes: u32,
+}
+
+impl UsualTimeout {
+    /// Whether a request with this timeout is its client's first attempt; it votes for or against the usual
+    /// timeout.
+    pub(super) fn is_first_attempt(&mut self, timeout: Span, tolerance: Span) -> bool {
+        if self.votes == 0 {
+            *self = UsualTimeout { timeout, votes: 1 };
+            return true;
         }
-        for (id, class) in ids.into_iter().zip(&settings.classes) {
-            self.classes.entry(id).or_insert_with(|| Known::new(class.clone()));
+        let is_shorter = self.timeout.saturating_sub(timeout) > tolerance;
+        let is_longer = timeout.saturating_sub(self.timeout) > tolerance;
+        if is_shorter || is_longer {
+            self.votes -= 1;
+            return false;
         }
-        if settings.tenants.len() != self.tenant_asked.len() {
-            self.tenant_asked = vec![0.0; settings.tenants.len()];
+        self.votes = (self.votes + 1).min(MAX_TIMEOUT_VOTES);
+        true
+    }
+}
+
+impl ClassState {
+    pub(super) fn new(class: Class) -> Self {
+        ClassState {
+            class,
+            latency_ratio: INITIAL_LATENCY_RATIO,
+            min_latency_ratio: 1.0,
+            usual_timeout: UsualTimeout::default(),
+            retired_at: None,
         }
-        self.settings = Settings { discovery: self.settings.discovery, ..settings };
     }
 
-    /// Drops the classes that were left out long ago and that nothing under way names.
-    pub(super) fn forget_classes(&mut self, now: Time) {
-        let (live, flights) = (&self.live, &self.flights);
-        let named = |id: ClassId| {
-            live.values().any(|l| l.request.class == id) || flights.values().any(|f| f.class == id)
-        };
-        let over = |known: &Known| known.retired_at.is_some_and(|at| now.since(at) > RETIRED_KEPT);
-        self.classes.retain(|&id, known| !over(known) || named(id));
+    /// Counts a response; its latency ratio is at most 1.
+    pub(super) fn record_response(&mut self, latency_ratio: f64) {
+        move_towards(&mut self.latency_ratio, latency_ratio);
+        let slower = self.min_latency_ratio + MIN_RATIO_GAIN * (latency_ratio - self.min_latency_ratio);
+        self.min_latency_ratio = slower.min(latency_ratio);
     }
 
-    /// Keeps the traffic of the last seconds by tenant.
-    pub(super) fn count(&mut self, now: Time, request: &Request, aim: f64) {
-        let passed = if self.wanted == 0.0 { 0.0 } else { now.since(self.counted_at).as_ms() };
-        let keep = (-passed / COUNT_MS).exp();
-        self.counted_at = now;
-        (self.wanted, self.counted) = (self.wanted * keep + aim, self.counted + passed);
-        self.answered *= keep;
-        self.tenant_asked.iter_mut().for_each(|n| *n *= keep);
-        if let Some(n) = request.tenant.and_then(|t| self.tenant_asked.get_mut(t.0)) {
-            *n += 1.0;
-        }
+    /// The fraction of the latency objective that a response should take.
+    pub(super) fn target_latency_ratio(&self) -> f64 {
+        (TARGET_OVER_MIN * self.min_latency_ratio).clamp(TARGET_LATENCY_RATIO, MAX_TARGET_LATENCY_RATIO)
     }
 
-    /// Little's law: so many requests are out where each takes its part of the aim.
-    pub(super) fn usual_out(&self) -> f64 {
-        let window = COUNT_MS * (1.0 - (-self.counted.max(COUNT_LEAST_MS) / COUNT_MS).exp());
-        OUT_SHARE * self.wanted / window
+    pub(super) fn usual_latency_ms(&self) -> f64 {
+        (self.latency_ratio * self.class.latency_objective.as_ms()).max(MIN_USUAL_LATENCY_MS)
     }
 
-    /// The share of what came in lately that has been answered; all of it while little has been seen.
-    pub(super) fn served_share(&self) -> f64 {
-        if self.counted < COUNT_MS {
-            1.0
-        } else {
-            (self.answered / self.wanted).min(1.0)
-        }
+    fn is_retired(&self) -> bool {
+        self.retired_at.is_some()
     }
 
-    /// Of a tenant that takes more than its fraction of this balancer's traffic, the excess is over share.
-    /// No balancer sees the whole; its own traffic is the sample that it has.
-    pub(super) fn over_share(&mut self, request: &Request) -> bool {
-        let Some(tenant) = request.tenant.filter(|t| t.0 < self.settings.tenants.len()) else { return false };
-        let all: f64 = self.tenant_asked.iter().sum();
-        let fair = SHARE_SLACK * self.settings.tenants[tenant.0].quota_fraction * all;
-        self.settings.over_quota_weight < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
+    fn is_long_retired(&self, now: Time) -> bool {
+        self.retired_at.is_some_and(|retired_at| now.since(retired_at) > RETIRED_CLASS_RETENTION)
+    }
+}
+
+/// Moves an average towards a new value, more slowly towards a higher one.
+pub(super) fn move_towards(average: &mut f64, value: f64) {
+    let gain = if value < *average { GAIN } else { GAIN_SLOWER };
+    *average += gain * (value - *average);
+}
+
+impl Balancer {
+    pub(super) fn class_of(&self, pending: &PendingRequest) -> &ClassState {
+        &self.classes[&pending.request.class]
     }
 
     /// The classes that new requests may name.
-    pub(super) fn current(&self) -> impl Iterator<Item = &Known> {
-        self.classes.values().filter(|known| known.retired_at.is_none())
+    pub(super) fn current_classes(&self) -> impl Iterator<Item = &ClassState> {
+        self.classes.values().filter(|class| !class.is_retired())
     }
 
-    /// A guess at a request's work: the hint, else the usual answer time of its class.
-    pub(super) fn work(&self, live: &Live) -> f64 {
-        live.request.cost_hint.map_or_else(|| self.classes[&live.request.class].usual(), Span::as_ms)
+    /// The estimated work of a request: the client's estimate, or else the usual latency of its class.
+    pub(super) fn estimated_work_ms(&self, pending: &PendingRequest) -> f64 {
+        let usual_latency_ms = || self.class_of(pending).usual_latency_ms();
+        pending.request.cost_hint.map_or_else(usual_latency_ms, Span::as_ms)
     }
-}
 
-/// Moves a figure towards a new one, a quarter as fast if that is slower: a crowd must not pass for usual.
-pub(super) fn lean(figure: &mut f64, new: f64) {
-    let gain = if new < *figure { CLASS_GAIN } else { CLASS_GAIN / 4.0 };
-    *figure += gain * (new - *figure);
+    /// Takes over new settings; invalid ones change nothing. Pending requests keep their class and their
+    /// attempts; what was learned about servers, and about classes that go on, stands.
+    pub(super) fn reconfigure(&mut self, now: Time, settings: Settings, class_ids: Vec<ClassId>) {
+        if settings.validate().is_err() || class_ids.len() != settings.classes.len() {
+            return;
+        }
+        for (id, class) in &mut self.classes {
+            let is_current = class_ids.contains(id);
+            class.retired_at = if is_current { None } else { class.retired_at.or(Some(now)) };
+        }
+        for (id, class) in class_ids.into_iter().zip(&settings.classes) {
+            self.classes.entry(id).or_insert_with(|| ClassState::new(class.clone()));
+        }
+        self.tenant_usage.set_tenant_count(settings.tenants.len());
+        self.settings = Settings { discovery: self.settings.discovery, ..settings };
+    }
+
+    /// Drops the classes that were retired long ago and that no request refers to.
+    pub(super) fn drop_retired_classes(&mut self, now: Time) {
+        let requests = &self.requests;
+        self.classes.retain(|&id, class| !class.is_long_retired(now) || requests.refer_to_class(id));
+    }
 }
--- a/crates/decision/src/policy/endpoints.rs
+++ b/crates/decision/src/policy/endpoints.rs
@@ -1,116 +1,184 @@
-//! The list: which servers there are, by what the caller was told of them.
-use super::*;
+//! The servers of the endpoint list, and what is known about each.
 
-/// The servers that one of many draws from: at least as many as one pick compares, and so many more for each
-/// of its requests that is usually out.
-const NEAR_LEAST: f64 = 4.0;
-const NEAR_OUT: f64 = 6.0;
-/// Pause before the list is asked for again, doubled on each failure up to five times as long.
-pub(super) const ASK_AGAIN: Span = Span(200_000);
+use super::concurrency_limit::INITIAL_LIMIT;
+use super::outlier_detection::Ejection;
+use super::Balancer;
+use crate::api::{Endpoint, ServerId, Span, Status, Time};
+use std::collections::BTreeMap;
+use std::ops::{Index, IndexMut};
 
-impl Balancer {
-    pub(super) fn list(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Action>) {
-        let (lines, complete) = match update {
-            EndpointUpdate::Failed => {
-                self.ask_at = Some(now + self.ask_pause * (0.5 + self.rng.f64()));
-                let most = (self.settings.poll_within * 0.25).min(ASK_AGAIN * 5.0);
-                self.ask_pause = (self.ask_pause * 2.0).min(most);
-                return;
-            }
-            EndpointUpdate::Changes(lines) => (lines, false),
-            EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
-        };
-        self.ask_pause = ASK_AGAIN;
-        if complete {
-            for s in &mut self.servers {
-                s.listed.status = Status::Removed;
-            }
-        }
-        for line in lines {
-            let server = line.server;
-            match self.index.get(&server) {
-                Some(&i) => {
-                    let s = &mut self.servers[i];
-                    if line.started_at.is_some() && line.started_at != s.listed.started_at {
-                        // A new process: what was learned of the old one says nothing, and it is cold.
-                        let (in_flight, last_answer) = (s.in_flight, s.last_answer);
-                        *s = Server { in_flight, last_answer, ..Server::new(line, now) };
-                    } else {
-                        s.listed = line;
-                    }
-                }
-                None => {
-                    let place = self.free.pop().unwrap_or(self.servers.len());
-                    self.index.insert(server, place);
-                    self.servers.resize_with(self.servers.len().max(place + 1), Server::default);
-                    self.servers[place] = Server::new(line, now);
-                }
-            }
-        }
-        for s in &mut self.servers {
-            let gone = s.listed.status == Status::Removed;
-            s.gone_at = gone.then(|| s.gone_at.unwrap_or(now));
+/// The index of a server in [`EndpointTable`]. It stays the same until the server is dropped.
+pub(super) type ServerSlot = usize;
+
+/// The servers that the endpoint list names, and removed ones that something still refers to.
+#[derive(Default)]
+pub(super) struct EndpointTable {
+    servers: Vec<Server>,
+    slots: BTreeMap<ServerId, ServerSlot>,
+    /// Slots of dropped servers, to be used again.
+    free: Vec<ServerSlot>,
+    /// The servers that the list says are serving, in the order of their slots.
+    pub(super) serving: Vec<ServerSlot>,
+    /// The servers that have left the list and are not dropped yet.
+    removed: Vec<ServerSlot>,
+}
+
+/// A server and what has been learned about it.
+#[derive(Default)]
+pub(super) struct Server {
+    pub(super) endpoint: Endpoint,
+    /// This balancer's requests in flight there; without those whose body is still arriving.
+    pub(super) in_flight: u32,
+    /// Smoothed response time over the usual of the class: how slow the machine is.
+    pub(super) slowdown_ratio: f64,
+    /// Smoothed response time over the class's target; 0 before the first response.
+    pub(super) latency_ratio: f64,
+    pub(super) consecutive_failures: u32,
+    /// Smoothed fraction of responses that are failures.
+    pub(super) failure_rate: f64,
+    pub(super) last_response_at: Time,
+    /// How many requests of this balancer it may have in flight at full capacity.
+    pub(super) concurrency_limit: f64,
+    /// Its place in this balancer's own random order; drawn when it is first needed.
+    pub(super) rank: Option<u32>,
+    /// Present while it is ejected.
+    pub(super) ejection: Option<Ejection>,
+    /// Its last reported load in requests, and what has been sent since.
+    pub(super) reported_load: f64,
+    /// Present since it was overloaded while warming up.
+    pub(super) backoff: Option<Backoff>,
+    /// When the list first said that it has left.
+    removed_at: Option<Time>,
+}
+
+/// A server that is warming up was overloaded: it gets nothing until `until`, and then one request at a time
+/// until it has served one.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Backoff {
+    pub(super) until: Time,
+    pub(super) pause: Span,
+}
+
+impl Server {
+    fn new(endpoint: Endpoint, now: Time) -> Self {
+        Server {
+            endpoint,
+            last_response_at: now,
+            slowdown_ratio: 1.0,
+            concurrency_limit: INITIAL_LIMIT,
+            ..Server::default()
         }
-        let servers = &self.servers;
-        self.serving = (0..servers.len()).filter(|&i| servers[i].listed.status == Status::Serving).collect();
-        self.leaving = self.index.values().copied().filter(|&i| servers[i].gone_at.is_some()).collect();
-        self.rank_again = true;
-        self.memory.retain(|&m| servers[m].listed.status == Status::Serving);
-        self.gather(now);
-        self.pump(now, out);
     }
 
-    /// Many balancers draw each from a random part of the fleet of its own, or connections would grow as
-    /// balancers times servers, and counts by server would be zero. The part grows with what is usually out
-    /// here, is made up by its servers' warmth, and takes in others for those that are lost. This is done at
-    /// each tick, and looks no further into the fleet than the part reaches.
-    pub(super) fn gather(&mut self, now: Time) {
-        if !self.is_many() {
-            self.near.clone_from(&self.serving);
+    pub(super) fn is_serving(&self) -> bool {
+        self.endpoint.status == Status::Serving
+    }
+
+    pub(super) fn is_ejected(&self) -> bool {
+        self.ejection.is_some()
+    }
+
+    /// Takes over a new list entry. After a restart, what was learned about the old process says nothing.
+    fn update(&mut self, endpoint: Endpoint, now: Time) {
+        let is_restarted = endpoint.started_at.is_some() && endpoint.started_at != self.endpoint.started_at;
+        if !is_restarted {
+            self.endpoint = endpoint;
             return;
         }
-        if std::mem::take(&mut self.rank_again) {
-            self.ranked.clear();
-            for &i in &self.serving {
-                let rank = *self.servers[i].rank.get_or_insert_with(|| self.rng.u32(..));
-                self.ranked.push((rank, i));
+        *self = Server {
+            in_flight: self.in_flight,
+            last_response_at: self.last_response_at,
+            ..Server::new(endpoint, now)
+        };
+    }
+}
+
+impl Index<ServerSlot> for EndpointTable {
+    type Output = Server;
+
+    fn index(&self, slot: ServerSlot) -> &Server {
+        &self.servers[slot]
+    }
+}
+
+impl IndexMut<ServerSlot> for EndpointTable {
+    fn index_mut(&mut self, slot: ServerSlot) -> &mut Server {
+        &mut self.servers[slot]
+    }
+}
+
+impl EndpointTable {
+    pub(super) fn slot_of(&self, server: ServerId) -> Option<ServerSlot> {
+        self.slots.get(&server).copied()
+    }
+
+    /// Every server that is not dropped, ordered by its identifier.
+    pub(super) fn slots(&self) -> impl Iterator<Item = ServerSlot> + '_ {
+        self.slots.values().copied()
+    }
+
+    /// Takes over entries of the endpoint list. Servers that a complete list omits are removed.
+    pub(super) fn apply(&mut self, now: Time, entries: Vec<Endpoint>, is_complete: bool) {
+        if is_complete {
+            for server in &mut self.servers {
+                server.endpoint.status = Status::Removed;
             }
-            self.ranked.sort_unstable();
         }
-        let mut room = NEAR_LEAST + NEAR_OUT * self.usual_out();
-        let mut near = std::mem::take(&mut self.near);
-        near.clear();
-        for &(_, i) in &self.ranked {
-            let s = &self.servers[i];
-            if room <= 0.0 {
-                break;
-            }
-            if s.suspicion.as_ref().is_none_or(|q| !q.by_probe) {
-                near.push(i);
-                room -= self.warmth(s, now);
-            }
+        for entry in entries {
+            self.upsert(now, entry);
         }
-        self.near = near;
+        self.refresh_statuses(now);
     }
 
-    /// Drops the servers that have left for good and that nothing refers to any more; one that is named
-    /// again starts afresh. Under ever new names they would fill the memory, and each look at the fleet
-    /// would take longer.
-    pub(super) fn forget(&mut self, now: Time) {
-        let grace = self.settings.drain_grace;
-        let over = |s: &Server| s.gone_at.is_some_and(|at| now.since(at) > grace);
-        let mut dropped: Vec<usize> =
-            self.leaving.iter().copied().filter(|&i| over(&self.servers[i])).collect();
-        if dropped.is_empty() {
+    fn upsert(&mut self, now: Time, endpoint: Endpoint) {
+        if let Some(slot) = self.slot_of(endpoint.server) {
+            self.servers[slot].update(endpoint, now);
             return;
         }
-        let tried = |i: usize| self.live.values().any(|live| live.attempts.iter().any(|a| a.server == i));
-        let flown = |i: usize| self.flights.values().any(|flight| flight.server == i);
-        dropped.retain(|&i| !flown(i) && !tried(i));
-        for &i in &dropped {
-            self.index.remove(&self.servers[i].listed.server);
+        let slot = self.free.pop().unwrap_or(self.servers.len());
+        self.slots.insert(endpoint.server, slot);
+        let server = Server::new(endpoint, now);
+        if slot == self.servers.len() {
+            self.servers.push(server);
+        } else {
+            self.servers[slot] = server;
         }
-        self.leaving.retain(|i| !dropped.contains(i));
+    }
+
+    fn refresh_statuses(&mut self, now: Time) {
+        for server in &mut self.servers {
+            let is_removed = server.endpoint.status == Status::Removed;
+            server.removed_at = is_removed.then(|| server.removed_at.unwrap_or(now));
+        }
+        let servers = &self.servers;
+        self.serving = (0..servers.len()).filter(|&slot| servers[slot].is_serving()).collect();
+        self.removed = self.slots().filter(|&slot| servers[slot].removed_at.is_some()).collect();
+    }
+
+    /// The removed servers whose drain grace has passed.
+    fn long_removed(&self, now: Time, drain_grace: Span) -> Vec<ServerSlot> {
+        let has_passed = |slot: &ServerSlot| {
+            let removed_at = self.servers[*slot].removed_at;
+            removed_at.is_some_and(|removed_at| now.since(removed_at) > drain_grace)
+        };
+        self.removed.iter().copied().filter(has_passed).collect()
+    }
+
+    fn drop_servers(&mut self, dropped: Vec<ServerSlot>) {
+        for &slot in &dropped {
+            self.slots.remove(&self.servers[slot].endpoint.server);
+        }
+        self.removed.retain(|slot| !dropped.contains(slot));
         self.free.extend(dropped);
     }
 }
+
+impl Balancer {
+    /// Drops the servers that have left for good and that nothing refers to; one that is listed again starts
+    /// afresh. With ever new servers the table would grow without bound otherwise.
+    pub(super) fn drop_removed_endpoints(&mut self, now: Time) {
+        let mut dropped = self.endpoints.long_removed(now, self.settings.drain_grace);
+        dropped.retain(|&server| !self.requests.refer_to_server(server));
+        self.endpoints.drop_servers(dropped);
+    }
+}
--- a/crates/decision/src/policy/machine_types.rs
+++ b/crates/decision/src/policy/machine_types.rs
@@ -1,34 +1,51 @@
-//! How quick each kind of machine is: one of many balancers sees little of a server, but enough of a kind.
+//! How fast each machine type is: one of many balancers sees little of a server, but enough of its type.
 
-use super::*;
+use crate::api::{MachineTypeId, Span};
+use std::collections::BTreeMap;
 
-/// How sharply a slower kind is drawn less: work that waits takes more than its share of the time.
-const KIND_POWER: f64 = 3.0;
-/// Answers that a kind's figure rests on, at least and at most.
-const KIND_LEAST: f64 = 3.0;
-const KIND_MOST: f64 = 60.0;
-/// The chance that is left to the slowest.
-const CHANCE_LEAST: f64 = 0.05;
+/// How sharply a slower type is drawn less often: queueing takes more than its share of the time.
+const SLOWNESS_EXPONENT: f64 = 3.0;
+/// The fewest responses from which a type's slowness is known.
+const MIN_SAMPLES: f64 = 3.0;
+/// The most responses that weigh in a type's mean; after these it follows slowly.
+const MAX_SAMPLES: f64 = 60.0;
+/// The least chance of a draw.
+const MIN_CHANCE: f64 = 0.05;
+/// Shorter times and less work count as this, in milliseconds.
+const MIN_MS: f64 = 0.1;
 
-/// Answer time over work, by kind of machine: what is learned of one server holds for all of its kind.
+/// Mean slowness by machine type: what one server teaches holds for all of its type.
 #[derive(Default)]
-pub(crate) struct Kinds(BTreeMap<MachineTypeId, (f64, f64)>);
+pub(super) struct MachineTypes(BTreeMap<MachineTypeId, Slowness>);
 
-impl Kinds {
-    /// A server of this kind has taken `elapsed` over so many milliseconds of work.
-    pub(crate) fn learn(&mut self, kind: MachineTypeId, elapsed: Span, work: f64) {
-        // As a logarithm: one that took ten times as long must not weigh like ten.
-        let slow = (elapsed.as_ms().max(0.1) / work.max(0.1)).ln();
-        let (mean, n) = self.0.entry(kind).or_default();
-        *n = (*n + 1.0).min(KIND_MOST);
-        *mean += (slow - *mean) / *n;
+/// The logarithm of response time over work.
+#[derive(Default)]
+struct Slowness {
+    mean_log: f64,
+    samples: f64,
+}
+
+impl MachineTypes {
+    /// Counts a response of a server of this type, which took `elapsed` for `work_ms` milliseconds of work.
+    pub(super) fn learn(&mut self, machine_type: MachineTypeId, elapsed: Span, work_ms: f64) {
+        // A logarithm, as a response that took ten times as long must not weigh like ten.
+        let log = (elapsed.as_ms().max(MIN_MS) / work_ms.max(MIN_MS)).ln();
+        let slowness = self.0.entry(machine_type).or_default();
+        slowness.samples = (slowness.samples + 1.0).min(MAX_SAMPLES);
+        slowness.mean_log += (log - slowness.mean_log) / slowness.samples;
     }
 
-    /// The chance with which a draw of this kind stands: the quickest kind's draws all do.
-    pub(crate) fn chance(&self, kind: MachineTypeId) -> f64 {
-        let known = |&&(_, n): &&(f64, f64)| n >= KIND_LEAST;
-        let best = self.0.values().filter(known).map(|kind| kind.0).fold(f64::INFINITY, f64::min);
-        let own = self.0.get(&kind).filter(known);
-        own.map_or(1.0, |own| (KIND_POWER * (best - own.0)).exp().max(CHANCE_LEAST))
+    /// The chance with which a draw of this type is accepted; 1 for the fastest type.
+    pub(super) fn chance(&self, machine_type: MachineTypeId) -> f64 {
+        let Some(own) = self.0.get(&machine_type).filter(|own| own.is_known()) else { return 1.0 };
+        let known = self.0.values().filter(|slowness| slowness.is_known());
+        let fastest = known.map(|slowness| slowness.mean_log).fold(f64::INFINITY, f64::min);
+        (SLOWNESS_EXPONENT * (fastest - own.mean_log)).exp().max(MIN_CHANCE)
+    }
+}
+
+impl Slowness {
+    fn is_known(&self) -> bool {
+        self.samples >= MIN_SAMPLES
     }
 }
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -1,170 +1,190 @@
-//! Limits and retries: what an answer teaches of a server and its class, how many requests of its own a
-//! balancer gives a server at once, and whether a failed attempt is followed by another.
-use super::*;
+//! What the end of an attempt teaches about its server and its class, and what happens to its request.
 
-/// Weight of a new answer in a server's pace: about the last eight answers count.
-const PACE_GAIN: f64 = 0.12;
-/// Weight of a new answer in how slow one of many takes a server to be: it sees few from each.
-const STRETCH_MANY: f64 = 0.2;
-/// Weight of a new answer in a server's share of failures.
-const FAILING_GAIN: f64 = 0.05;
-/// What an answer past its aim leaves of a server's limit.
-const LATE_CUT: f64 = 0.85;
-/// A limit in full use grows by the first in the time that it takes to use it once, and shrinks by the second
-/// of its overshoot an answer.
-const GROWTH: f64 = 0.1;
-const SHRINK: f64 = 0.02;
-/// Own requests in flight that a server is first thought to bear, and the most it is ever given.
-pub(super) const LIMIT_FIRST: f64 = 2.0;
-const LIMIT_MOST: f64 = 1000.0;
-/// Each request earns this much of a further attempt, and of a trial, saved up to the burst.
-pub(super) const EARN: f64 = 0.1;
-pub(super) const BURST: f64 = 10.0;
-/// An attempt after a break costs less than one after a full server or a wait, which load brings about and
-/// more attempts make worse.
-const RETRY_BROKEN: f64 = 0.4;
-/// A connect that fails within this share of the aim has been refused or reset.
-const AT_ONCE: f64 = 0.2;
+use super::class_stats::move_towards;
+use super::concurrency_limit::{ResponseLatency, TARGET_LATENCY_RATIO};
+use super::endpoints::{Backoff, Server};
+use super::requests::{AttemptKey, AttemptState, InFlightAttempt};
+use super::retry::retry_cost;
+use super::Balancer;
+use crate::api::{Action, LoadReport, Outcome, Span, Time};
+
+/// The weight of a new response in a server's failure rate.
+const FAILURE_GAIN: f64 = 0.05;
+/// The weight of a new response in a server's slowdown ratio where there are many balancers: each sees few of
+/// them.
+const LARGE_FLEET_SLOWDOWN_GAIN: f64 = 0.2;
+/// The range of slowdown ratios that are believed.
+const MIN_SLOWDOWN_RATIO: f64 = 0.05;
+const MAX_SLOWDOWN_RATIO: f64 = 8.0;
+/// The least latency ratio of a class that a server is compared with.
+const MIN_CLASS_LATENCY_RATIO: f64 = 0.001;
+/// The least capacity fraction that a backoff is computed with.
+const MIN_BACKOFF_CAPACITY: f64 = 0.01;
+/// The longest backoff, as a fraction of the time for which a warming server withstands an overload.
+const MAX_BACKOFF_FRACTION: f64 = 0.5;
+const BACKOFF_FACTOR: f64 = 2.0;
+
+/// How an attempt or a health check ended.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AttemptResult<'a> {
+    pub(super) outcome: Outcome,
+    pub(super) elapsed: Span,
+    pub(super) report: Option<&'a LoadReport>,
+}
 
 impl Balancer {
-    /// Room by the learned limit, of which a cold server gets its warmth's part.
-    pub(super) fn has_room(&self, now: Time, server: usize) -> bool {
-        let s = &self.servers[server];
-        let full = s.full.is_some_and(|(until, _)| now < until || s.in_flight > 0);
-        !full && f64::from(s.in_flight) < (s.limit * self.warmth(s, now)).max(1.0)
+    /// Takes in the end of an attempt: learns from it, and retries or ends its request if a response is still
+    /// owed.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Time,
+        key: AttemptKey,
+        result: AttemptResult,
+        is_request_finished: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(attempt) = self.requests.in_flight.remove(&key) else { return };
+        self.endpoints[attempt.server].in_flight -= u32::from(!attempt.is_streaming_in);
+        if let Some(report) = result.report {
+            self.read_load_report(attempt.server, report);
+        }
+        self.learn(now, &attempt, result, actions);
+        if is_request_finished {
+            self.requests.pending.remove(&key.request);
+        } else {
+            self.attempt_failed(now, key, &attempt, result, actions);
+        }
+        self.dispatch_queued(now, actions);
     }
 
-    /// The load that a report tells, if it tells one.
-    pub(super) fn read_report(&mut self, server: usize, report: &LoadReport) -> Option<f64> {
-        let mut fields = self.settings.report_fields.iter().zip(report);
-        let load = |f: &ReportField| matches!(f, ReportField::InFlight | ReportField::Queue);
-        let told = fields.rfind(|(field, value)| load(field) && value.is_finite())?.1;
-        self.servers[server].told = told.clamp(0.0, 1e6);
-        Some(self.servers[server].told)
+    /// The request of an attempt, if it is still pending, has no final response yet.
+    fn attempt_failed(
+        &mut self,
+        now: Time,
+        key: AttemptKey,
+        attempt: &InFlightAttempt,
+        result: AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.requests.pending.get_mut(&key.request) else { return };
+        let is_proved = result.outcome.never_ran();
+        let state = if is_proved { AttemptState::NotExecuted } else { AttemptState::MaybeExecuted };
+        pending.attempts[key.attempt.0 as usize].state = state;
+        let latency_objective = self.classes[&attempt.class].class.latency_objective;
+        if pending.request.is_streaming_in {
+            // It waits for a server again, and no longer than if it had arrived as a whole.
+            pending.restart_deadlines(now, pending.request.time_left, latency_objective);
+        }
+        let cost = retry_cost(result.outcome, result.elapsed, latency_objective);
+        self.retry_or_finish(now, key.request, cost, actions);
     }
 
-    pub(super) fn outcome(&mut self, now: Time, key: Key, ended: Ended, closed: bool, out: &mut Vec<Action>) {
-        let (outcome, elapsed, report) = ended;
-        let Some(flight) = self.flights.remove(&key) else { return };
-        self.servers[flight.server].in_flight -= u32::from(!flight.arriving);
-        if let Some(report) = report {
-            self.read_report(flight.server, report);
+    /// Updates what is known about the server and the class of an attempt, and ejects the server if it is an
+    /// outlier.
+    fn learn(
+        &mut self,
+        now: Time,
+        attempt: &InFlightAttempt,
+        result: AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_large_fleet = self.is_large_fleet();
+        let capacity_fraction = self.capacity_fraction(now, attempt.server);
+        let is_warm = capacity_fraction == 1.0;
+        let AttemptResult { outcome, elapsed, .. } = result;
+        let Some(class) = self.classes.get_mut(&attempt.class) else { return };
+        let server = &mut self.endpoints[attempt.server];
+        let objective_ms = class.class.latency_objective.as_ms();
+        let latency_ratio = latency_ratio(outcome, elapsed, objective_ms);
+        server.record_outcome(now, outcome);
+        if outcome == Outcome::Success {
+            class.record_response(latency_ratio);
+            self.demand.record_answer(objective_ms);
+            let slowdown_ratio = latency_ratio / class.latency_ratio.max(MIN_CLASS_LATENCY_RATIO);
+            server.record_slowdown(slowdown_ratio, is_large_fleet);
         }
-        self.learn(now, &flight, ended, out);
-        let id = key.0;
-        if closed {
-            self.live.remove(&id);
-        } else if let Some(live) = self.live.get_mut(&id) {
-            let fate = if outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            live.attempts[key.1 as usize].fate = fate;
-            if live.request.is_streaming_in {
-                // It waits for a place again, and not longer than if it were whole.
-                let (time_left, aim) =
-                    (live.request.time_left, self.classes[&flight.class].class.latency_objective);
-                live.start_over(now, time_left, aim);
-            }
-            // One that never came up has been waited for, as has a full server.
-            let at_once = elapsed < self.classes[&flight.class].class.latency_objective * AT_ONCE;
-            let broken = matches!(outcome, Outcome::ConnectionReset | Outcome::ServerError)
-                || outcome == Outcome::ConnectFailed && at_once;
-            self.follow_up(now, id, if broken { RETRY_BROKEN } else { 1.0 }, out);
+        let has_latency = matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Cancelled);
+        if has_latency && is_warm && !server.is_ejected() {
+            self.machine_types.learn(server.endpoint.machine_type, elapsed, attempt.work_ms);
         }
-        self.pump(now, out);
-    }
-
-    /// The request still owes its answer after an attempt has failed; another costs so much of what is
-    /// saved up.
-    pub(super) fn follow_up(&mut self, now: Time, id: RequestId, cost: f64, out: &mut Vec<Action>) {
-        let live = &self.live[&id];
-        if live.attempts.iter().any(|a| a.fate == Fate::Out) {
-            return;
+        let is_overloaded = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
+        if is_overloaded && capacity_fraction < 1.0 {
+            let capacity = capacity_fraction.max(MIN_BACKOFF_CAPACITY);
+            let min_pause = Span::from_ms(class.usual_latency_ms()) * (1.0 / capacity);
+            let max_pause = self.settings.overload_tolerance * MAX_BACKOFF_FRACTION;
+            server.back_off(now, min_pause, max_pause, is_large_fleet);
         }
-        // What was turned away pays too, or it would go round a fleet of full servers.
-        let lawful = self.lawful(live, now).send != Reach::Nowhere;
-        if lawful && !self.hopeless(now, live) && self.retries >= cost {
-            self.retries -= cost;
-            if !self.place(now, id, out) {
-                self.hold(now, id, out);
+        let target_ratio = latency_ratio * TARGET_LATENCY_RATIO / class.target_latency_ratio();
+        if latency_ratio > 0.0 {
+            server.adjust_limit(ResponseLatency { target_ratio, is_late: latency_ratio >= 1.0 });
+        }
+        if attempt.is_recovery_probe {
+            let has_recovered = outcome == Outcome::Success && latency_ratio < 1.0;
+            if has_recovered {
+                server.latency_ratio = target_ratio;
+                server.slowdown_ratio = 1.0;
             }
-        } else {
-            self.end(now, id, out);
+            self.finish_recovery_probe(now, attempt.server, has_recovered);
+        } else if let Some(reason) = self.ejection_reason(attempt.server, outcome, is_warm) {
+            self.eject(now, attempt.server, reason, actions);
         }
     }
+}
 
-    pub(super) fn learn(&mut self, now: Time, flight: &Flight, ended: Ended, out: &mut Vec<Action>) {
-        let (outcome, elapsed, _) = ended;
-        let (warmth, many) = (self.warmth(&self.servers[flight.server], now), self.is_many());
-        let Some(known) = self.classes.get_mut(&flight.class) else { return };
-        let aim = known.class.latency_objective.as_ms();
-        let s = &mut self.servers[flight.server];
-        let used = match outcome {
-            // Late is late: one costly request must not weigh like ten. Called back is not stopped.
-            Outcome::Success => (elapsed.as_ms() / aim).min(1.0),
-            Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => 1.0,
-            _ => 0.0,
-        };
+/// How long an attempt has taken, as a fraction of its latency objective: at most 1, as an expensive request
+/// must not weigh like ten, and 0 if it says nothing. A cancelled attempt counts as late; its server may work
+/// on.
+fn latency_ratio(outcome: Outcome, elapsed: Span, objective_ms: f64) -> f64 {
+    match outcome {
+        Outcome::Success => (elapsed.as_ms() / objective_ms).min(1.0),
+        Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => 1.0,
+        Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::NotSent => 0.0,
+    }
+}
+
+impl Server {
+    /// Counts successes and failures. A rejection is no failure: a full server is only sent less.
+    fn record_outcome(&mut self, now: Time, outcome: Outcome) {
         match outcome {
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
+            Outcome::Rejected => self.last_response_at = now,
             Outcome::Success => {
-                (s.failures, s.full) = (0, None);
-                s.last_answer = now;
-                lean(&mut known.pace, used);
-                let slower = known.least + LEAST_GAIN * (used - known.least);
-                known.least = slower.min(used);
-                self.answered += aim;
-                let stretch = (used / known.pace.max(0.001)).clamp(0.05, 8.0);
-                if many {
-                    s.stretch += STRETCH_MANY * (stretch - s.stretch);
-                } else {
-                    lean(&mut s.stretch, stretch);
-                }
+                self.consecutive_failures = 0;
+                self.backoff = None;
+                self.last_response_at = now;
+                self.failure_rate -= FAILURE_GAIN * self.failure_rate;
             }
-            // A full server is no sick one: it is only sent less.
-            Outcome::Rejected => s.last_answer = now,
-            Outcome::ConnectFailed => s.failures += 1,
-            _ => (s.failures, s.last_answer) = (s.failures + 1, now),
-        }
-        let answered = matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Cancelled);
-        if answered && warmth == 1.0 && s.suspicion.is_none() {
-            self.kinds.learn(s.listed.machine_type, elapsed, flight.work);
-        }
-        if warmth < 1.0 && matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
-            let least = Span::from_ms(known.usual()) * (1.0 / warmth.max(0.01));
-            let again = |(until, pause)| if now < until || !many { pause } else { pause * 2.0 };
-            let pause = s.full.map_or(least, again).min(self.settings.overload_tolerance * 0.5).max(least);
-            s.full = Some((now + pause, pause));
-        }
-        match outcome {
-            Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut | Outcome::Rejected => {}
-            Outcome::Success => s.failing -= FAILING_GAIN * s.failing,
-            _ => s.failing += FAILING_GAIN * (1.0 - s.failing),
-        }
-        let share = used * TARGET / known.target();
-        if used > 0.0 {
-            s.pace = if s.pace == 0.0 { share } else { s.pace + PACE_GAIN * (share - s.pace) };
-            // Slower than the pace forgets, or its lag would drive the limit down too far; an answer past its
-            // aim or a full queue is sure evidence and counts at once.
-            let over = (s.pace / TARGET - 1.0).min(2.0);
-            let factor = if used >= 1.0 { LATE_CUT } else { 1.0 - SHRINK * over.max(0.0) };
-            s.limit = (s.limit * factor).max(1.0);
-            if over <= 0.0 && used < 1.0 && f64::from(s.in_flight) + 1.0 >= (0.7 * s.limit).floor() {
-                s.limit = (s.limit + GROWTH / s.limit.max(1.0)).min(LIMIT_MOST);
+            Outcome::ConnectFailed => self.record_failure(),
+            Outcome::ServerError | Outcome::ConnectionReset => {
+                self.last_response_at = now;
+                self.record_failure();
             }
         }
-        if flight.trial {
-            let well = outcome == Outcome::Success && used < 1.0;
-            if well {
-                (s.pace, s.stretch) = (share, 1.0);
-            }
-            return self.tried(now, flight.server, well);
+    }
+
+    fn record_failure(&mut self) {
+        self.consecutive_failures += 1;
+        self.failure_rate += FAILURE_GAIN * (1.0 - self.failure_rate);
+    }
+
+    fn record_slowdown(&mut self, slowdown_ratio: f64, is_large_fleet: bool) {
+        let slowdown_ratio = slowdown_ratio.clamp(MIN_SLOWDOWN_RATIO, MAX_SLOWDOWN_RATIO);
+        if is_large_fleet {
+            self.slowdown_ratio += LARGE_FLEET_SLOWDOWN_GAIN * (slowdown_ratio - self.slowdown_ratio);
+        } else {
+            move_towards(&mut self.slowdown_ratio, slowdown_ratio);
         }
-        let why = match outcome {
-            // One of many believes the first sign: the next would come seconds later.
-            Outcome::ConnectFailed if many => "unreachable",
-            Outcome::Rejected if many && s.in_flight == 0 && warmth == 1.0 => "full",
-            _ if s.failures >= FAILURES && self.is_unusual(flight.server) => "failing",
-            _ => return,
+    }
+
+    /// Leaves a warming server alone that was overloaded. Where there are many balancers, the pause doubles
+    /// each time.
+    fn back_off(&mut self, now: Time, min_pause: Span, max_pause: Span, is_large_fleet: bool) {
+        let pause = match self.backoff {
+            None => min_pause,
+            Some(backoff) if is_large_fleet && now >= backoff.until => backoff.pause * BACKOFF_FACTOR,
+            Some(backoff) => backoff.pause,
         };
-        self.suspect(now, flight.server, why, out);
+        let pause = pause.min(max_pause).max(min_pause);
+        self.backoff = Some(Backoff { until: now + pause, pause });
     }
 }
--- a/crates/decision/src/policy/outlier_detection.rs
+++ b/crates/decision/src/policy/outlier_detection.rs
@@ -1,180 +1,196 @@
-//! Suspicion and trials: a server that fails, hangs or can't be reached is taken out of the draw, and tried
-//! again after pauses that double. Many balancers believe sooner, and try seldom and by probes.
-use super::*;
+//! Outlier detection: a server that fails, does not respond or cannot be reached is ejected.
 
-/// Failures in a row that make a server suspect; and how seldom as many would have to come by chance from one
-/// that fails as often as the others do: where connections break everywhere, half of the fleet would be
-/// suspect.
-pub(super) const FAILURES: u32 = 2;
-const FAILURES_CHANCE: f64 = 0.002;
-/// An attempt is overdue at this multiple of its class's pace, and not before this share of its aim; the
-/// second if it is alone on its server, where it may well be a costly request and no hang.
-const OVERDUE: f64 = 4.0;
-const OVERDUE_LEAST: f64 = 0.6;
-const OVERDUE_ALONE: f64 = 1.0;
-/// At most this share of the serving fleet is suspect; beyond it the trouble is not the servers'.
-const SUSPECT_SHARE: f64 = 0.75;
-/// First and longest pause between two trials of a suspect server.
-const TRIAL_FIRST: Span = Span(250_000);
-const TRIAL_MOST: Span = Span(4_000_000);
-/// More balancers than these are many: each sees so little that it acts as a part of all of them. They try a
-/// suspect about as often as so many would, and no more than requests have earned.
-const MANY: f64 = 10.0;
-/// What a trial by a request costs of that (by a probe: 1), and the load of a probed suspect that is well.
-pub(super) const TRIAL_REQUEST: f64 = 3.0;
-const WELL: f64 = 2.0;
+use super::endpoints::ServerSlot;
+use super::requests::{AttemptKey, InFlightAttempt};
+use super::retry::{EarnedBudget, RETRY_COST};
+use super::Balancer;
+use crate::api::{Action, Effect, Outcome, Span, Status, Time};
 
-pub(super) struct Suspicion {
-    pub(super) next_trial: Time,
+/// Failures in a row from which a server can be ejected.
+const MIN_FAILURES: u32 = 2;
+/// How unlikely so many failures must be for a server that fails as often as the better of the others: where
+/// connections break everywhere, half of the fleet would be ejected otherwise.
+const MAX_FAILURE_CHANCE: f64 = 0.002;
+/// One server in so many fails less often than the one that others are compared with.
+const BETTER_QUANTILE: usize = 4;
+/// An attempt is overdue at this multiple of its class's usual latency ...
+const OVERDUE_FACTOR: f64 = 4.0;
+/// ... and not before this fraction of its latency objective, ...
+const MIN_OVERDUE: f64 = 0.6;
+/// ... or this fraction if it is alone on its server, where it may well be an expensive request.
+const MIN_OVERDUE_ALONE: f64 = 1.0;
+/// The largest fraction of the serving servers that is ejected: beyond it the fault is not the servers'.
+const MAX_EJECTED_FRACTION: f64 = 0.75;
+/// The first pause before a recovery probe.
+const INITIAL_PROBE_PAUSE: Span = Span(250_000);
+
+/// The ejected servers, and what may be spent on probing them.
+#[derive(Default)]
+pub(super) struct OutlierDetection {
+    /// Every ejected server, and some that are no longer.
+    pub(super) ejected: Vec<ServerSlot>,
+    pub(super) recovery_budget: EarnedBudget,
+}
+
+/// The ejection of a server, until a recovery probe succeeds.
+pub(super) struct Ejection {
+    pub(super) next_probe_at: Time,
+    /// The pause between probes; doubled by each that fails.
     pub(super) pause: Span,
-    pub(super) on_trial: bool,
-    pub(super) by_probe: bool,
+    /// A probe is under way.
+    pub(super) is_probing: bool,
+    /// Probes are health checks instead of requests.
+    pub(super) by_health_check: bool,
 }
 
-impl Suspicion {
-    /// Nothing goes to a suspect but one request at a time, at the times of its trials.
-    pub(super) fn shut(&self, now: Time) -> bool {
-        self.by_probe && now.since(self.next_trial) < TRIAL_MOST || !self.due(now)
-    }
+/// Why a server is ejected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum EjectionReason {
+    /// Too many failures in a row.
+    Failing,
+    /// Nothing comes back.
+    Unresponsive,
+    /// No connection can be established.
+    Unreachable,
+    /// It rejects requests though this balancer has none there.
+    Full,
+}
 
-    pub(super) fn due(&self, now: Time) -> bool {
-        !self.on_trial && now >= self.next_trial
+impl EjectionReason {
+    /// The word in log messages.
+    fn log_word(self) -> &'static str {
+        match self {
+            EjectionReason::Failing => "failing",
+            EjectionReason::Unresponsive => "silent",
+            EjectionReason::Unreachable => "unreachable",
+            EjectionReason::Full => "full",
+        }
     }
 }
 
 impl Balancer {
-    /// How many times as many balancers there are as could each act for itself.
-    pub(super) fn crowd(&self) -> f64 {
-        (f64::from(self.settings.balancers) / MANY).max(1.0)
-    }
-
-    pub(super) fn is_many(&self) -> bool {
-        self.crowd() > 1.0
-    }
-
-    /// Many balancers learn of a trouble in the same moment, and must not all come back in the same one.
-    pub(super) fn jitter(&mut self) -> f64 {
-        let roll = if self.is_many() { self.rng.f64() } else { 0.5 };
-        0.75 + 0.5 * roll
-    }
-
-    /// How many listed servers get nothing new now: those that drain, and suspects whose trial is not due.
+    /// How many listed servers get no new requests now: those that drain, and ejected ones whose probe is not
+    /// due.
+    #[must_use]
     pub fn excluded_endpoints(&self, now: Time) -> usize {
-        let avoided = |&&i: &&usize| match self.servers[i].listed.status {
-            Status::Serving => self.servers[i].suspicion.as_ref().is_some_and(|q| q.shut(now)),
-            Status::Draining => true,
-            Status::Removed => false,
+        let is_excluded = |&slot: &ServerSlot| {
+            let server = &self.endpoints[slot];
+            match server.endpoint.status {
+                Status::Serving => server.ejection.as_ref().is_some_and(|ejection| ejection.is_closed(now)),
+                Status::Draining => true,
+                Status::Removed => false,
+            }
         };
-        self.index.values().filter(avoided).count()
-    }
-
-    /// Many balancers make a trial only with what may be repeated, and seldom: all of them do.
-    pub(super) fn may_try(&self, now: Time, q: &Suspicion, live: &Live) -> bool {
-        let fit = self.classes[&live.request.class].class.effect == Effect::Idempotent
-            || now.since(q.next_trial) > TRIAL_MOST;
-        !self.is_many() || fit && self.trials >= TRIAL_REQUEST
+        self.endpoints.slots().filter(is_excluded).count()
     }
 
-    /// Takes a server out of the draw and out of memory, unless it is suspect or too many are.
-    pub(super) fn suspect(&mut self, now: Time, server: usize, why: &str, out: &mut Vec<Action>) {
-        let gone = self.serving.iter().filter(|&&i| self.servers[i].suspicion.is_some()).count();
-        let (crowd, jitter) = (self.crowd(), self.jitter());
-        let by_probe = self.is_many() && self.settings.health_checks && why != "failing";
-        let s = &mut self.servers[server];
-        if s.suspicion.is_some() || (gone + 1) as f64 > SUSPECT_SHARE * self.serving.len() as f64 {
-            return;
-        }
-        let pause = TRIAL_FIRST * crowd;
-        let next_trial = now + pause * jitter;
-        s.suspicion = Some(Suspicion { next_trial, pause, on_trial: false, by_probe });
-        self.memory.retain(|&m| m != server);
-        if !self.suspects.contains(&server) {
-            self.suspects.push(server);
-        }
-        out.push(Action::Log { text: format!("server {} {why}: suspect", s.listed.server.0) });
-    }
-
-    /// What a trial of a suspect has shown.
-    pub(super) fn tried(&mut self, now: Time, server: usize, well: bool) {
-        let (most, jitter) = (TRIAL_MOST * self.crowd(), self.jitter());
-        let s = &mut self.servers[server];
-        if well {
-            (s.suspicion, s.failures) = (None, 0);
-        } else if let Some(q) = &mut s.suspicion {
-            q.on_trial = false;
-            q.pause = (q.pause * 2.0).min(most);
-            q.next_trial = now + q.pause * jitter;
+    /// Why an attempt that has ended like this ejects its server, if it does. `is_warm` is whether the server
+    /// was at full capacity.
+    pub(super) fn ejection_reason(
+        &self,
+        slot: ServerSlot,
+        outcome: Outcome,
+        is_warm: bool,
+    ) -> Option<EjectionReason> {
+        let server = &self.endpoints[slot];
+        // One of many balancers believes the first sign: the next would come seconds later.
+        let believes_first_sign = self.is_large_fleet();
+        match outcome {
+            Outcome::ConnectFailed if believes_first_sign => Some(EjectionReason::Unreachable),
+            Outcome::Rejected if believes_first_sign && server.in_flight == 0 && is_warm => {
+                Some(EjectionReason::Full)
+            }
+            _ if self.fails_unusually_often(slot) => Some(EjectionReason::Failing),
+            _ => None,
         }
     }
 
-    /// Whether a server's failures in a row are more than chance would bring from the better of the others:
-    /// a cut that takes most of the fleet still leaves those.
-    pub(super) fn is_unusual(&self, server: usize) -> bool {
-        let others = self.serving.iter().filter(|&&i| i != server).map(|&i| self.servers[i].failing);
-        let mut others: Vec<f64> = others.collect();
-        others.sort_by(f64::total_cmp);
-        let usual = others.get(others.len() / 4).copied().unwrap_or(0.0);
-        usual.powf(f64::from(self.servers[server].failures)) < FAILURES_CHANCE
-    }
-
-    /// Probes the suspects whose trial is due, the longest due first, as far as probes are saved up.
-    pub(super) fn probe_suspects(&mut self, now: Time, out: &mut Vec<Action>) {
-        let servers = &self.servers;
-        self.suspects.retain(|&i| servers[i].suspicion.is_some());
-        let due = |i: &usize| {
-            let s = &servers[*i];
-            let q = s.suspicion.as_ref().filter(|q| q.by_probe && q.due(now))?;
-            (s.listed.status == Status::Serving).then_some((q.next_trial, *i))
-        };
-        let mut due: Vec<_> =
-            self.suspects.iter().filter(|_| self.settings.health_checks).filter_map(due).collect();
-        due.sort_unstable();
-        for (_, i) in due.into_iter().take(self.trials as usize) {
-            let s = &mut self.servers[i];
-            s.suspicion.iter_mut().for_each(|q| q.on_trial = true);
-            self.trials -= 1.0;
-            out.push(Action::HealthCheck { server: s.listed.server });
+    /// Whether a server's failures in a row are more than chance would bring from the better of the others: a
+    /// network partition that takes most of the fleet still leaves those.
+    fn fails_unusually_often(&self, slot: ServerSlot) -> bool {
+        let failures = self.endpoints[slot].consecutive_failures;
+        if failures < MIN_FAILURES {
+            return false;
         }
+        let others = self.endpoints.serving.iter().filter(|&&other| other != slot);
+        let mut rates: Vec<f64> = others.map(|&other| self.endpoints[other].failure_rate).collect();
+        rates.sort_by(f64::total_cmp);
+        let usual = rates.get(rates.len() / BETTER_QUANTILE).copied().unwrap_or(0.0);
+        usual.powf(f64::from(failures)) < MAX_FAILURE_CHANCE
     }
 
-    /// What a probe says of a suspect: its report, and the time it had to wait there.
-    pub(super) fn probed(
+    /// Ejects a server, unless it is ejected already or too many are.
+    pub(super) fn eject(
         &mut self,
         now: Time,
-        s: usize,
-        failed: bool,
-        took: Span,
-        report: Option<&LoadReport>,
+        slot: ServerSlot,
+        reason: EjectionReason,
+        actions: &mut Vec<Action>,
     ) {
-        let told = report.and_then(|report| self.read_report(s, report)).unwrap_or_default();
-        let usual = self.current().map(Known::usual).fold(f64::INFINITY, f64::min);
-        if self.servers[s].suspicion.as_ref().is_some_and(|q| q.by_probe && q.on_trial) {
-            self.tried(now, s, !failed && told.max(took.as_ms() / usual) < WELL);
+        // Drawn in any case: the order of draws must not depend on what is found.
+        let jitter = self.jitter();
+        let serving = &self.endpoints.serving;
+        let ejected = serving.iter().filter(|&&server| self.endpoints[server].is_ejected()).count();
+        let is_too_many = (ejected + 1) as f64 > MAX_EJECTED_FRACTION * serving.len() as f64;
+        if self.endpoints[slot].is_ejected() || is_too_many {
+            return;
+        }
+        let pause = INITIAL_PROBE_PAUSE * self.fleet_size_factor();
+        let can_check = self.is_large_fleet() && self.settings.health_checks;
+        let server = &mut self.endpoints[slot];
+        server.ejection = Some(Ejection {
+            next_probe_at: now + pause * jitter,
+            pause,
+            is_probing: false,
+            // A health check does not show that requests fail.
+            by_health_check: can_check && reason != EjectionReason::Failing,
+        });
+        let text = format!("server {} {}: suspect", server.endpoint.server.0, reason.log_word());
+        actions.push(Action::Log { text });
+        self.remembered.retain(|&remembered| remembered != slot);
+        if !self.outliers.ejected.contains(&slot) {
+            self.outliers.ejected.push(slot);
         }
     }
 
-    /// A server is silent if an attempt there is overdue and nothing has come back since it was sent. What
-    /// may be repeated and can still be answered in time is called back from it and sent elsewhere.
-    pub(super) fn find_silent(&mut self, now: Time, out: &mut Vec<Action>) {
-        let overdue = |(&key, flight): (&(RequestId, u32), &Flight)| {
-            let (server, aim) =
-                (&self.servers[flight.server], self.classes[&flight.class].class.latency_objective);
-            let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
-            let pace = self.classes[&flight.class].pace.max(flight.work / aim.as_ms());
-            let wait = aim * (OVERDUE * pace).max(least);
-            let quiet = server.last_answer < flight.sent && !flight.arriving;
-            (quiet && now.since(flight.sent) > wait).then_some((key, flight.server))
-        };
-        let silent: Vec<_> = self.flights.iter().filter_map(overdue).collect();
-        for &((id, attempt), server) in &silent {
-            self.suspect(now, server, "silent", out);
-            let Some(live) = self.live.get(&id) else { continue };
-            let repeatable = self.classes[&live.request.class].class.effect != Effect::AtMostOnce;
-            let last = attempt as usize + 1 == live.attempts.len();
-            let spare = live.attempts.len() < live.max_attempts && self.retries >= 1.0;
-            if repeatable && self.settings.cancel && last && spare && !self.hopeless(now, live) {
-                out.push(Action::Cancel { request: id, attempt: AttemptNumber(attempt) });
+    /// Ejects the servers that do not respond: an attempt there is overdue, and nothing has come back since
+    /// it was sent. Cancels the overdue attempts whose requests can be retried in time.
+    pub(super) fn eject_unresponsive(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let in_flight = self.requests.in_flight.iter();
+        let unanswered: Vec<(AttemptKey, ServerSlot)> = in_flight
+            .filter(|(_, attempt)| self.is_overdue(now, attempt))
+            .map(|(&key, attempt)| (key, attempt.server))
+            .collect();
+        for (key, server) in unanswered {
+            self.eject(now, server, EjectionReason::Unresponsive, actions);
+            if self.can_retry_instead(now, key) {
+                actions.push(Action::Cancel { request: key.request, attempt: key.attempt });
             }
         }
     }
+
+    fn is_overdue(&self, now: Time, attempt: &InFlightAttempt) -> bool {
+        let server = &self.endpoints[attempt.server];
+        let state = &self.classes[&attempt.class];
+        let objective = state.class.latency_objective;
+        let min_ratio = if server.in_flight > 1 { MIN_OVERDUE } else { MIN_OVERDUE_ALONE };
+        let expected_ratio = state.latency_ratio.max(attempt.work_ms / objective.as_ms());
+        let overdue_after = objective * (OVERDUE_FACTOR * expected_ratio).max(min_ratio);
+        let is_unresponsive = server.last_response_at < attempt.sent_at && !attempt.is_streaming_in;
+        is_unresponsive && now.since(attempt.sent_at) > overdue_after
+    }
+
+    /// Whether an attempt can be cancelled in favour of a retry of its request.
+    fn can_retry_instead(&self, now: Time, key: AttemptKey) -> bool {
+        let Some(pending) = self.requests.pending.get(&key.request) else { return false };
+        let is_repeatable = self.class_of(pending).class.effect != Effect::AtMostOnce;
+        let is_latest = key.attempt.0 as usize + 1 == pending.attempts.len();
+        let has_attempts_left = pending.attempts.len() < pending.max_attempts;
+        is_repeatable
+            && self.settings.cancel
+            && is_latest
+            && has_attempts_left
+            && self.retry_budget.can_pay(RETRY_COST)
+            && !self.cannot_meet_deadline(now, pending)
+    }
 }
--- a/crates/decision/src/policy/retry_rules.rs
+++ b/crates/decision/src/policy/retry_rules.rs
@@ -1,58 +1,85 @@
-//! What may still be done with a request: the whole of "no effect happens twice" is here.
-use super::*;
+//! What may still be done with a request. That no effect happens twice is decided here and nowhere else.
 
-/// Where a request may still go.
+use super::requests::{AttemptState, PendingRequest};
+use super::Balancer;
+use crate::api::{CellId, DeduplicationScope, Effect, Endpoint, Time, ZoneId};
+
+/// Later than any time that an attempt is held to.
+pub(super) const NO_DEADLINE: Time = Time(u64::MAX);
+
+/// The servers to which a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum AllowedTargets {
     Nowhere,
     Anywhere,
     Zone(ZoneId),
     Cell(CellId),
 }
 
+impl AllowedTargets {
+    pub(super) fn include(self, endpoint: &Endpoint) -> bool {
+        match self {
+            AllowedTargets::Nowhere => false,
+            AllowedTargets::Anywhere => true,
+            AllowedTargets::Zone(zone) => endpoint.zone == zone,
+            AllowedTargets::Cell(cell) => endpoint.cell == cell,
+        }
+    }
+}
+
 /// What may still be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Lawful {
-    pub(super) send: Reach,
-    /// What is sent has to begin by then: later, servers that have seen the request don't drop it any more.
+pub(super) struct RetryRules {
+    pub(super) targets: AllowedTargets,
+    /// An attempt has to begin by then: later, servers no longer recognise the request as a duplicate.
     pub(super) begin_by: Time,
-    pub(super) refuse: bool,
+    /// It may be rejected: a client that retries it executes it no second time.
+    pub(super) may_reject: bool,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fate {
-    Out,
-    NeverRan,
-    MayHaveRun,
+impl Balancer {
+    pub(super) fn retry_rules(&self, pending: &PendingRequest, now: Time) -> RetryRules {
+        let effect = self.classes[&pending.request.class].class.effect;
+        let mut rules = pending.effect_rules(effect);
+        if !pending.can_have_attempt(now, self.settings.hedging) || now > rules.begin_by {
+            rules.targets = AllowedTargets::Nowhere;
+        }
+        rules.may_reject &= !pending.is_bound_to_stream;
+        rules
+    }
 }
 
-#[derive(Debug, Clone)]
-pub(super) struct Attempt {
-    pub(super) server: usize,
-    pub(super) zone: ZoneId,
-    pub(super) cell: CellId,
-    pub(super) sent: Time,
-    pub(super) fate: Fate,
-}
+impl PendingRequest {
+    /// Whether another attempt is possible, whatever its class.
+    fn can_have_attempt(&self, now: Time, hedging: bool) -> bool {
+        let has_attempts_left = self.attempts.len() < self.max_attempts;
+        let is_held = !self.is_bound_to_stream && !self.is_body_consumed;
+        let is_alone = hedging || !self.has_attempt_in_flight();
+        has_attempts_left && is_held && now < self.deadline && is_alone
+    }
 
-impl Balancer {
-    /// What the rules still allow.
-    pub(super) fn lawful(&self, live: &Live, now: Time) -> Lawful {
-        let out = live.attempts.iter().any(|a| a.fate == Fate::Out);
-        let full = live.attempts.len() >= live.max_attempts;
-        let shut =
-            full || live.bound || live.spent || now >= live.deadline || (out && !self.settings.hedging);
-        let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        let (reach, begin_by, refuse) = match (first, self.classes[&live.request.class].class.effect) {
-            (None, _) | (_, Effect::Idempotent) => (Reach::Anywhere, Time(u64::MAX), true),
-            (Some(_), Effect::AtMostOnce) => (Reach::Nowhere, Time(u64::MAX), false),
-            (Some(first), Effect::Deduplicated { scope: group, window }) => match group {
-                DeduplicationScope::All => (Reach::Anywhere, first.sent + window, true),
-                DeduplicationScope::Zone => (Reach::Zone(first.zone), first.sent + window, false),
-                DeduplicationScope::Cell => (Reach::Cell(first.cell), first.sent + window, false),
-            },
-        };
-        let send = if shut || now > begin_by { Reach::Nowhere } else { reach };
-        Lawful { send, begin_by, refuse: refuse && !live.bound }
+    /// What the effect of its class allows: everything, until an attempt may have been executed.
+    fn effect_rules(&self, effect: Effect) -> RetryRules {
+        let maybe_executed = self.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted);
+        let unrestricted =
+            RetryRules { targets: AllowedTargets::Anywhere, begin_by: NO_DEADLINE, may_reject: true };
+        let Some(first) = maybe_executed else { return unrestricted };
+        match effect {
+            Effect::Idempotent => unrestricted,
+            Effect::AtMostOnce => {
+                RetryRules { targets: AllowedTargets::Nowhere, begin_by: NO_DEADLINE, may_reject: false }
+            }
+            Effect::Deduplicated { scope, window } => {
+                let targets = match scope {
+                    DeduplicationScope::All => AllowedTargets::Anywhere,
+                    DeduplicationScope::Zone => AllowedTargets::Zone(first.zone),
+                    DeduplicationScope::Cell => AllowedTargets::Cell(first.cell),
+                };
+                // A client's retry may reach any server, so rejecting is safe only if all recognise
+                // duplicates.
+                let may_reject = scope == DeduplicationScope::All;
+                RetryRules { targets, begin_by: first.sent_at + window, may_reject }
+            }
+        }
     }
 }
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -1,33 +1,50 @@
-//! Warmth: the share of its capacity that a server surely has since it started.
-use super::*;
+//! Slow start: what fraction of its capacity a server surely has since it started.
 
-impl Balancer {
-    /// The share of its capacity that a server surely has.
-    pub(super) fn warmth(&self, s: &Server, now: Time) -> f64 {
-        let Some(started) = s.listed.started_at else { return 1.0 };
-        let (age, warm) = (now.since(started).as_ms(), self.settings.warm_up_time.as_ms());
-        if age >= warm {
+use super::endpoints::{Server, ServerSlot};
+use super::Balancer;
+use crate::api::{Settings, Time};
+
+impl Server {
+    /// The fraction of its capacity that the server surely has; it grows linearly to 1 while it warms up.
+    pub(super) fn capacity_fraction(&self, now: Time, settings: &Settings) -> f64 {
+        let Some(started_at) = self.endpoint.started_at else { return 1.0 };
+        let age_ms = now.since(started_at).as_ms();
+        let warm_up_ms = settings.warm_up_time.as_ms();
+        if age_ms >= warm_up_ms {
             return 1.0;
         }
-        let cold = self.settings.initial_capacity_share.min(1.0);
-        cold + (1.0 - cold) * age / warm
+        let initial = settings.initial_capacity_share.min(1.0);
+        initial + (1.0 - initial) * age_ms / warm_up_ms
     }
+}
 
-    /// The warmth of the warmest server that there is to send to; looks no further than the first warm one.
-    pub(super) fn warmest(&self, now: Time) -> f64 {
-        let mut warmths = self.serving.iter().map(|&i| self.warmth(&self.servers[i], now));
-        warmths
-            .try_fold(0.0, |most: f64, w| if w < 1.0 { Ok(most.max(w)) } else { Err(w) })
-            .unwrap_or_else(|w| w)
+impl Balancer {
+    pub(super) fn capacity_fraction(&self, now: Time, server: ServerSlot) -> f64 {
+        self.endpoints[server].capacity_fraction(now, &self.settings)
     }
 
-    /// What the servers that there are to send to can do, as a share of what they could if all were warm.
-    pub(super) fn mean_warmth(&self, now: Time) -> f64 {
-        let all: f64 = self.serving.iter().map(|&i| self.warmth(&self.servers[i], now)).sum();
-        all / self.serving.len().max(1) as f64
+    pub(super) fn is_warming_up(&self, now: Time, server: ServerSlot) -> bool {
+        self.capacity_fraction(now, server) < 1.0
+    }
+
+    /// The highest capacity fraction of the serving servers. It looks no further than the first at full
+    /// capacity.
+    pub(super) fn max_capacity_fraction(&self, now: Time) -> f64 {
+        let mut max: f64 = 0.0;
+        for &server in &self.endpoints.serving {
+            let fraction = self.capacity_fraction(now, server);
+            if fraction >= 1.0 {
+                return fraction;
+            }
+            max = max.max(fraction);
+        }
+        max
     }
 
-    pub(super) fn is_cold(&self, now: Time, server: usize) -> bool {
-        self.warmth(&self.servers[server], now) < 1.0
+    /// The capacity of the serving servers, as a fraction of what it is once all have warmed up.
+    pub(super) fn mean_capacity_fraction(&self, now: Time) -> f64 {
+        let serving = &self.endpoints.serving;
+        let all: f64 = serving.iter().map(|&server| self.capacity_fraction(now, server)).sum();
+        all / serving.len().max(1) as f64
     }
 }
