--- a/crates/decision/tests/decisions_in_one_place.rs
+++ b/crates/decision/tests/decisions_in_one_place.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_the_modules_files_and_no_others() {
+fn deploy_file_names_exactly_the_policy_files() {
     let deploy = read("deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("it names the policy files");
     let named: Vec<String> = policy.split('"').skip(1).step_by(2).map(String::from).collect();
@@ -114,9 +114,9 @@
     }
 }
 
-/// Others match on actions, to carry them out; who makes one decides.
+/// Other packages match on actions to carry them out; whoever creates one decides.
 #[test]
-fn nothing_but_the_policy_makes_an_action() {
+fn only_the_policy_creates_actions() {
     let actions = actions();
     assert!(actions.contains("Send") && actions.len() > 8, "{actions:?}");
     let (mut carried_out, mut made) = (BTreeSet::new(), Vec::new());
@@ -148,7 +148,7 @@
 /// A server is chosen by draws, and draws are made by the policy: whoever else draws at random (names, pauses, the seed
 /// of the draws) knows no server as the module numbers them, and what passes requests on has no draws at all.
 #[test]
-fn nothing_but_the_policy_draws_servers() {
+fn only_the_policy_draws_servers() {
     for (file, code) in sources_elsewhere() {
         let draws = ["fastrand", "rand::", "getrandom", "RandomState"].iter().any(|word| code.contains(word));
         let knows_servers =
@@ -163,7 +163,7 @@
 
 /// An attempt begins in one place: where the engine carries out [`Action::Send`](heronhoist_decision::Action::Send).
 #[test]
-fn attempts_begin_where_a_send_is_carried_out() {
+fn attempts_begin_only_where_a_send_is_carried_out() {
     let mut begun = Vec::new();
     for (file, code) in sources_elsewhere() {
         let calls = code.matches("upstream.attempt(").count() + code.matches("upstream().attempt(").count();
--- a/crates/decision/tests/dialects.rs
+++ b/crates/decision/tests/dialects.rs
@@ -1,4 +1,4 @@
-//! Guards the promise that a request goes to servers only that it can be said to, at its first attempt and at every other.
+//! A request goes only to servers that speak one of its dialects, in its first attempt and in every other.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -8,7 +8,7 @@
 fn settings(balancers: u32) -> Settings {
     let classes = vec![
         class(Effect::Idempotent),
-        class(keyed(DeduplicationScope::Cell, 600.0)),
+        class(deduplicated(DeduplicationScope::Cell, 600.0)),
         class(Effect::AtMostOnce),
     ];
     Settings { classes, balancers, max_attempts: 3, ..Settings::default() }
@@ -22,8 +22,8 @@
 
 /// Sends to old and to new servers of requests that may go to `dialects`; a third of all attempts fails.
 fn sent(balancers: u32, dialects: Dialects, seed: u64) -> [usize; 2] {
-    let mut rig = Rig::new(settings(balancers), seed);
-    rig.list(mixed(12));
+    let mut harness = Harness::new(settings(balancers), seed);
+    harness.set_endpoints(mixed(12));
     let (mut sent, mut rng) = ([0, 0], fastrand::Rng::with_seed(seed));
     let (mut all, mut tries) = (Vec::new(), std::collections::BTreeMap::new());
     for n in 0..700 {
@@ -31,26 +31,26 @@
         let request = Request { dialects, ..Request::new(RequestId(n), ClassId(rng.usize(0..3)), left) };
         // The last hundred turns only answer.
         if n < 600 {
-            rig.tell(Event::Request(request));
-            all.append(&mut rig.actions);
+            harness.notify(Event::Request(request));
+            all.append(&mut harness.actions);
         }
         while let Some(action) = all.pop() {
             let Action::Send { request, server, .. } = action else { continue };
             sent[usize::from(server.0 % 2 == 1)] += 1;
             let attempt = tries.entry(request).or_insert(0);
             let fate = [Outcome::Success, Outcome::Success, Outcome::ConnectFailed, Outcome::ConnectionReset];
-            rig.answer(request, *attempt, fate[rng.usize(0..4)], 5.0);
+            harness.end_attempt(request, *attempt, fate[rng.usize(0..4)], 5.0);
             *attempt += 1;
-            all.append(&mut rig.actions);
+            all.append(&mut harness.actions);
         }
-        all.extend(rig.wait(Span::from_ms(20.0)));
+        all.extend(harness.advance(Span::from_ms(20.0)));
     }
-    rig.assert_rules();
+    harness.assert_no_violation();
     sent
 }
 
 #[test]
-fn a_request_is_sent_only_to_servers_that_it_can_be_said_to() {
+fn request_goes_only_to_servers_that_speak_its_dialects() {
     for (seed, balancers) in [(1, 3), (2, 3), (3, 60), (4, 60)] {
         let [old, new] = sent(balancers, Dialects::only(OLD), seed);
         assert!(old > 50 && new == 0, "{balancers}: {old} {new}");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_set_of_dialects_holds_what_was_put_in() {
+fn dialect_set_contains_what_was_added() {
     let set = Dialects::only(OLD).with(DialectId(31));
     assert!(set.contains(OLD) && set.contains(DialectId(31)) && !set.contains(DialectId(0)));
     assert!(!set.with(DialectId(200)).contains(DialectId(200)), "there are 32");
--- a/crates/decision/tests/memory_does_not_grow.rs
+++ b/crates/decision/tests/memory_does_not_grow.rs
@@ -1,17 +1,17 @@
-//! Guards against records that outlive their requests: memory must not grow with requests served.
+//! Memory does not grow with the number of requests and servers.
 mod common;
 use common::*;
 use heronhoist_decision::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not tell.
+/// Resident memory of this process in KiB; `None` where the system does not say.
 fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
-fn many_requests_leave_nothing_behind() {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+fn memory_does_not_grow_with_requests() {
+    let settings = single_class(Effect::Idempotent);
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
     let mut now = Time::from_ms(1000.0);
@@ -44,11 +44,10 @@
     assert!(grown < 16 * 1024, "{grown} KiB more after 400,000 further requests");
 }
 
-/// Backends that are replaced under ever new names: the memory must not grow with them. A newcomer starts afresh,
-/// whatever the one before it in its place has been through.
+/// Servers are replaced by ever new ones. A new server starts afresh, whatever was known of the one whose slot it takes.
 #[test]
-fn servers_that_have_left_are_forgotten() {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+fn memory_does_not_grow_with_replaced_servers() {
+    let settings = single_class(Effect::Idempotent);
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let (mut now, mut actions) = (Time::from_ms(1000.0), Vec::new());
     balancer.start(now, &mut actions);
@@ -66,7 +65,7 @@
             Event::Request(Request::new(request, ClassId(0), Span::from_ms(800.0))),
             &mut actions,
         );
-        let server = sent_in(&actions, request).expect("all are new and none is suspect");
+        let server = target_in(&actions, request).expect("all are new and none is suspect");
         assert_eq!(server.0 / 4, turn, "it is sent to one that is there");
         let (attempt, outcome, elapsed) = (AttemptNumber(0), Outcome::ConnectionReset, Span::from_ms(1.0));
         let outcome = Event::AttemptEnded {
--- a/crates/decision/tests/observer_sees_breaches.rs
+++ b/crates/decision/tests/observer.rs
@@ -1,4 +1,4 @@
-//! Guards the other tests: the observer must object to a broken decision of each kind.
+//! The other tests rely on the observer: it detects a broken decision of each kind.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -39,15 +39,15 @@
 }
 
 fn objects(observer: &Observer, text: &str) {
-    assert!(observer.faults.iter().any(|f| f.contains(text)), "{text}: {:?}", observer.faults);
+    assert!(observer.violations.iter().any(|f| f.contains(text)), "{text}: {:?}", observer.violations);
 }
 
 #[test]
-fn lost_late_double_and_posthumous() {
+fn observer_detects_lost_late_and_duplicate_responses() {
     let (mut o, now) = watch(Effect::Idempotent);
     assert_eq!(o.lost(now + Span::from_ms(900.0)), 1);
     o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
-    assert!(o.faults.is_empty());
+    assert!(o.violations.is_empty());
     o.action(now, &send(0, now));
     objects(&o, "sent after its end");
     o.action(now, &Action::Fail { request: RequestId(1) });
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn doubled_effects() {
+fn observer_detects_duplicate_effects() {
     let (mut o, now) = watch(Effect::AtMostOnce);
     o.action(now, &send(0, now));
     o.action(now, &send(1, now));
@@ -68,11 +68,11 @@
     o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
     objects(&o, "refused though it may have run");
 
-    let (mut o, now) = watch(keyed(DeduplicationScope::Zone, 100.0));
+    let (mut o, now) = watch(deduplicated(DeduplicationScope::Zone, 100.0));
     o.action(now, &send(0, now));
     o.event(now, &ended(Outcome::TimedOut, 0));
     o.action(now, &send(2, now));
-    assert!(o.faults.is_empty(), "{:?}", o.faults);
+    assert!(o.violations.is_empty(), "{:?}", o.violations);
     o.event(now, &ended(Outcome::TimedOut, 1));
     o.action(now, &send(1, now));
     objects(&o, "outside the group");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn drains_and_cold_servers() {
+fn observer_detects_sends_to_draining_and_overloaded_warming_servers() {
     let (mut o, now) = watch(Effect::Idempotent);
     let line = Endpoint { status: Status::Draining, ..Endpoint::serving(ServerId(0)) };
     o.event(now, &Event::EndpointList(EndpointUpdate::Changes(vec![line])));
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Guards against collapse under overload: late answers, standing queues, retry storms, unfair refusals.
+//! Overload: late responses, standing queues, retry storms and unfair rejections.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -8,33 +8,33 @@
     Settings { classes: vec![class(Effect::Idempotent)], max_attempts: 6, ..Settings::default() }
 }
 
-/// Fills a fleet of one server until requests are held; the requests sent and those held.
-fn fill(rig: &mut Rig, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
-    rig.list(fleet(1, 1, 1));
+/// Submits `count` requests to a fleet of one server; those dispatched and those queued.
+fn fill(harness: &mut Harness, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
+    harness.set_endpoints(fleet(1, 1, 1));
     let asked: Vec<_> = (0..count)
         .map(|_| {
-            rig.wait(Span::from_ms(1.0));
-            rig.ask(0)
+            harness.advance(Span::from_ms(1.0));
+            harness.submit(0)
         })
         .collect();
     let sent = asked.iter().filter(|a| a.1.is_some()).map(|a| a.0).collect();
     (sent, asked.iter().filter(|a| a.1.is_none()).map(|a| a.0).collect())
 }
 
-/// An aim that leaves little over what an answer takes at best is no sign of a crowd: the limit opens all the
-/// same. One that is met in good time at best and is not now is.
+/// A latency objective that leaves little over the least latency is no sign of congestion, so the limit opens all the same.
+/// Latency far above the least one is.
 #[test]
-fn a_tight_aim_does_not_close_the_limit() {
+fn tight_latency_objective_does_not_close_the_concurrency_limit() {
     let served = |quiet: f64, crowded: f64| {
-        let mut rig = Rig::new(settings(), 1);
-        rig.list(fleet(1, 1, 1));
+        let mut harness = Harness::new(settings(), 1);
+        harness.set_endpoints(fleet(1, 1, 1));
         let mut out: Vec<(Time, RequestId)> = Vec::new();
         let mut last_second = 0;
         for round in 0..400 {
             let ms = if round < 100 { quiet } else { crowded };
             let mut sent =
-                vec![rig.ask(0)].into_iter().filter_map(|(id, to)| to.map(|_| id)).collect::<Vec<_>>();
-            let now = rig.now;
+                vec![harness.submit(0)].into_iter().filter_map(|(id, to)| to.map(|_| id)).collect::<Vec<_>>();
+            let now = harness.now;
             let done: Vec<_> = out.iter().filter(|o| o.0 <= now).map(|o| o.1).collect();
             out.retain(|o| o.0 > now);
             let sends = |actions: &[Action]| -> Vec<RequestId> {
@@ -46,9 +46,9 @@
             };
             for id in done {
                 last_second += u32::from(round >= 300);
-                sent.extend(sends(rig.answer(id, 0, Outcome::Success, ms)));
+                sent.extend(sends(harness.end_attempt(id, 0, Outcome::Success, ms)));
             }
-            sent.extend(sends(&rig.wait(Span::from_ms(10.0))));
+            sent.extend(sends(&harness.advance(Span::from_ms(10.0))));
             out.extend(sent.into_iter().map(|id| (now + Span::from_ms(ms), id)));
         }
         last_second
@@ -58,56 +58,59 @@
     assert!(crowd < 60, "{crowd} of 100 where they take seven times what they take with nobody about");
 }
 
-/// First come first served would make every held request late.
+/// First come, first served would make every queued request late.
 #[test]
-fn held_requests_go_newest_first() {
-    let mut rig = Rig::new(settings(), 1);
-    let (sent, held) = fill(&mut rig, 12);
+fn queued_requests_are_dispatched_newest_first() {
+    let mut harness = Harness::new(settings(), 1);
+    let (sent, held) = fill(&mut harness, 12);
     assert!(!sent.is_empty() && held.len() > 4);
-    rig.answer(sent[0], 0, Outcome::Success, 20.0);
-    assert!(rig.sent_to(*held.last().unwrap()).is_some());
-    assert!(rig.sent_to(held[0]).is_none());
+    harness.end_attempt(sent[0], 0, Outcome::Success, 20.0);
+    assert!(harness.target_of(*held.last().unwrap()).is_some());
+    assert!(harness.target_of(held[0]).is_none());
 }
 
 #[test]
-fn held_requests_are_refused_before_their_aim_has_passed() {
-    let mut rig = Rig::new(settings(), 1);
-    let (_, held) = fill(&mut rig, 12);
-    let start = rig.now;
+fn queued_requests_are_rejected_before_their_latency_objective_has_passed() {
+    let mut harness = Harness::new(settings(), 1);
+    let (_, held) = fill(&mut harness, 12);
+    let start = harness.now;
     let mut refusals = 0;
-    while rig.now.since(start) < Span::from_ms(200.0) {
-        refusals +=
-            rig.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Reject { .. })).count();
+    while harness.now.since(start) < Span::from_ms(200.0) {
+        refusals += harness
+            .advance(Span::from_ms(10.0))
+            .iter()
+            .filter(|a| matches!(a, Action::Reject { .. }))
+            .count();
         if refusals == held.len() {
             break;
         }
     }
     assert_eq!(refusals, held.len());
-    assert!(rig.now.since(start) < Span::from_ms(200.0), "in time for the client's next try");
+    assert!(harness.now.since(start) < Span::from_ms(200.0), "in time for the client's next try");
 }
 
 #[test]
-fn late_answers_bring_fewer_sends_and_quick_ones_bring_them_back() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.list(fleet(2, 1, 1));
+fn concurrency_limit_follows_latency() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.set_endpoints(fleet(2, 1, 1));
     let mut round = |ms: f64| {
         let mut out = Vec::new();
         let held = loop {
-            match rig.ask(0) {
+            match harness.submit(0) {
                 (id, Some(_)) => out.push(id),
                 (id, None) => break id,
             }
         };
         let now = out.len();
-        rig.wait(Span::from_ms(ms));
+        harness.advance(Span::from_ms(ms));
         let mut late = None;
         for id in out {
-            late = late.or(sent_in(rig.answer(id, 0, Outcome::Success, ms), held));
+            late = late.or(target_in(harness.end_attempt(id, 0, Outcome::Success, ms), held));
         }
         if late.is_some() {
-            rig.answer(held, 0, Outcome::Success, ms);
+            harness.end_attempt(held, 0, Outcome::Success, ms);
         }
-        rig.wait(Span::from_ms(250.0));
+        harness.advance(Span::from_ms(250.0));
         now
     };
     let first = round(20.0);
@@ -122,39 +125,39 @@
     assert!(round(15.0) > crowded + 2, "limits must grow again, from one and a half too");
 }
 
-/// An attempt turned away as full must not go round the fleet at once, again and again.
+/// A rejected attempt must not go round the fleet at once, again and again.
 #[test]
-fn full_servers_are_not_asked_round_and_round() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.list(fleet(3, 1, 1));
+fn rejected_attempts_are_not_retried_round_and_round() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.set_endpoints(fleet(3, 1, 1));
     let mut sends = 0;
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     for _ in 0..200 {
-        rig.ask(0);
-        let mut todo = rig.actions.clone();
-        todo.extend(rig.wait(Span::from_ms(5.0)));
+        harness.submit(0);
+        let mut todo = harness.actions.clone();
+        todo.extend(harness.advance(Span::from_ms(5.0)));
         while let Some(action) = todo.pop() {
             if let Action::Send { request, .. } = action {
                 sends += 1;
                 let attempt = attempts.entry(request).or_insert(0);
-                todo.extend_from_slice(rig.answer(request, *attempt, Outcome::Rejected, 1.0));
+                todo.extend_from_slice(harness.end_attempt(request, *attempt, Outcome::Rejected, 1.0));
                 *attempt += 1;
             }
         }
     }
-    rig.wait(Span::from_ms(300.0));
+    harness.advance(Span::from_ms(300.0));
     assert!(sends < 240, "{sends} attempts for 200 requests to full servers");
-    rig.assert_rules();
+    harness.assert_no_violation();
 }
 
-/// A later try is known by its unusual wait; when its aim has passed, serving it is wasted.
+/// A client's retry is known by its unusual timeout; when its latency objective has passed, serving it is wasted.
 #[test]
-fn a_later_try_past_its_aim_is_refused() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.list(fleet(9, 1, 1));
+fn client_retry_past_its_latency_objective_is_rejected() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.set_endpoints(fleet(9, 1, 1));
     let mut ask = |id: u64, left: f64| {
         let request = Request::new(RequestId(1000 + id), ClassId(0), Span::from_ms(left));
-        rig.tell(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
+        harness.notify(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
     };
     for id in 0..10 {
         assert!(ask(id, 500.0), "first tries of a class wait alike, here for 500 of 800 ms");
@@ -164,27 +167,27 @@
 }
 
 fn pressed(settings: Settings, ask: impl Fn(u32) -> Request) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
-    let mut rig = Rig::new(settings, 3);
-    rig.list(fleet(2, 1, 1));
+    let mut harness = Harness::new(settings, 3);
+    harness.set_endpoints(fleet(2, 1, 1));
     let mut out: Vec<(Time, Request)> = Vec::new();
     let mut tally: BTreeMap<_, (u32, u32)> = BTreeMap::new();
     for i in 0..6000 {
         let request = ask(i);
         let entry = tally.entry((request.class.0, request.tenant.map(|t| t.0))).or_default();
         entry.0 += 1;
-        let mut actions = rig.tell(Event::Request(request.clone())).to_vec();
+        let mut actions = harness.notify(Event::Request(request.clone())).to_vec();
         out.push((Time(u64::MAX), request));
-        actions.extend(rig.wait(Span::from_ms(2.0)));
-        let due: Vec<_> = out.iter().filter(|o| o.0 <= rig.now).map(|o| o.1.id).collect();
+        actions.extend(harness.advance(Span::from_ms(2.0)));
+        let due: Vec<_> = out.iter().filter(|o| o.0 <= harness.now).map(|o| o.1.id).collect();
         for id in due {
-            actions.extend_from_slice(rig.answer(id, 0, Outcome::Success, 40.0));
+            actions.extend_from_slice(harness.end_attempt(id, 0, Outcome::Success, 40.0));
             let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).unwrap());
             tally.get_mut(&(r.class.0, r.tenant.map(|t| t.0))).unwrap().1 += 1;
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
                 if let Some(o) = out.iter_mut().find(|o| o.1.id == request) {
-                    o.0 = rig.now + Span::from_ms(40.0);
+                    o.0 = harness.now + Span::from_ms(40.0);
                 }
             }
         }
@@ -197,7 +200,7 @@
 }
 
 #[test]
-fn under_pressure_the_class_worth_most_for_its_work_is_spared() {
+fn overload_spares_the_class_with_the_highest_weight_for_its_work() {
     let worth = |worth| Class { priority_weight: worth, ..class(Effect::Idempotent) };
     let goal = ScoreWeights { overall: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
     let settings = Settings {
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn a_flooding_tenant_pays_for_its_flood() {
+fn tenant_over_its_quota_is_shed_first() {
     let tenant = |fraction| Tenant { quota_fraction: fraction, quota_per_second: 100.0 };
     let settings = Settings {
         tenants: vec![tenant(0.3), tenant(0.7)],
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Guards against settings that lack what a decision could use, and against ones that no decision can use.
+//! Invalid settings, and settings that lack whatever a decision could use.
 mod common;
 use common::*;
 use heronhoist_decision::*;
 
 #[test]
-fn impossible_settings_are_errors_and_not_panics() {
+fn invalid_settings_are_errors_and_not_panics() {
     let with = |change: fn(&mut Settings)| {
         let mut settings = Settings::default();
         change(&mut settings);
@@ -29,9 +29,9 @@
     assert_eq!(with(|_| ()), None);
 }
 
-/// No reports, keys, tenants, probes, cancels or advice, and no goal to speak of: requests are served all the same.
+/// Without reports, keys, tenants, health checks, cancellation, Retry-After and score weights requests are served all the same.
 #[test]
-fn the_plain_path_needs_nothing_but_a_class() {
+fn a_class_is_the_only_setting_needed() {
     let settings = Settings {
         classes: vec![class(Effect::Idempotent)],
         cancel: false,
@@ -39,24 +39,24 @@
         warm_up_time: Span::ZERO,
         ..Settings::default()
     };
-    let mut rig = Rig::new(settings, 1);
-    rig.list(fleet(3, 1, 1));
+    let mut harness = Harness::new(settings, 1);
+    harness.set_endpoints(fleet(3, 1, 1));
     for _ in 0..100 {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = harness.submit(0);
         assert!(sent.is_some());
-        rig.wait(Span::from_ms(10.0));
-        rig.answer_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
+        harness.advance(Span::from_ms(10.0));
+        harness.end_attempt_with_report(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
     }
-    rig.assert_rules();
+    harness.assert_no_violation();
 }
 
 #[test]
-fn a_request_of_an_unknown_class_is_refused() {
-    let mut rig = Rig::new(Settings::default(), 1);
-    rig.list(fleet(3, 1, 1));
+fn request_of_an_unknown_class_is_rejected() {
+    let mut harness = Harness::new(Settings::default(), 1);
+    harness.set_endpoints(fleet(3, 1, 1));
     let request = Request::new(RequestId(5), ClassId(9), Span::from_ms(100.0));
     let mut actions = Vec::new();
-    rig.balancer.handle(rig.now, Event::Request(request), &mut actions);
-    assert!(refused(&actions, RequestId(5)));
+    harness.balancer.handle(harness.now, Event::Request(request), &mut actions);
+    assert!(is_rejected(&actions, RequestId(5)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
 }
--- a/crates/decision/tests/cold_server_not_pushed_over.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Guards rule four: a server that has just started is sent its share only.
+//! Rule four: a server that has just started gets only its part of the load.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -16,94 +16,94 @@
 }
 
 /// Sends at `per_s` for `ms`, each answered after 20 ms; how many went to `server`, of how many.
-fn load(rig: &mut Rig, per_s: f64, ms: f64, server: ServerId) -> (u32, u32) {
+fn load(harness: &mut Harness, per_s: f64, ms: f64, server: ServerId) -> (u32, u32) {
     let (mut there, mut all) = (0, 0);
     let mut out: Vec<(Time, RequestId, u32)> = Vec::new();
-    let end = rig.now + Span::from_ms(ms);
-    while rig.now < end {
-        let (id, sent) = rig.ask(0);
+    let end = harness.now + Span::from_ms(ms);
+    while harness.now < end {
+        let (id, sent) = harness.submit(0);
         if let Some(sent) = sent {
             all += 1;
             there += u32::from(sent == server);
-            out.push((rig.now + Span::from_ms(20.0), id, 0));
+            out.push((harness.now + Span::from_ms(20.0), id, 0));
         }
-        rig.wait(Span::from_ms(1000.0 / per_s));
-        let now = rig.now;
+        harness.advance(Span::from_ms(1000.0 / per_s));
+        let now = harness.now;
         let due: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
         out.retain(|o| o.0 > now);
         for (_, id, attempt) in due {
-            rig.answer(id, attempt, Outcome::Success, 20.0);
+            harness.end_attempt(id, attempt, Outcome::Success, 20.0);
         }
     }
     for (_, id, attempt) in out {
-        rig.answer(id, attempt, Outcome::Success, 20.0);
+        harness.end_attempt(id, attempt, Outcome::Success, 20.0);
     }
     (there, all)
 }
 
 #[test]
-fn a_cold_server_gets_its_share_of_a_warm_ones_load() {
-    let mut rig = Rig::new(settings(), 4);
+fn warming_server_gets_its_capacity_fraction_of_the_load() {
+    let mut harness = Harness::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
-    lines[5].started_at = Some(rig.now);
-    rig.list(lines);
-    let (cold, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
+    lines[5].started_at = Some(harness.now);
+    harness.set_endpoints(lines);
+    let (cold, all) = load(&mut harness, 200.0, 1500.0, ServerId(5));
     let warm = f64::from(all - cold) / 5.0;
     assert!(f64::from(cold) <= 0.5 * warm, "cold {cold}, a warm one {warm}");
     assert!(cold >= 1, "it is not shut out either");
-    load(&mut rig, 200.0, 8600.0, ServerId(5));
-    let (then, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
+    load(&mut harness, 200.0, 8600.0, ServerId(5));
+    let (then, all) = load(&mut harness, 200.0, 1500.0, ServerId(5));
     assert!(f64::from(then) > 0.5 * f64::from(all) / 6.0, "warm by then: {then} of {all}");
-    rig.assert_rules();
+    harness.assert_no_violation();
 }
 
 #[test]
-fn a_second_restart_while_warming_starts_over() {
-    let mut rig = Rig::new(settings(), 4);
+fn restart_while_warming_up_restarts_slow_start() {
+    let mut harness = Harness::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
-    lines[5].started_at = Some(rig.now);
-    rig.list(lines.clone());
-    load(&mut rig, 200.0, 8000.0, ServerId(5));
-    lines[5].started_at = Some(rig.now);
-    rig.tell(Event::EndpointList(EndpointUpdate::Changes(vec![lines[5].clone()])));
-    let (cold, all) = load(&mut rig, 200.0, 1000.0, ServerId(5));
+    lines[5].started_at = Some(harness.now);
+    harness.set_endpoints(lines.clone());
+    load(&mut harness, 200.0, 8000.0, ServerId(5));
+    lines[5].started_at = Some(harness.now);
+    harness.notify(Event::EndpointList(EndpointUpdate::Changes(vec![lines[5].clone()])));
+    let (cold, all) = load(&mut harness, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
-    rig.assert_rules();
+    harness.assert_no_violation();
 }
 
 #[test]
-fn a_fleet_that_is_all_cold_still_serves_and_a_lone_server_too() {
+fn fleet_that_is_all_warming_up_still_serves() {
     for n in [1, 4] {
-        let mut rig = Rig::new(settings(), 4);
-        let start = rig.now;
-        rig.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
-        let (_, all) = load(&mut rig, 20.0, 1000.0, ServerId(0));
+        let mut harness = Harness::new(settings(), 4);
+        let start = harness.now;
+        harness.set_endpoints(warming_fleet(n, start));
+        let (_, all) = load(&mut harness, 20.0, 1000.0, ServerId(0));
         assert!(all > 10, "{all} sent");
-        rig.assert_rules();
+        harness.assert_no_violation();
     }
 }
 
-/// With nothing answered, a cold fleet must not be flooded by the first seconds' arrivals.
+/// Before anything is answered, a warming fleet must not be flooded by the first seconds' arrivals.
 #[test]
-fn an_all_cold_fleet_is_paced_by_its_answers() {
-    let mut rig = Rig::new(settings(), 4);
-    let start = rig.now;
-    rig.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
+fn fleet_that_is_all_warming_up_is_paced_by_its_responses() {
+    let mut harness = Harness::new(settings(), 4);
+    let start = harness.now;
+    harness.set_endpoints(warming_fleet(4, start));
     let mut sent = 0;
     for _ in 0..200 {
-        sent += u32::from(rig.ask(0).1.is_some());
+        sent += u32::from(harness.submit(0).1.is_some());
     }
     assert!(sent <= 8, "{sent} sent at once to four servers at a fifth of their capacity");
 }
 
-/// What a full server turns away at once holds no place, and pushes it all the same: it is left alone for as long as it
-/// needs to have one again. A warm one is not.
+/// A rejected request is not in flight, and loads a full server all the same. A warming server is left alone for as long as
+/// it needs to have capacity again; a warm one is not.
 #[test]
-fn a_cold_server_that_is_full_or_late_is_left_alone_for_a_while() {
+fn overloaded_warming_server_is_backed_off_from() {
     let sends = |started: bool, fate: Outcome| {
-        let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 4);
-        let start = rig.now;
-        rig.list(
+        let mut harness = Harness::new(Settings { max_attempts: 1, ..settings() }, 4);
+        let start = harness.now;
+        harness.set_endpoints(
             fleet(1, 1, 1)
                 .into_iter()
                 .map(|l| Endpoint { started_at: started.then_some(start), ..l })
@@ -111,12 +111,12 @@
         );
         let mut sent = 0;
         for _ in 0..200 {
-            let (id, to) = rig.ask(0);
+            let (id, to) = harness.submit(0);
             if to.is_some() {
                 sent += 1;
-                rig.answer(id, 0, fate, 1.0);
+                harness.end_attempt(id, 0, fate, 1.0);
             }
-            rig.wait(Span::from_ms(5.0));
+            harness.advance(Span::from_ms(5.0));
         }
         sent
     };
@@ -127,29 +127,29 @@
     }
 }
 
-/// Where all that is left is cold and far too little, each of many balancers asks it ever more seldom, until it has served
-/// one: together they would push it over.
+/// Where only warming servers are left, with far too little capacity, each of many balancers backs off ever longer until a
+/// request is served: together they would overload them.
 #[test]
-fn a_cold_server_that_stays_full_is_asked_ever_more_seldom() {
-    let mut rig = Rig::new(Settings { max_attempts: 1, balancers: 45, ..settings() }, 4);
-    let start = rig.now;
-    rig.list(fleet(2, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
+fn backoff_grows_while_a_warming_server_stays_overloaded() {
+    let mut harness = Harness::new(Settings { max_attempts: 1, balancers: 45, ..settings() }, 4);
+    let start = harness.now;
+    harness.set_endpoints(warming_fleet(2, start));
     // Sends in each second; from the sixth on the servers serve.
     let mut all = Vec::new();
     let sent: Vec<usize> = (0..8)
         .map(|second| {
             let mut sent = 0;
             for _ in 0..200 {
-                rig.ask(0);
-                all.append(&mut rig.actions);
+                harness.submit(0);
+                all.append(&mut harness.actions);
                 while let Some(action) = all.pop() {
                     let Action::Send { request, .. } = action else { continue };
                     sent += 1;
                     let fate = if second < 5 { Outcome::Rejected } else { Outcome::Success };
-                    rig.answer(request, 0, fate, 1.0);
-                    all.append(&mut rig.actions);
+                    harness.end_attempt(request, 0, fate, 1.0);
+                    all.append(&mut harness.actions);
                 }
-                all.extend(rig.wait(Span::from_ms(5.0)));
+                all.extend(harness.advance(Span::from_ms(5.0)));
             }
             sent
         })
@@ -159,69 +159,69 @@
     assert!(sent[7] > sent[0], "those that have served are asked again as before: {sent:?}");
 }
 
-/// A warm server that is suspect is no reason to leave cold ones idle, nor to send them all of its load.
+/// An ejected warm server is no reason to leave warming ones idle, nor to send them all of its load.
 #[test]
-fn cold_servers_stand_in_for_suspects_with_their_part() {
-    let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 4);
-    rig.list(fleet(3, 1, 1));
-    load(&mut rig, 100.0, 500.0, ServerId(0));
+fn warming_servers_stand_in_for_ejected_ones_within_their_part() {
+    let mut harness = Harness::new(Settings { max_attempts: 1, ..settings() }, 4);
+    harness.set_endpoints(fleet(3, 1, 1));
+    load(&mut harness, 100.0, 500.0, ServerId(0));
     let mut lines = fleet(3, 1, 1);
-    (lines[1].started_at, lines[2].started_at) = (Some(rig.now), Some(rig.now));
-    rig.tell(Event::EndpointList(EndpointUpdate::Changes(lines[1..].to_vec())));
+    (lines[1].started_at, lines[2].started_at) = (Some(harness.now), Some(harness.now));
+    harness.notify(Event::EndpointList(EndpointUpdate::Changes(lines[1..].to_vec())));
     let (mut sent, mut asked) = (0, 0);
     for _ in 0..300 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = harness.submit(0);
         asked += 1;
         if let Some(to) = to {
             let fate = if to == ServerId(0) { Outcome::ConnectFailed } else { Outcome::Success };
             sent += u32::from(to != ServerId(0));
-            rig.answer(id, 0, fate, 20.0);
+            harness.end_attempt(id, 0, fate, 20.0);
         }
-        rig.wait(Span::from_ms(10.0));
+        harness.advance(Span::from_ms(10.0));
     }
     assert!(sent > asked / 10, "{sent} of {asked} sent to the two that live");
     assert!(sent < asked * 2 / 3, "{sent} of {asked} sent to two that are cold");
     // The observer measures cold ones by what warm ones are sent, and the only warm one here is dead.
 }
 
-/// Where too few warm servers are left for what comes in, they are always full. Cold ones beside them serve their part all the
-/// same, and each no more of it than its warmth's part of what a warm one is sent.
+/// Where too few warm servers are left, they are always full. Warming ones beside them still serve their part, and each no
+/// more than its capacity fraction of what a warm one is sent.
 #[test]
-fn cold_servers_beside_full_ones_serve_their_part() {
-    let mut rig =
-        Rig::new(Settings { max_attempts: 1, warm_up_time: Span::from_ms(60_000.0), ..settings() }, 4);
-    rig.list(fleet(6, 1, 1));
-    load(&mut rig, 100.0, 4000.0, ServerId(0));
+fn warming_servers_beside_full_ones_serve_their_part() {
+    let mut harness =
+        Harness::new(Settings { max_attempts: 1, warm_up_time: Span::from_ms(60_000.0), ..settings() }, 4);
+    harness.set_endpoints(fleet(6, 1, 1));
+    load(&mut harness, 100.0, 4000.0, ServerId(0));
     let mut lines = fleet(6, 1, 1);
-    lines[3..].iter_mut().for_each(|line| line.started_at = Some(rig.now));
-    rig.tell(Event::EndpointList(EndpointUpdate::Changes(lines[3..].to_vec())));
+    lines[3..].iter_mut().for_each(|line| line.started_at = Some(harness.now));
+    harness.notify(Event::EndpointList(EndpointUpdate::Changes(lines[3..].to_vec())));
     // Each takes so much of the aim for a request now that few may be out to it at a time.
     let answer_ms = 100.0;
     let (mut out, mut sent) = (Vec::new(), [0.0; 6]);
     for _ in 0..8000 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = harness.submit(0);
         if let Some(to) = to {
             sent[to.0 as usize] += 1.0;
-            out.push((rig.now + Span::from_ms(answer_ms), id));
+            out.push((harness.now + Span::from_ms(answer_ms), id));
         }
-        let held = rig.wait(Span::from_ms(2.0));
-        for action in held.iter().chain(&rig.actions.clone()) {
+        let held = harness.advance(Span::from_ms(2.0));
+        for action in held.iter().chain(&harness.actions.clone()) {
             if let Action::Send { request, server, .. } = action {
                 if *request != id || to.is_none() {
                     sent[server.0 as usize] += 1.0;
-                    out.push((rig.now + Span::from_ms(answer_ms), *request));
+                    out.push((harness.now + Span::from_ms(answer_ms), *request));
                 }
             }
         }
-        let now = rig.now;
+        let now = harness.now;
         let due: Vec<_> = out.iter().filter(|o| o.0 <= now).map(|o| o.1).collect();
         out.retain(|o| o.0 > now);
         for id in due {
-            rig.answer(id, 0, Outcome::Success, answer_ms);
-            for action in rig.actions.clone() {
+            harness.end_attempt(id, 0, Outcome::Success, answer_ms);
+            for action in harness.actions.clone() {
                 if let Action::Send { request, server, .. } = action {
                     sent[server.0 as usize] += 1.0;
-                    out.push((rig.now + Span::from_ms(answer_ms), request));
+                    out.push((harness.now + Span::from_ms(answer_ms), request));
                 }
             }
         }
@@ -233,7 +233,7 @@
 
 /// The clock may start near zero; that is no restart.
 #[test]
-fn a_clock_near_zero_makes_no_server_cold() {
+fn clock_near_zero_starts_no_slow_start() {
     let settings = settings();
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
