--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -114,21 +114,36 @@
             let max_pause = self.settings.overload_tolerance * MAX_BACKOFF_FRACTION;
             server.back_off(now, min_pause, max_pause, is_large_fleet);
         }
-        let target_ratio = latency_ratio * TARGET_LATENCY_RATIO / class.target_latency_ratio();
+        let latency = ResponseLatency {
+            target_ratio: latency_ratio * TARGET_LATENCY_RATIO / class.target_latency_ratio(),
+            is_late: latency_ratio >= 1.0,
+        };
         if latency_ratio > 0.0 {
-            server.adjust_limit(ResponseLatency { target_ratio, is_late: latency_ratio >= 1.0 });
+            server.adjust_limit(latency);
         }
         if attempt.is_recovery_probe {
-            let has_recovered = outcome == Outcome::Success && latency_ratio < 1.0;
-            if has_recovered {
-                server.latency_ratio = target_ratio;
-                server.slowdown_ratio = 1.0;
-            }
-            self.finish_recovery_probe(now, attempt.server, has_recovered);
+            self.learn_from_recovery_probe(now, attempt, outcome, latency);
         } else if let Some(reason) = self.ejection_reason(attempt.server, outcome, is_warm) {
             self.eject(now, attempt.server, reason, actions);
         }
     }
+
+    /// A server that has recovered is judged by its newest response alone.
+    fn learn_from_recovery_probe(
+        &mut self,
+        now: Time,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+        latency: ResponseLatency,
+    ) {
+        let has_recovered = outcome == Outcome::Success && !latency.is_late;
+        if has_recovered {
+            let server = &mut self.endpoints[attempt.server];
+            server.latency_ratio = latency.target_ratio;
+            server.slowdown_ratio = 1.0;
+        }
+        self.finish_recovery_probe(now, attempt.server, has_recovered);
+    }
 }
 
 /// How long an attempt has taken, as a fraction of its latency objective: at most 1, as an expensive request
