--- a/crates/agent/src/fleet/council/tests.rs
+++ b/crates/agent/src/fleet/council/tests.rs
@@ -2,7 +2,7 @@
 
 use super::super::store::medium::{Found, Medium, IO_ERROR, NO_ROOM};
 use super::*;
-use heronhoist_council::state::{Call, Command, Reply, Txn, Write};
+use heronhoist_coordination::state::{Call, Command, Reply, Txn, Write};
 use std::io;
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use heronhoist_config::reader::{one_of, tables, text, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
-use heronhoist_council::wire::View;
+use heronhoist_coordination::wire::View;
 use heronhoist_release::budget::{self, By, Count, Group, Most, Rule, Rules, Senseless, Server, Sort};
 use heronhoist_release::drain::{self, Barrier, Drain};
 use std::fmt::Write as _;
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -3,10 +3,10 @@
 
 use super::tools::{Client, Where};
 use clap::Args;
-use heronhoist_council::holder::{About, Holder};
-use heronhoist_council::permit::{self, Denied};
-use heronhoist_council::wire::View;
-use heronhoist_council::Time;
+use heronhoist_coordination::holder::{About, Holder};
+use heronhoist_coordination::permit::{self, Denied};
+use heronhoist_coordination::wire::View;
+use heronhoist_coordination::Time;
 use heronhoist_release::budget;
 use std::cell::RefCell;
 use std::io::Write;
--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/link.rs
@@ -3,9 +3,9 @@
 
 use crate::wire::Wire;
 use bytes::Bytes;
-use heronhoist_council::caller::Caller;
-use heronhoist_council::wire::{Envelope, Refusal, Request, Response};
-use heronhoist_council::Time;
+use heronhoist_coordination::caller::Caller;
+use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response};
+use heronhoist_coordination::Time;
 use heronhoist_engine::timing::timeout;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -3,13 +3,13 @@
 
 use super::link::{Asker, Asking};
 use heronhoist_config::Fleet;
-use heronhoist_council::caller::DEADLINE;
-use heronhoist_council::desk::WATCH_WAIT;
-use heronhoist_council::holder::{About, Holder, Stand};
-use heronhoist_council::permit;
-use heronhoist_council::state::{Call, Command, Reply};
-use heronhoist_council::wire::{Envelope, Request, Response, PROTOCOL};
-use heronhoist_council::Time;
+use heronhoist_coordination::caller::DEADLINE;
+use heronhoist_coordination::desk::WATCH_WAIT;
+use heronhoist_coordination::holder::{About, Holder, Stand};
+use heronhoist_coordination::permit;
+use heronhoist_coordination::state::{Call, Command, Reply};
+use heronhoist_coordination::wire::{Envelope, Request, Response, PROTOCOL};
+use heronhoist_coordination::Time;
 use heronhoist_engine::timing::timeout;
 use heronhoist_release::drain::Listener;
 use heronhoist_release::seen::Seen;
--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -1,8 +1,8 @@
 //! A council process's disk: one file of an embedded store, synced before anything that rests on it is sent. Each value
 //! carries a checksum of its own, looked at when the process starts.
 
-use heronhoist_council::formation::Identity;
-use heronhoist_council::log::{Disk, DiskFault, Image, Save};
+use heronhoist_coordination::formation::Identity;
+use heronhoist_coordination::log::{Disk, DiskFault, Image, Save};
 use redb::backends::FileBackend;
 use redb::{Builder, Database, Durability, ReadableTable, StorageBackend, TableDefinition};
 use rustix::fs::{fadvise, Advice};
--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -2,10 +2,10 @@
 //! changed to make a test pass: disks outlive the program that wrote them. The file was made by [`write_store`].
 
 use super::{place, Store};
-use heronhoist_council::formation::{beginning, Formation, Identity};
-use heronhoist_council::node::{Ask, Node, Settings};
-use heronhoist_council::state::{Call, Check, Command, Peer, State, Txn, Write};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::formation::{beginning, Formation, Identity};
+use heronhoist_coordination::node::{Ask, Node, Settings};
+use heronhoist_coordination::state::{Call, Check, Command, Peer, State, Txn, Write};
+use heronhoist_coordination::Bounds;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/tools.rs
@@ -2,10 +2,10 @@
 
 use super::link::{Asker, Asking, Link};
 use clap::{Args, Subcommand};
-use heronhoist_council::caller::DEADLINE;
-use heronhoist_council::permit::{self, Denied};
-use heronhoist_council::state::{Call, Command, Peer, Reply, Standing, Txn};
-use heronhoist_council::wire::{Envelope, Request, Response, View, PROTOCOL};
+use heronhoist_coordination::caller::DEADLINE;
+use heronhoist_coordination::permit::{self, Denied};
+use heronhoist_coordination::state::{Call, Command, Peer, Reply, Standing, Txn};
+use heronhoist_coordination::wire::{Envelope, Request, Response, View, PROTOCOL};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/agent/tests/fleet/drains.rs
+++ b/crates/agent/tests/fleet/drains.rs
@@ -1,7 +1,7 @@
 //! Drains of record servers that several agents keep, judged by what the servers were sent.
 
 use crate::processes::{lookup, nobody, wait, Fleet, Process, Server};
-use heronhoist_council::state::Standing;
+use heronhoist_coordination::state::Standing;
 use std::net::SocketAddr;
 
 const BUDGETS: &str = "[[budget]]\nof = \"servers\"\nby = \"all\"\nmost = 1\n\
--- a/crates/agent/tests/fleet/main.rs
+++ b/crates/agent/tests/fleet/main.rs
@@ -7,8 +7,8 @@
 mod pages;
 mod processes;
 
-use heronhoist_council::state::{Call, Check, Command, Reply, Standing, Txn, Write};
-use heronhoist_council::wire::{Refusal, Request, Response};
+use heronhoist_coordination::state::{Call, Check, Command, Reply, Standing, Txn, Write};
+use heronhoist_coordination::wire::{Refusal, Request, Response};
 use processes::*;
 use std::net::TcpListener;
 
--- a/crates/agent/tests/fleet/processes.rs
+++ b/crates/agent/tests/fleet/processes.rs
@@ -1,8 +1,8 @@
 //! Council processes and agents of the program, started, stopped and asked as operators would.
 
-use heronhoist_council::caller::DEADLINE;
-use heronhoist_council::state::{Call, Command, Reply, Standing};
-use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
+use heronhoist_coordination::caller::DEADLINE;
+use heronhoist_coordination::state::{Call, Command, Reply, Standing};
+use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::cell::RefCell;
 use std::io::{Read, Write};
--- a/crates/council/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -5,17 +5,17 @@
 //! Each `.jsonl` file has one value a line, in the order of the test. A `.bytes` file has one named value a line, with
 //! bytes that are not printable ASCII as in a Rust byte string.
 
-use heronhoist_council::formation::{beginning, from_copy, Formation, Identity};
-use heronhoist_council::lease::Terms;
-use heronhoist_council::log::{Disk, DiskFault, Image, Save};
-use heronhoist_council::node::{Answer, Ask, Node, Settings, Standpoint};
-use heronhoist_council::permit::{self, Budget, Permit};
-use heronhoist_council::state::{
+use heronhoist_coordination::formation::{beginning, from_copy, Formation, Identity};
+use heronhoist_coordination::lease::Terms;
+use heronhoist_coordination::log::{Disk, DiskFault, Image, Save};
+use heronhoist_coordination::node::{Answer, Ask, Node, Settings, Standpoint};
+use heronhoist_coordination::permit::{self, Budget, Permit};
+use heronhoist_coordination::state::{
     Call, Change, Changed, Check, Command, Compacted, Member, Of, Peer, Record, Reply, Standing, State, Txn,
     Write, KINDS,
 };
-use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
-use heronhoist_council::{Bounds, Excess};
+use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
+use heronhoist_coordination::{Bounds, Excess};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/council/tests/history.rs
+++ b/crates/coordination/tests/history.rs
@@ -1,9 +1,9 @@
 //! Disks that were put back to older copies: whoever can see that says so and ends, and the library never has to panic.
 
-use heronhoist_council::formation::{beginning, Formation};
-use heronhoist_council::log::{Disk, DiskFault, Image, Save};
-use heronhoist_council::node::{Answer, Ask, Fault, Node, Settings};
-use heronhoist_council::state::{Call, Command, Peer, Reply, Txn, Write};
+use heronhoist_coordination::formation::{beginning, Formation};
+use heronhoist_coordination::log::{Disk, DiskFault, Image, Save};
+use heronhoist_coordination::node::{Answer, Ask, Fault, Node, Settings};
+use heronhoist_coordination::state::{Call, Command, Peer, Reply, Txn, Write};
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
--- a/crates/council/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -2,7 +2,7 @@
 //! under way at a time, each lost or late by any time, holders that stop and restart, and clocks that run at two thirds
 //! or four thirds of true time, each anew at every step. Times are what is left, so that no bound on the length is needed.
 
-use heronhoist_council::lease::Terms;
+use heronhoist_coordination::lease::Terms;
 use stateright::{Checker, Model, Property};
 
 /// Of the council's clock, in thirds of a step of true time.
--- a/crates/council/tests/parts.rs
+++ b/crates/coordination/tests/parts.rs
@@ -1,12 +1,12 @@
 //! Formation, leases, permits and callers, each by itself.
 
-use heronhoist_council::caller::Caller;
-use heronhoist_council::formation::{step, Formation, Identity, Step};
-use heronhoist_council::lease::{Held, Table, Terms};
-use heronhoist_council::permit::{self, Denied};
-use heronhoist_council::state::{Call, Command, Peer, Reply, State};
-use heronhoist_council::wire::{belongs, Envelope, Refusal, View, PROTOCOL};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::caller::Caller;
+use heronhoist_coordination::formation::{step, Formation, Identity, Step};
+use heronhoist_coordination::lease::{Held, Table, Terms};
+use heronhoist_coordination::permit::{self, Denied};
+use heronhoist_coordination::state::{Call, Command, Peer, Reply, State};
+use heronhoist_coordination::wire::{belongs, Envelope, Refusal, View, PROTOCOL};
+use heronhoist_coordination::Bounds;
 use std::collections::BTreeMap;
 
 fn identity(number: u64, name: &str, formation: Option<Formation>) -> Identity {
@@ -119,7 +119,7 @@
         View { history, revision, age: Some(0), peers, members, records }
     }
 
-    fn write(&mut self, txn: Result<heronhoist_council::state::Txn, Denied>) -> Result<Reply, Denied> {
+    fn write(&mut self, txn: Result<heronhoist_coordination::state::Txn, Denied>) -> Result<Reply, Denied> {
         txn.map(|txn| self.run(Command::Write(txn)))
     }
 }
--- a/crates/council/tests/state.rs
+++ b/crates/coordination/tests/state.rs
@@ -1,7 +1,7 @@
 //! The agreed state: what is carried out once, checked where it is taken, kept within bounds and told to watchers.
 
-use heronhoist_council::state::{Call, Changed, Check, Command, Of, Reply, Standing, State, Txn, Write};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::state::{Call, Changed, Check, Command, Of, Reply, Standing, State, Txn, Write};
+use heronhoist_coordination::Bounds;
 use std::collections::BTreeMap;
 
 fn state() -> State {
--- a/crates/council/tests/store_failures.rs
+++ b/crates/coordination/tests/store_failures.rs
@@ -2,12 +2,12 @@
 //! without losing what was acknowledged and without inventing anything. Each write of a run is made to fail in turn, at each of
 //! the places at which one can.
 
-use heronhoist_council::backoff::{Backoff, PAUSE_LEAST, PAUSE_MOST, RECOVERED_AFTER};
-use heronhoist_council::formation::{beginning, Formation};
-use heronhoist_council::log::{Disk, DiskFault, Image, Save};
-use heronhoist_council::node::{Answer, Ask, Fault, Node, Settings, Ticket};
-use heronhoist_council::state::{Call, Command, Peer, Reply, Txn, Write};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::backoff::{Backoff, PAUSE_LEAST, PAUSE_MOST, RECOVERED_AFTER};
+use heronhoist_coordination::formation::{beginning, Formation};
+use heronhoist_coordination::log::{Disk, DiskFault, Image, Save};
+use heronhoist_coordination::node::{Answer, Ask, Fault, Node, Settings, Ticket};
+use heronhoist_coordination::state::{Call, Command, Peer, Reply, Txn, Write};
+use heronhoist_coordination::Bounds;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Writes that a run asks for.
--- a/crates/lab/src/processes/judge.rs
+++ b/crates/lab/src/processes/judge.rs
@@ -2,7 +2,7 @@
 //! Whether operations on a record can stand in one order is decided by a published checker.
 
 use crate::world::Micros;
-use heronhoist_council::state::{Change, Revision};
+use heronhoist_coordination::state::{Change, Revision};
 use std::collections::{BTreeMap, HashMap};
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::linearizability::WGLChecker;
--- a/crates/lab/src/processes/judge/tests.rs
+++ b/crates/lab/src/processes/judge/tests.rs
@@ -40,7 +40,7 @@
     assert_eq!(one_holder(&[belief(1, 0, 11), belief(2, 10, 20)], &none).len(), 1);
     let ended = HashMap::from([(("a".to_string(), 1), 9)]);
     assert_eq!(one_holder(&[belief(1, 0, 10)], &ended).len(), 1);
-    let what = heronhoist_council::state::Changed::Record("note/x".into(), None);
+    let what = heronhoist_coordination::state::Changed::Record("note/x".into(), None);
     let change = |revision| Change { revision, what: what.clone() };
     let changes = [change(1), change(2), change(3)];
     let watched = |told: &[Revision], upto| Watched {
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -4,7 +4,7 @@
 use crate::world::Micros;
 use heronhoist_config::reader::{flag, number, one_of, tables, text, texts, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
-use heronhoist_council::lease::Terms;
+use heronhoist_coordination::lease::Terms;
 use toml::de::DeValue;
 
 /// A run, but for its seed.
--- a/crates/lab/src/processes/rig/servers.rs
+++ b/crates/lab/src/processes/rig/servers.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::processes::judge::{Opened, Sent};
 use crate::processes::plan::Planted;
-use heronhoist_council::state::is_agent;
+use heronhoist_coordination::state::is_agent;
 use std::collections::HashSet;
 
 /// A call's name: which agent, which process of it, when it was begun (microseconds of the run), and which call.
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -235,7 +235,7 @@
                 };
                 if open {
                     let agents = view.members.iter().filter(|(name, member)| {
-                        heronhoist_council::state::is_agent(name) && member.standing.may_hold()
+                        heronhoist_coordination::state::is_agent(name) && member.standing.may_hold()
                     });
                     let living = agents.map(|(name, member)| (name.clone(), member.incarnation)).collect();
                     self.outcome.seen.opened.push(Opened {
@@ -278,7 +278,7 @@
 
     /// A drain that was taken back, by whoever it was.
     pub(super) fn note_undrained(&mut self, change: &Change) {
-        if let heronhoist_council::state::Changed::Record(key, None) = &change.what {
+        if let heronhoist_coordination::state::Changed::Record(key, None) = &change.what {
             if let Some(server) = key.strip_prefix(drain::PREFIX) {
                 self.close(server);
             }
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -13,17 +13,17 @@
 use super::workload::Keys;
 use crate::world::Micros;
 use disk::{After, MemoryDisk};
-use heronhoist_council::backoff::Backoff;
-use heronhoist_council::caller::{Caller, DEADLINE};
-use heronhoist_council::desk::Desk;
-use heronhoist_council::formation::{beginning, Formation};
-use heronhoist_council::holder::{About, Holder, Stand};
-use heronhoist_council::log::{Disk, DiskFault, Image, Save};
-use heronhoist_council::node::{Fault, Node, Settings};
-use heronhoist_council::permit::{self, Denied};
-use heronhoist_council::state::{Call, Change, Check, Command, Peer, Reply, Standing, Txn, Write};
-use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::backoff::Backoff;
+use heronhoist_coordination::caller::{Caller, DEADLINE};
+use heronhoist_coordination::desk::Desk;
+use heronhoist_coordination::formation::{beginning, Formation};
+use heronhoist_coordination::holder::{About, Holder, Stand};
+use heronhoist_coordination::log::{Disk, DiskFault, Image, Save};
+use heronhoist_coordination::node::{Fault, Node, Settings};
+use heronhoist_coordination::permit::{self, Denied};
+use heronhoist_coordination::state::{Call, Change, Check, Command, Peer, Reply, Standing, Txn, Write};
+use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
+use heronhoist_coordination::Bounds;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -725,8 +725,10 @@
     }
 
     fn note_end(&mut self, change: &Change) {
-        let heronhoist_council::state::Changed::Member(name, Some(member)) = &change.what else { return };
-        if self.plan.servers > 0 && heronhoist_council::state::is_agent(name) {
+        let heronhoist_coordination::state::Changed::Member(name, Some(member)) = &change.what else {
+            return;
+        };
+        if self.plan.servers > 0 && heronhoist_coordination::state::is_agent(name) {
             let downs = &mut self.outcome.seen.downs;
             let serves = member.standing == Standing::Living && member.ready;
             match downs.iter_mut().find(|down| down.what == *name && down.to.is_none()) {
@@ -751,7 +753,7 @@
                 self.outcome.disk_failures += disk.failures;
             }
         }
-        let mut states: BTreeMap<u64, (String, heronhoist_council::state::State)> = BTreeMap::new();
+        let mut states: BTreeMap<u64, (String, heronhoist_coordination::state::State)> = BTreeMap::new();
         for at in 0..self.processes.len() {
             let belief = match &mut self.processes[at].role {
                 Role::Agent(agent) => agent.belief.take(),
--- a/crates/release/src/budget.rs
+++ b/crates/release/src/budget.rs
@@ -7,9 +7,9 @@
 use crate::drain;
 use crate::seen;
 use crate::{read, Unreadable};
-use heronhoist_council::permit;
-use heronhoist_council::state::{is_agent, Check, Of, Revision, Standing, Txn, Write};
-use heronhoist_council::wire::View;
+use heronhoist_coordination::permit;
+use heronhoist_coordination::state::{is_agent, Check, Of, Revision, Standing, Txn, Write};
+use heronhoist_coordination::wire::View;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/release/src/drain.rs
+++ b/crates/release/src/drain.rs
@@ -4,8 +4,8 @@
 
 use crate::budget::{self, Count, Sort};
 use crate::{below, read, Unreadable};
-use heronhoist_council::state::{is_agent, Check, Revision, Standing, Txn, Write};
-use heronhoist_council::wire::{Request, Response, View};
+use heronhoist_coordination::state::{is_agent, Check, Revision, Standing, Txn, Write};
+use heronhoist_coordination::wire::{Request, Response, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod drain;
 pub mod seen;
 
-use heronhoist_council::state::Revision;
-use heronhoist_council::wire::View;
+use heronhoist_coordination::state::Revision;
+use heronhoist_coordination::wire::View;
 use serde::de::DeserializeOwned;
 
 /// A record can't be read: another version wrote it, or somebody by hand.
--- a/crates/release/src/seen.rs
+++ b/crates/release/src/seen.rs
@@ -3,8 +3,8 @@
 //! takes no server out of the count, nor back into it.
 
 use crate::{below, Unreadable};
-use heronhoist_council::state::{Check, Standing, Txn, Write};
-use heronhoist_council::wire::View;
+use heronhoist_coordination::state::{Check, Standing, Txn, Write};
+use heronhoist_coordination::wire::View;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/release/tests/golden.rs
+++ b/crates/release/tests/golden.rs
@@ -2,10 +2,10 @@
 //! files below `golden/` are what the first version writes. A file is never changed to make a test pass: agents of both
 //! versions read each other's records. Each file has one value a line, in the order of the test.
 
-use heronhoist_council::permit;
-use heronhoist_council::state::{Call, Command, Peer, Record, Reply, State, Txn};
-use heronhoist_council::wire::{Request, Response, View};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::permit;
+use heronhoist_coordination::state::{Call, Command, Peer, Record, Reply, State, Txn};
+use heronhoist_coordination::wire::{Request, Response, View};
+use heronhoist_coordination::Bounds;
 use heronhoist_release::budget::{self, By, Most, Rule, Rules, Server, Sort};
 use heronhoist_release::drain::{self, Drain, Listener, Quiet};
 use heronhoist_release::seen::{self, Seen};
--- a/crates/release/tests/release.rs
+++ b/crates/release/tests/release.rs
@@ -1,9 +1,9 @@
 //! Budgets, drains and what agents find, over the council's agreed state.
 
-use heronhoist_council::permit;
-use heronhoist_council::state::{Call, Command, Peer, Reply, State, Txn};
-use heronhoist_council::wire::{Response, View};
-use heronhoist_council::Bounds;
+use heronhoist_coordination::permit;
+use heronhoist_coordination::state::{Call, Command, Peer, Reply, State, Txn};
+use heronhoist_coordination::wire::{Response, View};
+use heronhoist_coordination::Bounds;
 use heronhoist_release::budget::{By, Count, Denied, Most, Rule, Rules, Senseless, Server, Sort};
 use heronhoist_release::drain::{self, Drain, Listener};
 use heronhoist_release::seen::{self, Seen};
