--- a/crates/agent/src/bin/heronhoist-council.rs
+++ b/crates/agent/src/bin/heronhoist-council.rs
@@ -1,8 +1,7 @@
-//! The program of a council process, which `heronhoist council` becomes. It stands by itself so that an agent does not carry
-//! the consensus library and the store in its memory.
+//! The earlier name of `heronhoist-coordinator`, under which existing installations start the same program.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    heronhoist::council_main()
+    heronhoist::coordinator_main(env!("CARGO_BIN_NAME"))
 }
--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::log;
 use crate::plan::{Members, Plan, PoolPlan};
 use crate::translate;
-use clap::{CommandFactory, Parser, Subcommand};
+use clap::{CommandFactory, FromArgMatches, Parser, Subcommand};
 use heronhoist_decision::Effect;
 use std::fmt::Write as _;
 use std::io::{self, Write};
@@ -26,7 +26,7 @@
 
 /// Runs a process of the fleet's council until SIGTERM.
 #[derive(Parser)]
-#[command(name = "heronhoist-council", version)]
+#[command(version)]
 struct Council {
     /// Its file, as deploy/council.toml.
     #[arg(short, long, value_name = "FILE")]
@@ -62,6 +62,7 @@
         command: translate::Command,
     },
     /// Run a process of the fleet's council until SIGTERM.
+    #[command(alias = "coordinator")]
     Council(Council),
     /// Ask the fleet's council, and tell it what operators want.
     Fleet {
@@ -86,6 +87,10 @@
     },
 }
 
+/// The program of a coordination process, and its earlier name.
+const COORDINATOR: &str = "heronhoist-coordinator";
+const COORDINATOR_EARLIER: &str = "heronhoist-council";
+
 /// The exit code for a file that can't be read; clap uses the same for what it can't understand.
 const UNREAD: u8 = 2;
 
@@ -111,7 +116,7 @@
                 ExitCode::from(1)
             }
         },
-        Some(Command::Council(what)) => fail(&become_council(&what), 1),
+        Some(Command::Council(what)) => fail(&become_coordinator(&what), 1),
         Some(Command::Fleet { tool }) => match crate::on_one_thread(tools::run(tool)) {
             Ok(Ok(text)) => print(&text),
             Ok(Err(fault)) | Err(fault) => fail(&fault, 1),
@@ -138,24 +143,39 @@
     }
 }
 
-/// The program of a council process stands beside this one, and takes this one's place. Only why it did not comes back.
-fn become_council(what: &Council) -> String {
-    let here = match std::env::current_exe() {
-        Ok(here) => here.with_file_name("heronhoist-council"),
+/// The program of a coordination process stands beside this one, and takes this one's place. Only why it did not comes back.
+fn become_coordinator(options: &Council) -> String {
+    let program = match std::env::current_exe() {
+        Ok(this) => this.with_file_name(COORDINATOR),
         Err(e) => return format!("where is this program? {e}"),
     };
-    let mut command = std::process::Command::new(&here);
-    command.arg("--config").arg(&what.config);
-    if let Some(copy) = &what.restore {
+    let fault = exec(&program, options);
+    if fault.kind() != io::ErrorKind::NotFound {
+        return format!("cannot run {}: {fault}", program.display());
+    }
+    // An installation that copies programs by name has the one of the earlier name.
+    let earlier = program.with_file_name(COORDINATOR_EARLIER);
+    let fault = exec(&earlier, options);
+    format!("cannot run {}: {fault}", earlier.display())
+}
+
+/// Replaces this process by the program; returns only why that failed.
+fn exec(program: &Path, options: &Council) -> io::Error {
+    let mut command = std::process::Command::new(program);
+    command.arg("--config").arg(&options.config);
+    if let Some(copy) = &options.restore {
         command.arg("--restore").arg(copy);
     }
-    let fault = std::os::unix::process::CommandExt::exec(&mut command);
-    format!("cannot run {}: {fault}", here.display())
+    std::os::unix::process::CommandExt::exec(&mut command)
 }
 
-/// The program of a council process.
-pub fn council_main() -> ExitCode {
-    let Council { config, restore } = Council::parse();
+/// The program of a coordination process, under the name that its usage text shows.
+pub fn coordinator_main(program: &'static str) -> ExitCode {
+    let mut matches = Council::command().name(program).get_matches();
+    let Council { config, restore } = match Council::from_arg_matches_mut(&mut matches) {
+        Ok(options) => options,
+        Err(fault) => fault.exit(),
+    };
     council(&config, restore.as_deref())
 }
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -75,9 +75,9 @@
     cli::main()
 }
 
-/// The program of a council process: does what the command line says.
-pub fn council_main() -> ExitCode {
-    cli::council_main()
+/// The program of a coordination process, under the name that its usage text shows: does what the command line says.
+pub fn coordinator_main(program: &'static str) -> ExitCode {
+    cli::coordinator_main(program)
 }
 
 /// Runs the agent until it is told to stop.
--- a/crates/agent/tests/fleet/main.rs
+++ b/crates/agent/tests/fleet/main.rs
@@ -289,3 +289,28 @@
     wait("it calls", || council.accept().ok());
     assert!(with.lease().is_some());
 }
+
+/// The program of a coordination process runs under both its names, and `heronhoist` starts it by both names of the subcommand.
+#[test]
+fn coordinator_program_and_its_earlier_name_serve_the_same() {
+    let programs = [env!("CARGO_BIN_EXE_heronhoist-coordinator"), env!("CARGO_BIN_EXE_heronhoist-council")];
+    for (program, arguments) in [
+        (programs[0], None),
+        (programs[1], None),
+        (env!("CARGO_BIN_EXE_heronhoist"), Some("council")),
+        (env!("CARGO_BIN_EXE_heronhoist"), Some("coordinator")),
+    ] {
+        let mut fleet = Fleet::new("programs");
+        fleet.write_council(1, 1500);
+        fleet.run_by(program, arguments);
+        fleet.start_all();
+        fleet.client().done(put("note/a", "1"));
+        assert_eq!(fleet.client().read("note/").records["note/a"].value, "1", "{program} {arguments:?}");
+    }
+    for program in programs {
+        let output = std::process::Command::new(program).arg("--version").output().expect("run");
+        let name = std::path::Path::new(program).file_name().and_then(|name| name.to_str()).expect("a name");
+        let version = format!("{name} {}\n", env!("CARGO_PKG_VERSION"));
+        assert_eq!(String::from_utf8_lossy(&output.stdout), version);
+    }
+}
--- a/crates/agent/tests/fleet/processes.rs
+++ b/crates/agent/tests/fleet/processes.rs
@@ -75,6 +75,8 @@
     pub name: String,
     /// Where it listens, for a council process; where operators call, for an agent.
     pub address: SocketAddr,
+    /// The program that is started, the agent's unless a test says otherwise.
+    program: &'static str,
     arguments: Vec<String>,
     variables: Vec<(String, String)>,
     log: PathBuf,
@@ -95,7 +97,7 @@
     /// Started by a shell that does this first.
     pub fn start_with(&mut self, before: &str) {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log).expect("a log");
-        let words = [PROGRAM.to_string()].into_iter().chain(self.arguments.clone());
+        let words = [self.program.to_string()].into_iter().chain(self.arguments.clone());
         let words: Vec<String> = words.map(|word| format!("'{word}'")).collect();
         let child = std::process::Command::new("bash")
             .args(["-c", &format!("{before} {}", words.join(" "))])
@@ -232,6 +234,14 @@
         }
     }
 
+    /// Each process is started by this program, under a subcommand or none.
+    pub fn run_by(&mut self, program: &'static str, subcommand: Option<&str>) {
+        for process in &mut self.processes {
+            process.program = program;
+            process.arguments.splice(..1, subcommand.map(String::from));
+        }
+    }
+
     fn made(
         &self,
         name: &str,
@@ -240,7 +250,15 @@
         variables: Vec<(String, String)>,
     ) -> Process {
         let log = self.folder.join(format!("{name}-{}.log", address.port()));
-        Process { name: name.into(), address, arguments, variables, log, child: RefCell::new(None) }
+        Process {
+            name: name.into(),
+            address,
+            program: PROGRAM,
+            arguments,
+            variables,
+            log,
+            child: RefCell::new(None),
+        }
     }
 
     pub fn process(&self, name: &str) -> &Process {
