--- a/crates/agent/src/fleet/council.rs
+++ b/crates/agent/src/fleet/council.rs
@@ -16,7 +16,7 @@
 use heronhoist_coordination::log::DiskError;
 use heronhoist_coordination::node::{Node, NodeError, NodeSettings, NodeStatus};
 use heronhoist_coordination::service::Service;
-use heronhoist_coordination::state::{Peer, State};
+use heronhoist_coordination::state::{ClusterId, Peer, State};
 use heronhoist_coordination::wire::{check_envelope, Envelope, Refusal, Request, Response, PROTOCOL};
 use heronhoist_coordination::{Limits, Time};
 use http_body_util::{BodyExt, Full, Limited};
@@ -139,7 +139,7 @@
         let state: State = serde_json::from_slice(&text)
             .map_err(|e| format!("{}: no copy of a council: {e}", copy.display()))?;
         let peer = Peer { name: config.name.clone(), address: config.listen.to_string() };
-        let (number, history) = (draw(), draw());
+        let (number, history) = (draw(), ClusterId(draw()));
         let peers = BTreeMap::from([(number, peer.clone())]);
         let formation = Some(ClusterInfo { cluster_id: history, peers });
         let identity = Identity { node_id: number, name: config.name.clone(), cluster: formation };
@@ -308,7 +308,7 @@
         let mut identity = self.identity.borrow().clone();
         if let Some(desk) = self.desk.borrow().as_ref() {
             let state = desk.node().state();
-            if state.cluster_id != 0 {
+            if state.cluster_id != ClusterId::NONE {
                 identity.cluster =
                     Some(ClusterInfo { cluster_id: state.cluster_id, peers: state.peers.clone() });
             }
@@ -418,7 +418,7 @@
             .iter()
             .map(|(name, address)| Peer { name: name.clone(), address: address.to_string() })
             .collect();
-        let history = draw();
+        let history = ClusterId(draw());
         let mut told = String::new();
         let image = loop {
             if begun {
--- a/crates/agent/src/fleet/council/tests/golden.rs
+++ b/crates/agent/src/fleet/council/tests/golden.rs
@@ -50,7 +50,7 @@
     let peer = |name: &str, address: String| Peer { name: name.into(), address };
     let own = (OWN_NUMBER, peer("c1", ADVERTISED.into()));
     let peers = BTreeMap::from([own, (OTHER_NUMBER, peer("c2", other.to_string()))]);
-    ClusterInfo { cluster_id: 77, peers }
+    ClusterInfo { cluster_id: ClusterId(77), peers }
 }
 
 fn two_processes(listen: SocketAddr, other: SocketAddr) -> Council {
--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -2,7 +2,7 @@
 //! carries a checksum of its own, looked at when the process starts.
 
 use heronhoist_coordination::bootstrap::Identity;
-use heronhoist_coordination::log::{Disk, DiskError, DurableState, WriteBatch};
+use heronhoist_coordination::log::{Disk, DiskError, DurableState, LogPosition, WriteBatch};
 use redb::backends::FileBackend;
 use redb::{Builder, Database, Durability, ReadableTable, StorageBackend, TableDefinition};
 use rustix::fs::{fadvise, Advice};
@@ -165,7 +165,8 @@
     pub fn begin(&self, identity: &Identity, image: Option<&DurableState>) -> Result<(), DiskError> {
         let identity = serde_json::to_vec(identity).map_err(unreadable)?;
         let mut parts: Vec<(&str, &[u8])> = vec![("identity", &identity)];
-        let cut = image.map(|image| [image.compacted.0, image.compacted.1].map(u64::to_le_bytes).concat());
+        let cut =
+            image.map(|image| [image.compacted.index, image.compacted.term].map(u64::to_le_bytes).concat());
         if let Some(image) = image {
             parts.extend(image.hard_state.as_deref().map(|hard| ("hard", hard)));
             parts.extend(image.snapshot.as_deref().map(|snapshot| ("snapshot", snapshot)));
@@ -184,7 +185,7 @@
         if let Some(cut) = self.part("cut")? {
             let number =
                 |at: usize| cut.get(at..at + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_le_bytes);
-            image.compacted = (number(0), number(8));
+            image.compacted = LogPosition { index: number(0), term: number(8) };
         }
         let reading = self.database.begin_read().map_err(fault)?;
         let table = reading.open_table(ENTRIES).map_err(fault)?;
@@ -219,7 +220,7 @@
                     entries.insert(index, sealed(entry).as_slice()).map_err(fault)?;
                 }
             }
-            if let Some((index, term)) = save.compacted {
+            if let Some(LogPosition { index, term }) = save.compacted {
                 entries.retain_in(..=index, |_, _| false).map_err(fault)?;
                 let cut = [index, term].map(u64::to_le_bytes).concat();
                 parts.insert("cut", sealed(&cut).as_slice()).map_err(fault)?;
--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -22,7 +22,11 @@
         },
         WriteBatch { entries: vec![entry(2, "B")], ..WriteBatch::default() },
         WriteBatch { entries: vec![entry(3, "C"), entry(4, "D")], ..WriteBatch::default() },
-        WriteBatch { snapshot: Some(b"s".to_vec()), compacted: Some((2, 1)), ..WriteBatch::default() },
+        WriteBatch {
+            snapshot: Some(b"s".to_vec()),
+            compacted: Some(LogPosition { index: 2, term: 1 }),
+            ..WriteBatch::default()
+        },
     ];
     for save in &saves {
         let mut store = Store::open(&path).expect("open");
@@ -35,7 +39,7 @@
     let other = WriteBatch {
         snapshot: Some(b"t".to_vec()),
         replaces_log: true,
-        compacted: Some((9, 2)),
+        compacted: Some(LogPosition { index: 9, term: 2 }),
         ..WriteBatch::default()
     };
     store.save(&other).expect("saved");
@@ -84,13 +88,17 @@
         },
         WriteBatch { entries: vec![entry(2, 12), entry(3, 13)], ..WriteBatch::default() },
         WriteBatch { hard_state: Some(b"h2".to_vec()), ..WriteBatch::default() },
-        WriteBatch { snapshot: Some(vec![7; 5000]), compacted: Some((2, 1)), ..WriteBatch::default() },
+        WriteBatch {
+            snapshot: Some(vec![7; 5000]),
+            compacted: Some(LogPosition { index: 2, term: 1 }),
+            ..WriteBatch::default()
+        },
     ];
     saves.extend((4..6).map(|index| WriteBatch { entries: vec![entry(index, 4)], ..WriteBatch::default() }));
     saves.push(WriteBatch {
         snapshot: Some(vec![8; 9000]),
         replaces_log: true,
-        compacted: Some((9, 2)),
+        compacted: Some(LogPosition { index: 9, term: 2 }),
         ..WriteBatch::default()
     });
     saves
--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -4,7 +4,7 @@
 use super::{place, Store};
 use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo, Identity};
 use heronhoist_coordination::node::{Node, NodeSettings, Operation};
-use heronhoist_coordination::state::{Check, Command, CommandRequest, Peer, State, Txn, Write};
+use heronhoist_coordination::state::{Check, ClusterId, Command, CommandRequest, Peer, State, Txn, Write};
 use heronhoist_coordination::Limits;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -53,7 +53,7 @@
 /// A council of one that elects itself, carries some commands out, makes a snapshot and takes a second process in.
 fn write_store(path: &Path) {
     let mut store = Store::open(path).expect("made");
-    let formation = ClusterInfo { cluster_id: 5, peers: BTreeMap::from([(NUMBER, peer("c1"))]) };
+    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: BTreeMap::from([(NUMBER, peer("c1"))]) };
     let first = initial_state(&formation);
     let identity = Identity { node_id: NUMBER, name: "c1".into(), cluster: Some(formation) };
     store.begin(&identity, Some(&first)).expect("begun");
@@ -77,7 +77,7 @@
     let identity = store.identity().expect("read").expect("an identity");
     let image = store.image().expect("read");
     let mut text = format!("identity: {}\n", serde_json::to_string(&identity).expect("serializable"));
-    let _ = writeln!(text, "cut: {},{}", image.compacted.0, image.compacted.1);
+    let _ = writeln!(text, "cut: {},{}", image.compacted.index, image.compacted.term);
     let _ = writeln!(text, "hard: {}", image.hard_state.expect("a hard state").escape_ascii());
     let _ = writeln!(text, "snapshot: {}", image.snapshot.expect("a snapshot").escape_ascii());
     for (index, entry) in image.entries {
--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -1,108 +1,123 @@
-//! Who may form a council. Each disk draws a number when it is new, and that number is its process's number in Raft: a process
-//! that comes back under its old name with an empty disk is another one, whose vote nobody counts. A council is formed
-//! once, by all the processes that the files name, when each is known to have an empty disk.
+//! How a cluster of coordination processes is formed, and how a backup is restored.
+//!
+//! Each disk draws a random number when it is new, which is its process's [`NodeId`]. A process that returns under its old name
+//! with an empty disk is therefore another node, whose vote does not count. A cluster is formed once, by all processes that the
+//! configuration names, when all of them are known to have empty disks.
 
-use crate::log::{encode, DurableState};
-use crate::state::{Peer, State};
+use crate::log::{encode, DurableState, LogPosition};
+use crate::state::{ClusterId, Peer, State};
+use crate::NodeId;
 use raft::eraftpb::{HardState, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The beginning of a council: which history it is, and who is in it.
+/// The position of the snapshot with which every node of a new cluster begins.
+const INITIAL_POSITION: LogPosition = LogPosition { index: 1, term: 1 };
+
+/// A cluster: its id, and the processes in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterInfo {
-    /// Drawn by whoever formed it.
+    /// A random number that the process draws which forms the cluster.
     #[serde(rename = "history")]
-    pub cluster_id: u64,
-    /// The processes, by the numbers of their disks.
-    pub peers: BTreeMap<u64, Peer>,
+    pub cluster_id: ClusterId,
+    /// The processes.
+    pub peers: BTreeMap<NodeId, Peer>,
 }
 
-/// What a disk says of itself.
+/// What a disk identifies itself by.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Drawn when the disk was new; not 0.
+    /// Drawn when the disk was new.
     #[serde(rename = "number")]
-    pub node_id: u64,
+    pub node_id: NodeId,
     /// The process's name.
     pub name: String,
-    /// What it takes part in, if anything yet.
+    /// The cluster it belongs to, if any yet.
     #[serde(rename = "formation")]
     pub cluster: Option<ClusterInfo>,
 }
 
-/// What a process does next.
+/// What a process does next to become part of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BootstrapStep {
-    /// It asks again: these have not answered.
+    /// It asks these processes for their identities again; they have not responded.
     Wait(Vec<String>),
-    /// It writes this down, and takes part.
+    /// It stores this cluster and becomes a node of it.
     Form(ClusterInfo),
-    /// It has an empty disk, and a council exists. It neither votes nor forms another; it waits to be taken in.
+    /// Its disk is empty, and a cluster exists without it. It does not vote and forms no other cluster; an operator has to
+    /// add it.
     Outside {
-        /// The council's history.
-        cluster_id: u64,
-        /// Its name is in the council under another disk.
+        /// The existing cluster.
+        cluster_id: ClusterId,
+        /// The cluster knows its name by another disk.
         is_replaced: bool,
     },
 }
 
-/// Decides from what has been heard. `peers` are all processes that the file names, with this one; `heard` are the answers
-/// of the others by name.
+/// Decides the next step of the process `own`. `peers` are all processes that the configuration names, itself included.
+/// `responses` are the identities of the others that responded, by name. `new_id` is the id of the cluster if this process
+/// forms one.
+#[must_use]
 pub fn next_step(
     own: &Identity,
     peers: &[Peer],
-    heard: &BTreeMap<String, Identity>,
-    history: u64,
+    responses: &BTreeMap<String, Identity>,
+    new_id: ClusterId,
 ) -> BootstrapStep {
-    if let Some(formation) = &own.cluster {
-        return BootstrapStep::Form(formation.clone());
+    if let Some(cluster) = &own.cluster {
+        return BootstrapStep::Form(cluster.clone());
     }
-    if let Some(formation) = heard.values().find_map(|other| other.cluster.as_ref()) {
-        if formation.peers.contains_key(&own.node_id) {
-            return BootstrapStep::Form(formation.clone());
-        }
-        let replaced = formation.peers.values().any(|peer| peer.name == own.name);
-        return BootstrapStep::Outside { cluster_id: formation.cluster_id, is_replaced: replaced };
+    if let Some(cluster) = responses.values().find_map(|other| other.cluster.as_ref()) {
+        return step_beside_cluster(own, cluster);
     }
-    let silent = peers.iter().filter(|peer| peer.name != own.name && !heard.contains_key(&peer.name));
-    let mut silent: Vec<String> = silent.map(|peer| peer.name.clone()).collect();
+    let is_silent = |peer: &&Peer| peer.name != own.name && !responses.contains_key(&peer.name);
+    let mut awaited: Vec<String> = peers.iter().filter(is_silent).map(|peer| peer.name.clone()).collect();
     let first = peers.iter().map(|peer| &peer.name).min();
-    if silent.is_empty() && first.is_some_and(|first| *first != own.name) {
-        // One alone forms it, and the others hear of it.
-        silent.extend(first.cloned());
+    if awaited.is_empty() && first.is_some_and(|first| *first != own.name) {
+        // Only the first by name forms the cluster; the others learn of it from its identity.
+        awaited.extend(first.cloned());
+    }
+    if !awaited.is_empty() {
+        return BootstrapStep::Wait(awaited);
     }
-    if !silent.is_empty() {
-        return BootstrapStep::Wait(silent);
+    let node_id = |name: &str| responses.get(name).map_or(own.node_id, |other| other.node_id);
+    let peers = peers.iter().map(|peer| (node_id(&peer.name), peer.clone())).collect();
+    BootstrapStep::Form(ClusterInfo { cluster_id: new_id, peers })
+}
+
+fn step_beside_cluster(own: &Identity, cluster: &ClusterInfo) -> BootstrapStep {
+    if cluster.peers.contains_key(&own.node_id) {
+        return BootstrapStep::Form(cluster.clone());
     }
-    let number = |name: &str| heard.get(name).map_or(own.node_id, |other| other.node_id);
-    BootstrapStep::Form(ClusterInfo {
-        cluster_id: history,
-        peers: peers.iter().map(|peer| (number(&peer.name), peer.clone())).collect(),
-    })
+    let is_replaced = cluster.peers.values().any(|peer| peer.name == own.name);
+    BootstrapStep::Outside { cluster_id: cluster.cluster_id, is_replaced }
 }
 
-/// What a process writes down at first: the same at all.
-pub fn initial_state(formation: &ClusterInfo) -> DurableState {
-    durable_state_of(&State::new(formation.cluster_id, formation.peers.clone()))
+/// What each node of a new cluster stores first; the same on all nodes.
+#[must_use]
+pub fn initial_state(cluster: &ClusterInfo) -> DurableState {
+    durable_state_of(&State::new(cluster.cluster_id, cluster.peers.clone()))
 }
 
-/// What the one process of a council begins with that is made of a copy. Others are taken in afterwards.
-pub fn restored_state(copy: State, history: u64, number: u64, peer: Peer) -> DurableState {
-    durable_state_of(&copy.restored_as(history, BTreeMap::from([(number, peer)])))
+/// What the only node of a cluster stores first that is restored from a backup. Further nodes are added later.
+#[must_use]
+pub fn restored_state(backup: State, cluster_id: ClusterId, node_id: NodeId, peer: Peer) -> DurableState {
+    durable_state_of(&backup.restored_as(cluster_id, BTreeMap::from([(node_id, peer)])))
 }
 
 fn durable_state_of(state: &State) -> DurableState {
     let mut snapshot = Snapshot::default();
     snapshot.set_data(serde_json::to_vec(state).unwrap_or_default().into());
-    let about = snapshot.mut_metadata();
-    (about.index, about.term) = (1, 1);
-    about.mut_conf_state().voters = state.peers.keys().copied().collect();
-    let hard = HardState { term: 1, commit: 1, ..HardState::default() };
+    let metadata = snapshot.mut_metadata();
+    metadata.index = INITIAL_POSITION.index;
+    metadata.term = INITIAL_POSITION.term;
+    metadata.mut_conf_state().voters = state.peers.keys().copied().collect();
+    let hard_state =
+        HardState { term: INITIAL_POSITION.term, commit: INITIAL_POSITION.index, ..HardState::default() };
     DurableState {
-        hard_state: Some(encode(&hard)),
+        hard_state: Some(encode(&hard_state)),
         snapshot: Some(encode(&snapshot)),
         entries: BTreeMap::new(),
-        compacted: (1, 1),
+        compacted: INITIAL_POSITION,
     }
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,130 +1,157 @@
-//! How long a lease is believed. The holder's belief ends before the council's count does, whatever their clocks, as long
-//! as neither runs faster or slower than true time by more than the stated share. Wall clocks play no part.
+//! Leases. A holder stops relying on its lease before the leader counts it as expired, whatever their clocks show, as long as
+//! neither clock runs faster or slower than true time by more than a configured share. Wall clocks are never read.
 //!
-//! A renewal is counted by the holder from *before* it was sent, and by the council from *after* it came. The council
-//! grants it only once a majority has confirmed, after it came, that the granting process leads: so whoever leads next was
-//! chosen later still, and waits a whole term from then.
+//! The holder counts from *before* it sent a renewal, the leader from *after* it received it. The leader grants a renewal
+//! only when a majority has confirmed, after its receipt, that this process still leads. A later leader was therefore elected
+//! later, and counts a whole lease from its election.
 
-use crate::Time;
+use crate::{Incarnation, Time};
 use std::collections::BTreeMap;
 
-/// What all processes of a fleet go by.
+/// The duration of leases and the drift of clocks; all processes of a fleet use the same.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LeaseTerms {
-    /// The council counts a lease as ended so long after its last renewal came, in microseconds of its own clock.
+    /// Microseconds on the leader's clock from the receipt of the last renewal until the lease has expired.
     #[serde(rename = "term")]
     pub duration: Time,
-    /// Clocks run faster or slower than true time by this share at most.
+    /// The share by which a clock runs faster or slower than true time at most; 0.01 is 1 %.
     #[serde(rename = "drift")]
     pub max_clock_drift: f64,
 }
 
+/// A holder renews this many times within a lease's duration, so that two renewals in a row may be lost.
+const RENEWALS_PER_LEASE: f64 = 3.0;
+/// The share of the renewal interval by which jitter shortens it at most, so that holders do not renew in step.
+const RENEWAL_JITTER: f64 = 0.2;
+
 impl LeaseTerms {
-    /// How long a holder believes, in microseconds of its own clock, from before it asked.
+    /// Microseconds on the holder's clock, from before it sent the renewal, during which it may rely on the lease.
     ///
-    /// With rates within `1 - drift` and `1 + drift`, the holder's belief lasts at most `h / (1 - drift)` of true time and
-    /// the council waits at least `term / (1 + drift)`.
+    /// With clock rates within `1 - drift` and `1 + drift`, the holder relies on the lease for at most
+    /// `holder_duration / (1 - drift)` of true time, and the leader waits for at least `duration / (1 + drift)`.
+    #[must_use]
     pub fn holder_duration(&self) -> Time {
-        (self.duration as f64 * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)).floor() as Time
+        let drift = self.max_clock_drift;
+        (self.duration as f64 * (1.0 - drift) / (1.0 + drift)).floor() as Time
     }
 
-    /// How often a holder asks for renewal: thrice in a term, less a jitter of up to a fifth that `draw` (0 to 1) says.
-    pub fn renewal_delay(&self, draw: f64) -> Time {
-        (self.duration as f64 / 3.0 * (1.0 - 0.2 * draw.clamp(0.0, 1.0))) as Time
+    /// Microseconds from one renewal to the next: a third of the duration, less a jitter of up to a fifth of that. `random` is
+    /// uniform in 0 to 1.
+    #[must_use]
+    pub fn renewal_delay(&self, random: f64) -> Time {
+        let interval = self.duration as f64 / RENEWALS_PER_LEASE;
+        (interval * (1.0 - RENEWAL_JITTER * random.clamp(0.0, 1.0))) as Time
     }
 }
 
-/// A holder's side.
+/// The holder's view of its lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeaseState {
     expires_at: Time,
 }
 
 impl LeaseState {
-    /// A renewal was granted that was asked for at this time of the holder's clock, read before anything was sent.
-    pub fn renew(&mut self, asked: Time, terms: &LeaseTerms) {
-        self.expires_at = self.expires_at.max(asked + terms.holder_duration());
+    /// Records a granted renewal. `sent_at` is the holder's clock, read before the request was sent. A renewal that arrives
+    /// late never shortens the lease.
+    pub fn renew(&mut self, sent_at: Time, terms: &LeaseTerms) {
+        self.expires_at = self.expires_at.max(sent_at + terms.holder_duration());
     }
 
-    /// It is given up, or the council said that it has ended.
+    /// Ends the lease: the holder gives it up, or the service reports that it expired.
     pub fn release(&mut self) {
         self.expires_at = 0;
     }
 
-    /// Whether what rests on the lease may be done now. To be asked at the last moment before, with the clock read anew.
+    /// Whether the holder may act on the lease now. Call it right before the action, with the clock read anew.
+    #[must_use]
     pub fn is_held(&self, now: Time) -> bool {
         now < self.expires_at
     }
 
-    /// When belief ends.
+    /// When the lease expires, on the holder's clock; 0 without a lease.
+    #[must_use]
     pub fn expires_at(&self) -> Time {
         self.expires_at
     }
 }
 
-/// A leader's side: when each living member was last renewed, by the leader's clock. Not agreed and not written down: whoever
-/// becomes leader counts a whole term from then.
+/// The last renewal of a member, on the leader's clock.
+#[derive(Debug, Clone, Copy)]
+struct Renewal {
+    incarnation: Incarnation,
+    received_at: Time,
+}
+
+/// The leader's view of all leases: when each member last renewed. It is neither replicated nor stored; a new leader counts a
+/// whole lease from its election for every member.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseTable {
     leading_since: Option<Time>,
-    renewals: BTreeMap<String, (u64, Time)>,
+    renewals: BTreeMap<String, Renewal>,
     last_checked: Option<Time>,
 }
 
 impl LeaseTable {
-    /// This process leads since now, or does not.
-    pub fn set_leading(&mut self, now: Time, leads: bool) {
+    /// Starts anew when this process becomes leader, or stops being it.
+    pub fn set_leading(&mut self, now: Time, is_leader: bool) {
         self.renewals.clear();
         self.last_checked = None;
-        self.leading_since = leads.then_some(now);
+        self.leading_since = is_leader.then_some(now);
     }
 
-    /// A member joined now.
-    pub fn record_join(&mut self, name: &str, incarnation: u64, now: Time) {
+    /// Records that a member joined now.
+    pub fn record_join(&mut self, name: &str, incarnation: Incarnation, now: Time) {
         if self.leading_since.is_some() {
-            self.renewals.insert(name.into(), (incarnation, now));
+            self.renewals.insert(name.into(), Renewal { incarnation, received_at: now });
         }
     }
 
-    /// A renewal that came then has been confirmed.
-    pub fn record_renewal(&mut self, name: &str, incarnation: u64, came: Time) {
-        let entry = self.renewals.entry(name.into()).or_insert((incarnation, came));
-        if entry.0 != incarnation {
-            *entry = (incarnation, came);
+    /// Records a confirmed renewal that was received at `received_at`.
+    pub fn record_renewal(&mut self, name: &str, incarnation: Incarnation, received_at: Time) {
+        let renewal = Renewal { incarnation, received_at };
+        let entry = self.renewals.entry(name.into()).or_insert(renewal);
+        if entry.incarnation != incarnation {
+            *entry = renewal;
         }
-        entry.1 = entry.1.max(came);
+        entry.received_at = entry.received_at.max(received_at);
     }
 
-    /// Which of these (name, incarnation) have run out. A leader that was itself stopped for a quarter of a term gives
-    /// everybody a whole one anew: it can't tell whose renewals it missed.
+    /// Returns those of the members, each a name and an incarnation, whose leases have expired.
+    ///
+    /// A leader that was itself stopped for more than a quarter of a lease grants every member a whole lease anew: it cannot
+    /// know whose renewals it missed.
     pub fn find_expired<'m>(
         &mut self,
-        members: impl Iterator<Item = (&'m str, u64)>,
+        members: impl Iterator<Item = (&'m str, Incarnation)>,
         now: Time,
         terms: &LeaseTerms,
-    ) -> Vec<(String, u64)> {
-        let Some(mut leading) = self.leading_since else { return Vec::new() };
-        if self.last_checked.is_some_and(|looked| now > looked + terms.duration / 4) {
-            leading = now;
+    ) -> Vec<(String, Incarnation)> {
+        let Some(mut leading_since) = self.leading_since else { return Vec::new() };
+        if self.last_checked.is_some_and(|checked| now > checked + terms.duration / 4) {
+            leading_since = now;
             self.leading_since = Some(now);
         }
         self.last_checked = Some(now);
         let mut kept = BTreeMap::new();
-        let mut out = Vec::new();
+        let mut expired = Vec::new();
         for (name, incarnation) in members {
-            let renewed = self.renewals.get(name).filter(|(of, _)| *of == incarnation).map(|(_, at)| *at);
-            let counted_from = renewed.unwrap_or(leading).max(leading);
+            let renewal = self.renewals.get(name).copied();
+            let renewal = renewal.filter(|renewal| renewal.incarnation == incarnation);
+            let counted_from =
+                renewal.map_or(leading_since, |renewal| renewal.received_at.max(leading_since));
             if now >= counted_from + terms.duration {
-                out.push((name.to_string(), incarnation));
+                expired.push((name.to_string(), incarnation));
             }
-            kept.extend(renewed.map(|at| (name.to_string(), (incarnation, at))));
+            kept.extend(renewal.map(|renewal| (name.to_string(), renewal)));
         }
         self.renewals = kept;
-        out
+        expired
     }
 
-    /// How long ago this member was last renewed, if this process leads and knows.
+    /// Microseconds since this member last renewed, if this process leads and knows.
+    #[must_use]
     pub fn time_since_renewal(&self, name: &str, now: Time) -> Option<Time> {
-        self.renewals.get(name).map(|(_, at)| now.saturating_sub(*at))
+        let renewal = self.renewals.get(name)?;
+        Some(now.saturating_sub(renewal.received_at))
     }
 }
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -1,68 +1,72 @@
-//! A member's side: it joins, renews its lease, says whether it can serve, and knows whether it may rest anything on its
-//! lease. One request at a time; whatever fails is asked again.
+//! The client side of a lease: a member that joins, renews its lease, reports its readiness, and knows whether it may act on its
+//! lease. It has one request in flight at a time, and repeats what fails.
 
 use crate::lease::{LeaseState, LeaseTerms};
 use crate::state::{Command, CommandRequest, CommandResult};
 use crate::wire::{Refusal, Request, Response};
-use crate::Time;
+use crate::{Incarnation, Time};
 
-/// A process that waits for an older incarnation's lease to end asks again after this.
+/// Microseconds after which a process asks again that waits for the lease of an older process of its name to end.
 const TAKEOVER_RETRY_INTERVAL: Time = 300_000;
+/// A failed renewal is repeated within this fraction of a lease's duration, so that the lease does not expire in between.
+const MAX_BACKOFF_DIVISOR: Time = 8;
 
-/// Who takes part.
+/// What a process states about itself when it joins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberInfo {
-    /// Its name.
+    /// Its name, unique in the fleet.
     pub name: String,
-    /// Where it stands.
+    /// The site it runs at.
     pub site: String,
-    /// Of the program.
+    /// The version of its program.
     pub version: String,
-    /// Where its operators call.
+    /// The address of its operators' interface.
     pub address: String,
 }
 
-/// How it stands.
+/// Where a process stands with the coordination service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionState {
-    /// It has not been taken in yet.
+    /// It has not joined yet.
     Joining,
-    /// An older incarnation of this name may still hold its lease.
+    /// An older process of its name may still hold a lease.
     Waiting,
-    /// It takes part.
+    /// It is a member.
     Member,
-    /// Its lease has ended by the council's count; it joins anew, under a new incarnation.
+    /// The leader counts its lease as expired. It joins anew under another incarnation.
     Ended,
-    /// A newer process has its name: it has left, and does not join again.
+    /// A newer process has its name. It has left, and does not join again.
     Displaced,
 }
 
-/// A member.
+/// A process that is, or wants to be, a member.
 #[derive(Debug, Clone)]
 pub struct LeaseHolder {
     info: MemberInfo,
     nonce: u64,
-    /// The incarnation that the name has as far as it knows.
-    follows: u64,
-    incarnation: Option<u64>,
+    /// The last incarnation of its name that it knows of, 0 for none.
+    follows: Incarnation,
+    incarnation: Option<Incarnation>,
     last_report: u64,
     lease: LeaseState,
     session: SessionState,
     ready: bool,
+    /// The readiness that the service has acknowledged.
     reported_ready: bool,
-    /// What the report under way says.
+    /// The readiness in the report that is in flight.
     ready_in_flight: bool,
     next_request_at: Time,
+    /// When the request in flight was sent.
     requested_at: Option<Time>,
-    /// The longest pause after a failure, once the term is known: a lease must not run out between two tries.
+    /// The longest pause after a failure, once the duration of leases is known.
     max_backoff: Time,
 }
 
 impl LeaseHolder {
-    /// A process that wants to take part. `nonce` is drawn at its start.
-    pub fn new(about: MemberInfo, nonce: u64, now: Time) -> LeaseHolder {
+    /// A process that wants to join. `nonce` is a random number that it draws at its start.
+    pub fn new(info: MemberInfo, nonce: u64, now: Time) -> LeaseHolder {
         LeaseHolder {
-            info: about,
+            info,
             nonce,
             follows: 0,
             incarnation: None,
@@ -83,27 +87,28 @@
         &self.info.name
     }
 
-    /// When its belief ends, by its own clock.
+    /// When its lease expires, on its own clock.
     pub fn lease_expires_at(&self) -> Time {
         self.lease.expires_at()
     }
 
-    /// How it stands.
+    /// Where it stands with the service.
     pub fn session(&self) -> SessionState {
         self.session
     }
 
-    /// The incarnation that it may rest something on at this moment, if any. To be asked at the last moment before.
-    pub fn held_incarnation(&self, now: Time) -> Option<u64> {
+    /// The incarnation under which it may act now, if it holds a lease. Call it right before the action.
+    #[must_use]
+    pub fn held_incarnation(&self, now: Time) -> Option<Incarnation> {
         self.incarnation.filter(|_| self.lease.is_held(now))
     }
 
-    /// Its incarnation, whether or not its lease has ended; 0 before it has one.
-    pub fn incarnation(&self) -> u64 {
+    /// Its incarnation, whether or not its lease has expired; 0 before it has one.
+    pub fn incarnation(&self) -> Incarnation {
         self.incarnation.unwrap_or(0)
     }
 
-    /// It can serve, or can't.
+    /// Sets whether it can serve; a change is reported with the next request.
     pub fn set_ready(&mut self, ready: bool, now: Time) {
         self.ready = ready;
         if self.reported_ready != ready && self.session == SessionState::Member {
@@ -111,117 +116,145 @@
         }
     }
 
-    /// When [`LeaseHolder::next_request`] wants to be called, unless a request is under way.
+    /// When to call [`LeaseHolder::next_request`] next; none while a request is in flight.
     pub fn next_request_at(&self) -> Option<Time> {
         self.requested_at.is_none().then_some(self.next_request_at)
     }
 
-    /// What to ask now, if it is time. The clock is read here, before anything is sent.
+    /// The request to send now, if one is due. Read the clock for `now` before anything is sent.
     pub fn next_request(&mut self, now: Time) -> Option<Request> {
         if self.requested_at.is_some() || now < self.next_request_at {
             return None;
         }
         self.requested_at = Some(now);
         Some(match self.incarnation {
-            Some(incarnation) if self.session == SessionState::Displaced => {
-                let command = Command::Leave { name: self.info.name.clone(), incarnation };
-                Request::Command(CommandRequest { session: None, command })
-            }
-            None => {
-                let MemberInfo { name, site, version, address } = self.info.clone();
-                let (nonce, after) = (self.nonce, self.follows);
-                let command = Command::Join { name, nonce, follows: after, site, version, address };
-                Request::Command(CommandRequest { session: None, command })
-            }
+            Some(incarnation) if self.session == SessionState::Displaced => self.leave_request(incarnation),
+            None => self.join_request(),
             Some(incarnation) if self.reported_ready != self.ready && self.lease.is_held(now) => {
-                let name = self.info.name.clone();
-                self.last_report += 1;
-                let (number, ready) = (self.last_report, self.ready);
-                self.ready_in_flight = ready;
-                let command = Command::Report { name, incarnation, number, ready };
-                Request::Command(CommandRequest { session: None, command })
+                self.report_request(incarnation)
             }
             Some(_) => Request::Renew,
         })
     }
 
-    /// The answer, or none by the deadline. `again` is the pause that the caller keeps after a failure; `draw` is 0 to 1.
-    /// True if the question is settled.
+    /// Takes the response to the request in flight, or none if it has timed out. `pause` is how long the caller waits after a
+    /// failure, in microseconds; `random` is uniform in 0 to 1. Returns whether the request is settled.
     pub fn handle_response(
         &mut self,
         now: Time,
         response: Option<&Response>,
-        again: Time,
-        draw: f64,
+        pause: Time,
+        random: f64,
     ) -> bool {
-        let Some(asked) = self.requested_at.take() else { return false };
+        let Some(sent_at) = self.requested_at.take() else { return false };
         if self.session == SessionState::Displaced {
-            let settled = matches!(
-                response,
-                Some(Response::Reply(..) | Response::Refused(Refusal::OlderIncarnation { .. }))
-            );
-            self.next_request_at = if settled { Time::MAX } else { now + again };
-            return settled;
+            return self.handle_response_to_leave(now, response, pause);
         }
         match response {
-            Some(Response::Reply(CommandResult::Joined { incarnation }, _)) => {
-                self.incarnation = Some(*incarnation);
-                self.session = SessionState::Member;
-                self.reported_ready = false;
-                // Only a renewal grants the lease: this answer may be a repeat, of a joining long ago.
-                self.next_request_at = now;
-            }
-            Some(Response::Reply(CommandResult::Present { incarnation }, _)) => {
-                self.follows = *incarnation;
-                self.next_request_at = now;
-            }
-            // A report of this process that was thought lost came after all, and then this one's copy.
-            Some(Response::Reply(CommandResult::Outdated, _)) => self.next_request_at = now,
-            Some(Response::Reply(CommandResult::Wait { .. }, _)) => {
-                self.session = SessionState::Waiting;
-                self.next_request_at = now + TAKEOVER_RETRY_INTERVAL;
-            }
-            Some(Response::Reply(CommandResult::Done(_), _)) => {
-                self.reported_ready = self.ready_in_flight;
-                // The lease is as it was: it is renewed next.
-                self.next_request_at = now;
-            }
-            Some(Response::Renewed(terms)) => self.handle_renewal(asked, terms, now, draw),
+            Some(Response::Renewed(terms)) => self.handle_renewal(sent_at, terms, now, random),
             Some(Response::Ended | Response::Reply(CommandResult::NotLiving, _)) => {
-                self.lease.release();
-                self.follows = self.incarnation.take().unwrap_or(self.follows);
-                self.session = SessionState::Ended;
-                // Another process, as far as the council is concerned.
-                self.nonce = self.nonce.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1);
-                self.next_request_at = now + again.max(TAKEOVER_RETRY_INTERVAL);
+                self.handle_expiry(now, pause)
             }
             Some(Response::Displaced | Response::Refused(Refusal::OlderIncarnation { .. })) => {
-                // The newer one waits for nothing but this one's word.
+                // The newer process only waits for this one to leave.
                 self.lease.release();
                 self.session = SessionState::Displaced;
                 self.next_request_at = now;
             }
-            _ => {
-                self.next_request_at = now + again.min(self.max_backoff);
-                return false;
+            Some(Response::Reply(result, _)) => return self.handle_command_result(result, now, pause),
+            _ => return self.retry_later(now, pause),
+        }
+        true
+    }
+
+    fn retry_later(&mut self, now: Time, pause: Time) -> bool {
+        self.next_request_at = now + pause.min(self.max_backoff);
+        false
+    }
+
+    /// Returns whether the result settles the request.
+    fn handle_command_result(&mut self, result: &CommandResult, now: Time, pause: Time) -> bool {
+        // Most results are followed by another request at once.
+        self.next_request_at = now;
+        match result {
+            CommandResult::Joined { incarnation } => {
+                // Only a renewal grants the lease: this result may repeat that of a join long ago.
+                self.incarnation = Some(*incarnation);
+                self.session = SessionState::Member;
+                self.reported_ready = false;
+            }
+            CommandResult::Present { incarnation } => self.follows = *incarnation,
+            // A report that was believed lost was applied after all, and then its repetition arrived.
+            CommandResult::Outdated => {}
+            CommandResult::Wait { .. } => {
+                self.session = SessionState::Waiting;
+                self.next_request_at = now + TAKEOVER_RETRY_INTERVAL;
             }
+            // A report does not renew the lease; a renewal follows.
+            CommandResult::Done(_) => self.reported_ready = self.ready_in_flight,
+            _ => return self.retry_later(now, pause),
         }
         true
     }
 
-    fn handle_renewal(&mut self, asked: Time, terms: &LeaseTerms, now: Time, draw: f64) {
-        self.lease.renew(asked, terms);
-        self.max_backoff = terms.duration / 8;
-        self.next_request_at =
-            if self.reported_ready == self.ready { asked + terms.renewal_delay(draw) } else { now }.max(now);
+    fn handle_response_to_leave(&mut self, now: Time, response: Option<&Response>, pause: Time) -> bool {
+        let is_settled = matches!(
+            response,
+            Some(Response::Reply(..) | Response::Refused(Refusal::OlderIncarnation { .. }))
+        );
+        self.next_request_at = if is_settled { Time::MAX } else { now + pause };
+        is_settled
+    }
+
+    fn handle_renewal(&mut self, sent_at: Time, terms: &LeaseTerms, now: Time, random: f64) {
+        self.lease.renew(sent_at, terms);
+        self.max_backoff = terms.duration / MAX_BACKOFF_DIVISOR;
+        let is_report_due = self.reported_ready != self.ready;
+        let next = if is_report_due { now } else { sent_at + terms.renewal_delay(random) };
+        self.next_request_at = next.max(now);
+    }
+
+    /// The lease has expired: the process joins anew, as another one in the eyes of the service.
+    fn handle_expiry(&mut self, now: Time, pause: Time) {
+        self.lease.release();
+        self.follows = self.incarnation.take().unwrap_or(self.follows);
+        self.session = SessionState::Ended;
+        self.nonce = next_nonce(self.nonce);
+        self.next_request_at = now + pause.max(TAKEOVER_RETRY_INTERVAL);
     }
 
-    /// It goes, and rests nothing on its lease from now on.
+    /// Gives the lease up. Returns the request that says so, unless the process is no member.
     pub fn leave(&mut self) -> Option<Request> {
         self.lease.release();
         let incarnation = self.incarnation.take()?;
         self.session = SessionState::Ended;
-        let command = Command::Leave { name: self.info.name.clone(), incarnation };
-        Some(Request::Command(CommandRequest { session: None, command }))
+        Some(self.leave_request(incarnation))
+    }
+
+    fn join_request(&self) -> Request {
+        let MemberInfo { name, site, version, address } = self.info.clone();
+        let (nonce, follows) = (self.nonce, self.follows);
+        command_request(Command::Join { name, nonce, follows, site, version, address })
     }
+
+    fn report_request(&mut self, incarnation: Incarnation) -> Request {
+        self.last_report += 1;
+        self.ready_in_flight = self.ready;
+        let name = self.info.name.clone();
+        command_request(Command::Report { name, incarnation, number: self.last_report, ready: self.ready })
+    }
+
+    fn leave_request(&self, incarnation: Incarnation) -> Request {
+        command_request(Command::Leave { name: self.info.name.clone(), incarnation })
+    }
+}
+
+/// A member's commands need no session: each is safe to repeat by itself.
+fn command_request(command: Command) -> Request {
+    Request::Command(CommandRequest { session: None, command })
+}
+
+/// The next number of Knuth's linear congruential generator (MMIX).
+fn next_nonce(nonce: u64) -> u64 {
+    nonce.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1)
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,16 +1,24 @@
-//! What the processes of a fleet agree on, free of I/O and of clocks: time and random seeds are handed in, messages and what
-//! must be written down are handed out.
+//! The coordination service of a fleet: membership, leases, versioned records and permits, replicated by Raft.
 //!
-//! - [`state`]: the agreed state, a deterministic function of the log: members, records under revisions, sessions, watches.
-//! - [`lease`]: how long a member may believe that it holds, and how long the council waits.
-//! - [`node`]: one council process: the state behind the Raft library's core.
-//! - [`service`]: requests in, responses out, before a node.
-//! - [`backoff`]: when a process whose store has failed opens it again.
-//! - [`retry_schedule`], [`lease_holder`]: the other side: whom to ask and when; a member that joins and renews its lease.
-//! - [`bootstrap`]: who may form a council, and who may not any more.
-//! - [`log`]: what a process holds of the log, and what it writes down of it.
-//! - [`permit`]: permits out of a stated number, as records.
-//! - [`wire`]: what processes say to each other.
+//! The package is sans-I/O. The current time and random numbers are arguments; messages to send and data to store are
+//! return values. The agent's `fleet` module runs it on sockets and files, the testbed runs it in simulated time.
+//!
+//! Server side, from the outside in:
+//!
+//! - [`wire`]: the requests, responses and refusals that processes exchange.
+//! - [`service`]: serves requests and watches of clients in front of a node.
+//! - [`node`]: one coordination process: the replicated state behind the core of the Raft library.
+//! - [`state`]: the replicated state machine: members, records with revisions, sessions and changes for watchers.
+//! - [`log`]: the replicated log in memory, and what of it is written to disk.
+//! - [`lease`]: how long a holder may rely on its lease, and when the leader counts it as expired.
+//! - [`bootstrap`]: how processes with empty disks form a cluster, and how a backup is restored.
+//! - [`backoff`]: when a process whose store failed opens it again.
+//!
+//! Client side:
+//!
+//! - [`retry_schedule`]: which coordination process to call, and when to call again.
+//! - [`lease_holder`]: a member that joins, renews its lease and reports its readiness.
+//! - [`permit`]: permits out of a limited budget, as transactions over records.
 
 pub mod backoff;
 pub mod bootstrap;
@@ -24,13 +32,26 @@
 pub mod state;
 pub mod wire;
 
-/// Microseconds on the monotonic clock of one process, from any beginning. Never compared between processes.
+/// Microseconds on the monotonic clock of one process, from an arbitrary origin. Never compared between processes.
 pub type Time = u64;
 
-/// What there may be at most; what is over one of these is answered with an [`LimitExceeded`] that names it.
+/// The id of a coordination process in Raft: a random number that its disk draws when it is new, never 0.
+pub type NodeId = u64;
+
+/// A Raft term.
+pub type Term = u64;
+
+/// The index of an entry in the replicated log; the first entry has 1.
+pub type LogIndex = u64;
+
+/// The incarnation of a member: the revision at which it joined. A later process of the same name has a higher one.
+pub type Incarnation = u64;
+
+/// Upper limits of what a coordination process holds. A request that would exceed one fails with a [`LimitExceeded`] that
+/// names the field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Members, living and ended.
+    /// Members, including those that left or expired and were not forgotten.
     pub members: usize,
     /// Records.
     pub records: usize,
@@ -38,15 +59,15 @@
     pub state_bytes: usize,
     /// Bytes of one record's value.
     pub record_bytes: usize,
-    /// Sessions; the one that was silent longest makes room.
+    /// Sessions. At the limit, the least recently used session of a non-member is dropped.
     pub sessions: usize,
     /// Changes that are kept for watchers.
     pub changes: usize,
-    /// Log entries that are kept behind the newest snapshot.
+    /// Log entries that are kept in front of the latest snapshot.
     pub log_entries: usize,
     /// Bytes of one message between processes.
     pub message_bytes: usize,
-    /// Commands and reads that one council process has in hand.
+    /// Operations that one process has in flight.
     pub in_flight: usize,
 }
 
@@ -66,14 +87,14 @@
     }
 }
 
-/// A bound that was reached.
+/// A request would exceed one of the [`Limits`].
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
 #[error("over the bound of {limit}: {max}")]
 pub struct LimitExceeded {
-    /// Its name in [`Limits`].
+    /// The name of the limit, as the field of [`Limits`].
     #[serde(rename = "bound")]
     pub limit: String,
-    /// What it is.
+    /// Its value.
     #[serde(rename = "most")]
     pub max: u64,
 }
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -1,96 +1,109 @@
-//! What a council process holds of the log, and what it writes down of it. The Raft library reads it from here; a
-//! [`Disk`] keeps it.
+//! The replicated log of one coordination process. The Raft library reads it through [`ReplicatedLog`]; a [`Disk`] stores it.
 
+use crate::{LogIndex, Term};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// Why a disk did not keep, or does not give back, what it was given.
+/// Why a disk did not store, or does not return, what it was given.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DiskError {
-    /// A write, a sync or a read failed, as where there is no room. A step that was under way is there or is not; only
-    /// what is read back tells. It may work again later.
+    /// A write, a sync or a read failed, for instance because the disk is full. The batch being written may be stored or
+    /// not; only reading it back tells. A later attempt may succeed.
     #[error("{0}")]
     Failed(String),
-    /// What is there is not what was written, or is not this process's. It stays so.
+    /// The stored data is damaged, or belongs to another process. No later attempt succeeds.
     #[error("{0}")]
     Unusable(String),
 }
 
-/// What is written down in one step: all of it, or nothing.
+/// The place of an entry in the log.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct LogPosition {
+    /// Its index.
+    pub index: LogIndex,
+    /// The term in which it was proposed.
+    pub term: Term,
+}
+
+/// What is written in one atomic step.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Term, vote and what is known to be committed.
+    /// Raft's term, vote and commit index, encoded.
     pub hard_state: Option<Vec<u8>>,
-    /// The newest snapshot.
+    /// The latest snapshot, encoded.
     pub snapshot: Option<Vec<u8>>,
-    /// All entries that were there are replaced by those below: the snapshot came from another process.
+    /// The snapshot was received from the leader: all stored entries are dropped before those below are written.
     pub replaces_log: bool,
-    /// Entries by index. What was there from the first of them on is replaced.
-    pub entries: Vec<(u64, Vec<u8>)>,
-    /// Entries up to this index are not needed any more; its term.
-    pub compacted: Option<(u64, u64)>,
+    /// Encoded entries by index. Stored entries from the first of these indexes on are replaced.
+    pub entries: Vec<(LogIndex, Vec<u8>)>,
+    /// Entries up to this one are dropped, since a snapshot covers them.
+    pub compacted: Option<LogPosition>,
 }
 
 impl WriteBatch {
-    /// Nothing has to be written.
+    /// Whether there is nothing to write.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == WriteBatch::default()
     }
 }
 
-/// All that was written down.
+/// Everything that a disk stores of a node.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DurableState {
-    /// Term, vote and what is known to be committed.
+    /// Raft's term, vote and commit index, encoded.
     pub hard_state: Option<Vec<u8>>,
-    /// The newest snapshot.
+    /// The latest snapshot, encoded.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries by index, without a gap.
-    pub entries: BTreeMap<u64, Vec<u8>>,
-    /// What the entries follow: an index and its term.
-    pub compacted: (u64, u64),
+    /// Encoded entries by index, without a gap.
+    pub entries: BTreeMap<LogIndex, Vec<u8>>,
+    /// The last entry that was dropped; the first stored one follows it.
+    pub compacted: LogPosition,
 }
 
 impl DurableState {
-    /// What is there after a step was written.
-    pub fn apply(&mut self, save: &WriteBatch) {
-        if save.hard_state.is_some() {
-            self.hard_state.clone_from(&save.hard_state);
+    /// Applies a batch, as a disk does that stores it.
+    pub fn apply(&mut self, batch: &WriteBatch) {
+        if batch.hard_state.is_some() {
+            self.hard_state.clone_from(&batch.hard_state);
         }
-        if save.snapshot.is_some() {
-            self.snapshot.clone_from(&save.snapshot);
+        if batch.snapshot.is_some() {
+            self.snapshot.clone_from(&batch.snapshot);
         }
-        if save.replaces_log {
+        if batch.replaces_log {
             self.entries.clear();
         }
-        if let Some((first, _)) = save.entries.first() {
+        if let Some((first, _)) = batch.entries.first() {
             self.entries.split_off(first);
-            self.entries.extend(save.entries.iter().cloned());
+            self.entries.extend(batch.entries.iter().cloned());
         }
-        if let Some(cut) = save.compacted {
-            self.compacted = cut;
-            self.entries = self.entries.split_off(&(cut.0 + 1));
+        if let Some(compacted) = batch.compacted {
+            self.compacted = compacted;
+            self.entries = self.entries.split_off(&(compacted.index + 1));
         }
     }
 }
 
-/// Where a process writes down.
+/// The storage of a node.
 pub trait Disk {
-    /// Keeps a step. Once this has come back without a fault, the step is there after any crash. After a fault nobody knows
-    /// whether it is there: the node must be dropped, and made anew from what is read back.
-    fn save(&mut self, save: &WriteBatch) -> Result<(), DiskError>;
+    /// Stores a batch. When this returns `Ok`, the batch survives any crash.
+    ///
+    /// # Errors
+    ///
+    /// After an error it is unknown whether the batch is stored: drop the node, and make a new one from what is read back.
+    fn save(&mut self, batch: &WriteBatch) -> Result<(), DiskError>;
 }
 
-/// The log of one process.
+/// The log of one process in memory.
 pub struct ReplicatedLog {
     hard_state: HardState,
     conf_state: ConfState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    compacted: (u64, u64),
-    /// A newer snapshot is needed than there is.
+    compacted: LogPosition,
+    /// The Raft library needs a snapshot that is newer than the latest one.
     is_snapshot_requested: Cell<bool>,
 }
 
@@ -98,118 +111,138 @@
     M::parse_from_bytes(bytes).map_err(|e| DiskError::Unusable(format!("{what} can't be read: {e}")))
 }
 
-/// Bytes of one of the library's messages.
+fn decode_or_default<M: protobuf::Message>(what: &str, bytes: Option<&[u8]>) -> Result<M, DiskError> {
+    bytes.map_or_else(|| Ok(M::new()), |bytes| decode(what, bytes))
+}
+
+/// Encodes one of the Raft library's messages.
 pub(crate) fn encode<M: protobuf::Message>(message: &M) -> Vec<u8> {
-    // Fails only for fields that are required, which these messages do not have.
+    // Fails only for required fields, which these messages do not have.
     message.write_to_bytes().unwrap_or_default()
 }
 
-impl ReplicatedLog {
-    /// What was written down. A gap, an entry under a wrong index or a term and vote that do not fit are faults.
-    pub fn new(image: &DurableState) -> Result<ReplicatedLog, DiskError> {
-        let hard: HardState =
-            image.hard_state.as_deref().map_or(Ok(HardState::default()), |b| decode("the vote", b))?;
-        let snapshot: Snapshot =
-            image.snapshot.as_deref().map_or(Ok(Snapshot::default()), |b| decode("the snapshot", b))?;
-        let mut entries = Vec::new();
-        let mut next = image.compacted.0 + 1;
-        for (index, bytes) in &image.entries {
-            let entry: Entry = decode(&format!("entry {index}"), bytes)?;
-            if *index != next || entry.index != next {
-                return Err(DiskError::Unusable(format!("the log has no entry {next}")));
-            }
-            next += 1;
-            entries.push(entry);
+/// Decodes entries that must follow a position without a gap.
+fn decode_entries(stored: &BTreeMap<LogIndex, Vec<u8>>, after: LogIndex) -> Result<Vec<Entry>, DiskError> {
+    let mut entries = Vec::new();
+    for (expected, (index, bytes)) in (after + 1..).zip(stored) {
+        let entry: Entry = decode(&format!("entry {index}"), bytes)?;
+        if *index != expected || entry.index != expected {
+            return Err(DiskError::Unusable(format!("the log has no entry {expected}")));
         }
-        let at = snapshot.get_metadata().index;
-        if at < image.compacted.0 || at >= next || hard.commit >= next.max(1) {
+        entries.push(entry);
+    }
+    Ok(entries)
+}
+
+impl ReplicatedLog {
+    /// The log that a disk stores.
+    ///
+    /// # Errors
+    ///
+    /// Fails if something cannot be decoded, if an entry is missing, or if the log ends before its snapshot or its commit
+    /// index.
+    pub fn new(stored: &DurableState) -> Result<ReplicatedLog, DiskError> {
+        let hard_state: HardState = decode_or_default("the vote", stored.hard_state.as_deref())?;
+        let snapshot: Snapshot = decode_or_default("the snapshot", stored.snapshot.as_deref())?;
+        let entries = decode_entries(&stored.entries, stored.compacted.index)?;
+        let last_index = stored.compacted.index + entries.len() as LogIndex;
+        let snapshot_index = snapshot.get_metadata().index;
+        let is_snapshot_outside = snapshot_index < stored.compacted.index || snapshot_index > last_index;
+        if is_snapshot_outside || hard_state.commit >= (last_index + 1).max(1) {
             return Err(DiskError::Unusable(format!(
-                "the log ends at {}, before its snapshot at {at} or what was committed, {}",
-                next - 1,
-                hard.commit
+                "the log ends at {last_index}, before its snapshot at {snapshot_index} or what was committed, {}",
+                hard_state.commit
             )));
         }
-        let conf = snapshot.get_metadata().get_conf_state().clone();
+        let conf_state = snapshot.get_metadata().get_conf_state().clone();
         Ok(ReplicatedLog {
-            hard_state: hard,
-            conf_state: conf,
+            hard_state,
+            conf_state,
             snapshot,
             entries,
-            compacted: image.compacted,
+            compacted: stored.compacted,
             is_snapshot_requested: Cell::new(false),
         })
     }
 
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub fn latest_snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
     /// The index of the last entry.
-    pub fn last_entry_index(&self) -> u64 {
-        self.compacted.0 + self.entries.len() as u64
+    pub fn last_entry_index(&self) -> LogIndex {
+        self.compacted.index + self.entries.len() as LogIndex
     }
 
-    /// Entries that are held.
+    /// The number of entries in memory.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is held.
+    /// Whether no entry is in memory.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether a newer snapshot has been asked for since the last call.
+    /// Whether the Raft library has asked for a newer snapshot since the last call.
     pub(crate) fn take_snapshot_request(&self) -> bool {
         self.is_snapshot_requested.replace(false)
     }
 
-    pub(crate) fn set_hard_state(&mut self, hard: HardState) {
-        self.hard_state = hard;
-    }
-
-    pub(crate) fn set_commit(&mut self, commit: u64) {
-        self.hard_state.commit = commit;
-    }
-
     pub(crate) fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    pub(crate) fn set_conf_state(&mut self, conf: ConfState) {
-        self.conf_state = conf;
+    pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
+    }
+
+    pub(crate) fn set_commit(&mut self, commit: LogIndex) {
+        self.hard_state.commit = commit;
     }
 
     pub(crate) fn conf_state(&self) -> &ConfState {
         &self.conf_state
     }
 
-    /// A snapshot that came takes the place of all.
+    pub(crate) fn set_conf_state(&mut self, conf_state: ConfState) {
+        self.conf_state = conf_state;
+    }
+
+    /// Replaces the whole log by a snapshot that the leader sent.
     pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) {
-        let about = snapshot.get_metadata();
-        self.compacted = (about.index, about.term);
-        self.conf_state = about.get_conf_state().clone();
+        let metadata = snapshot.get_metadata();
+        self.compacted = LogPosition { index: metadata.index, term: metadata.term };
+        self.conf_state = metadata.get_conf_state().clone();
         self.entries.clear();
         self.snapshot = snapshot;
     }
 
+    /// Appends entries; those from the first of their indexes on are replaced.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         if let Some(first) = entries.first() {
-            self.entries.truncate(first.index.saturating_sub(self.compacted.0 + 1) as usize);
+            let kept = first.index.saturating_sub(self.compacted.index + 1) as usize;
+            self.entries.truncate(kept);
             self.entries.extend_from_slice(entries);
         }
     }
 
-    /// A snapshot of one's own; entries up to `keep` before it are not needed any more. Says what is cut.
-    pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: u64) -> (u64, u64) {
-        let upto = snapshot.get_metadata().index.saturating_sub(keep).max(self.compacted.0);
-        let term = self.term(upto).unwrap_or(self.compacted.1);
-        self.entries.drain(..(upto - self.compacted.0) as usize);
-        self.compacted = (upto, term);
+    /// Sets a snapshot that this process made, and drops entries but for the last `keep` before it. Returns the last entry
+    /// that was dropped.
+    pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: u64) -> LogPosition {
+        let up_to = snapshot.get_metadata().index.saturating_sub(keep).max(self.compacted.index);
+        let term = self.term(up_to).unwrap_or(self.compacted.term);
+        self.entries.drain(..(up_to - self.compacted.index) as usize);
+        self.compacted = LogPosition { index: up_to, term };
         self.snapshot = snapshot;
         self.compacted
     }
+
+    /// Where an entry that is in memory stands.
+    fn offset(&self, index: LogIndex) -> usize {
+        (index - self.compacted.index - 1) as usize
+    }
 }
 
 impl Storage for ReplicatedLog {
@@ -219,47 +252,48 @@
 
     fn entries(
         &self,
-        low: u64,
-        high: u64,
+        low: LogIndex,
+        high: LogIndex,
         max_size: impl Into<Option<u64>>,
         _context: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        if low <= self.compacted.0 {
+        if low <= self.compacted.index {
             return Err(StorageError::Compacted.into());
         }
         if high > self.last_entry_index() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let place = |index: u64| (index - self.compacted.0 - 1) as usize;
-        let mut entries = self.entries[place(low)..place(high)].to_vec();
+        let mut entries = self.entries[self.offset(low)..self.offset(high)].to_vec();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
 
-    fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.compacted.0 {
-            return Ok(self.compacted.1);
+    fn term(&self, index: LogIndex) -> raft::Result<Term> {
+        if index == self.compacted.index {
+            return Ok(self.compacted.term);
         }
-        if index < self.compacted.0 {
+        if index < self.compacted.index {
             return Err(StorageError::Compacted.into());
         }
-        let entry = self.entries.get((index - self.compacted.0 - 1) as usize);
+        let entry = self.entries.get(self.offset(index));
         entry.map(|entry| entry.term).ok_or(StorageError::Unavailable.into())
     }
 
-    fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.compacted.0 + 1)
+    fn first_index(&self) -> raft::Result<LogIndex> {
+        Ok(self.compacted.index + 1)
     }
 
-    fn last_index(&self) -> raft::Result<u64> {
+    fn last_index(&self) -> raft::Result<LogIndex> {
         Ok(self.last_entry_index())
     }
 
-    /// Whoever was taken in after the newest snapshot was made does not find itself in it, and would not take it.
-    fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        let about = self.snapshot.get_metadata();
-        let conf = about.get_conf_state();
-        if about.index < request_index || !(conf.voters.contains(&to) || conf.learners.contains(&to)) {
+    /// The latest snapshot, if it covers `request_index` and names the process `to`. A process that joined the cluster after
+    /// the snapshot was made would reject it, so that a newer one is requested.
+    fn snapshot(&self, request_index: LogIndex, to: u64) -> raft::Result<Snapshot> {
+        let metadata = self.snapshot.get_metadata();
+        let conf_state = metadata.get_conf_state();
+        let names_receiver = conf_state.voters.contains(&to) || conf_state.learners.contains(&to);
+        if metadata.index < request_index || !names_receiver {
             self.is_snapshot_requested.set(true);
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
--- a/crates/coordination/src/node/election.rs
+++ b/crates/coordination/src/node/election.rs
@@ -1,94 +1,124 @@
-//! Elections: when a process stands for one, and what changes with the leader.
+//! Timers and elections: what happens at each tick, and what changes with the leader.
 
 use super::operation::{OperationId, OperationResult};
+use super::read_round::Round;
 use super::Node;
 use crate::state::{Command, CommandRequest};
-use crate::Time;
+use crate::{NodeId, Time};
 use raft::SnapshotStatus;
 use std::collections::BTreeSet;
 
+/// One step of the splitmix64 generator, with its finalizer.
+fn splitmix64(state: u64) -> u64 {
+    let mut mixed = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ (mixed >> 31)
+}
+
 impl Node {
-    /// The library draws election timeouts from the machine's own generator. What counts instead is a function of this
-    /// life's seed and of what has happened, so that a run can be repeated.
+    /// Replaces the election timeout that the library drew from the machine's random generator by a function of `boot_id` and
+    /// of what has happened, so that a simulated run is repeatable.
     pub(super) fn draw_election_timeout(&mut self) {
         let base = self.settings.election_ticks as u64;
-        let raft = &mut self.raft.raft;
+        let raft = &mut self.raw_node.raft;
         let mut mixed = self.boot_id ^ raft.id;
         for part in [raft.term, raft.state as u64, self.tick_count / (2 * base)] {
-            // The finalizer of splitmix64.
-            mixed = mixed.wrapping_add(part).wrapping_add(0x9e37_79b9_7f4a_7c15);
-            mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-            mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-            mixed ^= mixed >> 31;
+            mixed = splitmix64(mixed.wrapping_add(part));
         }
         raft.set_randomized_election_timeout((base + mixed % base) as usize);
     }
 
-    /// To be called every [`NodeSettings::tick_interval`](super::NodeSettings::tick_interval).
+    /// Advances timers. Call it every [`NodeSettings::tick_interval`](super::NodeSettings::tick_interval).
     pub fn tick(&mut self, now: Time) {
         self.now = self.now.max(now);
         self.has_ticked = true;
         self.tick_count += 1;
-        self.raft.tick();
+        self.raw_node.tick();
         self.draw_election_timeout();
-        let within = self.settings.operation_timeout;
-        let late = |since: Time| now > since + within;
-        let unknown: Vec<OperationId> =
-            self.pending.iter().filter(|(_, since)| late(**since)).map(|(ticket, _)| *ticket).collect();
-        for ticket in unknown {
-            self.finish(ticket, OperationResult::Unknown);
+        self.time_out_operations(now);
+        self.time_out_snapshots(now);
+        if self.is_leader() {
+            self.propose_expiries(now);
         }
-        self.rounds_in_flight.retain(|_, round| !late(round.started));
-        self.confirmed_rounds.retain(|(_, round)| !late(round.started));
-        let lost: Vec<u64> =
-            self.snapshots_sent.iter().filter(|(_, at)| late(**at)).map(|(to, _)| *to).collect();
-        for to in lost {
-            self.snapshots_sent.remove(&to);
-            self.raft.report_snapshot(to, SnapshotStatus::Failure);
+    }
+
+    fn is_timed_out(&self, since: Time, now: Time) -> bool {
+        now > since + self.settings.operation_timeout
+    }
+
+    fn time_out_operations(&mut self, now: Time) {
+        let timeout = self.settings.operation_timeout;
+        let pending = self.pending.iter().filter(|(_, since)| self.is_timed_out(**since, now));
+        let timed_out: Vec<OperationId> = pending.map(|(id, _)| *id).collect();
+        for id in timed_out {
+            self.finish(id, OperationResult::Unknown);
         }
-        if self.is_leader() {
-            let members = self.state.members.iter().filter(|(_, member)| member.status.may_hold_lease());
-            let members = members.map(|(name, member)| (name.as_str(), member.incarnation));
-            let mut out = self.leases.find_expired(members, now, &self.settings.lease_terms);
-            out.retain(|lease| !self.expiring.contains(lease));
-            if !out.is_empty() {
-                let call = CommandRequest { session: None, command: Command::Expire(out.clone()) };
-                // From here on none of them is renewed: the entry may be agreed at any time.
-                if self.propose(OperationId(0), &call).is_ok() {
-                    self.expiring.extend(out);
-                }
-            }
+        let is_recent = |round: &Round| now <= round.started_at + timeout;
+        self.rounds_in_flight.retain(|_, round| is_recent(round));
+        self.confirmed_rounds.retain(|confirmed| is_recent(&confirmed.round));
+    }
+
+    /// A snapshot that has not been acknowledged in time counts as lost; the library sends another one then.
+    fn time_out_snapshots(&mut self, now: Time) {
+        let sent = self.snapshots_sent.iter().filter(|(_, sent_at)| self.is_timed_out(**sent_at, now));
+        let lost: Vec<NodeId> = sent.map(|(node_id, _)| *node_id).collect();
+        for node_id in lost {
+            self.snapshots_sent.remove(&node_id);
+            self.raw_node.report_snapshot(node_id, SnapshotStatus::Failure);
+        }
+    }
+
+    /// Proposes to end the leases that have expired by this leader's count.
+    fn propose_expiries(&mut self, now: Time) {
+        let holders = self.state.members.iter().filter(|(_, member)| member.status.may_hold_lease());
+        let holders = holders.map(|(name, member)| (name.as_str(), member.incarnation));
+        let mut expired = self.leases.find_expired(holders, now, &self.settings.lease_terms);
+        expired.retain(|lease| !self.expiring.contains(lease));
+        if expired.is_empty() {
+            return;
+        }
+        let command = Command::Expire(expired.clone());
+        let request = CommandRequest { session: None, command };
+        if self.propose(OperationId::NONE, &request).is_ok() {
+            // None of them is renewed from here on: the entry may be committed at any time.
+            self.expiring.extend(expired);
         }
     }
 
+    /// Adapts to a change of the leader, or of the term in which this node leads.
     pub(super) fn observe_leadership(&mut self) {
-        let leads = self.is_leader().then_some(self.raft.raft.term);
-        if leads == self.leading_term {
+        let leading_term = self.is_leader().then_some(self.raw_node.raft.term);
+        if leading_term == self.leading_term {
             return;
         }
-        self.leading_term = leads;
-        self.leases.set_leading(self.now, leads.is_some());
+        self.leading_term = leading_term;
+        self.leases.set_leading(self.now, leading_term.is_some());
         self.expiring.clear();
         self.snapshots_sent.clear();
-        if leads.is_none() {
-            // What was proposed may still be agreed; renewals are not granted by who does not lead.
-            let renewals = self
-                .rounds_in_flight
-                .values_mut()
-                .chain(self.confirmed_rounds.iter_mut().map(|(_, round)| round));
-            let renewals = renewals.chain([&mut self.next_round]).flat_map(|round| round.renewals.drain(..));
-            let not_led: BTreeSet<OperationId> = renewals.map(|renewal| renewal.0).collect();
-            let reads =
-                self.rounds_in_flight.values().chain(self.confirmed_rounds.iter().map(|(_, round)| round));
-            let reads: BTreeSet<OperationId> =
-                reads.chain([&self.next_round]).flat_map(|round| round.reads.iter().copied()).collect();
-            let leader = self.leader();
-            for ticket in self.pending.keys().copied().collect::<Vec<_>>() {
-                if not_led.contains(&ticket) {
-                    self.finish(ticket, OperationResult::NotLeader(leader));
-                } else if !reads.contains(&ticket) {
-                    self.finish(ticket, OperationResult::Unknown);
-                }
+        if leading_term.is_none() {
+            self.abandon_leader_operations();
+        }
+    }
+
+    /// This node leads no more: it grants no renewals, and does not learn whether what it proposed is committed. Reads go on
+    /// through the new leader.
+    fn abandon_leader_operations(&mut self) {
+        let rounds = self.rounds_in_flight.values_mut();
+        let confirmed = self.confirmed_rounds.iter_mut().map(|confirmed| &mut confirmed.round);
+        let mut renewals = BTreeSet::new();
+        let mut reads = BTreeSet::new();
+        for round in rounds.chain(confirmed).chain([&mut self.next_round]) {
+            renewals.extend(round.renewals.drain(..).map(|renewal| renewal.id));
+            reads.extend(round.reads.iter().copied());
+        }
+        let leader = self.leader();
+        let pending: Vec<OperationId> = self.pending.keys().copied().collect();
+        for id in pending {
+            if renewals.contains(&id) {
+                self.finish(id, OperationResult::NotLeader(leader));
+            } else if !reads.contains(&id) {
+                self.finish(id, OperationResult::Unknown);
             }
         }
     }
--- a/crates/coordination/src/node/membership.rs
+++ b/crates/coordination/src/node/membership.rs
@@ -1,59 +1,58 @@
-//! Processes that come into the council, and that go.
+//! Changes of the processes in the cluster.
 
 use super::operation::{OperationId, OperationResult};
 use super::{Node, NodeError};
 use crate::state::Peer;
+use crate::NodeId;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 use serde::{Deserialize, Serialize};
 
+/// The context of a membership change in the log, as JSON.
 #[derive(Serialize, Deserialize)]
 struct Replacement {
-    ticket: u64,
-    add: Option<(u64, Peer)>,
-    remove: Option<u64>,
+    #[serde(rename = "ticket")]
+    operation_id: u64,
+    add: Option<(NodeId, Peer)>,
+    remove: Option<NodeId>,
+}
+
+fn single_change(kind: ConfChangeType, node_id: NodeId) -> ConfChangeSingle {
+    let mut change = ConfChangeSingle::default();
+    change.set_change_type(kind);
+    change.node_id = node_id;
+    change
 }
 
 impl Node {
+    /// Proposes to add a process, to remove one, or both in one step.
     pub(super) fn propose_replacement(
         &mut self,
-        ticket: OperationId,
-        add: Option<(u64, Peer)>,
-        remove: Option<u64>,
+        id: OperationId,
+        add: Option<(NodeId, Peer)>,
+        remove: Option<NodeId>,
     ) {
-        let mut changes = Vec::new();
-        let mut change = |kind, number| {
-            let mut single = ConfChangeSingle::default();
-            single.set_change_type(kind);
-            single.node_id = number;
-            changes.push(single);
-        };
-        if let Some((number, _)) = &add {
-            change(ConfChangeType::AddNode, *number);
-        }
-        if let Some(number) = remove {
-            change(ConfChangeType::RemoveNode, number);
-        }
-        let context = Replacement { ticket: ticket.0, add, remove };
-        let mut both = ConfChangeV2::default();
-        both.set_changes(changes.into());
-        both.set_context(serde_json::to_vec(&context).unwrap_or_default().into());
-        let own = [self.node_id(), self.boot_id].map(u64::to_le_bytes).concat();
-        if let Err(fault) = self.raft.propose_conf_change(own, both) {
-            self.finish(
-                ticket,
-                OperationResult::Refused(format!("another change is under way, or none can be: {fault}")),
-            );
+        let added = add.iter().map(|(node_id, _)| single_change(ConfChangeType::AddNode, *node_id));
+        let removed = remove.iter().map(|node_id| single_change(ConfChangeType::RemoveNode, *node_id));
+        let changes: Vec<ConfChangeSingle> = added.chain(removed).collect();
+        let context = Replacement { operation_id: id.0, add, remove };
+        let mut change = ConfChangeV2::default();
+        change.set_changes(changes.into());
+        change.set_context(serde_json::to_vec(&context).unwrap_or_default().into());
+        if let Err(error) = self.raw_node.propose_conf_change(self.origin().encode(), change) {
+            let reason = format!("another change is under way, or none can be: {error}");
+            self.finish(id, OperationResult::Refused(reason));
         }
     }
 
+    /// Applies a committed change. Returns the operation of its proposer.
     pub(super) fn apply_membership_change(
         &mut self,
         change: &ConfChangeV2,
-    ) -> Result<Option<u64>, NodeError> {
-        let conf = self.raft.apply_conf_change(change).map_err(|e| NodeError::Raft(e.to_string()))?;
-        self.raft.mut_store().set_conf_state(conf);
+    ) -> Result<Option<OperationId>, NodeError> {
+        let conf_state = self.raw_node.apply_conf_change(change)?;
+        self.raw_node.mut_store().set_conf_state(conf_state);
         let Ok(context) = serde_json::from_slice::<Replacement>(&change.context) else { return Ok(None) };
         self.state.change_peers(context.add, context.remove);
-        Ok(Some(context.ticket))
+        Ok(Some(OperationId(context.operation_id)))
     }
 }
--- a/crates/coordination/src/node/message.rs
+++ b/crates/coordination/src/node/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the other processes of the council.
+//! Raft messages from other processes, and the checks that detect a disk that was replaced by an older copy.
 
 use super::{Node, NodeError};
 use crate::log::encode;
@@ -8,58 +8,87 @@
 use raft::StateRole;
 
 impl Node {
-    /// A message of another process of the council.
+    /// Takes an encoded Raft message from another process. One that cannot be decoded, or is for another node, is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message proves that this node's disk, or a majority of the others', was replaced by an older copy.
     pub fn receive(&mut self, now: Time, message: &[u8]) -> Result<(), NodeError> {
-        if let Some(fault) = &self.failure {
-            return Err(fault.clone());
+        if let Some(failure) = &self.failure {
+            return Err(failure.clone());
         }
         self.now = self.now.max(now);
         let Ok(message) = Message::parse_from_bytes(message) else { return Ok(()) };
-        let last = self.raft.raft.raft_log.last_index();
         let kind = message.get_msg_type();
         if message.to != self.node_id() || kind == MessageType::MsgPropose {
             return Ok(());
         }
-        if kind == MessageType::MsgHeartbeat && message.term >= self.raft.raft.term && message.commit > last {
-            return Err(NodeError::OldDisk { last_index: last, commit_index: message.commit });
-        }
-        if kind == MessageType::MsgAppend && message.term >= self.raft.raft.term {
-            let log = &self.raft.raft.raft_log;
-            // Of what a snapshot has taken the place of, the library says no term.
-            let agreed = log.first_index()..=log.committed;
-            let agreed = message.entries.iter().filter(|entry| agreed.contains(&entry.index));
-            let mut otherwise =
-                agreed.filter(|entry| log.term(entry.index).is_ok_and(|term| term != entry.term));
-            if let Some(entry) = otherwise.next() {
-                return Err(NodeError::OtherHistory(entry.index));
+        match kind {
+            MessageType::MsgHeartbeat => self.check_own_disk(&message)?,
+            MessageType::MsgAppend => self.check_same_history(&message)?,
+            MessageType::MsgAppendResponse if self.reports_lost_entries(&message) => {
+                self.send_acknowledged_index(&message);
+                return Ok(());
             }
+            _ => {}
         }
-        if kind == MessageType::MsgAppendResponse && self.is_from_stale_disk(&message) {
-            return Ok(());
-        }
-        // What the library does not take is as if it was lost.
-        let _ = self.raft.step(message);
+        // A message that the library rejects counts as lost.
+        let _ = self.raw_node.step(message);
         self.draw_election_timeout();
         Ok(())
     }
 
-    /// A process refuses entries from behind what it has acknowledged to this leader: either its words are late, or its disk was
-    /// put back. The library would fill it up again and nobody would know. It is told instead what it had: one whose disk
-    /// has lost that ends, and to any other this is a heartbeat like each.
-    fn is_from_stale_disk(&mut self, message: &Message) -> bool {
-        let raft = &self.raft.raft;
-        if !message.reject || message.term != raft.term || raft.state != StateRole::Leader {
-            return false;
+    /// A leader's heartbeat states what this node acknowledged to it: the disk must still contain that.
+    fn check_own_disk(&self, message: &Message) -> Result<(), NodeError> {
+        let raft = &self.raw_node.raft;
+        let last_index = raft.raft_log.last_index();
+        if message.term >= raft.term && message.commit > last_index {
+            return Err(NodeError::OldDisk { last_index, commit_index: message.commit });
+        }
+        Ok(())
+    }
+
+    /// The leader's entries must be those that this node knows to be committed.
+    fn check_same_history(&self, message: &Message) -> Result<(), NodeError> {
+        let raft = &self.raw_node.raft;
+        if message.term < raft.term {
+            return Ok(());
+        }
+        let log = &raft.raft_log;
+        // The terms of compacted entries are not known any more.
+        let committed = log.first_index()..=log.committed;
+        let mut entries = message.entries.iter().filter(|entry| committed.contains(&entry.index));
+        let differs = |index, term| log.term(index).is_ok_and(|own_term| own_term != term);
+        match entries.find(|entry| differs(entry.index, entry.term)) {
+            Some(entry) => Err(NodeError::OtherHistory(entry.index)),
+            None => Ok(()),
         }
-        let had = raft.prs().get(message.from).map_or(0, |progress| progress.matched);
-        if message.reject_hint >= had {
+    }
+
+    /// Whether a follower rejects entries from before those that it acknowledged to this leader: the response is late, or its
+    /// disk was replaced by an older copy.
+    fn reports_lost_entries(&self, message: &Message) -> bool {
+        let raft = &self.raw_node.raft;
+        if !message.reject || message.term != raft.term || raft.state != StateRole::Leader {
             return false;
         }
+        message.reject_hint < self.acknowledged_index(message.from)
+    }
+
+    /// Sends the follower a heartbeat with what it acknowledged. The library would send it the lost entries again, and nobody
+    /// would notice; this way a follower that lost them ends, and for any other this is a heartbeat like every other.
+    fn send_acknowledged_index(&mut self, message: &Message) {
+        let raft = &self.raw_node.raft;
         let mut heartbeat = Message::default();
         heartbeat.set_msg_type(MessageType::MsgHeartbeat);
-        (heartbeat.from, heartbeat.to, heartbeat.term) = (raft.id, message.from, raft.term);
-        heartbeat.commit = had.min(raft.raft_log.committed);
+        heartbeat.from = raft.id;
+        heartbeat.to = message.from;
+        heartbeat.term = raft.term;
+        heartbeat.commit = self.acknowledged_index(message.from).min(raft.raft_log.committed);
         self.extra_messages.push((message.from, encode(&heartbeat)));
-        true
+    }
+
+    fn acknowledged_index(&self, follower: crate::NodeId) -> crate::LogIndex {
+        self.raw_node.raft.prs().get(follower).map_or(0, |progress| progress.matched)
     }
 }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,6 +1,10 @@
-//! One council process: the agreed state behind the core of the Raft library, driven by hand. Messages and questions come
-//! in, [`Node::advance`] writes down and hands out messages and answers; nothing here waits, and time is an argument.
+//! One coordination process: the replicated state behind the core of the Raft library.
+//!
+//! Input comes in by [`Node::tick`], [`Node::receive`] and [`Node::submit`]. [`Node::advance`] then stores what must be durable
+//! and returns the messages to send and the results of operations. Nothing here waits, and time is an argument.
 
+mod apply;
+mod context;
 mod election;
 mod error;
 mod membership;
@@ -19,77 +23,85 @@
 
 use crate::lease::{LeaseTable, LeaseTerms};
 use crate::log::{DiskError, DurableState, ReplicatedLog};
-use crate::state::State;
-use crate::Time;
+use crate::state::{ClusterId, State};
+use crate::{Incarnation, LogIndex, NodeId, Term, Time};
 use raft::{RawNode, StateRole};
-use read_round::Round;
+use read_round::{ConfirmedRound, Round};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One council process.
+/// The most bytes of entries in one message.
+const MAX_MESSAGE_ENTRY_BYTES: u64 = 1 << 20;
+/// The most messages with entries in flight to one follower.
+const MAX_MESSAGES_IN_FLIGHT: usize = 64;
+/// The most bytes of entries that are proposed and not committed; further proposals are rejected.
+const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
+
+/// One coordination process.
 pub struct Node {
-    raft: RawNode<ReplicatedLog>,
+    raw_node: RawNode<ReplicatedLog>,
     settings: NodeSettings,
     state: State,
-    applied_index: u64,
-    /// What tells this life's proposals from those of other processes and earlier lives.
+    applied_index: LogIndex,
+    /// Distinguishes this node's proposals from those of its earlier starts.
     boot_id: u64,
-    next_id: u64,
+    /// The next operation or round.
+    next_number: u64,
+    /// The operations without a result, and when each was submitted.
     pending: BTreeMap<OperationId, Time>,
+    /// Reads and renewals that wait for the next round.
     next_round: Round,
     rounds_in_flight: BTreeMap<u64, Round>,
-    confirmed_rounds: Vec<(u64, Round)>,
+    confirmed_rounds: Vec<ConfirmedRound>,
+    /// There was a tick since the last round started.
     has_ticked: bool,
+    /// The state contains everything that was done before this time.
     fresh_as_of: Option<Time>,
     last_round_at: Time,
-    leading_term: Option<u64>,
+    /// The term in which this node leads.
+    leading_term: Option<Term>,
     leases: LeaseTable,
-    expiring: BTreeSet<(String, u64)>,
-    snapshots_sent: BTreeMap<u64, Time>,
+    /// Leases that this leader has proposed to end.
+    expiring: BTreeSet<(String, Incarnation)>,
+    /// When snapshots were sent that have not been acknowledged.
+    snapshots_sent: BTreeMap<NodeId, Time>,
     results: Vec<(OperationId, OperationResult)>,
-    /// What others are told beside what the library says.
-    extra_messages: Vec<(u64, Vec<u8>)>,
+    /// Messages that do not come from the library.
+    extra_messages: Vec<(NodeId, Vec<u8>)>,
     tick_count: u64,
     now: Time,
-    /// What it must not go on after: it holds what the disk may not.
+    /// The error after which the node must not go on: its memory may be ahead of the disk.
     failure: Option<NodeError>,
 }
 
 impl Node {
-    /// A process as it was written down. `number` is that of its disk; `life` is drawn anew at each start.
+    /// A node as its disk stores it. `node_id` is that of the disk; `boot_id` is a random number of this start.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the stored data is unusable.
     pub fn new(
-        number: u64,
-        image: &DurableState,
+        node_id: NodeId,
+        stored: &DurableState,
         settings: NodeSettings,
-        life: u64,
+        boot_id: u64,
         now: Time,
     ) -> Result<Node, NodeError> {
-        let log = ReplicatedLog::new(image)?;
-        let state = match log.latest_snapshot().get_data() {
-            [] => State::new(0, BTreeMap::new()),
+        let log = ReplicatedLog::new(stored)?;
+        let snapshot = log.latest_snapshot();
+        let applied_index = snapshot.get_metadata().index;
+        let state = match snapshot.get_data() {
+            [] => State::new(ClusterId::NONE, BTreeMap::new()),
             data => decode_state(data)?,
         };
-        let applied = log.latest_snapshot().get_metadata().index;
-        let config = raft::Config {
-            id: number,
-            election_tick: settings.election_ticks,
-            heartbeat_tick: settings.heartbeat_ticks,
-            applied,
-            max_size_per_msg: 1 << 20,
-            max_inflight_msgs: 64,
-            max_uncommitted_size: 16 << 20,
-            check_quorum: true,
-            pre_vote: true,
-            ..raft::Config::default()
-        };
+        let config = raft_config(node_id, applied_index, &settings);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log, &logger).map_err(|e| NodeError::Raft(e.to_string()))?;
         let mut node = Node {
-            raft: raw,
+            raw_node: RawNode::new(&config, log, &logger)?,
             settings,
             state,
-            applied_index: applied,
-            boot_id: life,
-            next_id: 1,
+            applied_index,
+            boot_id,
+            next_number: 1,
             pending: BTreeMap::new(),
             next_round: Round::default(),
             rounds_in_flight: BTreeMap::new(),
@@ -111,43 +123,54 @@
         Ok(node)
     }
 
-    /// The agreed state, as far as this process has it.
+    /// The replicated state, as far as this node has applied it.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// This process's number.
-    pub fn node_id(&self) -> u64 {
-        self.raft.raft.id
+    /// The id of this node.
+    pub fn node_id(&self) -> NodeId {
+        self.raw_node.raft.id
     }
 
-    /// Of leases.
+    /// The terms of leases.
     pub fn lease_terms(&self) -> LeaseTerms {
         self.settings.lease_terms
     }
 
-    /// Whether it believes that it leads.
+    /// Whether this node believes that it is the leader.
     pub fn is_leader(&self) -> bool {
-        self.failure.is_none() && self.raft.raft.state == StateRole::Leader
+        self.failure.is_none() && self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// The number of the leader it knows.
-    pub fn leader(&self) -> Option<u64> {
-        Some(self.raft.raft.leader_id).filter(|number| *number != 0)
+    /// The leader that this node knows.
+    pub fn leader(&self) -> Option<NodeId> {
+        Some(self.raw_node.raft.leader_id).filter(|node_id| *node_id != raft::INVALID_ID)
     }
 
-    /// The copy that restores are made of.
+    /// The whole state as JSON: a backup, and the data of snapshots.
     pub fn export_state(&self) -> Vec<u8> {
         serde_json::to_vec(&self.state).unwrap_or_default()
     }
 }
 
-fn decode_state(data: &[u8]) -> Result<State, NodeError> {
-    serde_json::from_slice(data)
-        .map_err(|e| NodeError::Disk(DiskError::Unusable(format!("the snapshot can't be read: {e}"))))
+fn raft_config(node_id: NodeId, applied_index: LogIndex, settings: &NodeSettings) -> raft::Config {
+    raft::Config {
+        id: node_id,
+        election_tick: settings.election_ticks,
+        heartbeat_tick: settings.heartbeat_ticks,
+        applied: applied_index,
+        max_size_per_msg: MAX_MESSAGE_ENTRY_BYTES,
+        max_inflight_msgs: MAX_MESSAGES_IN_FLIGHT,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        check_quorum: true,
+        pre_vote: true,
+        ..raft::Config::default()
+    }
 }
 
-fn numbers(context: &[u8]) -> Option<[u64; 3]> {
-    let number = |at: usize| Some(u64::from_le_bytes(context.get(at..at + 8)?.try_into().ok()?));
-    Some([number(0)?, number(8)?, number(16)?])
+/// Decodes the data of a snapshot.
+fn decode_state(data: &[u8]) -> Result<State, NodeError> {
+    let state = serde_json::from_slice(data);
+    Ok(state.map_err(|e| DiskError::Unusable(format!("the snapshot can't be read: {e}")))?)
 }
--- a/crates/coordination/src/node/operation.rs
+++ b/crates/coordination/src/node/operation.rs
@@ -1,102 +1,118 @@
-//! Questions to a council process and their answers.
+//! Operations on a node and their results.
 
+use super::read_round::PendingRenewal;
 use super::Node;
 use crate::state::{Command, CommandRequest, CommandResult, Peer};
-use crate::{LimitExceeded, Time};
+use crate::{Incarnation, LimitExceeded, NodeId, Time};
 
-/// A question in hand.
+/// Identifies an operation on one node since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperationId(pub u64);
 
-/// What can be asked of a process.
+impl OperationId {
+    /// The id of what the node proposes by itself; no operation has it.
+    pub(super) const NONE: OperationId = OperationId(0);
+}
+
+/// An operation on a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Operation {
-    /// A command; only a leader takes it.
+    /// Executes a command. Only the leader takes it.
     Command(CommandRequest),
-    /// To read the state once it holds all that was done before this was asked; any process takes it.
+    /// Waits until the state contains everything that was done before this operation was submitted. Any node takes it.
     Read,
-    /// A member renews its lease; only a leader takes it.
-    Renew(String, u64),
-    /// A process comes in, another goes; only a leader takes it.
+    /// Renews the lease of this member and incarnation. Only the leader takes it.
+    Renew(String, Incarnation),
+    /// Adds a process to the cluster, removes one, or both at once. Only the leader takes it.
     Replace {
-        /// Who comes, by the number of its disk.
-        add: Option<(u64, Peer)>,
-        /// Who goes.
-        remove: Option<u64>,
+        /// The process to add.
+        add: Option<(NodeId, Peer)>,
+        /// The process to remove.
+        remove: Option<NodeId>,
     },
 }
 
-/// What came of a question.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperationResult {
-    /// The command was carried out, with this outcome.
+    /// The command was executed, with this result.
     Reply(CommandResult),
-    /// The state may be read now, before the node is touched again.
+    /// The state may be read now, until the next call of a `&mut` method of the node.
     Readable,
-    /// The lease is renewed, counted from when this was asked.
+    /// The lease is renewed, counted from when the operation was submitted.
     Renewed,
-    /// The lease has ended, or is about to.
+    /// The lease has expired, or is about to.
     Ended,
     /// A newer process has the name, or waits for it.
     Displaced,
-    /// The council has changed.
+    /// The processes of the cluster have been changed.
     Replaced,
-    /// This process does not lead; that one may.
-    NotLeader(Option<u64>),
-    /// It was or was not done, or will be: ask again, with the same number.
+    /// This node is not the leader; that one is, if any is known.
+    NotLeader(Option<NodeId>),
+    /// The outcome is unknown: the operation may have been carried out, or may still be.
     Unknown,
-    /// A bound was reached; it was not done.
+    /// A limit would be exceeded. Nothing was done.
     Over(LimitExceeded),
-    /// It can't be done, and why.
+    /// The operation cannot be carried out, for this reason.
     Refused(String),
 }
 
 impl Node {
-    pub(super) fn propose(&mut self, ticket: OperationId, call: &CommandRequest) -> Result<(), raft::Error> {
-        let context = [self.node_id(), self.boot_id, ticket.0].map(u64::to_le_bytes).concat();
-        let data = serde_json::to_vec(call).unwrap_or_default();
-        self.raft.propose(context, data)
-    }
-
-    /// Takes a question; its answer comes out of [`Node::advance`].
-    pub fn submit(&mut self, now: Time, ask: Operation) -> OperationId {
+    /// Submits an operation. Its result is part of the output of this or a later [`Node::advance`].
+    pub fn submit(&mut self, now: Time, operation: Operation) -> OperationId {
         self.now = self.now.max(now);
-        let ticket = OperationId(self.next_id);
-        self.next_id += 1;
-        if self.pending.len() >= self.settings.limits.in_flight {
-            let over = OperationResult::Over(LimitExceeded::new("in_flight", self.settings.limits.in_flight));
-            self.results.push((ticket, over));
-            return ticket;
+        let id = OperationId(self.take_number());
+        let max_in_flight = self.settings.limits.in_flight;
+        if self.pending.len() >= max_in_flight {
+            let limit = LimitExceeded::new("in_flight", max_in_flight);
+            self.results.push((id, OperationResult::Over(limit)));
+            return id;
         }
-        self.pending.insert(ticket, now);
-        if !matches!(ask, Operation::Read) && !self.is_leader() {
-            self.finish(ticket, OperationResult::NotLeader(self.leader()));
-            return ticket;
+        self.pending.insert(id, now);
+        let needs_leader = !matches!(operation, Operation::Read);
+        if needs_leader && !self.is_leader() {
+            self.finish(id, OperationResult::NotLeader(self.leader()));
+            return id;
         }
-        match ask {
-            Operation::Read => self.next_round.reads.push(ticket),
+        match operation {
+            Operation::Read => self.next_round.reads.push(id),
             Operation::Renew(name, incarnation) => {
-                self.next_round.renewals.push((ticket, name, incarnation, now))
+                let renewal = PendingRenewal { id, name, incarnation, received_at: now };
+                self.next_round.renewals.push(renewal);
             }
-            Operation::Command(CommandRequest { command: Command::Expire(_), .. }) => {
-                self.finish(
-                    ticket,
-                    OperationResult::Refused("leases run out by the leader's count alone".into()),
-                );
-            }
-            Operation::Command(call) => {
-                if self.propose(ticket, &call).is_err() {
-                    self.finish(ticket, OperationResult::NotLeader(self.leader()));
-                }
-            }
-            Operation::Replace { add, remove } => self.propose_replacement(ticket, add, remove),
+            Operation::Command(request) => self.submit_command(id, &request),
+            Operation::Replace { add, remove } => self.propose_replacement(id, add, remove),
         }
-        ticket
+        id
     }
 
-    pub(super) fn finish(&mut self, ticket: OperationId, answer: OperationResult) {
-        if self.pending.remove(&ticket).is_some() {
-            self.results.push((ticket, answer));
+    fn submit_command(&mut self, id: OperationId, request: &CommandRequest) {
+        if matches!(request.command, Command::Expire(_)) {
+            let reason = "leases run out by the leader's count alone".into();
+            self.finish(id, OperationResult::Refused(reason));
+        } else if self.propose(id, request).is_err() {
+            self.finish(id, OperationResult::NotLeader(self.leader()));
         }
     }
+
+    /// Proposes a command as a log entry.
+    pub(super) fn propose(&mut self, id: OperationId, request: &CommandRequest) -> Result<(), raft::Error> {
+        let context = self.origin().with_number(id.0);
+        let data = serde_json::to_vec(request).unwrap_or_default();
+        self.raw_node.propose(context.encode(), data)
+    }
+
+    /// Sets the result of an operation, unless it has one already.
+    pub(super) fn finish(&mut self, id: OperationId, result: OperationResult) {
+        if self.pending.remove(&id).is_some() {
+            self.results.push((id, result));
+        }
+    }
+
+    /// The next number for an operation or a round.
+    pub(super) fn take_number(&mut self) -> u64 {
+        let number = self.next_number;
+        self.next_number += 1;
+        number
+    }
 }
--- a/crates/coordination/src/node/read_round.rs
+++ b/crates/coordination/src/node/read_round.rs
@@ -1,80 +1,110 @@
-//! Rounds: a majority confirms that reads and renewals may be answered.
+//! Rounds of confirmation. Reads and renewals of leases do not go through the log: a majority confirms, after they were
+//! submitted, that the leader still leads (Raft's read index). One round serves everything that waits.
 
+use super::context::RequestContext;
 use super::operation::{OperationId, OperationResult};
-use super::{numbers, Node};
+use super::Node;
 use crate::state::MemberStatus;
-use crate::Time;
+use crate::{Incarnation, LogIndex, Time};
 
+/// A renewal of a lease that waits for confirmation.
+pub(super) struct PendingRenewal {
+    pub(super) id: OperationId,
+    pub(super) name: String,
+    pub(super) incarnation: Incarnation,
+    pub(super) received_at: Time,
+}
+
+/// The reads and renewals that one confirmation serves.
 #[derive(Default)]
 pub(super) struct Round {
-    pub(super) started: Time,
+    pub(super) started_at: Time,
     pub(super) reads: Vec<OperationId>,
-    pub(super) renewals: Vec<(OperationId, String, u64, Time)>,
+    pub(super) renewals: Vec<PendingRenewal>,
+}
+
+/// A round that a majority has confirmed. It is served once this node has applied the log up to an index.
+pub(super) struct ConfirmedRound {
+    pub(super) read_index: LogIndex,
+    pub(super) round: Round,
 }
 
 impl Node {
-    /// Asks a majority to confirm, for all reads and renewals that wait. One round is under way at a time, and renewals
-    /// wait for a tick.
+    /// Starts a round for everything that waits, unless one is in flight. Renewals alone wait for a tick, so that one round
+    /// serves all renewals of a tick.
     pub(super) fn start_round(&mut self) {
-        let due = self.now >= self.last_round_at + self.settings.freshness_interval;
-        let lost_after = self.settings.tick_interval * self.settings.election_ticks as Time;
-        let under_way = self.rounds_in_flight.values().any(|round| self.now < round.started + lost_after);
-        let wanted =
-            !self.next_round.reads.is_empty() || (self.has_ticked && !self.next_round.renewals.is_empty());
-        if under_way || !(wanted || due) || self.leader().is_none() {
+        if self.is_round_in_flight() || !self.is_round_due() || self.leader().is_none() {
             return;
         }
         self.has_ticked = false;
         self.last_round_at = self.now;
-        let number = self.next_id;
-        self.next_id += 1;
-        let context = [self.node_id(), self.boot_id, number].map(u64::to_le_bytes).concat();
-        let round = std::mem::take(&mut self.next_round);
-        self.rounds_in_flight.insert(number, Round { started: self.now, ..round });
-        self.raft.read_index(context);
+        let number = self.take_number();
+        let context = self.origin().with_number(number);
+        let mut round = std::mem::take(&mut self.next_round);
+        round.started_at = self.now;
+        self.rounds_in_flight.insert(number, round);
+        self.raw_node.read_index(context.encode());
     }
 
-    /// What a majority has confirmed, once this process has come so far.
-    pub(super) fn confirm(&mut self, states: Vec<raft::ReadState>) {
+    /// A round without confirmation for as long as an election takes counts as lost.
+    fn is_round_in_flight(&self) -> bool {
+        let lost_after = self.settings.tick_interval * self.settings.election_ticks as Time;
+        self.rounds_in_flight.values().any(|round| self.now < round.started_at + lost_after)
+    }
+
+    fn is_round_due(&self) -> bool {
+        let has_reads = !self.next_round.reads.is_empty();
+        let has_renewals = self.has_ticked && !self.next_round.renewals.is_empty();
+        let is_freshness_due = self.now >= self.last_round_at + self.settings.freshness_interval;
+        has_reads || has_renewals || is_freshness_due
+    }
+
+    /// Takes the rounds that a majority has confirmed.
+    pub(super) fn confirm_rounds(&mut self, states: Vec<raft::ReadState>) {
         for state in states {
-            let Some([number, life, round]) = numbers(&state.request_ctx) else { continue };
-            if (number, life) != (self.node_id(), self.boot_id) {
-                continue;
-            }
-            if let Some(round) = self.rounds_in_flight.remove(&round) {
-                self.confirmed_rounds.push((state.index, round));
+            let context = RequestContext::decode(&state.request_ctx);
+            let Some(context) = context.filter(|context| context.origin == self.origin()) else { continue };
+            if let Some(round) = self.rounds_in_flight.remove(&context.number) {
+                self.confirmed_rounds.push(ConfirmedRound { read_index: state.index, round });
             }
         }
     }
 
+    /// Serves the confirmed rounds that the applied log has reached.
     pub(super) fn finish_rounds(&mut self) {
-        let applied = self.applied_index;
-        for (index, round) in std::mem::take(&mut self.confirmed_rounds) {
-            if index > applied {
-                self.confirmed_rounds.push((index, round));
+        for confirmed in std::mem::take(&mut self.confirmed_rounds) {
+            if confirmed.read_index > self.applied_index {
+                self.confirmed_rounds.push(confirmed);
                 continue;
             }
-            self.fresh_as_of = self.fresh_as_of.max(Some(round.started));
-            for ticket in round.reads {
-                self.finish(ticket, OperationResult::Readable);
+            let round = confirmed.round;
+            self.fresh_as_of = self.fresh_as_of.max(Some(round.started_at));
+            for id in round.reads {
+                self.finish(id, OperationResult::Readable);
             }
-            for (ticket, name, incarnation, came) in round.renewals {
-                let member = self.state.members.get(&name);
-                let lives = self.state.living_member(&name, incarnation).is_some();
-                let displaced = member.is_some_and(|member| {
-                    member.incarnation > incarnation
-                        || (member.incarnation == incarnation && member.status == MemberStatus::Superseded)
-                });
-                let answer = match lives && !self.expiring.contains(&(name.clone(), incarnation)) {
-                    true => OperationResult::Renewed,
-                    false if displaced => OperationResult::Displaced,
-                    false => OperationResult::Ended,
-                };
-                if answer == OperationResult::Renewed {
-                    self.leases.record_renewal(&name, incarnation, came);
-                }
-                self.finish(ticket, answer);
+            for renewal in round.renewals {
+                self.finish_renewal(renewal);
             }
         }
     }
+
+    fn finish_renewal(&mut self, renewal: PendingRenewal) {
+        let PendingRenewal { id, name, incarnation, received_at } = renewal;
+        let is_living = self.state.living_member(&name, incarnation).is_some();
+        if is_living && !self.expiring.contains(&(name.clone(), incarnation)) {
+            self.leases.record_renewal(&name, incarnation, received_at);
+            self.finish(id, OperationResult::Renewed);
+        } else if self.is_displaced(&name, incarnation) {
+            self.finish(id, OperationResult::Displaced);
+        } else {
+            self.finish(id, OperationResult::Ended);
+        }
+    }
+
+    /// Whether a newer process has the name, or waits for it.
+    fn is_displaced(&self, name: &str, incarnation: Incarnation) -> bool {
+        let Some(member) = self.state.members.get(name) else { return false };
+        let is_superseded = member.incarnation == incarnation && member.status == MemberStatus::Superseded;
+        member.incarnation > incarnation || is_superseded
+    }
 }
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -1,24 +1,24 @@
-//! What a council process goes by.
+//! The settings of a coordination process.
 
 use crate::lease::LeaseTerms;
 use crate::{Limits, Time};
 
-/// What a process goes by. All processes of a council must agree in `terms` and `bounds`.
+/// The settings of a coordination process. `lease_terms` and `limits` must be the same on all processes of a cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
-    /// Of leases.
+    /// The duration of leases and the drift of clocks.
     pub lease_terms: LeaseTerms,
-    /// What there may be at most.
+    /// Upper limits of the state and of operations.
     pub limits: Limits,
-    /// [`Node::tick`](super::Node::tick) is called so often.
+    /// The interval at which [`Node::tick`](super::Node::tick) is called, in microseconds.
     pub tick_interval: Time,
-    /// A follower that hears nothing for one to two times so many ticks stands for election.
+    /// A follower that hears nothing for one to two times this many ticks starts an election.
     pub election_ticks: usize,
     /// A leader sends heartbeats every so many ticks.
     pub heartbeat_ticks: usize,
-    /// Questions that have no answer by then are answered as unknown.
+    /// An operation without a result after this many microseconds ends as unknown.
     pub operation_timeout: Time,
-    /// How often a process makes sure how fresh its state is.
+    /// The interval at which a process confirms how fresh its state is, in microseconds.
     pub freshness_interval: Time,
 }
 
--- a/crates/coordination/src/node/status.rs
+++ b/crates/coordination/src/node/status.rs
@@ -1,42 +1,42 @@
-//! What a council process can tell of itself.
+//! What a node reports about itself.
 
 use super::Node;
 use crate::state::MemberStatus;
-use crate::Time;
+use crate::{Incarnation, LogIndex, NodeId, Term, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a process can tell of itself.
+/// What a node reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its number.
+    /// Its id.
     #[serde(rename = "number")]
-    pub node_id: u64,
-    /// The term it is in.
-    pub term: u64,
-    /// The number of the leader it knows, 0 for none.
-    pub leader: u64,
-    /// The last entry it has.
+    pub node_id: NodeId,
+    /// Its Raft term.
+    pub term: Term,
+    /// The leader that it knows, 0 for none.
+    pub leader: NodeId,
+    /// The last entry of its log.
     #[serde(rename = "last")]
-    pub last_index: u64,
-    /// The last entry that is known to be agreed.
+    pub last_index: LogIndex,
+    /// The last entry that it knows to be committed.
     #[serde(rename = "committed")]
-    pub commit_index: u64,
-    /// Entries that it holds behind and after its newest snapshot.
+    pub commit_index: LogIndex,
+    /// The number of log entries that it keeps.
     #[serde(rename = "entries")]
     pub log_entries: u64,
-    /// Bytes of that snapshot.
+    /// The size of its latest snapshot's data, in bytes.
     pub snapshot_bytes: u64,
-    /// Who votes, by number.
-    pub voters: Vec<u64>,
-    /// How old its state may be at most, in microseconds; none if it can't tell.
+    /// The voting nodes.
+    pub voters: Vec<NodeId>,
+    /// How old its state is at most, in microseconds; none if it cannot tell.
     #[serde(rename = "age")]
     pub max_staleness: Option<Time>,
 }
 
 impl Node {
-    /// What it can tell of itself.
+    /// The status of this node.
     pub fn status(&self) -> NodeStatus {
-        let raft = &self.raft.raft;
+        let raft = &self.raw_node.raft;
         let log = raft.store();
         NodeStatus {
             node_id: raft.id,
@@ -51,18 +51,19 @@
         }
     }
 
-    /// How old the state may be at most: since then a majority has confirmed all that was done before.
+    /// How old the state is at most, in microseconds: it contains everything that was done before that. None until a
+    /// majority has confirmed a round.
     pub fn max_staleness(&self) -> Option<Time> {
-        self.fresh_as_of.map(|at| self.now.saturating_sub(at))
+        self.fresh_as_of.map(|as_of| self.now.saturating_sub(as_of))
     }
 
-    /// How long ago a member was last renewed; only a leader knows.
+    /// Microseconds since a member last renewed its lease. Only the leader knows.
     pub fn time_since_renewal(&self, name: &str) -> Option<Time> {
         self.leases.time_since_renewal(name, self.now)
     }
 
-    /// Members whose lease the council counts on.
-    pub fn living_members(&self) -> impl Iterator<Item = (&str, u64)> {
+    /// The members whose leases are held, each a name and an incarnation.
+    pub fn living_members(&self) -> impl Iterator<Item = (&str, Incarnation)> {
         let living = self.state.members.iter().filter(|(_, member)| member.status == MemberStatus::Living);
         living.map(|(name, member)| (name.as_str(), member.incarnation))
     }
--- a/crates/coordination/src/permit.rs
+++ b/crates/coordination/src/permit.rs
@@ -1,229 +1,286 @@
-//! Permits out of a stated number, as records of the council. A budget is one record that holds its permits, so that the
-//! number is checked and taken in one compare-and-set. A permit never ends by silence.
+//! Permits out of a limited budget, as transactions over records.
+//!
+//! A budget is one record that contains its permits, so that a permit is counted and taken by one compare-and-set. A permit is
+//! never released because somebody is silent: the agent that it was taken for returns it, or an operator releases it.
+//!
+//! The functions here read a [`View`] and return the transaction to write. The transaction conflicts if the budget has changed
+//! since the view was read.
 
 use crate::state::{Check, Member, Record, Revision, Txn, Write};
 use crate::wire::View;
+use crate::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What may be out at a time, and what is.
+/// The limit of a budget and the permits taken from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// So many permits at a time.
+    /// How many permits may be taken at a time.
     #[serde(rename = "most")]
     pub max: u32,
-    /// Those that are out, by the thing that each is for, as `agent:n3`.
+    /// The permits that are taken, by the unit that each is for, such as `agent:n3`.
     #[serde(default, rename = "out")]
     pub permits: BTreeMap<String, Permit>,
 }
 
-/// Leave to take one thing out.
+/// The permit to take one unit out of service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Permit {
-    /// The name under which the taker takes part, and its incarnation.
-    pub taker: (String, u64),
-    /// What it is for, in words.
+    /// The name and incarnation of the member that took it.
+    pub taker: (String, Incarnation),
+    /// The reason, for people.
     pub why: String,
-    /// From when on the taker may have touched the thing; none if it has not yet.
+    /// The revision from which on the taker may have touched the unit; none if it has not.
     #[serde(default)]
     pub started: Option<Revision>,
-    /// The taker has finished with the thing, which may be back or not.
+    /// The taker has finished with the unit, which may be back in service or not.
     #[serde(default)]
     pub finished: bool,
 }
 
-/// Why no permit is given, or none is given back.
+/// Why a permit cannot be taken, changed or returned.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PermitDenial {
-    /// The record is not one of a budget.
+    /// The record of this key does not contain a budget, for this reason.
     #[error("the record {0} is no budget: {1}")]
     Unreadable(String, String),
-    /// Nobody has stated a number.
+    /// No limit has been set for the budget of this key.
     #[error("no number of permits is stated for {0}")]
     NoBudget(String),
-    /// All permits are out; for these.
+    /// All permits are taken.
     #[error("all {max} permits of {budget} are out: {units}")]
     AllOut {
         /// The budget's key.
         budget: String,
-        /// Its number.
+        /// Its limit.
         max: u32,
-        /// What they are out for.
+        /// The units that permits are taken for, separated by commas.
         units: String,
     },
-    /// There is one for this thing already.
-    #[error("{thing} is out already, for {taker}: {why}")]
+    /// A permit for this unit is taken already.
+    #[error("{unit} is out already, for {taker}: {why}")]
     OutAlready {
-        /// What is out.
-        thing: String,
-        /// Who took it out.
+        /// The unit.
+        unit: String,
+        /// Who took the permit.
         taker: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// There is no permit for this thing.
+    /// No permit for this unit is taken.
     #[error("there is no permit for {0}")]
     NotOut(String),
-    /// It was this incarnation that was to be taken out; only a newer one is back.
+    /// The incarnation that was to be taken out cannot prove that this unit is back; only a newer one can.
     #[error("{0} has not come back since it was taken out")]
     NotBack(String),
-    /// Whoever took it may still be at it.
+    /// This member took the permit, and may still be working on the unit.
     #[error("{0} may still be at it")]
     TakerLives(String),
-    /// The permit is another's.
+    /// This member took the permit, and not the one that asks.
     #[error("the permit is {0}'s")]
     NotYours(String),
 }
 
-/// The key of the budget of a site's agents.
+/// The prefix of the keys of budgets.
+const BUDGET_PREFIX: &str = "budget/";
+
+/// The key of the budget for the agents of a site.
+#[must_use]
 pub fn agent_budget_key(site: &str) -> String {
-    format!("budget/agents:{site}")
+    format!("{BUDGET_PREFIX}agents:{site}")
 }
 
-/// The name that a permit for an agent goes by.
+/// The unit by which a permit for an agent is listed in its budget.
+#[must_use]
 pub fn agent_unit(name: &str) -> String {
     format!("agent:{name}")
 }
 
-fn read_budget(key: &str, view: &View) -> Result<Option<(Budget, Revision)>, PermitDenial> {
-    let Some(Record { value, revision }) = view.records.get(key) else { return Ok(None) };
-    let budget: Budget =
-        serde_json::from_str(value).map_err(|e| PermitDenial::Unreadable(key.into(), e.to_string()))?;
-    Ok(Some((budget, *revision)))
+/// A budget as it was read.
+struct StoredBudget {
+    budget: Budget,
+    revision: Revision,
+}
+
+impl StoredBudget {
+    /// Reads the budget of a key, if there is a record.
+    fn find(view: &View, key: &str) -> Result<Option<StoredBudget>, PermitDenial> {
+        let Some(Record { value, revision }) = view.records.get(key) else { return Ok(None) };
+        let budget: Budget =
+            serde_json::from_str(value).map_err(|e| PermitDenial::Unreadable(key.into(), e.to_string()))?;
+        Ok(Some(StoredBudget { budget, revision: *revision }))
+    }
+
+    /// Reads the budget of a key.
+    fn read(view: &View, key: &str) -> Result<StoredBudget, PermitDenial> {
+        StoredBudget::find(view, key)?.ok_or_else(|| PermitDenial::NoBudget(key.into()))
+    }
+
+    /// The transaction that replaces the budget, unless it has changed since it was read.
+    fn replace(&self, key: &str, mut checks: Vec<Check>) -> Txn {
+        checks.push(Check::At(key.into(), self.revision));
+        Txn { checks, writes: vec![put_budget(key, &self.budget)] }
+    }
 }
 
-fn write_budget(key: &str, budget: &Budget, mut checks: Vec<Check>, at: Option<Revision>) -> Txn {
-    checks.push(at.map_or(Check::Absent(key.into()), |revision| Check::At(key.into(), revision)));
-    Txn { checks, writes: vec![Write::Put(key.into(), serde_json::to_string(budget).unwrap_or_default())] }
+fn put_budget(key: &str, budget: &Budget) -> Write {
+    Write::Put(key.into(), serde_json::to_string(budget).unwrap_or_default())
 }
 
-/// States a number; permits that are out stay out.
-pub fn set_limit(view: &View, key: &str, most: u32) -> Result<Txn, PermitDenial> {
-    let (budget, at) = match read_budget(key, view)? {
-        Some((budget, at)) => (Budget { max: most, ..budget }, Some(at)),
-        None => (Budget { max: most, permits: BTreeMap::new() }, None),
+/// Sets the limit of a budget, and makes the budget if there is none. Permits that are taken stay.
+///
+/// # Errors
+///
+/// Fails if the record is no budget.
+pub fn set_limit(view: &View, key: &str, max: u32) -> Result<Txn, PermitDenial> {
+    let Some(mut stored) = StoredBudget::find(view, key)? else {
+        let budget = Budget { max, permits: BTreeMap::new() };
+        return Ok(Txn { checks: vec![Check::Absent(key.into())], writes: vec![put_budget(key, &budget)] });
     };
-    Ok(write_budget(key, &budget, Vec::new(), at))
+    stored.budget.max = max;
+    Ok(stored.replace(key, Vec::new()))
 }
 
-/// Takes a permit for an agent: the transaction to be written, which does not pass if anything was changed meanwhile.
+/// Takes a permit for an agent. `taker` is the name and incarnation of the member that takes it.
+///
+/// # Errors
+///
+/// Fails if there is no budget, if a permit for this agent is taken already, or if all permits are taken.
 pub fn acquire(
     view: &View,
     key: &str,
-    name: &str,
-    taker: (&str, u64),
+    agent: &str,
+    taker: (&str, Incarnation),
     why: &str,
 ) -> Result<Txn, PermitDenial> {
-    let Some((mut budget, at)) = read_budget(key, view)? else {
-        return Err(PermitDenial::NoBudget(key.into()));
-    };
-    let thing = agent_unit(name);
-    if let Some(permit) = budget.permits.get(&thing) {
-        return Err(PermitDenial::OutAlready {
-            thing,
-            taker: permit.taker.0.clone(),
-            why: permit.why.clone(),
-        });
+    let mut stored = StoredBudget::read(view, key)?;
+    let Budget { max, permits } = &mut stored.budget;
+    let unit = agent_unit(agent);
+    if let Some(permit) = permits.get(&unit) {
+        let (taker, why) = (permit.taker.0.clone(), permit.why.clone());
+        return Err(PermitDenial::OutAlready { unit, taker, why });
     }
-    if budget.permits.len() >= budget.max as usize {
-        let for_what = budget.permits.keys().cloned().collect::<Vec<_>>().join(", ");
-        return Err(PermitDenial::AllOut { budget: key.into(), max: budget.max, units: for_what });
+    if permits.len() >= *max as usize {
+        let units = permits.keys().cloned().collect::<Vec<_>>().join(", ");
+        return Err(PermitDenial::AllOut { budget: key.into(), max: *max, units });
     }
     let taker = (taker.0.to_string(), taker.1);
     let check = Check::Living(taker.0.clone(), taker.1);
-    let permit = Permit { taker, why: why.into(), started: None, finished: false };
-    budget.permits.insert(thing, permit);
-    Ok(write_budget(key, &budget, vec![check], Some(at)))
+    permits.insert(unit, Permit { taker, why: why.into(), started: None, finished: false });
+    Ok(stored.replace(key, vec![check]))
 }
 
-/// The taker is about to touch the thing. Nothing may be done to it before this is written, and nothing once the taker's
-/// lease has ended.
-pub fn start(view: &View, key: &str, name: &str, taker: (&str, u64)) -> Result<Txn, PermitDenial> {
+/// Records that the taker is about to touch the agent. It must not touch the agent before this is written, nor after its own
+/// lease has expired.
+///
+/// # Errors
+///
+/// Fails if there is no such permit, or if another member took it.
+pub fn start(view: &View, key: &str, agent: &str, taker: (&str, Incarnation)) -> Result<Txn, PermitDenial> {
     let revision = view.revision;
-    change_permit(view, key, name, taker, |permit| permit.started = Some(revision))
+    change_permit(view, key, agent, taker, |permit| permit.started = Some(revision))
 }
 
-/// The taker has finished with the thing.
-pub fn finish(view: &View, key: &str, name: &str, taker: (&str, u64)) -> Result<Txn, PermitDenial> {
-    change_permit(view, key, name, taker, |permit| permit.finished = true)
+/// Records that the taker has finished with the agent.
+///
+/// # Errors
+///
+/// Fails if there is no such permit, or if another member took it.
+pub fn finish(view: &View, key: &str, agent: &str, taker: (&str, Incarnation)) -> Result<Txn, PermitDenial> {
+    change_permit(view, key, agent, taker, |permit| permit.finished = true)
 }
 
 fn change_permit(
     view: &View,
     key: &str,
-    name: &str,
-    (taker, incarnation): (&str, u64),
+    agent: &str,
+    (taker, incarnation): (&str, Incarnation),
     change: impl FnOnce(&mut Permit),
 ) -> Result<Txn, PermitDenial> {
-    let Some((mut budget, at)) = read_budget(key, view)? else {
-        return Err(PermitDenial::NoBudget(key.into()));
-    };
-    let thing = agent_unit(name);
-    let Some(permit) = budget.permits.get_mut(&thing) else { return Err(PermitDenial::NotOut(thing)) };
+    let mut stored = StoredBudget::read(view, key)?;
+    let unit = agent_unit(agent);
+    let Some(permit) = stored.budget.permits.get_mut(&unit) else { return Err(PermitDenial::NotOut(unit)) };
     if permit.taker != (taker.to_string(), incarnation) {
         return Err(PermitDenial::NotYours(permit.taker.0.clone()));
     }
     change(permit);
-    Ok(write_budget(key, &budget, vec![Check::Living(taker.into(), incarnation)], Some(at)))
+    Ok(stored.replace(key, vec![Check::Living(taker.into(), incarnation)]))
 }
 
-/// The permit that is out for an agent, if one is.
-pub fn find(view: &View, key: &str, name: &str) -> Option<Permit> {
-    read_budget(key, view).ok()??.0.permits.remove(&agent_unit(name))
+/// The permit that is taken for an agent, if any.
+#[must_use]
+pub fn find(view: &View, key: &str, agent: &str) -> Option<Permit> {
+    let mut stored = StoredBudget::find(view, key).ok()??;
+    stored.budget.permits.remove(&agent_unit(agent))
 }
 
-/// An agent that serves gives the permit for itself back: that it can say so, after the taker has finished, is the proof
-/// that it is back. Where the taker's lease has ended before it finished, only a newer incarnation than the one that was to
-/// be taken out is back, unless nothing was begun. Nobody else gives a permit back, and nothing else does.
-pub fn give_back(view: &View, key: &str, name: &str, incarnation: u64) -> Result<Txn, PermitDenial> {
-    let Some((mut budget, at)) = read_budget(key, view)? else {
-        return Err(PermitDenial::NoBudget(key.into()));
-    };
-    let thing = agent_unit(name);
-    let Some(permit) = budget.permits.remove(&thing) else { return Err(PermitDenial::NotOut(thing)) };
-    let mut checks = vec![Check::Living(name.into(), incarnation)];
+/// Returns the permit for an agent, on behalf of that agent itself, which serves again under `incarnation`. That the agent can
+/// write this is the proof that it is back, provided that the taker has finished with it.
+///
+/// Where the taker's lease expired before it finished, only a newer incarnation than the one to be taken out proves that the
+/// agent is back, unless the taker had not started.
+///
+/// # Errors
+///
+/// Fails if there is no such permit, if the taker may still be working on the agent, or if the incarnation proves nothing.
+pub fn give_back(view: &View, key: &str, agent: &str, incarnation: Incarnation) -> Result<Txn, PermitDenial> {
+    let mut stored = StoredBudget::read(view, key)?;
+    let unit = agent_unit(agent);
+    let Some(permit) = stored.budget.permits.remove(&unit) else { return Err(PermitDenial::NotOut(unit)) };
+    let mut checks = vec![Check::Living(agent.into(), incarnation)];
     if !permit.finished {
-        let (taker, of) = permit.taker;
-        if view.members.get(&taker).is_some_and(|m: &Member| m.incarnation == of && m.status.may_hold_lease())
-        {
+        let (taker, taker_incarnation) = permit.taker;
+        let may_work =
+            |member: &Member| member.incarnation == taker_incarnation && member.status.may_hold_lease();
+        if view.members.get(&taker).is_some_and(may_work) {
             return Err(PermitDenial::TakerLives(taker));
         }
         if permit.started.is_some_and(|started| incarnation <= started) {
-            return Err(PermitDenial::NotBack(thing));
+            return Err(PermitDenial::NotBack(unit));
         }
-        checks.push(Check::Ended(taker, of));
+        checks.push(Check::Ended(taker, taker_incarnation));
     }
-    Ok(write_budget(key, &budget, checks, Some(at)))
+    Ok(stored.replace(key, checks))
 }
 
-/// A person takes a permit back, and answers for it.
-pub fn force_release(view: &View, key: &str, name: &str) -> Result<Txn, PermitDenial> {
-    let Some((mut budget, at)) = read_budget(key, view)? else {
-        return Err(PermitDenial::NoBudget(key.into()));
-    };
-    let thing = agent_unit(name);
-    if budget.permits.remove(&thing).is_none() {
-        return Err(PermitDenial::NotOut(thing));
+/// Releases the permit for an agent on an operator's responsibility.
+///
+/// # Errors
+///
+/// Fails if there is no such permit.
+pub fn force_release(view: &View, key: &str, agent: &str) -> Result<Txn, PermitDenial> {
+    let mut stored = StoredBudget::read(view, key)?;
+    let unit = agent_unit(agent);
+    if stored.budget.permits.remove(&unit).is_none() {
+        return Err(PermitDenial::NotOut(unit));
     }
-    Ok(write_budget(key, &budget, Vec::new(), Some(at)))
+    Ok(stored.replace(key, Vec::new()))
 }
 
-/// The budgets that hold a permit for this agent.
-pub fn budgets_with_permit_for(view: &View, name: &str) -> Vec<String> {
-    let thing = agent_unit(name);
-    let budgets = view.records.iter().filter(|(key, _)| key.starts_with("budget/"));
-    let holds = budgets.filter(
-        |(key, _)| matches!(read_budget(key, view), Ok(Some((budget, _))) if budget.permits.contains_key(&thing)),
-    );
-    holds.map(|(key, _)| key.clone()).collect()
+/// The keys of the budgets that contain a permit for an agent.
+#[must_use]
+pub fn budgets_with_permit_for(view: &View, agent: &str) -> Vec<String> {
+    let unit = agent_unit(agent);
+    let has_permit = |key: &&String| {
+        key.starts_with(BUDGET_PREFIX)
+            && matches!(StoredBudget::find(view, key), Ok(Some(stored)) if stored.budget.permits.contains_key(&unit))
+    };
+    view.records.keys().filter(has_permit).cloned().collect()
 }
 
-/// All things that are out by permits of any site's agents.
+/// The units that permits are taken for from the budgets of all sites' agents.
+///
+/// # Errors
+///
+/// Fails if one of these records is no budget.
 pub fn units_out(view: &View) -> Result<BTreeSet<String>, PermitDenial> {
-    let first = agent_budget_key("");
-    let keys = view.records.keys().filter(|key| key.starts_with(&first));
-    let budgets = keys.map(|key| read_budget(key, view)).collect::<Result<Vec<_>, PermitDenial>>()?;
-    Ok(budgets.into_iter().flatten().flat_map(|(budget, _)| budget.permits.into_keys()).collect())
+    let prefix = agent_budget_key("");
+    let mut units = BTreeSet::new();
+    for key in view.records.keys().filter(|key| key.starts_with(&prefix)) {
+        let stored = StoredBudget::find(view, key)?;
+        units.extend(stored.into_iter().flat_map(|stored| stored.budget.permits.into_keys()));
+    }
+    Ok(units)
 }
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -1,49 +1,52 @@
-//! Where callers come: requests in, responses out, between a [`Node`] and whatever carries the bytes.
+//! The requests of clients in front of a [`Node`]: requests in, responses out. The caller carries the bytes.
 
 use crate::log::Disk;
 use crate::node::{Node, NodeError, Operation, OperationId, OperationResult};
-use crate::state::{Change, ChangedItem, Command, CommandResult};
+use crate::state::{Change, ChangedItem, ClusterId, Command, CommandResult, Revision};
 use crate::wire::{Envelope, Refusal, Request, Response, View};
-use crate::{LimitExceeded, Time};
+use crate::{LimitExceeded, NodeId, Time};
 use std::collections::BTreeMap;
 
-/// Changes that a watcher is told at a time.
+/// Changes in one response to a watch, about: those of one revision stay together.
 const MAX_CHANGES_PER_RESPONSE: usize = 256;
-/// A watch with nothing to tell is answered after this long, in microseconds, so that its caller knows that all is well.
+/// A watch without changes gets an empty response after this many microseconds, so that its client knows that the service is
+/// up.
 pub const WATCH_TIMEOUT: Time = 20_000_000;
-/// Watches that wait at a time.
+/// Watches that wait for changes at a time.
 const MAX_WATCHES: usize = 4096;
 
-/// A caller of the carrier's: responses go back to it by this number.
+/// Identifies a waiting client; the response returns with it.
 pub type CallerId = u64;
 
-/// What a step gives.
+/// What a process sends after a step.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages to other processes of the council, by their numbers.
-    pub messages: Vec<(u64, Vec<u8>)>,
-    /// Responses to callers.
+    /// Encoded Raft messages, each with the process that it is for.
+    pub messages: Vec<(NodeId, Vec<u8>)>,
+    /// Responses to clients.
     pub responses: Vec<(CallerId, Response)>,
 }
 
+/// A client that waits for changes.
 struct Watch {
     caller: CallerId,
-    after: u64,
+    after: Revision,
     prefix: String,
     deadline: Time,
 }
 
-/// A council process and its callers.
+/// A coordination process and its clients.
 pub struct Service {
     node: Node,
     pending: BTreeMap<OperationId, (CallerId, Request)>,
     watches: Vec<Watch>,
     responses: Vec<(CallerId, Response)>,
-    notified_revision: u64,
+    /// The revision that watches have been checked against.
+    notified_revision: Revision,
 }
 
 impl Service {
-    /// Before a node.
+    /// A service in front of a node.
     pub fn new(node: Node) -> Service {
         Service {
             node,
@@ -59,11 +62,11 @@
         &self.node
     }
 
-    /// To be called every tick.
+    /// Advances timers. Call it every [`NodeSettings::tick_interval`](crate::node::NodeSettings::tick_interval).
     pub fn tick(&mut self, now: Time) {
         self.node.tick(now);
-        let (over, waiting) =
-            std::mem::take(&mut self.watches).into_iter().partition(|w: &Watch| now >= w.deadline);
+        let is_over = |watch: &Watch| now >= watch.deadline;
+        let (over, waiting) = std::mem::take(&mut self.watches).into_iter().partition(is_over);
         self.watches = waiting;
         for watch in over {
             let response = Response::Changes { changes: Vec::new(), upto: watch.after };
@@ -71,165 +74,184 @@
         }
     }
 
-    /// A message of another process of the council.
+    /// Takes an encoded Raft message from another process.
+    ///
+    /// # Errors
+    ///
+    /// As [`Node::receive`].
     pub fn receive(&mut self, now: Time, message: &[u8]) -> Result<(), NodeError> {
         self.node.receive(now, message)
     }
 
-    /// A caller has gone; it is not answered.
+    /// Forgets a client that has disconnected. What it asked for may still be done.
     pub fn cancel(&mut self, caller: CallerId) {
-        self.pending.retain(|_, (of, _)| *of != caller);
+        self.pending.retain(|_, (pending, _)| *pending != caller);
         self.watches.retain(|watch| watch.caller != caller);
     }
 
-    /// A request. The envelope has been [found to belong here](crate::wire::check_envelope).
+    /// Takes a request whose envelope has passed [`check_envelope`](crate::wire::check_envelope). The response is part of the
+    /// output of this or a later [`Service::advance`].
     pub fn handle_request(&mut self, now: Time, caller: CallerId, envelope: &Envelope, request: Request) {
         if let Some(refusal) = self.check_incarnation(envelope, &request) {
-            self.responses.push((caller, Response::Refused(refusal)));
+            self.respond(caller, Response::Refused(refusal));
             return;
         }
-        let ask = match &request {
-            Request::Command(call) => Operation::Command(call.clone()),
+        let operation = match &request {
+            Request::Command(request) => Operation::Command(request.clone()),
             Request::Renew => Operation::Renew(envelope.from.clone(), envelope.incarnation),
             Request::Read { stale: false, .. } | Request::Copy => Operation::Read,
             Request::Replace { add, remove } => Operation::Replace { add: add.clone(), remove: *remove },
             Request::Read { stale: true, prefix, members } => {
                 let view = self.view(prefix, *members, self.node.max_staleness());
-                self.responses.push((caller, Response::Read(view)));
-                return;
-            }
-            Request::Status => {
-                let members = self.node.state().members.keys();
-                let silent =
-                    members.filter_map(|name| Some((name.clone(), self.node.time_since_renewal(name)?)));
-                let response = Response::Status(self.node.status(), silent.collect());
-                self.responses.push((caller, response));
-                return;
+                return self.respond(caller, Response::Read(view));
             }
-            Request::Watch { cluster_id: history, after, prefix } => {
-                let (after, prefix, until) = (*after, prefix.clone(), now + WATCH_TIMEOUT);
-                self.add_watch(*history, Watch { caller, after, prefix, deadline: until });
-                return;
+            Request::Status => return self.respond(caller, self.status()),
+            Request::Watch { cluster_id, after, prefix } => {
+                let deadline = now + WATCH_TIMEOUT;
+                let watch = Watch { caller, after: *after, prefix: prefix.clone(), deadline };
+                return self.add_watch(*cluster_id, watch);
             }
             Request::Hello => {
-                let why = "a council is formed already".into();
-                self.responses.push((caller, Response::Refused(Refusal::Impossible(why))));
-                return;
+                let reason = "a council is formed already".into();
+                return self.respond(caller, Response::Refused(Refusal::Impossible(reason)));
             }
         };
-        let ticket = self.node.submit(now, ask);
-        self.pending.insert(ticket, (caller, request));
+        let id = self.node.submit(now, operation);
+        self.pending.insert(id, (caller, request));
+    }
+
+    fn respond(&mut self, caller: CallerId, response: Response) {
+        self.responses.push((caller, response));
     }
 
-    /// A process whose name a newer one has may not act any more; what it asks to be told, it may be.
+    /// A process must not act any more when a newer process has its name. It may still read.
     fn check_incarnation(&self, envelope: &Envelope, request: &Request) -> Option<Refusal> {
-        let acts = match request {
+        let is_action = match request {
             Request::Renew => true,
-            Request::Command(call) => !matches!(call.command, Command::Join { .. }),
+            Request::Command(request) => !matches!(request.command, Command::Join { .. }),
             _ => false,
         };
         let member = self.node.state().members.get(&envelope.from)?;
-        (acts && envelope.incarnation != 0 && member.incarnation > envelope.incarnation)
+        let is_older = envelope.incarnation != 0 && member.incarnation > envelope.incarnation;
+        (is_action && is_older)
             .then(|| Refusal::OlderIncarnation { name: envelope.from.clone(), newer: member.incarnation })
     }
 
-    fn add_watch(&mut self, history: u64, mut watch: Watch) {
-        let state = self.node.state();
-        let response = if history != state.cluster_id {
-            Response::Refused(Refusal::Compacted { cluster_id: state.cluster_id, oldest: state.revision })
-        } else {
-            loop {
-                match state.changes_after(watch.after, MAX_CHANGES_PER_RESPONSE) {
-                    Err(gone) => {
-                        break Response::Refused(Refusal::Compacted {
-                            cluster_id: history,
-                            oldest: gone.oldest,
-                        })
-                    }
-                    Ok((mut changes, upto)) => {
-                        changes.retain(|change| is_of_interest(change, &watch.prefix));
-                        if !changes.is_empty() {
-                            break Response::Changes { changes, upto };
-                        }
-                        if upto > watch.after {
-                            // Nothing of it concerns this watcher, so far.
-                            watch.after = upto;
-                            continue;
-                        }
-                        if self.watches.len() < MAX_WATCHES {
-                            self.watches.push(watch);
-                            return;
-                        }
-                        let over = LimitExceeded { limit: "watchers".into(), max: MAX_WATCHES as u64 };
-                        break Response::Refused(Refusal::Over(over));
-                    }
-                }
+    fn status(&self) -> Response {
+        let members = self.node.state().members.keys();
+        let since_renewal =
+            members.filter_map(|name| Some((name.clone(), self.node.time_since_renewal(name)?)));
+        Response::Status(self.node.status(), since_renewal.collect())
+    }
+
+    /// Responds to a watch, or keeps it until there are changes.
+    fn add_watch(&mut self, cluster_id: ClusterId, mut watch: Watch) {
+        let response = match self.changes_for(cluster_id, &mut watch) {
+            Ok(Some(changes)) => changes,
+            Ok(None) if self.watches.len() < MAX_WATCHES => {
+                self.watches.push(watch);
+                return;
             }
+            Ok(None) => Response::Refused(Refusal::Over(LimitExceeded::new("watchers", MAX_WATCHES))),
+            Err(refusal) => Response::Refused(refusal),
         };
-        self.responses.push((watch.caller, response));
+        self.respond(watch.caller, response);
     }
 
-    fn view(&self, prefix: &str, members: bool, age: Option<Time>) -> View {
+    /// The next changes that a watch is interested in, if there are any. Advances the watch past all others.
+    fn changes_for(&self, cluster_id: ClusterId, watch: &mut Watch) -> Result<Option<Response>, Refusal> {
+        let state = self.node.state();
+        if cluster_id != state.cluster_id {
+            return Err(Refusal::Compacted { cluster_id: state.cluster_id, oldest: state.revision });
+        }
+        loop {
+            let (mut changes, upto) = state
+                .changes_after(watch.after, MAX_CHANGES_PER_RESPONSE)
+                .map_err(|compacted| Refusal::Compacted { cluster_id, oldest: compacted.oldest })?;
+            changes.retain(|change| is_of_interest(change, &watch.prefix));
+            if !changes.is_empty() {
+                return Ok(Some(Response::Changes { changes, upto }));
+            }
+            if upto <= watch.after {
+                return Ok(None);
+            }
+            watch.after = upto;
+        }
+    }
+
+    fn view(&self, prefix: &str, members: bool, max_staleness: Option<Time>) -> View {
         let state = self.node.state();
         let records = state.records.range(prefix.to_string()..);
         let records = records.take_while(|(key, _)| key.starts_with(prefix));
         View {
             cluster_id: state.cluster_id,
             revision: state.revision,
-            max_staleness: age,
+            max_staleness,
             peers: state.peers.clone(),
             members: if members { state.members.clone() } else { BTreeMap::new() },
             records: records.map(|(key, record)| (key.clone(), record.clone())).collect(),
         }
     }
 
-    /// Carries on with all that has come in. After a fault nothing is sent or answered: it is dropped, with its node.
+    /// Processes all input since the last call. Returns what is to be sent.
+    ///
+    /// # Errors
+    ///
+    /// As [`Node::advance`]. After an error nothing may be sent, and the service is dropped with its node.
     pub fn advance(&mut self, disk: &mut dyn Disk, now: Time) -> Result<Output, NodeError> {
-        let crate::node::Output { messages, results: answers } = self.node.advance(disk, now)?;
-        for (ticket, answer) in answers {
-            let Some((caller, request)) = self.pending.remove(&ticket) else { continue };
-            let response = self.response_for(&request, answer);
-            self.responses.push((caller, response));
+        let output = self.node.advance(disk, now)?;
+        for (id, result) in output.results {
+            let Some((caller, request)) = self.pending.remove(&id) else { continue };
+            let response = self.response_for(&request, result);
+            self.respond(caller, response);
         }
-        let revision = self.node.state().revision;
-        if revision != self.notified_revision {
-            self.notified_revision = revision;
-            let history = self.node.state().cluster_id;
-            for watch in std::mem::take(&mut self.watches) {
-                self.add_watch(history, watch);
-            }
+        self.notify_watches();
+        Ok(Output { messages: output.messages, responses: std::mem::take(&mut self.responses) })
+    }
+
+    fn notify_watches(&mut self) {
+        let state = self.node.state();
+        let (revision, cluster_id) = (state.revision, state.cluster_id);
+        if revision == self.notified_revision {
+            return;
+        }
+        self.notified_revision = revision;
+        for watch in std::mem::take(&mut self.watches) {
+            self.add_watch(cluster_id, watch);
         }
-        Ok(Output { messages, responses: std::mem::take(&mut self.responses) })
     }
 
-    fn response_for(&self, request: &Request, answer: OperationResult) -> Response {
-        let peer = |number: u64| self.node.state().peers.get(&number).cloned();
-        match (answer, request) {
-            (OperationResult::Reply(CommandResult::Over(excess)), _) | (OperationResult::Over(excess), _) => {
-                Response::Refused(Refusal::Over(excess))
-            }
-            (OperationResult::Reply(reply), _) => Response::Reply(reply, self.node.lease_terms()),
-            (OperationResult::Readable, Request::Copy) => {
-                Response::Copy(String::from_utf8(self.node.export_state()).unwrap_or_default())
-            }
-            (OperationResult::Readable, Request::Read { prefix, members, .. }) => {
-                Response::Read(self.view(prefix, *members, Some(0)))
+    fn response_for(&self, request: &Request, result: OperationResult) -> Response {
+        let refusal = match result {
+            OperationResult::Readable => return self.read_response(request),
+            OperationResult::Renewed => return Response::Renewed(self.node.lease_terms()),
+            OperationResult::Ended => return Response::Ended,
+            OperationResult::Displaced => return Response::Displaced,
+            OperationResult::Replaced => return Response::Replaced,
+            OperationResult::Reply(CommandResult::Over(limit)) | OperationResult::Over(limit) => {
+                Refusal::Over(limit)
             }
-            (OperationResult::Readable, _) => Response::Refused(Refusal::Unknown),
-            (OperationResult::Renewed, _) => Response::Renewed(self.node.lease_terms()),
-            (OperationResult::Ended, _) => Response::Ended,
-            (OperationResult::Displaced, _) => Response::Displaced,
-            (OperationResult::Replaced, _) => Response::Replaced,
-            (OperationResult::NotLeader(leader), _) => {
-                Response::Refused(Refusal::NotLeader { leader: leader.and_then(peer) })
+            OperationResult::Reply(result) => return Response::Reply(result, self.node.lease_terms()),
+            OperationResult::NotLeader(leader) => {
+                let peers = &self.node.state().peers;
+                Refusal::NotLeader { leader: leader.and_then(|id| peers.get(&id).cloned()) }
             }
-            (OperationResult::Unknown, _) => Response::Refused(Refusal::Unknown),
-            (OperationResult::Refused(why), _) => Response::Refused(Refusal::Impossible(why)),
+            OperationResult::Unknown => Refusal::Unknown,
+            OperationResult::Refused(reason) => Refusal::Impossible(reason),
+        };
+        Response::Refused(refusal)
+    }
+
+    fn read_response(&self, request: &Request) -> Response {
+        match request {
+            Request::Copy => Response::Copy(String::from_utf8(self.node.export_state()).unwrap_or_default()),
+            Request::Read { prefix, members, .. } => Response::Read(self.view(prefix, *members, Some(0))),
+            _ => Response::Refused(Refusal::Unknown),
         }
     }
 }
 
-/// Whether a watcher of this prefix is told of a change.
+/// Whether a watch with this prefix is notified of a change. Changes of members concern only watches without a prefix.
 fn is_of_interest(change: &Change, prefix: &str) -> bool {
     match &change.item {
         ChangedItem::Record(key, _) => key.starts_with(prefix),
--- a/crates/coordination/src/state/change.rs
+++ b/crates/coordination/src/state/change.rs
@@ -1,31 +1,33 @@
-//! What has changed, kept for watchers.
+//! The latest changes, which are kept for watchers.
 
 use super::member::{is_agent, Member};
+use super::record::AGENTS_SCOPE;
+use super::validation::kind_of;
 use super::{Revision, State, MAX_TXN_OPERATIONS};
 use crate::Limits;
 use serde::{Deserialize, Serialize};
 
-/// What a watcher is told.
+/// A change of one record or member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// When.
+    /// Its revision. The writes of one transaction share one.
     pub revision: Revision,
-    /// What.
+    /// What has changed.
     #[serde(rename = "what")]
     pub item: ChangedItem,
 }
 
-/// One thing that has changed.
+/// What has changed, with its new value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangedItem {
-    /// A record has this value, or is gone.
+    /// The value of the record with this key; none if it was deleted.
     Record(String, Option<String>),
-    /// A member is so, or is not named any more.
+    /// The member of this name; none if it was forgotten.
     Member(String, Option<Member>),
 }
 
-/// A watcher was away for too long: it has to read all, and go on from there.
+/// The changes after a revision are not all kept any more: read everything, and watch from there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("changes are only kept from revision {oldest} on; read all, and watch from there")]
 pub struct Compacted {
@@ -34,46 +36,57 @@
 }
 
 impl State {
-    /// Keeps a change of the present revision for watchers. What is cut off is always whole revisions.
-    pub(super) fn record_change(&mut self, what: ChangedItem, bounds: &Limits) {
-        let touched = match &what {
-            ChangedItem::Record(key, _) => key.split('/').next(),
-            ChangedItem::Member(name, _) => is_agent(name).then_some(""),
+    /// Keeps a change at the current revision for watchers.
+    pub(super) fn record_change(&mut self, item: ChangedItem, limits: &Limits) {
+        let scope = match &item {
+            ChangedItem::Record(key, _) => Some(kind_of(key)),
+            ChangedItem::Member(name, _) => is_agent(name).then_some(AGENTS_SCOPE),
         };
-        if let Some(touched) = touched {
-            self.last_changed.insert(touched.into(), self.revision);
+        if let Some(scope) = scope {
+            self.last_changed.insert(scope.into(), self.revision);
         }
-        self.changes.push_back(Change { revision: self.revision, item: what });
-        while self.changes.len() > bounds.changes.max(MAX_TXN_OPERATIONS) {
-            let Some(cut) = self.changes.front().map(|change| change.revision) else { return };
-            if cut == self.revision {
+        self.changes.push_back(Change { revision: self.revision, item });
+        self.drop_oldest_changes(limits.changes.max(MAX_TXN_OPERATIONS));
+    }
+
+    /// Drops the oldest changes down to a number, always whole revisions, and never the current one.
+    fn drop_oldest_changes(&mut self, max: usize) {
+        while self.changes.len() > max {
+            let Some(oldest) = self.changes.front().map(|change| change.revision) else { return };
+            if oldest == self.revision {
                 return;
             }
-            while self.changes.front().is_some_and(|change| change.revision == cut) {
+            while self.changes.front().is_some_and(|change| change.revision == oldest) {
                 self.changes.pop_front();
             }
-            self.oldest_watchable = cut;
+            self.oldest_watchable = oldest;
         }
     }
 
-    /// What has changed after a revision, in order, and up to which revision that is all there is. About `most` changes at a
-    /// time; a revision is never cut in two.
+    /// The changes after a revision, in order, and the revision up to which they are complete. Returns about `max` changes;
+    /// those of one revision stay together.
+    ///
+    /// # Errors
+    ///
+    /// Fails if not all changes after this revision are kept any more.
     pub fn changes_after(
         &self,
         revision: Revision,
-        most: usize,
+        max: usize,
     ) -> Result<(Vec<Change>, Revision), Compacted> {
         if revision < self.oldest_watchable {
             return Err(Compacted { oldest: self.oldest_watchable });
         }
-        let mut after: Vec<Change> = Vec::new();
+        let mut changes: Vec<Change> = Vec::new();
         for change in self.changes.iter().skip_while(|change| change.revision <= revision) {
-            if after.len() >= most && after.last().is_some_and(|last| last.revision != change.revision) {
-                let upto = after.last().map_or(revision, |last| last.revision);
-                return Ok((after, upto));
+            let last_revision = changes.last().map(|last| last.revision);
+            if let Some(up_to) = last_revision.filter(|last| *last != change.revision) {
+                if changes.len() >= max {
+                    return Ok((changes, up_to));
+                }
             }
-            after.push(change.clone());
+            changes.push(change.clone());
         }
-        Ok((after, self.revision.max(revision)))
+        Ok((changes, self.revision.max(revision)))
     }
 }
--- a/crates/coordination/src/state/command.rs
+++ b/crates/coordination/src/state/command.rs
@@ -1,180 +1,164 @@
-//! What can be asked of the state, and what comes of it.
+//! Commands that change the state, and their results.
 
-use super::change::ChangedItem;
-use super::member::MemberStatus;
+use super::member::{JoinRequest, MemberStatus};
 use super::record::Txn;
 use super::session::Session;
 use super::{Revision, State};
-use crate::{LimitExceeded, Limits};
+use crate::{Incarnation, LimitExceeded, Limits};
 use serde::{Deserialize, Serialize};
+use std::cmp::Ordering;
 
-/// What can be asked of the state.
+/// A command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// A session for somebody who is no member.
+    /// Opens a session for a client that is not a member.
     Open,
-    /// A process takes part.
+    /// Makes a process a member.
     Join {
         /// Its name.
         name: String,
-        /// Drawn at its start.
+        /// A random number that it drew at its start, by which a repeated command is recognised.
         nonce: u64,
-        /// The incarnation that the name has as far as this process knows, 0 for none: a joining that comes late, when the name
-        /// has gone on to another, does nothing.
+        /// The last incarnation of the name that the process knows of, 0 for none. A command that arrives late, when the name
+        /// has another incarnation, has no effect.
         #[serde(rename = "after")]
-        follows: u64,
-        /// Where it stands.
+        follows: Incarnation,
+        /// The site it runs at.
         site: String,
-        /// Of the program.
+        /// The version of its program.
         version: String,
-        /// Where its operators call.
+        /// The address of its operators' interface.
         address: String,
     },
-    /// A member can serve, or can't.
+    /// Sets whether a member can serve.
     Report {
         /// Its name.
         name: String,
-        /// Which one.
-        incarnation: u64,
-        /// Grows with each report: one that comes late does nothing.
+        /// Its incarnation.
+        incarnation: Incarnation,
+        /// The number of the report, which grows with each; a report that arrives late has no effect.
         number: u64,
-        /// It can.
+        /// Whether it can serve.
         ready: bool,
     },
-    /// A member goes, and rests nothing on its lease any more.
+    /// Ends a membership on behalf of the member, which does not act on its lease any more.
     Leave {
         /// Its name.
         name: String,
-        /// Which one.
-        incarnation: u64,
+        /// Its incarnation.
+        incarnation: Incarnation,
     },
-    /// Leases that have run out by the leader's count; only a leader may say so.
-    Expire(Vec<(String, u64)>),
-    /// A member that has ended is not named any more.
+    /// Ends memberships, each a name and an incarnation, whose leases the leader counts as expired. Only the leader itself
+    /// proposes this.
+    Expire(Vec<(String, Incarnation)>),
+    /// Removes a member that left or expired.
     Forget {
         /// Its name.
         name: String,
     },
-    /// Records change.
+    /// Executes a transaction over records.
     Write(Txn),
 }
 
-/// A command, and which one of its sender's it is.
+/// A command with its place in the sender's session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// The sender's session and the command's number in it; a repeat under the same number is not carried out again.
-    /// Numbers grow; none is sent before the one before it was answered.
-    pub session: Option<(u64, u64)>,
-    /// What is asked.
+    /// The session and the command's number in it. A command that is repeated under its number is not executed again.
+    /// Numbers grow; the next command is sent when the one before has its result.
+    pub session: Option<(Revision, u64)>,
+    /// The command.
     pub command: Command,
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandResult {
-    /// The number of the new session.
-    Opened(u64),
-    /// The process takes part under this incarnation, which is the number of its session too.
+    /// A session with this number was opened.
+    Opened(Revision),
+    /// The process is a member.
     Joined {
-        /// Its incarnation.
-        incarnation: u64,
+        /// Its incarnation, which is the number of its session too.
+        incarnation: Incarnation,
     },
-    /// A process of this name may still hold its lease; ask again.
+    /// An older process of the name may still hold a lease: repeat the command later.
     Wait {
-        /// Its incarnation.
-        incarnation: u64,
+        /// The older process's incarnation.
+        incarnation: Incarnation,
     },
-    /// The name has this incarnation, 0 for none, and not the one that was named; nothing was done.
+    /// The name has another incarnation than the command states. Nothing was done.
     Present {
-        /// Its incarnation.
-        incarnation: u64,
+        /// The name's incarnation, 0 for none.
+        incarnation: Incarnation,
     },
-    /// Done, at this revision.
+    /// Done as of this revision.
     Done(Revision),
-    /// Not done: this check, counted from 0, did not hold.
+    /// A check of the transaction failed. Nothing was done.
     Conflict {
-        /// Which.
+        /// The position of the check, from 0.
         check: usize,
     },
-    /// There is no such member or incarnation, or it has ended.
+    /// There is no such member, it has another incarnation, or it has left or expired.
     NotLiving,
-    /// There is no such session, or it made room for others. Whether an earlier command was carried out is unknown.
+    /// There is no such session, or it was dropped. It is unknown whether an earlier command was executed.
     NoSession,
-    /// A later command of this session has been answered.
+    /// A later command of the session, or a later report of the member, was executed already.
     Outdated,
-    /// Something is too large or too many.
+    /// A limit would be exceeded. Nothing was done.
     Over(LimitExceeded),
-    /// It can't be understood, and why.
+    /// The command is invalid, for this reason. Nothing was done.
     Refused(String),
 }
 
 impl State {
-    /// Carries out a command. The same commands in the same order have the same outcome everywhere.
-    pub fn apply(&mut self, call: &CommandRequest, bounds: &Limits) -> CommandResult {
-        let Some((session, number)) = call.session else { return self.execute(&call.command, bounds) };
-        let Some(known) = self.sessions.get(&session) else { return CommandResult::NoSession };
-        if let Some((last, reply)) = &known.last_command {
-            match number.cmp(last) {
-                std::cmp::Ordering::Equal => return reply.clone(),
-                std::cmp::Ordering::Less => return CommandResult::Outdated,
-                std::cmp::Ordering::Greater => {}
+    /// Executes a command, unless it is a repetition of one that was executed. Deterministic: the same commands in the same
+    /// order have the same results on every process.
+    pub fn apply(&mut self, request: &CommandRequest, limits: &Limits) -> CommandResult {
+        let Some((session_number, number)) = request.session else {
+            return self.execute(&request.command, limits);
+        };
+        let Some(session) = self.sessions.get(&session_number) else { return CommandResult::NoSession };
+        if let Some((last_number, last_result)) = &session.last_command {
+            match number.cmp(last_number) {
+                Ordering::Equal => return last_result.clone(),
+                Ordering::Less => return CommandResult::Outdated,
+                Ordering::Greater => {}
             }
         }
-        let reply = self.execute(&call.command, bounds);
+        let result = self.execute(&request.command, limits);
         let last_used = self.revision;
-        if let Some(session) = self.sessions.get_mut(&session) {
-            *session = Session { last_command: Some((number, reply.clone())), last_used };
+        // The command may have ended the session.
+        if let Some(session) = self.sessions.get_mut(&session_number) {
+            *session = Session { last_command: Some((number, result.clone())), last_used };
         }
-        reply
+        result
     }
 
-    fn execute(&mut self, command: &Command, bounds: &Limits) -> CommandResult {
+    fn execute(&mut self, command: &Command, limits: &Limits) -> CommandResult {
         match command {
             Command::Open => {
                 self.revision += 1;
-                CommandResult::Opened(self.open_session(bounds))
+                CommandResult::Opened(self.open_session(limits))
             }
-            Command::Join { name, nonce, follows: after, site, version, address } => {
-                self.join(name, (*nonce, *after), [site, version, address], bounds)
+            Command::Join { name, nonce, follows, site, version, address } => {
+                let (nonce, follows) = (*nonce, *follows);
+                self.join(&JoinRequest { name, nonce, follows, site, version, address }, limits)
             }
             Command::Report { name, incarnation, number, ready } => {
-                let Some(member) = self.living_member(name, *incarnation) else {
-                    return CommandResult::NotLiving;
-                };
-                let (is, at) = (member.ready, member.revision);
-                if member.last_report >= *number {
-                    return CommandResult::Outdated;
-                }
-                if let Some(member) = self.members.get_mut(name) {
-                    member.last_report = *number;
-                }
-                match is == *ready {
-                    true => CommandResult::Done(at),
-                    false => self.update_member(name, bounds, |member| member.ready = *ready),
-                }
+                self.report(name, *incarnation, *number, *ready, limits)
             }
             Command::Leave { name, incarnation } => {
-                self.end_member(name, *incarnation, MemberStatus::Left, bounds)
+                self.end_member(name, *incarnation, MemberStatus::Left, limits)
             }
             Command::Expire(leases) => {
                 for (name, incarnation) in leases {
-                    self.end_member(name, *incarnation, MemberStatus::Expired, bounds);
+                    self.end_member(name, *incarnation, MemberStatus::Expired, limits);
                 }
                 CommandResult::Done(self.revision)
             }
-            Command::Forget { name } => match self.members.get(name) {
-                Some(member) if !member.status.may_hold_lease() => {
-                    self.members.remove(name);
-                    self.revision += 1;
-                    self.record_change(ChangedItem::Member(name.clone(), None), bounds);
-                    CommandResult::Done(self.revision)
-                }
-                Some(_) => CommandResult::Refused(format!("{name} has not ended")),
-                None => CommandResult::NotLiving,
-            },
-            Command::Write(txn) => self.execute_transaction(txn, bounds),
+            Command::Forget { name } => self.forget_member(name, limits),
+            Command::Write(txn) => self.execute_transaction(txn, limits),
         }
     }
 }
--- a/crates/coordination/src/state/member.rs
+++ b/crates/coordination/src/state/member.rs
@@ -1,161 +1,219 @@
-//! Members: who takes part, and whether each is counted on.
+//! Members: the processes of the fleet, and whether each one's lease is counted as held.
 
 use super::change::ChangedItem;
 use super::command::CommandResult;
-use super::{invalid_name, Revision, State};
-use crate::{LimitExceeded, Limits};
+use super::validation::{validate_text, InvalidInput};
+use super::{Revision, State};
+use crate::{Incarnation, LimitExceeded, Limits};
 use serde::{Deserialize, Serialize};
 
-/// Whether a member is counted on.
+/// Whether a member's lease is counted as held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberStatus {
-    /// Its lease has not ended by the council's count.
+    /// Its lease has not expired by the leader's count.
     Living,
-    /// A newer incarnation waits for this one's lease to end; it is not renewed any more.
+    /// A newer process of its name waits for its lease to end. It is not renewed any more.
     Superseded,
-    /// It said that it went.
+    /// It left.
     Left,
-    /// Its lease ran out.
+    /// Its lease expired.
     Expired,
 }
 
 impl MemberStatus {
-    /// Its lease may still be believed by its holder.
+    /// Whether the member may still act on its lease.
+    #[must_use]
     pub fn may_hold_lease(self) -> bool {
         matches!(self, MemberStatus::Living | MemberStatus::Superseded)
     }
 }
 
-/// A process that takes part.
+/// A member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Higher with each start of a process of this name.
-    pub incarnation: u64,
-    /// What the process drew at its start, so that a repeat of its joining is known.
+    /// Higher with each process of this name.
+    pub incarnation: Incarnation,
+    /// The random number that the process drew at its start, by which a repeated join is recognised.
     pub nonce: u64,
-    /// Where it stands.
+    /// The site it runs at.
     pub site: String,
-    /// Of the program.
+    /// The version of its program.
     pub version: String,
-    /// Where its operators call.
+    /// The address of its operators' interface.
     pub address: String,
-    /// It says that it can serve.
+    /// Whether it can serve, by its last report.
     pub ready: bool,
-    /// The number of the report that said so.
+    /// The number of its last report.
     #[serde(rename = "report")]
     pub last_report: u64,
-    /// Whether it is counted on.
+    /// Whether its lease is counted as held.
     #[serde(rename = "standing")]
     pub status: MemberStatus,
-    /// The revision of the last change.
+    /// The revision of the last change of this member.
     pub revision: Revision,
 }
 
-/// Whether a member is an agent, as against an operator's wrapper or a controller.
+/// Whether a member of this name is an agent. Other members, such as operators' tools, have a colon in their names.
+#[must_use]
 pub fn is_agent(name: &str) -> bool {
     !name.contains(':')
 }
 
+/// The fields of [`Command::Join`](super::Command::Join).
+pub(super) struct JoinRequest<'a> {
+    pub(super) name: &'a str,
+    pub(super) nonce: u64,
+    pub(super) follows: Incarnation,
+    pub(super) site: &'a str,
+    pub(super) version: &'a str,
+    pub(super) address: &'a str,
+}
+
+impl JoinRequest<'_> {
+    fn validate(&self) -> Result<(), InvalidInput> {
+        validate_text("name", self.name)?;
+        validate_text("site", self.site)?;
+        validate_text("version", self.version)?;
+        validate_text("address", self.address)?;
+        if self.name.is_empty() {
+            return Err(InvalidInput::EmptyName);
+        }
+        Ok(())
+    }
+}
+
 impl State {
-    pub(super) fn join(
-        &mut self,
-        name: &str,
-        (nonce, after): (u64, u64),
-        about: [&String; 3],
-        bounds: &Limits,
-    ) -> CommandResult {
-        let [site, version, address] = about;
-        let faults = [("name", name), ("site", site), ("version", version), ("address", address)];
-        if let Some(fault) = faults.iter().find_map(|(what, text)| invalid_name(what, text)) {
-            return CommandResult::Refused(fault);
+    pub(super) fn join(&mut self, request: &JoinRequest<'_>, limits: &Limits) -> CommandResult {
+        if let Err(invalid) = request.validate() {
+            return CommandResult::Refused(invalid.to_string());
         }
-        if name.is_empty() {
-            return CommandResult::Refused("name: wanted one".into());
-        }
-        if let Some(member) = self.members.get(name) {
-            let incarnation = member.incarnation;
-            if member.nonce == nonce {
-                // Asked again, since the reply was lost.
-                return match member.status {
-                    MemberStatus::Living => CommandResult::Joined { incarnation },
-                    _ => CommandResult::NotLiving,
-                };
-            }
-            if incarnation != after {
-                return CommandResult::Present { incarnation };
-            }
-            match member.status {
-                MemberStatus::Living => {
-                    self.update_member(name, bounds, |member| member.status = MemberStatus::Superseded);
-                    return CommandResult::Wait { incarnation };
-                }
-                MemberStatus::Superseded => return CommandResult::Wait { incarnation },
-                MemberStatus::Left | MemberStatus::Expired => {}
-            }
-        } else if after != 0 {
-            return CommandResult::Present { incarnation: 0 };
-        } else if self.members.len() >= bounds.members {
-            return CommandResult::Over(LimitExceeded::new("members", bounds.members));
+        if let Some(obstacle) = self.obstacle_to_join(request, limits) {
+            return obstacle;
         }
         self.revision += 1;
-        let incarnation = self.open_session(bounds);
-        let [site, version, address] = about.map(Clone::clone);
-        let standing = MemberStatus::Living;
-        let revision = self.revision;
-        let (ready, report) = (false, 0);
+        let incarnation = self.open_session(limits);
         let member = Member {
             incarnation,
-            nonce,
-            site,
-            version,
-            address,
-            ready,
-            last_report: report,
-            status: standing,
-            revision,
+            nonce: request.nonce,
+            site: request.site.into(),
+            version: request.version.into(),
+            address: request.address.into(),
+            ready: false,
+            last_report: 0,
+            status: MemberStatus::Living,
+            revision: self.revision,
         };
-        self.members.insert(name.into(), member.clone());
-        self.record_change(ChangedItem::Member(name.into(), Some(member)), bounds);
+        self.members.insert(request.name.into(), member.clone());
+        self.record_change(ChangedItem::Member(request.name.into(), Some(member)), limits);
         CommandResult::Joined { incarnation }
     }
 
-    /// The member of this name, if it is this one and living.
-    pub fn living_member(&self, name: &str, incarnation: u64) -> Option<&Member> {
+    /// The result of a join that makes no new member.
+    fn obstacle_to_join(&mut self, request: &JoinRequest<'_>, limits: &Limits) -> Option<CommandResult> {
+        let Some(member) = self.members.get(request.name) else {
+            if request.follows != 0 {
+                return Some(CommandResult::Present { incarnation: 0 });
+            }
+            let is_full = self.members.len() >= limits.members;
+            return is_full.then(|| CommandResult::Over(LimitExceeded::new("members", limits.members)));
+        };
+        let incarnation = member.incarnation;
+        if member.nonce == request.nonce {
+            // A repetition, since the result was lost.
+            return Some(match member.status {
+                MemberStatus::Living => CommandResult::Joined { incarnation },
+                _ => CommandResult::NotLiving,
+            });
+        }
+        if incarnation != request.follows {
+            return Some(CommandResult::Present { incarnation });
+        }
+        match member.status {
+            MemberStatus::Living => {
+                self.update_member(request.name, limits, |member| member.status = MemberStatus::Superseded);
+                Some(CommandResult::Wait { incarnation })
+            }
+            MemberStatus::Superseded => Some(CommandResult::Wait { incarnation }),
+            MemberStatus::Left | MemberStatus::Expired => None,
+        }
+    }
+
+    /// The member of this name, if it has this incarnation and its lease is held.
+    pub fn living_member(&self, name: &str, incarnation: Incarnation) -> Option<&Member> {
         let member = self.members.get(name)?;
         (member.incarnation == incarnation && member.status == MemberStatus::Living).then_some(member)
     }
 
+    /// Whether this incarnation of the name may still act on its lease.
+    pub(super) fn may_hold_lease(&self, name: &str, incarnation: Incarnation) -> bool {
+        let member = self.members.get(name);
+        member.is_some_and(|member| member.incarnation == incarnation && member.status.may_hold_lease())
+    }
+
+    pub(super) fn report(
+        &mut self,
+        name: &str,
+        incarnation: Incarnation,
+        number: u64,
+        ready: bool,
+        limits: &Limits,
+    ) -> CommandResult {
+        let Some(member) = self.living_member(name, incarnation) else { return CommandResult::NotLiving };
+        if member.last_report >= number {
+            return CommandResult::Outdated;
+        }
+        let (was_ready, revision) = (member.ready, member.revision);
+        if let Some(member) = self.members.get_mut(name) {
+            member.last_report = number;
+        }
+        if was_ready == ready {
+            return CommandResult::Done(revision);
+        }
+        self.update_member(name, limits, |member| member.ready = ready)
+    }
+
+    /// Ends a membership. `status` says how.
     pub(super) fn end_member(
         &mut self,
         name: &str,
-        incarnation: u64,
-        standing: MemberStatus,
-        bounds: &Limits,
+        incarnation: Incarnation,
+        status: MemberStatus,
+        limits: &Limits,
     ) -> CommandResult {
-        let member = self.members.get(name);
-        if !member.is_some_and(|member| member.incarnation == incarnation && member.status.may_hold_lease()) {
+        if !self.may_hold_lease(name, incarnation) {
             return CommandResult::NotLiving;
         }
         self.sessions.remove(&incarnation);
-        self.update_member(name, bounds, |member| {
-            member.status = standing;
+        self.update_member(name, limits, |member| {
+            member.status = status;
             member.ready = false;
         })
     }
 
-    pub(super) fn update_member(
+    pub(super) fn forget_member(&mut self, name: &str, limits: &Limits) -> CommandResult {
+        let Some(member) = self.members.get(name) else { return CommandResult::NotLiving };
+        if member.status.may_hold_lease() {
+            return CommandResult::Refused(format!("{name} has not ended"));
+        }
+        self.members.remove(name);
+        self.revision += 1;
+        self.record_change(ChangedItem::Member(name.into(), None), limits);
+        CommandResult::Done(self.revision)
+    }
+
+    fn update_member(
         &mut self,
         name: &str,
-        bounds: &Limits,
-        change: impl FnOnce(&mut Member),
+        limits: &Limits,
+        update: impl FnOnce(&mut Member),
     ) -> CommandResult {
         let Some(member) = self.members.get_mut(name) else { return CommandResult::NotLiving };
         self.revision += 1;
         member.revision = self.revision;
-        change(member);
+        update(member);
         let member = member.clone();
-        self.record_change(ChangedItem::Member(name.into(), Some(member)), bounds);
+        self.record_change(ChangedItem::Member(name.into(), Some(member)), limits);
         CommandResult::Done(self.revision)
     }
 }
--- a/crates/coordination/src/state/mod.rs
+++ b/crates/coordination/src/state/mod.rs
@@ -1,89 +1,95 @@
-//! The agreed state. Every council process applies the same commands in the same order, and has the same state then.
+//! The replicated state machine. Every coordination process applies the same commands in the same order, and so has the same
+//! state after each of them.
 
 mod change;
 mod command;
 mod member;
 mod record;
 mod session;
+mod validation;
 
 pub use change::{Change, ChangedItem, Compacted};
 pub use command::{Command, CommandRequest, CommandResult};
 pub use member::{is_agent, Member, MemberStatus};
 pub use record::{ChangeScope, Check, Record, Txn, Write};
 
+use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use session::Session;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 
-/// The place of a change in the one order of all changes; 0 is before the first.
+/// The number of a change in the total order of all changes; 0 is before the first.
 pub type Revision = u64;
 
-/// The kinds of records; the first part of each key.
+/// The kinds of records, which are the first part of each key.
 pub const RECORD_KINDS: [&str; 7] = ["budget", "drain", "note", "permit", "release", "site", "work"];
 /// The longest key, name, site, version or address, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The most checks and writes of one transaction.
+/// The most checks, and the most writes, of one transaction.
 pub const MAX_TXN_OPERATIONS: usize = 64;
-/// How far a restored state's revisions are ahead of its copy's: further than any council has come since the copy.
+/// By how much a restored state's revisions exceed those of its backup: more than any cluster advances after a backup.
 const RESTORE_REVISION_GAP: u64 = 1 << 40;
 
-/// A process of the council.
+/// The id of a cluster. A restored cluster has another one, so that revisions of the two are never mixed up.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct ClusterId(pub u64);
+
+impl ClusterId {
+    /// No cluster: the state of a process that is not part of one yet.
+    pub const NONE: ClusterId = ClusterId(0);
+}
+
+impl fmt::Display for ClusterId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// A process of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// Its name.
     pub name: String,
-    /// Where the other processes reach it.
+    /// The address at which the other processes reach it.
     pub address: String,
 }
 
-/// All that is agreed.
+/// The replicated state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Which history this is; another one after a restore.
+    /// The cluster.
     #[serde(rename = "history")]
-    pub cluster_id: u64,
-    /// The last change.
+    pub cluster_id: ClusterId,
+    /// The revision of the last change.
     pub revision: Revision,
-    /// The processes of the council, by their numbers.
-    pub peers: BTreeMap<u64, Peer>,
-    /// Who takes part, by name.
+    /// The processes of the cluster.
+    pub peers: BTreeMap<NodeId, Peer>,
+    /// The members by name.
     pub members: BTreeMap<String, Member>,
-    /// The records, by key.
+    /// The records by key.
     pub records: BTreeMap<String, Record>,
+    /// Bytes of all keys and values.
     #[serde(rename = "bytes")]
     record_bytes: usize,
-    sessions: BTreeMap<u64, Session>,
+    /// The sessions by number, which is the revision at which each was opened.
+    sessions: BTreeMap<Revision, Session>,
+    /// The latest changes, for watchers.
     changes: VecDeque<Change>,
-    /// The last change of each kind of record, and, under an empty name, of the agents.
+    /// The last change of each kind of record and, under an empty name, of the agents.
     #[serde(rename = "touched")]
     last_changed: BTreeMap<String, Revision>,
-    /// Watchers from here on can be told all.
+    /// The oldest revision after which all changes are kept.
     #[serde(rename = "oldest")]
     oldest_watchable: Revision,
 }
 
-fn invalid_key(key: &str) -> Option<String> {
-    let kind = key.split('/').next().unwrap_or_default();
-    if !RECORD_KINDS.contains(&kind) || key.len() <= kind.len() + 1 {
-        return Some(format!(
-            "key {key:?}: wanted KIND/NAME, where KIND is one of {}",
-            RECORD_KINDS.join(", ")
-        ));
-    }
-    invalid_name("key", key)
-}
-
-fn invalid_name(what: &str, text: &str) -> Option<String> {
-    let plain = text.chars().all(|c| !c.is_control());
-    (text.len() > MAX_NAME_BYTES || !plain)
-        .then(|| format!("{what}: wanted up to {MAX_NAME_BYTES} bytes without control characters"))
-}
-
 impl State {
-    /// Nothing but the council itself.
-    pub fn new(history: u64, peers: BTreeMap<u64, Peer>) -> State {
+    /// The empty state of a new cluster.
+    pub fn new(cluster_id: ClusterId, peers: BTreeMap<NodeId, Peer>) -> State {
         State {
-            cluster_id: history,
+            cluster_id,
             revision: 0,
             peers,
             members: BTreeMap::new(),
@@ -96,17 +102,18 @@
         }
     }
 
-    /// An older copy as the beginning of another history: no member of it lives, no session goes on, and what it numbers
-    /// from now on is above all that was numbered since the copy was made. Records stay as they were.
-    pub fn restored_as(mut self, history: u64, peers: BTreeMap<u64, Peer>) -> State {
-        self.cluster_id = history;
+    /// Turns a backup into the first state of another cluster: records stay, all members count as expired, sessions and
+    /// changes are dropped, and later revisions exceed every one that was given since the backup was made.
+    #[must_use]
+    pub fn restored_as(mut self, cluster_id: ClusterId, peers: BTreeMap<NodeId, Peer>) -> State {
+        self.cluster_id = cluster_id;
         self.peers = peers;
         self.revision += RESTORE_REVISION_GAP;
         self.oldest_watchable = self.revision;
         self.changes.clear();
         self.sessions.clear();
-        // Nothing that was counted before the restore stands.
-        for kind in RECORD_KINDS.iter().copied().chain([""]) {
+        // No check against an earlier revision may pass.
+        for kind in RECORD_KINDS.iter().copied().chain([record::AGENTS_SCOPE]) {
             self.last_changed.insert(kind.into(), self.revision);
         }
         for member in self.members.values_mut().filter(|member| member.status.may_hold_lease()) {
@@ -116,9 +123,11 @@
         self
     }
 
-    /// A process of the council comes in, another goes.
-    pub(crate) fn change_peers(&mut self, add: Option<(u64, Peer)>, remove: Option<u64>) {
-        remove.map(|number| self.peers.remove(&number));
+    /// Adds a process to the cluster, removes one, or both.
+    pub(crate) fn change_peers(&mut self, add: Option<(NodeId, Peer)>, remove: Option<NodeId>) {
+        if let Some(node_id) = remove {
+            self.peers.remove(&node_id);
+        }
         self.peers.extend(add);
         self.revision += 1;
     }
