--- a/crates/coordination/src/state/record.rs
+++ b/crates/coordination/src/state/record.rs
@@ -1,66 +1,116 @@
-//! Records under revisions, and the transactions that change them.
+//! Records with revisions, and the transactions that change them.
 
 use super::change::ChangedItem;
 use super::command::CommandResult;
-use super::{invalid_key, Revision, State, MAX_TXN_OPERATIONS};
-use crate::{LimitExceeded, Limits};
+use super::validation::{validate_key, InvalidInput};
+use super::{Revision, State, MAX_TXN_OPERATIONS};
+use crate::{Incarnation, LimitExceeded, Limits};
 use serde::{Deserialize, Serialize};
 
-/// A value under a revision.
+/// The key of [`ChangeScope::Agents`] among the last changes; no kind of record has an empty name.
+pub(super) const AGENTS_SCOPE: &str = "";
+
+/// A record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The value, as its kind words it.
+    /// The value, in the format of its kind.
     pub value: String,
     /// The revision of its last write.
     pub revision: Revision,
 }
 
-/// What must hold for a transaction to be carried out.
+/// A precondition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Check {
-    /// There is no record of this key.
+    /// There is no record with this key.
     Absent(String),
-    /// The record was last written then.
+    /// The record with this key was last written at this revision.
     At(String, Revision),
-    /// The member of this name and incarnation is living.
-    Living(String, u64),
-    /// The lease of this name and incarnation has ended by the council's count.
-    Ended(String, u64),
-    /// Nothing of this has changed after a revision: what was counted over all of it still stands.
+    /// The member of this name has this incarnation, and its lease is held.
+    Living(String, Incarnation),
+    /// This incarnation of the name does not hold a lease any more.
+    Ended(String, Incarnation),
+    /// Nothing in this scope has changed after the revision, so that what was counted over all of it is still true.
     Unchanged(ChangeScope, Revision),
 }
 
-/// What changes as one, as far as [`Check::Unchanged`] goes.
+/// A set of members or records whose changes [`Check::Unchanged`] detects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeScope {
-    /// Who of the agents takes part, with which incarnation, and whether each can serve. Agents are the members without a
-    /// colon in their names; wrappers and controllers, which have one, come and go all the time.
+    /// Which agents are members, their incarnations and their readiness. Other members, which [`is_agent`] tells apart, join
+    /// and leave all the time and do not count.
+    ///
+    /// [`is_agent`]: super::is_agent
     Agents,
     /// All records of a kind.
     Kind(String),
 }
 
-/// What a transaction changes.
+impl ChangeScope {
+    fn key(&self) -> &str {
+        match self {
+            ChangeScope::Agents => AGENTS_SCOPE,
+            ChangeScope::Kind(kind) => kind,
+        }
+    }
+}
+
+/// A write of one record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Write {
-    /// This is the record's value from now on.
+    /// Sets the value of the record with this key.
     Put(String, String),
-    /// There is no such record from now on.
+    /// Deletes the record with this key.
     Delete(String),
 }
 
-/// Checks and writes that are carried out as one, or not at all.
+impl Write {
+    fn key(&self) -> &str {
+        match self {
+            Write::Put(key, _) | Write::Delete(key) => key,
+        }
+    }
+}
+
+/// Writes that are all executed, if all checks pass, or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
-    /// All must hold.
+    /// The preconditions.
     pub checks: Vec<Check>,
-    /// Then all are done.
+    /// The writes, each of another key.
     pub writes: Vec<Write>,
 }
 
+/// Why a transaction is not executed.
+enum TxnError {
+    Conflict { check: usize },
+    Invalid(InvalidInput),
+    LimitExceeded(LimitExceeded),
+}
+
+impl From<InvalidInput> for TxnError {
+    fn from(invalid: InvalidInput) -> Self {
+        TxnError::Invalid(invalid)
+    }
+}
+
+impl From<TxnError> for CommandResult {
+    fn from(error: TxnError) -> Self {
+        match error {
+            TxnError::Conflict { check } => CommandResult::Conflict { check },
+            TxnError::Invalid(invalid) => CommandResult::Refused(invalid.to_string()),
+            TxnError::LimitExceeded(limit) => CommandResult::Over(limit),
+        }
+    }
+}
+
+fn limit_exceeded(limit: &str, max: usize) -> TxnError {
+    TxnError::LimitExceeded(LimitExceeded::new(limit, max))
+}
+
 impl State {
     fn is_met(&self, check: &Check) -> bool {
         match check {
@@ -69,78 +119,79 @@
                 self.records.get(key).is_some_and(|record| record.revision == *revision)
             }
             Check::Living(name, incarnation) => self.living_member(name, *incarnation).is_some(),
-            Check::Unchanged(of, since) => {
-                let of = match of {
-                    ChangeScope::Agents => "",
-                    ChangeScope::Kind(kind) => kind,
-                };
-                self.last_changed.get(of).is_none_or(|touched| touched <= since)
+            Check::Ended(name, incarnation) => !self.may_hold_lease(name, *incarnation),
+            Check::Unchanged(scope, since) => {
+                self.last_changed.get(scope.key()).is_none_or(|changed| changed <= since)
             }
-            Check::Ended(name, incarnation) => !self
-                .members
-                .get(name)
-                .is_some_and(|member| member.incarnation == *incarnation && member.status.may_hold_lease()),
         }
     }
 
-    pub(super) fn execute_transaction(&mut self, txn: &Txn, bounds: &Limits) -> CommandResult {
+    pub(super) fn execute_transaction(&mut self, txn: &Txn, limits: &Limits) -> CommandResult {
+        // Everything that can be wrong is found before anything is changed.
+        match self.check_transaction(txn, limits) {
+            Ok(record_bytes) => self.record_bytes = record_bytes,
+            Err(error) => return error.into(),
+        }
+        self.revision += 1;
+        for write in &txn.writes {
+            self.execute_write(write, limits);
+        }
+        CommandResult::Done(self.revision)
+    }
+
+    fn execute_write(&mut self, write: &Write, limits: &Limits) {
+        let revision = self.revision;
+        let (key, value) = match write {
+            Write::Put(key, value) => {
+                self.records.insert(key.clone(), Record { value: value.clone(), revision });
+                (key, Some(value.clone()))
+            }
+            Write::Delete(key) => {
+                self.records.remove(key);
+                (key, None)
+            }
+        };
+        self.record_change(ChangedItem::Record(key.clone(), value), limits);
+    }
+
+    /// Checks the preconditions, the keys and the limits. Returns the bytes of all records after the transaction.
+    fn check_transaction(&self, txn: &Txn, limits: &Limits) -> Result<usize, TxnError> {
         if txn.checks.len() > MAX_TXN_OPERATIONS || txn.writes.len() > MAX_TXN_OPERATIONS {
-            return CommandResult::Over(LimitExceeded::new("checks and writes", MAX_TXN_OPERATIONS));
+            return Err(limit_exceeded("checks and writes", MAX_TXN_OPERATIONS));
         }
         if let Some(check) = txn.checks.iter().position(|check| !self.is_met(check)) {
-            return CommandResult::Conflict { check };
+            return Err(TxnError::Conflict { check });
         }
-        // All that can be wrong is looked for before anything is changed.
         let (mut records, mut bytes) = (self.records.len(), self.record_bytes);
-        for (place, write) in txn.writes.iter().enumerate() {
-            let key = match write {
-                Write::Put(key, _) | Write::Delete(key) => key,
-            };
-            let twice = txn.writes[..place]
-                .iter()
-                .any(|other| matches!(other, Write::Put(other, _) | Write::Delete(other) if other == key));
-            if let Some(fault) = invalid_key(key).or(twice.then(|| format!("key {key:?}: written twice"))) {
-                return CommandResult::Refused(fault);
+        for (position, write) in txn.writes.iter().enumerate() {
+            let key = write.key();
+            validate_key(key)?;
+            if txn.writes[..position].iter().any(|earlier| earlier.key() == key) {
+                return Err(InvalidInput::DuplicateKey(key.into()).into());
             }
             if let Some(old) = self.records.get(key) {
                 bytes -= key.len() + old.value.len();
                 records -= 1;
             }
             if let Write::Put(_, value) = write {
-                if value.len() > bounds.record_bytes {
-                    return CommandResult::Over(LimitExceeded::new("record_bytes", bounds.record_bytes));
+                if value.len() > limits.record_bytes {
+                    return Err(limit_exceeded("record_bytes", limits.record_bytes));
                 }
                 bytes += key.len() + value.len();
                 records += 1;
             }
         }
-        // What is over a bound may still be made smaller.
-        if records > bounds.records && records > self.records.len() {
-            return CommandResult::Over(LimitExceeded::new("records", bounds.records));
+        // A state that is over a limit, since the limit was lowered, may still shrink.
+        if records > limits.records && records > self.records.len() {
+            return Err(limit_exceeded("records", limits.records));
         }
-        if bytes > bounds.state_bytes && bytes > self.record_bytes {
-            return CommandResult::Over(LimitExceeded::new("state_bytes", bounds.state_bytes));
-        }
-        self.record_bytes = bytes;
-        self.revision += 1;
-        let revision = self.revision;
-        for write in &txn.writes {
-            let (key, value) = match write {
-                Write::Put(key, value) => {
-                    self.records.insert(key.clone(), Record { value: value.clone(), revision });
-                    (key, Some(value.clone()))
-                }
-                Write::Delete(key) => {
-                    self.records.remove(key);
-                    (key, None)
-                }
-            };
-            self.record_change(ChangedItem::Record(key.clone(), value), bounds);
+        if bytes > limits.state_bytes && bytes > self.record_bytes {
+            return Err(limit_exceeded("state_bytes", limits.state_bytes));
         }
-        CommandResult::Done(revision)
+        Ok(bytes)
     }
 
-    /// Bytes of all records.
+    /// Bytes of all keys and values.
     pub fn record_bytes(&self) -> usize {
         self.record_bytes
     }
--- a/crates/coordination/src/state/session.rs
+++ b/crates/coordination/src/state/session.rs
@@ -1,33 +1,42 @@
-//! Sessions: a command that is asked again is carried out once.
+//! Sessions: a command that is repeated under the same number is executed once.
 
 use super::command::CommandResult;
 use super::{Revision, State};
 use crate::Limits;
 use serde::{Deserialize, Serialize};
 
+/// The last command of a client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Session {
-    /// The number and reply of its last command.
+    /// Its number and its result.
     #[serde(rename = "last")]
     pub(super) last_command: Option<(u64, CommandResult)>,
+    /// The revision at which the session was last used.
     #[serde(rename = "used")]
     pub(super) last_used: Revision,
 }
 
 impl State {
-    /// A session under the present revision. The one that was silent longest makes room; members' never do.
-    pub(super) fn open_session(&mut self, bounds: &Limits) -> u64 {
-        if self.sessions.len() >= bounds.sessions {
-            let mut spare = self.sessions.iter().filter(|(number, _)| !self.is_session_of_member(**number));
-            let oldest =
-                spare.by_ref().min_by_key(|(_, session)| session.last_used).map(|(number, _)| *number);
-            oldest.map(|number| self.sessions.remove(&number));
+    /// Opens a session, whose number is the current revision. At the limit, the least recently used session of a non-member
+    /// is dropped.
+    pub(super) fn open_session(&mut self, limits: &Limits) -> Revision {
+        if self.sessions.len() >= limits.sessions {
+            if let Some(number) = self.least_recently_used_session() {
+                self.sessions.remove(&number);
+            }
         }
         self.sessions.insert(self.revision, Session { last_command: None, last_used: self.revision });
         self.revision
     }
 
-    fn is_session_of_member(&self, session: u64) -> bool {
-        self.members.values().any(|member| member.incarnation == session && member.status.may_hold_lease())
+    fn least_recently_used_session(&self) -> Option<Revision> {
+        let droppable = self.sessions.iter().filter(|(number, _)| !self.is_session_of_member(**number));
+        let oldest = droppable.min_by_key(|(_, session)| session.last_used);
+        oldest.map(|(number, _)| *number)
+    }
+
+    /// A member's session has the number of its incarnation.
+    fn is_session_of_member(&self, number: Revision) -> bool {
+        self.members.values().any(|member| member.incarnation == number && member.status.may_hold_lease())
     }
 }
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -1,142 +1,144 @@
-//! What processes say to each other. Each message carries an [`Envelope`]; what does not belong here is refused by name.
+//! The requests and responses that processes exchange, as JSON. Each request comes with an [`Envelope`]. The field and variant
+//! names on the wire are fixed; a serde `rename` keeps them where the name in the code differs.
 
+use crate::bootstrap::Identity;
 use crate::lease::LeaseTerms;
 use crate::node::NodeStatus;
-use crate::state::{Change, CommandRequest, CommandResult, Member, Peer, Record, Revision};
-use crate::{bootstrap::Identity, LimitExceeded, Time};
+use crate::state::{Change, ClusterId, CommandRequest, CommandResult, Member, Peer, Record, Revision};
+use crate::{Incarnation, LimitExceeded, NodeId, Term, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of these messages.
+/// The version of the protocol.
 pub const PROTOCOL: u32 = 1;
 
-/// On each message.
+/// What every request states about its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The name of the fleet.
     pub fleet: String,
-    /// [`PROTOCOL`].
+    /// The sender's [`PROTOCOL`].
     pub protocol: u32,
     /// The sender's name.
     pub from: String,
     /// The sender's incarnation; 0 if it has none.
-    pub incarnation: u64,
-    /// The Raft term that the sender is in or has heard of; 0 if none.
-    pub term: u64,
+    pub incarnation: Incarnation,
+    /// The latest Raft term that the sender knows; 0 if none.
+    pub term: Term,
 }
 
-/// What can be asked of a council process.
+/// A request to a coordination process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
-    /// Who it is; asked before a council is formed.
+    /// Asks for the identity of a process that is not part of a cluster yet.
     Hello,
-    /// To do something.
+    /// Changes the replicated state.
     Command(CommandRequest),
-    /// To renew the sender's lease.
+    /// Renews the sender's lease.
     Renew,
-    /// To read.
+    /// Reads members and records.
     Read {
-        /// As this process has it, however old.
+        /// Accept the state that this process has, however old; otherwise the read is linearizable.
         stale: bool,
-        /// Records whose keys begin so; empty for all.
+        /// The prefix of the keys to read; empty for all records.
         prefix: String,
-        /// Members too.
+        /// Whether members are read.
         members: bool,
     },
-    /// What has changed after a revision; waits until something has.
+    /// Waits for changes after a revision.
     Watch {
-        /// Of which history.
+        /// The cluster that the revision is of.
         #[serde(rename = "history")]
-        cluster_id: u64,
-        /// After which revision.
+        cluster_id: ClusterId,
+        /// The last revision that the sender knows.
         after: Revision,
-        /// Only of records whose keys begin so; empty for all records and members.
+        /// The prefix of the keys to watch; empty for all records and members.
         prefix: String,
     },
-    /// How this process stands.
+    /// Asks for the status of this process.
     Status,
-    /// A process comes in, another goes.
+    /// Adds a process to the cluster, removes one, or both at once.
     Replace {
-        /// Who comes, by the number of its disk.
-        add: Option<(u64, Peer)>,
-        /// Who goes, by number.
-        remove: Option<u64>,
+        /// The process to add.
+        add: Option<(NodeId, Peer)>,
+        /// The process to remove.
+        remove: Option<NodeId>,
     },
-    /// All of the state, to restore from.
+    /// Asks for a backup of the whole state.
     Copy,
 }
 
-/// What is answered.
+/// The response to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Response {
-    /// Who it is.
+    /// The identity of the process.
     Hello(Identity),
-    /// What came of a command, and the terms of leases.
+    /// The result of a command, and the terms of leases.
     Reply(CommandResult, LeaseTerms),
     /// The lease is renewed.
     Renewed(LeaseTerms),
-    /// The lease has ended: nothing may rest on it.
+    /// The lease has expired; the sender must not act on it.
     Ended,
-    /// The lease is not renewed any more: a newer process has the name, or waits for it.
+    /// The lease is not renewed: a newer process has the name, or waits for it.
     Displaced,
-    /// What was read.
+    /// The members and records that were read.
     Read(View),
-    /// What has changed.
+    /// Changes for a watch.
     Changes {
         /// In order, without a gap.
         changes: Vec<Change>,
-        /// Watch from here on.
+        /// The revision to watch from next.
         upto: Revision,
     },
-    /// How it stands, and how long members have been silent in microseconds, where it leads.
+    /// The status of the process and, if it leads, the microseconds since each member renewed its lease.
     Status(NodeStatus, BTreeMap<String, Time>),
-    /// The council has changed.
+    /// The processes of the cluster have been changed.
     Replaced,
-    /// All of the state, as JSON.
+    /// The whole state as JSON.
     Copy(String),
-    /// No.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// The state as it was read.
+/// Members and records as of one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Of which history.
+    /// The cluster that the revision is of.
     #[serde(rename = "history")]
-    pub cluster_id: u64,
-    /// As of which revision.
+    pub cluster_id: ClusterId,
+    /// The revision.
     pub revision: Revision,
-    /// How old this may be at most, in microseconds; none if the process can't tell. 0 for a read that is not stale.
+    /// How old this is at most, in microseconds; none if the process cannot tell. 0 for a linearizable read.
     #[serde(rename = "age")]
     pub max_staleness: Option<Time>,
-    /// The council's processes.
-    pub peers: BTreeMap<u64, Peer>,
-    /// Who takes part, if that was asked.
+    /// The processes of the cluster.
+    pub peers: BTreeMap<NodeId, Peer>,
+    /// The members by name, if they were asked for.
     pub members: BTreeMap<String, Member>,
-    /// The records that were asked for.
+    /// The records that were asked for, by key.
     pub records: BTreeMap<String, Record>,
 }
 
-/// Why not.
+/// Why a request is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The message is of another fleet.
+    /// The sender belongs to another fleet.
     #[error("this is fleet {own:?}; the message is of {theirs:?}")]
     OtherFleet {
-        /// This one.
+        /// The fleet of this process.
         own: String,
-        /// That one.
+        /// The sender's.
         theirs: String,
     },
-    /// The message is of another version.
+    /// The sender speaks another version of the protocol.
     #[error("this process speaks version {own}; the message is of {theirs}")]
     OtherProtocol {
-        /// This one.
+        /// The version of this process.
         own: u32,
-        /// That one.
+        /// The sender's.
         theirs: u32,
     },
     /// A newer process has the sender's name.
@@ -144,39 +146,44 @@
     OlderIncarnation {
         /// The name.
         name: String,
-        /// The newer one's.
-        newer: u64,
+        /// The newer incarnation.
+        newer: Incarnation,
     },
-    /// This process does not lead.
+    /// This process is not the leader.
     #[error("this process does not lead; {} may", .leader.as_ref().map_or("nobody that it knows", |peer| &peer.name))]
     NotLeader {
-        /// The one that may.
+        /// The leader, if this process knows one.
         leader: Option<Peer>,
     },
-    /// It may have been done or not, or be done yet.
+    /// The outcome is unknown: the request may have been carried out, or may still be. Repeat it with the same number.
     #[error("whether it was done is unknown; ask again with the same number")]
     Unknown,
-    /// A bound was reached.
+    /// A limit would be exceeded.
     #[error(transparent)]
     Over(LimitExceeded),
-    /// A watcher was away too long, or watched another history: read all, then watch from there.
+    /// The changes that a watch asks for are not kept any more, or are of another cluster. Read everything, and watch from
+    /// there.
     #[error("changes are only kept from revision {oldest} of history {cluster_id} on")]
     Compacted {
-        /// The history.
+        /// The cluster of this process.
         #[serde(rename = "history")]
-        cluster_id: u64,
-        /// From here on.
+        cluster_id: ClusterId,
+        /// The oldest revision that can be watched from.
         oldest: Revision,
     },
-    /// This process takes part in no council yet.
+    /// This process is not part of a cluster yet, for this reason.
     #[error("this process takes part in no council: {0}")]
     NotFormed(String),
-    /// It can't be done.
+    /// The request cannot be carried out, for this reason.
     #[error("{0}")]
     Impossible(String),
 }
 
-/// Refuses what is not of this fleet or this version.
+/// Checks that a request is of this fleet and this version of the protocol.
+///
+/// # Errors
+///
+/// [`Refusal::OtherFleet`] or [`Refusal::OtherProtocol`].
 pub fn check_envelope(envelope: &Envelope, fleet: &str) -> Result<(), Refusal> {
     if envelope.fleet != fleet {
         return Err(Refusal::OtherFleet { own: fleet.into(), theirs: envelope.fleet.clone() });
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -7,12 +7,12 @@
 
 use heronhoist_coordination::bootstrap::{initial_state, restored_state, ClusterInfo, Identity};
 use heronhoist_coordination::lease::LeaseTerms;
-use heronhoist_coordination::log::{Disk, DiskError, DurableState, WriteBatch};
+use heronhoist_coordination::log::{Disk, DiskError, DurableState, LogPosition, WriteBatch};
 use heronhoist_coordination::node::{Node, NodeSettings, NodeStatus, Operation, OperationResult};
 use heronhoist_coordination::permit::{self, Budget, Permit};
 use heronhoist_coordination::state::{
-    Change, ChangeScope, ChangedItem, Check, Command, CommandRequest, CommandResult, Compacted, Member,
-    MemberStatus, Peer, Record, State, Txn, Write, RECORD_KINDS,
+    Change, ChangeScope, ChangedItem, Check, ClusterId, Command, CommandRequest, CommandResult, Compacted,
+    Member, MemberStatus, Peer, Record, State, Txn, Write, RECORD_KINDS,
 };
 use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
 use heronhoist_coordination::{LimitExceeded, Limits};
@@ -197,7 +197,7 @@
 }
 
 fn identities() -> Vec<Identity> {
-    let formation = ClusterInfo { cluster_id: 5, peers: peers() };
+    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
     vec![
         Identity { node_id: 11, name: "c1".into(), cluster: None },
         Identity { node_id: 11, name: "c1".into(), cluster: Some(formation) },
@@ -206,7 +206,7 @@
 
 fn views() -> Vec<View> {
     let empty = View {
-        cluster_id: 5,
+        cluster_id: ClusterId(5),
         revision: 0,
         max_staleness: None,
         peers: BTreeMap::new(),
@@ -214,7 +214,7 @@
         records: BTreeMap::new(),
     };
     let full = View {
-        cluster_id: 5,
+        cluster_id: ClusterId(5),
         revision: 12,
         max_staleness: Some(250_000),
         peers: peers(),
@@ -248,7 +248,7 @@
         Refusal::NotLeader { leader: Some(peer("c2")) },
         Refusal::Unknown,
         Refusal::Over(excess()),
-        Refusal::Compacted { cluster_id: 5, oldest: 9 },
+        Refusal::Compacted { cluster_id: ClusterId(5), oldest: 9 },
         Refusal::NotFormed("it waits for c2".into()),
         Refusal::Impossible("why".into()),
     ]
@@ -268,7 +268,7 @@
         Request::Command(CommandRequest { session: Some((6, 1)), command: Command::Open }),
         Request::Renew,
         Request::Read { stale: true, prefix: "drain/".into(), members: false },
-        Request::Watch { cluster_id: 5, after: 12, prefix: "drain/".into() },
+        Request::Watch { cluster_id: ClusterId(5), after: 12, prefix: "drain/".into() },
         Request::Status,
         Request::Replace { add: Some((13, peer("c3"))), remove: Some(12) },
         Request::Replace { add: None, remove: None },
@@ -455,7 +455,7 @@
 #[test]
 fn identity_and_formation() {
     assert_golden("identity.jsonl", &identities());
-    assert_golden("formation.jsonl", &[ClusterInfo { cluster_id: 5, peers: peers() }]);
+    assert_golden("formation.jsonl", &[ClusterInfo { cluster_id: ClusterId(5), peers: peers() }]);
 }
 
 #[test]
@@ -544,7 +544,7 @@
     let bounds = Limits { members: 0, records: 1, state_bytes: 40, record_bytes: 20, ..Limits::default() };
     let put = |key: &str, length: usize| Write::Put(key.into(), "x".repeat(length));
     let write = |writes| Command::Write(Txn { checks: Vec::new(), writes });
-    let state = State::new(5, peers());
+    let state = State::new(ClusterId(5), peers());
     let reply = |command| state.clone().apply(&call(None, command), &bounds);
     let mut replies = vec![
         reply(joining(0)),
@@ -555,7 +555,7 @@
     let few_bytes = Limits { state_bytes: 10, ..Limits::default() };
     replies.push(state.clone().apply(&call(None, write(vec![put("note/a", 20)])), &few_bytes));
     assert_golden("bounds.jsonl", &replies);
-    let formation = ClusterInfo { cluster_id: 5, peers: peers() };
+    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
     let bounds = Limits { in_flight: 0, ..Limits::default() };
     let settings = NodeSettings { limits: bounds, ..NodeSettings::default() };
     let mut node = Node::new(11, &initial_state(&formation), settings, 1, 0).expect("a node");
@@ -567,7 +567,7 @@
 
 /// A state with something in each of its fields.
 fn agreed_state() -> State {
-    let mut state = State::new(5, peers());
+    let mut state = State::new(ClusterId(5), peers());
     // Of this many changes only the last are kept.
     let bounds = Limits { changes: 64, ..Limits::default() };
     let mut apply = |session, command| state.apply(&call(session, command), &bounds);
@@ -607,8 +607,8 @@
 #[test]
 fn whole_state() {
     let state = agreed_state();
-    let restored = state.clone().restored_as(6, BTreeMap::from([(13, peer("c3"))]));
-    assert_golden("state.jsonl", &[State::new(5, peers()), state, restored]);
+    let restored = state.clone().restored_as(ClusterId(6), BTreeMap::from([(13, peer("c3"))]));
+    assert_golden("state.jsonl", &[State::new(ClusterId(5), peers()), state, restored]);
 }
 
 /// The same as it is read: the next commands find the sessions, members, records and changes of the file.
@@ -629,7 +629,7 @@
 }
 
 fn named_image(name: &str, image: &DurableState) -> Vec<(String, Vec<u8>)> {
-    let cut = format!("{},{}", image.compacted.0, image.compacted.1).into_bytes();
+    let cut = format!("{},{}", image.compacted.index, image.compacted.term).into_bytes();
     let mut named = vec![(format!("{name} cut"), cut)];
     named.extend(image.hard_state.iter().map(|hard| (format!("{name} hard"), hard.clone())));
     named.extend(image.snapshot.iter().map(|snapshot| (format!("{name} snapshot"), snapshot.clone())));
@@ -650,7 +650,8 @@
             None => {
                 let cut = std::str::from_utf8(bytes).ok().and_then(|cut| cut.split_once(','));
                 let (index, term) = cut.expect("an index and a term");
-                image.compacted = (index.parse().expect("an index"), term.parse().expect("a term"));
+                let index = index.parse().expect("an index");
+                image.compacted = LogPosition { index, term: term.parse().expect("a term") };
             }
         }
     }
@@ -660,8 +661,8 @@
 /// What a disk has at first.
 #[test]
 fn first_images() {
-    let formed = initial_state(&ClusterInfo { cluster_id: 5, peers: peers() });
-    let restored = restored_state(agreed_state(), 6, 13, peer("c3"));
+    let formed = initial_state(&ClusterInfo { cluster_id: ClusterId(5), peers: peers() });
+    let restored = restored_state(agreed_state(), ClusterId(6), 13, peer("c3"));
     let named = [named_image("formed", &formed), named_image("restored", &restored)].concat();
     assert_golden_bytes("first_images.bytes", &named);
     let read = golden_bytes("first_images.bytes");
@@ -684,7 +685,7 @@
 
 /// A council of one that has carried out some commands and taken a second process in, which does not answer.
 fn council_of_one() -> (DurableState, State) {
-    let formation = ClusterInfo { cluster_id: 5, peers: BTreeMap::from([(11, peer("c1"))]) };
+    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: BTreeMap::from([(11, peer("c1"))]) };
     let mut disk = Recorder { image: initial_state(&formation) };
     let mut node = Node::new(11, &disk.image, NodeSettings::default(), 0x0102_0304, 0).expect("a node");
     let mut now = 0;
@@ -738,7 +739,7 @@
 /// What the processes of a council of two say to each other until a command of the first has been answered.
 #[test]
 fn messages_between_nodes() {
-    let formation = ClusterInfo { cluster_id: 5, peers: peers() };
+    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
     let mut said = Vec::new();
     let mut processes: Vec<(Node, Recorder)> = Vec::new();
     for number in [11, 12] {
--- a/crates/coordination/tests/history.rs
+++ b/crates/coordination/tests/history.rs
@@ -3,7 +3,7 @@
 use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo};
 use heronhoist_coordination::log::{Disk, DiskError, DurableState, WriteBatch};
 use heronhoist_coordination::node::{Node, NodeError, NodeSettings, Operation, OperationResult};
-use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Peer, Txn, Write};
+use heronhoist_coordination::state::{ClusterId, Command, CommandRequest, CommandResult, Peer, Txn, Write};
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
@@ -38,7 +38,7 @@
 impl Council {
     fn new() -> Council {
         let peers = [1, 2, 3].map(|n| (n, Peer { name: format!("c{n}"), address: String::new() }));
-        let image = initial_state(&ClusterInfo { cluster_id: 1, peers: peers.into() });
+        let image = initial_state(&ClusterInfo { cluster_id: ClusterId(1), peers: peers.into() });
         let mut council = Council { processes: BTreeMap::new(), now: 0, lives: 0 };
         for number in 1..=3 {
             council.start(number, Kept(image.clone()));
--- a/crates/coordination/tests/parts.rs
+++ b/crates/coordination/tests/parts.rs
@@ -4,7 +4,7 @@
 use heronhoist_coordination::lease::{LeaseState, LeaseTable, LeaseTerms};
 use heronhoist_coordination::permit::{self, PermitDenial};
 use heronhoist_coordination::retry_schedule::RetrySchedule;
-use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Peer, State};
+use heronhoist_coordination::state::{ClusterId, Command, CommandRequest, CommandResult, Peer, State};
 use heronhoist_coordination::wire::{check_envelope, Envelope, Refusal, View, PROTOCOL};
 use heronhoist_coordination::Limits;
 use std::collections::BTreeMap;
@@ -21,30 +21,34 @@
         |others: &[Identity]| others.iter().map(|i| (i.name.clone(), i.clone())).collect::<BTreeMap<_, _>>();
     let [c1, c2, c3] = [identity(11, "c1", None), identity(12, "c2", None), identity(13, "c3", None)];
     assert_eq!(
-        next_step(&c1, &peers, &hear(std::slice::from_ref(&c2)), 5),
+        next_step(&c1, &peers, &hear(std::slice::from_ref(&c2)), ClusterId(5)),
         BootstrapStep::Wait(vec!["c3".into()]),
         "not without all"
     );
     assert_eq!(
-        next_step(&c2, &peers, &hear(&[c1.clone(), c3.clone()]), 6),
+        next_step(&c2, &peers, &hear(&[c1.clone(), c3.clone()]), ClusterId(6)),
         BootstrapStep::Wait(vec!["c1".into()]),
         "one alone forms it"
     );
-    let BootstrapStep::Form(formed) = next_step(&c1, &peers, &hear(&[c2.clone(), c3.clone()]), 5) else {
+    let BootstrapStep::Form(formed) = next_step(&c1, &peers, &hear(&[c2.clone(), c3.clone()]), ClusterId(5))
+    else {
         panic!("not formed")
     };
     assert_eq!(formed.peers.keys().copied().collect::<Vec<_>>(), [11, 12, 13]);
     let known = identity(11, "c1", Some(formed.clone()));
-    assert_eq!(next_step(&c2, &peers, &hear(std::slice::from_ref(&known)), 6), BootstrapStep::Form(formed));
+    assert_eq!(
+        next_step(&c2, &peers, &hear(std::slice::from_ref(&known)), ClusterId(6)),
+        BootstrapStep::Form(formed)
+    );
     // It comes back under its old name with an empty disk.
     let lost = identity(99, "c3", None);
     assert_eq!(
-        next_step(&lost, &peers, &hear(&[known.clone(), c2]), 7),
-        BootstrapStep::Outside { cluster_id: 5, is_replaced: true }
+        next_step(&lost, &peers, &hear(&[known.clone(), c2]), ClusterId(7)),
+        BootstrapStep::Outside { cluster_id: ClusterId(5), is_replaced: true }
     );
     assert_eq!(
-        next_step(&identity(98, "c9", None), &peers, &hear(&[known]), 7),
-        BootstrapStep::Outside { cluster_id: 5, is_replaced: false }
+        next_step(&identity(98, "c9", None), &peers, &hear(&[known]), ClusterId(7)),
+        BootstrapStep::Outside { cluster_id: ClusterId(5), is_replaced: false }
     );
 }
 
@@ -98,7 +102,7 @@
 
 impl Council {
     fn new() -> Council {
-        Council(State::new(1, BTreeMap::new()))
+        Council(State::new(ClusterId(1), BTreeMap::new()))
     }
 
     fn join(&mut self, name: &str, nonce: u64) -> u64 {
--- a/crates/coordination/tests/state.rs
+++ b/crates/coordination/tests/state.rs
@@ -1,13 +1,14 @@
 //! The agreed state: what is carried out once, checked where it is taken, kept within bounds and told to watchers.
 
 use heronhoist_coordination::state::{
-    ChangeScope, ChangedItem, Check, Command, CommandRequest, CommandResult, MemberStatus, State, Txn, Write,
+    ChangeScope, ChangedItem, Check, ClusterId, Command, CommandRequest, CommandResult, MemberStatus, State,
+    Txn, Write,
 };
 use heronhoist_coordination::Limits;
 use std::collections::BTreeMap;
 
 fn state() -> State {
-    State::new(7, BTreeMap::new())
+    State::new(ClusterId(7), BTreeMap::new())
 }
 
 fn call(command: Command) -> CommandRequest {
@@ -202,8 +203,8 @@
     let copy = state.clone();
     let later = (0..50).map(|nonce| state.apply(&join(&format!("m{nonce}"), nonce), &bounds)).last();
     let later = incarnation(&later.expect("one"));
-    let mut restored = copy.restored_as(8, BTreeMap::new());
-    assert_eq!((restored.cluster_id, restored.members["n1"].status), (8, MemberStatus::Expired));
+    let mut restored = copy.restored_as(ClusterId(8), BTreeMap::new());
+    assert_eq!((restored.cluster_id, restored.members["n1"].status), (ClusterId(8), MemberStatus::Expired));
     assert_eq!(restored.records["budget/x"].value, "taken");
     assert!(restored.changes_after(first, 9).is_err(), "watchers of the old history read all");
     assert!(
@@ -250,6 +251,6 @@
         CommandResult::Conflict { check: 0 }
     );
     let seen = state.revision;
-    let mut restored = state.restored_as(8, BTreeMap::new());
+    let mut restored = state.restored_as(ClusterId(8), BTreeMap::new());
     assert_eq!(restored.apply(&unchanged(kind(), seen), &bounds), CommandResult::Conflict { check: 0 });
 }
--- a/crates/coordination/tests/store_failures.rs
+++ b/crates/coordination/tests/store_failures.rs
@@ -6,7 +6,7 @@
 use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo};
 use heronhoist_coordination::log::{Disk, DiskError, DurableState, WriteBatch};
 use heronhoist_coordination::node::{Node, NodeError, NodeSettings, Operation, OperationId, OperationResult};
-use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Peer, Txn, Write};
+use heronhoist_coordination::state::{ClusterId, Command, CommandRequest, CommandResult, Peer, Txn, Write};
 use heronhoist_coordination::Limits;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -70,7 +70,7 @@
 impl Council {
     fn new(number: u64, at: usize, place: Place) -> Council {
         let peers = [1, 2, 3].map(|n| (n, Peer { name: format!("c{n}"), address: String::new() }));
-        let image = initial_state(&ClusterInfo { cluster_id: 1, peers: peers.into() });
+        let image = initial_state(&ClusterInfo { cluster_id: ClusterId(1), peers: peers.into() });
         let mut council = Council {
             processes: BTreeMap::new(),
             now: 0,
--- a/crates/lab/src/processes/judge.rs
+++ b/crates/lab/src/processes/judge.rs
@@ -2,7 +2,7 @@
 //! Whether operations on a record can stand in one order is decided by a published checker.
 
 use crate::world::Micros;
-use heronhoist_coordination::state::{Change, Revision};
+use heronhoist_coordination::state::{Change, ClusterId, Revision};
 use std::collections::{BTreeMap, HashMap};
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::linearizability::WGLChecker;
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Watched {
     /// For each time it read all: the history, the revision that it read, and the changes that it was told from there.
-    pub stretches: Vec<(u64, Revision, Vec<Change>, Revision)>,
+    pub stretches: Vec<(ClusterId, Revision, Vec<Change>, Revision)>,
 }
 
 /// When something was out by a permit.
--- a/crates/lab/src/processes/judge/tests.rs
+++ b/crates/lab/src/processes/judge/tests.rs
@@ -44,7 +44,12 @@
     let change = |revision| Change { revision, item: what.clone() };
     let changes = [change(1), change(2), change(3)];
     let watched = |told: &[Revision], upto| Watched {
-        stretches: vec![(1, 1, told.iter().map(|r| change(*r)).collect(), upto)],
+        stretches: vec![(
+            heronhoist_coordination::state::ClusterId(1),
+            1,
+            told.iter().map(|r| change(*r)).collect(),
+            upto,
+        )],
     };
     assert!(gapless(0, &watched(&[2, 3], 3), &changes).is_empty());
     assert_eq!(gapless(0, &watched(&[3], 3), &changes).len(), 1);
--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -10,7 +10,7 @@
 use crate::world::Micros;
 use heronhoist_coordination::retry_schedule::{RetrySchedule, CALL_TIMEOUT};
 use heronhoist_coordination::state::{
-    Check, Command, CommandRequest, CommandResult, MemberStatus, Txn, Write,
+    Check, ClusterId, Command, CommandRequest, CommandResult, MemberStatus, Txn, Write,
 };
 use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
 use rand::seq::IndexedRandom;
@@ -670,7 +670,7 @@
     async fn watch(self: Rc<Self>, number: usize) -> Watched {
         let mut asker = Asker::new(&self, &format!("w{number}"));
         let mut watched = Watched::default();
-        let mut from: Option<(u64, u64)> = None;
+        let mut from: Option<(ClusterId, u64)> = None;
         while !self.healed.get() {
             let request = match from {
                 None => Request::Read { stale: false, prefix: String::new(), members: true },
--- a/crates/lab/src/processes/world/clients.rs
+++ b/crates/lab/src/processes/world/clients.rs
@@ -135,7 +135,7 @@
                         ));
                     }
                 }
-                if view.cluster_id != 0 && view.revision >= seen {
+                if view.cluster_id != ClusterId::NONE && view.revision >= seen {
                     watcher.history = view.cluster_id;
                     watcher.reading = Some(false);
                     let revision = view.revision;
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -22,7 +22,7 @@
 use heronhoist_coordination::retry_schedule::{RetrySchedule, CALL_TIMEOUT};
 use heronhoist_coordination::service::Service;
 use heronhoist_coordination::state::{
-    Change, Check, Command, CommandRequest, CommandResult, MemberStatus, Peer, Txn, Write,
+    Change, Check, ClusterId, Command, CommandRequest, CommandResult, MemberStatus, Peer, Txn, Write,
 };
 use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
 use heronhoist_coordination::Limits;
@@ -177,7 +177,7 @@
 }
 
 struct Watcher {
-    history: u64,
+    history: ClusterId,
     reading: Option<bool>,
     watched: Watched,
     next_at: Micros,
@@ -319,7 +319,7 @@
                 (world.rng.random_range(1..u64::MAX), Peer { name: format!("c{n}"), address: String::new() })
             })
             .collect();
-        let image = initial_state(&ClusterInfo { cluster_id: seed.max(1), peers: peers.clone() });
+        let image = initial_state(&ClusterInfo { cluster_id: ClusterId(seed.max(1)), peers: peers.clone() });
         let mut peers: Vec<(u64, Peer)> = peers.into_iter().collect();
         peers.sort_by(|a, b| a.1.name.cmp(&b.1.name));
         for (number, peer) in peers {
@@ -341,8 +341,13 @@
             world.add(&format!("k{n}"), "", Role::Client(client), Life::Up);
         }
         for n in 0..plan.watchers {
-            let watcher =
-                Watcher { history: 0, reading: None, watched: Watched::default(), next_at: 0, sent: 0 };
+            let watcher = Watcher {
+                history: ClusterId::NONE,
+                reading: None,
+                watched: Watched::default(),
+                next_at: 0,
+                sent: 0,
+            };
             world.add(&format!("w{n}"), "", Role::Watcher(watcher), Life::Up);
         }
         for n in 0..plan.operators {
@@ -704,7 +709,7 @@
         let Role::Council { desk: Some(desk), .. } = &self.processes[at].role else { return };
         let state = desk.node().state();
         let known = self.agreed.last().map_or(0, |(_, revision)| *revision);
-        if state.cluster_id != 0 && state.revision > known {
+        if state.cluster_id != ClusterId::NONE && state.revision > known {
             if let Ok((changes, _)) = state.changes_after(known, usize::MAX) {
                 self.agreed.push((self.now, state.revision));
                 for change in &changes {
--- a/crates/release/src/drain.rs
+++ b/crates/release/src/drain.rs
@@ -4,7 +4,7 @@
 
 use crate::budget::{self, Count, Sort};
 use crate::{below, read, Unreadable};
-use heronhoist_coordination::state::{is_agent, Check, MemberStatus, Revision, Txn, Write};
+use heronhoist_coordination::state::{is_agent, Check, ClusterId, MemberStatus, Revision, Txn, Write};
 use heronhoist_coordination::wire::{Request, Response, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -141,7 +141,7 @@
     drains: BTreeMap<String, u64>,
     said: Option<Quiet>,
     /// Where it goes on watching: the history and revision of what was read.
-    stands: Option<(u64, Revision)>,
+    stands: Option<(ClusterId, Revision)>,
 }
 
 impl Listener {
--- a/crates/release/tests/golden.rs
+++ b/crates/release/tests/golden.rs
@@ -3,7 +3,9 @@
 //! versions read each other's records. Each file has one value a line, in the order of the test.
 
 use heronhoist_coordination::permit;
-use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Peer, Record, State, Txn};
+use heronhoist_coordination::state::{
+    ClusterId, Command, CommandRequest, CommandResult, Peer, Record, State, Txn,
+};
 use heronhoist_coordination::wire::{Request, Response, View};
 use heronhoist_coordination::Limits;
 use heronhoist_release::budget::{self, By, Most, Rule, Rules, Server, Sort};
@@ -188,7 +190,8 @@
 /// One transaction of each sort, in one history; and all records as they stand at its end.
 #[test]
 fn transactions_and_the_records_that_they_leave() {
-    let mut council = Council { state: State::new(1, BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
+    let mut council =
+        Council { state: State::new(ClusterId(1), BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
     let [n1, _, tool] = ["n1", "n2", "tool:r1"].map(|name| council.join(name));
     let key = permit::agent_budget_key("east");
     council.write(|view| permit::set_limit(view, &key, 1).expect("stated"));
@@ -214,7 +217,8 @@
 /// The records of the file, read: drains, who is quiet, what servers lack, and what is out by which rule.
 #[test]
 fn records_that_were_written_are_read() {
-    let mut council = Council { state: State::new(1, BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
+    let mut council =
+        Council { state: State::new(ClusterId(1), BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
     for name in ["n1", "n2", "tool:r1"] {
         council.join(name);
     }
@@ -251,7 +255,7 @@
 fn questions_of_a_listener() {
     let mut listener = Listener::default();
     let first = listener.asks();
-    let council = Council { state: State::new(1, BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
+    let council = Council { state: State::new(ClusterId(1), BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
     listener.hears(Some(&Response::Read(council.view()))).expect("read");
     let questions: [Request; 2] = [first, listener.asks()];
     assert_golden("listener_request.jsonl", &questions);
--- a/crates/release/tests/release.rs
+++ b/crates/release/tests/release.rs
@@ -1,7 +1,7 @@
 //! Budgets, drains and what agents find, over the council's agreed state.
 
 use heronhoist_coordination::permit;
-use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Peer, State, Txn};
+use heronhoist_coordination::state::{ClusterId, Command, CommandRequest, CommandResult, Peer, State, Txn};
 use heronhoist_coordination::wire::{Response, View};
 use heronhoist_coordination::Limits;
 use heronhoist_release::budget::{By, Count, Denied, Most, Rule, Rules, Senseless, Server, Sort};
@@ -13,7 +13,7 @@
 
 impl Council {
     fn new() -> Council {
-        Council(State::new(1, BTreeMap::<u64, Peer>::new()))
+        Council(State::new(ClusterId(1), BTreeMap::<u64, Peer>::new()))
     }
 
     fn run(&mut self, command: Command) -> CommandResult {
