--- a/crates/decision/tests/decisions_in_one_place.rs
+++ b/crates/decision/tests/decisions_in_one_place.rs
@@ -169,10 +169,13 @@
         let calls = code.matches("upstream.attempt(").count() + code.matches("upstream().attempt(").count();
         begun.extend(std::iter::repeat_n(file, calls));
     }
-    assert_eq!(begun, ["crates/engine/src/pool.rs"]);
-    let pool = read("crates/engine/src/pool.rs");
-    let sends = pool.lines().filter(|line| line.contains("self.send(")).count();
-    let (_, carried_out) = pool.split_once("Action::Send {").expect("where a send is carried out");
+    assert_eq!(begun, ["crates/engine/src/pool/attempts.rs"]);
+    let is_code = |file: &String| file.ends_with(".rs") && !file.ends_with("/tests.rs");
+    let code: Vec<String> = files_below("crates/engine/src").into_iter().filter(is_code).collect();
+    let lines = code.iter().flat_map(|file| read(file).lines().map(String::from).collect::<Vec<_>>());
+    let sends = lines.filter(|line| line.contains("self.send(")).count();
+    let events = read("crates/engine/src/pool/events.rs");
+    let (_, carried_out) = events.split_once("Action::Send {").expect("where a send is carried out");
     let (arm, _) = carried_out.split_once("Action::Cancel").expect("the next action");
     assert!(sends == 1 && arm.contains("self.send(request, server, timeout_at, begin_by)"), "{sends} calls");
 }
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,9 +1,13 @@
+use super::rejection::COME_BACK;
 use super::*;
 use crate::membership::Member;
 use crate::quota::Quota;
-use crate::upstream::Arriving;
+use crate::upstream::{Arriving, Coming, Ended, Gate, Payload, Place};
+use heronhoist_decision::{AttemptNumber, DeduplicationScope, Effect, Outcome, ServerId};
+use std::future::Future;
 use std::pin::Pin;
 use tokio::task::{yield_now, LocalSet};
+use tokio::time::Instant;
 
 /// Its servers never answer.
 struct Mute;
