--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership/feed.rs
@@ -1,87 +1,12 @@
-//! Which servers there are: lists with versions, from whoever knows.
+//! The way from a source of lists to its pool, and what the pool's module wants of the source.
 
+use super::{Heard, List, Member};
 use crate::clock::Clock;
 use crate::start_times::StartTimes;
-use heronhoist_decision::{DialectId, Time};
 use std::cell::{Cell, RefCell};
-use std::future::Future;
-use std::pin::Pin;
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
 
-/// The states of a server.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
-    /// Takes requests.
-    Serving,
-    /// Finishes what it has.
-    Draining,
-    /// Has left.
-    Gone,
-}
-
-/// A line of a list.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Member<A> {
-    /// The server's name; another name is another server, whatever its address.
-    pub name: String,
-    /// Where it is reached.
-    pub address: A,
-    /// The name of its zone.
-    pub zone: String,
-    /// The name of its kind of machine.
-    pub kind: String,
-    /// The group of servers that drop each other's repeats.
-    pub cell: u32,
-    /// What it speaks. One that speaks otherwise from now on is another process, in a life of its own.
-    pub dialect: DialectId,
-    /// What it does at present.
-    pub state: State,
-    /// Its size among the others, if the list says.
-    pub weight: Option<f64>,
-    /// When it last started, if that was lately; by the source's clock until its list has passed the [`Feed`], and in the
-    /// pool's time from there on.
-    pub started: Option<Time>,
-}
-
-impl<A> Member<A> {
-    /// A server that serves, in no zone, kind or cell of its own.
-    pub fn serving(name: &str, address: A) -> Self {
-        let (zone, kind) = (String::new(), String::new());
-        let (cell, dialect, weight, started) = (0, DialectId(0), None, None);
-        Member {
-            name: name.into(),
-            address,
-            zone,
-            kind,
-            cell,
-            dialect,
-            state: State::Serving,
-            weight,
-            started,
-        }
-    }
-}
-
-/// A list, or what has changed of one.
-#[derive(Debug, Clone, PartialEq)]
-pub struct List<A> {
-    /// Grows with each change at the source.
-    pub version: i64,
-    /// This is all of it: what it leaves out has left.
-    pub whole: bool,
-    /// Its lines.
-    pub members: Vec<Member<A>>,
-}
-
-/// What a pool does with what its membership says.
-pub trait Heard<A> {
-    /// A list has come, no older than the one before it.
-    fn listed(&self, list: List<A>);
-    /// What the module had asked for could not be had.
-    fn failed(&self);
-}
-
 /// What the module wants of its membership.
 #[derive(Default)]
 pub(crate) struct Wants {
@@ -192,39 +117,3 @@
         self.wants.fetch.notified().await;
     }
 }
-
-/// A source of lists. It runs for as long as its pool does, and hands over what it hears.
-pub trait Membership<A> {
-    /// Runs until dropped.
-    fn run(self: Box<Self>, feed: Feed<A>) -> Pin<Box<dyn Future<Output = ()>>>;
-}
-
-/// A list that only its owner changes, such as one in a file.
-pub struct Fixed<A>(watch::Receiver<Vec<Member<A>>>);
-
-impl<A: Clone + PartialEq> Fixed<A> {
-    /// Follows whatever the sender says.
-    pub fn new(members: watch::Receiver<Vec<Member<A>>>) -> Self {
-        Fixed(members)
-    }
-}
-
-impl<A: Clone + 'static> Membership<A> for Fixed<A> {
-    fn run(mut self: Box<Self>, feed: Feed<A>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(async move {
-            loop {
-                let version = feed.version().unwrap_or(0) + 1;
-                let members = self.0.borrow_and_update().clone();
-                feed.listed(List { version, whole: true, members });
-                tokio::select! {
-                    biased;
-                    changed = self.0.changed() => if changed.is_err() { std::future::pending::<()>().await },
-                    () = feed.asked() => {}
-                }
-            }
-        })
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/engine/src/membership/tests.rs
+++ b/crates/engine/src/membership/tests.rs
@@ -1,6 +1,11 @@
 use super::*;
+use crate::clock::Clock;
+use crate::start_times::StartTimes;
 use heronhoist_decision::Span;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
 use std::time::Duration;
+use tokio::sync::watch;
 
 #[derive(Default)]
 struct Notes(RefCell<Vec<(i64, usize)>>, Cell<u32>);
--- a/crates/engine/src/servers.rs
+++ b/crates/engine/src/servers/mod.rs
@@ -1,11 +1,14 @@
 //! The identities and lives of a pool's servers.
 
+mod numbers;
+
 use crate::membership::{List, Member, State};
 use crate::timing::stalled_since;
 use crate::upstream::Place;
 use heronhoist_decision::{
     CellId, Dialects, Endpoint, MachineTypeId, Outcome, ServerId, Status, Time, ZoneId,
 };
+use numbers::Numbers;
 use rustc_hash::FxHashMap;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -18,8 +21,6 @@
 pub const SERVERS_MOST: usize = 4096;
 /// A server that was silent so often in a row can't be reached, as far as can be told from here.
 const SILENT: u32 = 3;
-/// Names of zones or kinds that have a number of their own.
-const NAMES_MOST: u32 = 1000;
 
 /// The names that the settings number.
 #[derive(Debug, Clone, Default)]
@@ -44,27 +45,6 @@
     silent: u32,
 }
 
-/// Numbers for names, in the order in which they are met; the settings' names come first.
-struct Numbers(HashMap<String, u32>);
-
-impl Numbers {
-    fn new(names: &[String]) -> Self {
-        Numbers(names.iter().zip(0..).map(|(n, i)| (n.clone(), i)).collect())
-    }
-
-    fn of(&mut self, name: &str) -> u32 {
-        if let Some(number) = self.0.get(name) {
-            return *number;
-        }
-        let next = self.0.len() as u32;
-        // Names that the settings don't hold are few; past this they share one number.
-        if next <= NAMES_MOST {
-            self.0.insert(name.to_string(), next);
-        }
-        next
-    }
-}
-
 /// All servers that a pool knows.
 pub(crate) struct Servers<A> {
     servers: FxHashMap<ServerId, Server<A>>,
--- a/crates/engine/src/servers/tests.rs
+++ b/crates/engine/src/servers/tests.rs
@@ -1,3 +1,4 @@
+use super::numbers::NAMES_MOST;
 use super::*;
 
 /// Servers that are replaced under ever new names must not be kept, and the one that takes the address of one
