--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts and probes: a message out, what comes back told as an outcome.
 
-use crate::connections::{Connections, Lease, LeaseUse, Place};
+use crate::connections::{Connections, EndpointAddress, Lease, LeaseUse};
 use crate::dialect::{NEW, OLD};
 use crate::download::{BodyLength, Download, Origin};
 use crate::idle_timeout::ConnectionEnd;
@@ -11,7 +11,7 @@
 use bytes::{Bytes, BytesMut};
 use heronhoist_decision::{DialectId, Outcome, ServerId};
 use heronhoist_engine::timing::{caught_up, read_until, timeout, timeout_at};
-use heronhoist_engine::{Arriving, Gate, Part, Portion, Upstream};
+use heronhoist_engine::{Gate, QuotaShare, Reservation, StreamingBody, Upstream};
 use heronhoist_translate::wire::trouble::is_refusal;
 use heronhoist_translate::Mapping;
 use http_body_util::BodyExt;
@@ -60,7 +60,7 @@
     /// The connection of the client that waits for the answer; probes have none.
     pub client: Option<View>,
     /// The memory that the body holds.
-    pub _portion: Option<Portion>,
+    pub _portion: Option<Reservation>,
 }
 
 /// A request as servers of the old dialect get it.
@@ -116,17 +116,17 @@
 /// The body of an answer.
 pub enum Content {
     /// All of it, and the memory that it holds.
-    Held(Bytes, Portion),
+    Held(Bytes, Reservation),
     /// Its beginning; the rest is to come.
     Coming(Box<Download>),
 }
 
 /// How an attempt or a probe ended.
-pub type Ended = heronhoist_engine::Ended<Served>;
+pub type AttemptResult = heronhoist_engine::AttemptResult<Served>;
 
-impl heronhoist_engine::Payload for Call {
-    fn arriving(&self) -> Option<&dyn Arriving> {
-        self.body.upload().map(|upload| &**upload as &dyn Arriving)
+impl heronhoist_engine::RequestPayload for Call {
+    fn arriving(&self) -> Option<&dyn StreamingBody> {
+        self.body.upload().map(|upload| &**upload as &dyn StreamingBody)
     }
 }
 
@@ -134,14 +134,14 @@
 /// forget connections that rest, and say nothing.
 struct AtWork<'a> {
     connections: &'a Connections,
-    place: Place,
+    place: EndpointAddress,
     usage: LeaseUse,
     until: Instant,
     ended: bool,
 }
 
 impl<'a> AtWork<'a> {
-    fn new(connections: &'a Connections, place: Place, lease: &Lease, until: Instant) -> Self {
+    fn new(connections: &'a Connections, place: EndpointAddress, lease: &Lease, until: Instant) -> Self {
         AtWork { connections, place, usage: lease.usage(), until, ended: false }
     }
 
@@ -181,7 +181,7 @@
 
 struct Inner {
     connections: Rc<Connections>,
-    bodies: Rc<Part>,
+    bodies: Rc<QuotaShare>,
     fields: RefCell<Vec<String>>,
     has_reports: Cell<bool>,
     patience: Patience,
@@ -191,7 +191,7 @@
     /// `fields` are the names in a load report, empty where there are none.
     pub fn new(
         connections: Rc<Connections>,
-        bodies: Rc<Part>,
+        bodies: Rc<QuotaShare>,
         fields: Vec<String>,
         has_reports: bool,
     ) -> Self {
@@ -231,11 +231,11 @@
     type Call = Call;
     type Answer = Served;
 
-    async fn attempt(&self, place: Place, call: &Call, gate: Gate<'_>) -> Ended {
+    async fn attempt(&self, place: EndpointAddress, call: &Call, gate: Gate<'_>) -> AttemptResult {
         self.0.attempt(place, call, &gate).await
     }
 
-    async fn probe(&self, place: Place) -> Ended {
+    async fn probe(&self, place: EndpointAddress) -> AttemptResult {
         self.0.probe(place).await
     }
 
@@ -250,7 +250,7 @@
 
 impl Inner {
     /// Sends one attempt or a probe.
-    async fn attempt(&self, place: Place, call: &Call, gate: &Gate<'_>) -> Ended {
+    async fn attempt(&self, place: EndpointAddress, call: &Call, gate: &Gate<'_>) -> AttemptResult {
         if place.dialect != NEW && call.old.is_none() {
             // It speaks otherwise since this was decided.
             return Outcome::NotSent.into();
@@ -332,9 +332,9 @@
         &self,
         lease: &mut Lease,
         call: &Call,
-        place: Place,
+        place: EndpointAddress,
         left: Duration,
-    ) -> Result<Ended, Spoilt> {
+    ) -> Result<AttemptResult, Spoilt> {
         let view = lease.view.clone();
         let sender = lease.sender().ok_or(Spoilt::Connection)?;
         let mut request = message(call, place, left);
@@ -362,7 +362,7 @@
         answer: Response<Incoming>,
         view: &View,
         dialect: DialectId,
-    ) -> Result<Ended, Spoilt> {
+    ) -> Result<AttemptResult, Spoilt> {
         let (head, mut body) = answer.into_parts();
         let framing = body_length(head.status, &head.headers).ok_or(Spoilt::Answer)?;
         let length = framing.bytes();
@@ -408,7 +408,11 @@
         };
         if outcome != Outcome::Success {
             // Nobody gets its body; one that is long costs its connection.
-            return if ended { Ok(Ended { outcome, report, answer: None }) } else { Err(Spoilt::Answer) };
+            return if ended {
+                Ok(AttemptResult { outcome, report, answer: None })
+            } else {
+                Err(Spoilt::Answer)
+            };
         }
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
         let body = if ended {
@@ -417,11 +421,11 @@
             view.lift_allowance();
             Content::Coming(Box::new(Download::new(begun, body, framing, portion)))
         };
-        Ok(Ended { outcome, report, answer: Some(Served { body, content_type, dialect }) })
+        Ok(AttemptResult { outcome, report, answer: Some(Served { body, content_type, dialect }) })
     }
 
     /// Asks a server how it is.
-    pub async fn probe(&self, place: Place) -> Ended {
+    pub async fn probe(&self, place: EndpointAddress) -> AttemptResult {
         // The old dialect has no such call: whatever answers is well.
         let is_old = place.dialect == OLD;
         let uri = Uri::from_static(match self.has_reports.get() {
@@ -540,7 +544,7 @@
 }
 
 /// The message to a backend: the client's own, with the time that this attempt has left. (The old dialect has no place for it.)
-fn message(call: &Call, place: Place, left: Duration) -> Request<Outgoing> {
+fn message(call: &Call, place: EndpointAddress, left: Duration) -> Request<Outgoing> {
     let host = HeaderValue::from_str(&place.address.to_string());
     if let Some(old) = call.old.as_deref().filter(|_| place.dialect == OLD) {
         let mut request = Request::new(Payload::Held(old.body.clone()).outgoing());
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -38,7 +38,7 @@
 }
 
 async fn gated(backends: &Inner, address: SocketAddr, body: usize, may_send: bool) -> Outcome {
-    let place = Place { server: ServerId(0), address, life: 0, dialect: NEW };
+    let place = EndpointAddress { server: ServerId(0), address, life: 0, dialect: NEW };
     let (sent, lawful) = (Cell::new(false), || may_send);
     let gate = Gate::new(&sent, &lawful, Instant::now() + Duration::from_secs(60));
     backends.attempt(place, &post(body), &gate).await.outcome
@@ -66,8 +66,12 @@
         let (_wire, view) = crate::wire::Wire::of_client(clients.accept().await.unwrap().0);
         std::io::Write::write_all(&mut client, behind.as_bytes()).unwrap();
         let server = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let place =
-            Place { server: ServerId(0), address: server.local_addr().unwrap(), life: 0, dialect: NEW };
+        let place = EndpointAddress {
+            server: ServerId(0),
+            address: server.local_addr().unwrap(),
+            life: 0,
+            dialect: NEW,
+        };
         let (sent, client) = (Cell::new(false), Cell::new(Some(client)));
         // The close comes once the gate has been found open: no event of the runtime tells of it in time.
         let lawful = || {
@@ -250,7 +254,7 @@
     let client = async {
         let mut served = 0;
         for _ in 0..40 {
-            let place = Place { server: ServerId(0), address, life: 0, dialect: NEW };
+            let place = EndpointAddress { server: ServerId(0), address, life: 0, dialect: NEW };
             let (sent, lawful, until) =
                 (Cell::new(false), || true, Instant::now() + Duration::from_millis(200));
             let (gate, call) = (Gate::new(&sent, &lawful, until), post(9));
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -10,7 +10,7 @@
 use crate::{legacy, translate};
 use heronhoist_config::{Fault, Protocol, ServerState};
 use heronhoist_decision::{ReportSource, Span};
-use heronhoist_engine::{List, Member, ServerNames, State};
+use heronhoist_engine::{EndpointInfo, EndpointList, EndpointState, ServerNames};
 use heronhoist_routes::Table;
 use heronhoist_settings::SettingsFile;
 use heronhoist_translate::Mappings;
@@ -98,7 +98,7 @@
     /// What its processes may hold together.
     limits: Limits,
     /// The list as this agent last had it.
-    pub known: Option<List<SocketAddr>>,
+    pub known: Option<EndpointList<SocketAddr>>,
     /// What it serves.
     pub plan: Plan,
     /// How its log looks, and what is in it.
@@ -238,16 +238,16 @@
 
 /// A pool of this project's own file.
 fn own_pool(pool: &heronhoist_config::Pool) -> PoolPlan {
-    let member = |server: &heronhoist_config::Server| Member {
+    let member = |server: &heronhoist_config::Server| EndpointInfo {
         zone: server.zone.clone(),
         cell: server.cell,
         dialect: if server.is_old { OLD } else { NEW },
         weight: Some(server.weight),
         state: match server.state {
-            ServerState::Serving => State::Serving,
-            ServerState::Draining => State::Draining,
+            ServerState::Serving => EndpointState::Serving,
+            ServerState::Draining => EndpointState::Draining,
         },
-        ..Member::serving(&server.name, server.address)
+        ..EndpointInfo::serving(&server.name, server.address)
     };
     PoolPlan {
         name: pool.name.clone(),
@@ -497,7 +497,7 @@
             ops: places.ops.or(file.ops).map(|text| address("ops", Some(text))).transpose()?,
             seed: file.seed.map_or(0, |seed| seed_number(&seed)),
             limits: Limits { sockets: Some(sockets), ..file.limits },
-            known: file.known.map(List::from),
+            known: file.known.map(EndpointList::from),
             plan: plan(&file.settings, address("discovery", places.discovery.or(file.discovery))?),
             log: log::Wanted::default(),
             path: PathBuf::new(),
--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -1,6 +1,6 @@
 //! How this program makes connections, and of whom a connection that fails says anything.
 
-use crate::connections::Place;
+use crate::connections::EndpointAddress;
 use crate::socket_error::ConnectError;
 use heronhoist_decision::{Outcome, ServerId};
 use heronhoist_engine::timing::timeout;
@@ -91,7 +91,7 @@
     pub async fn connect(
         &self,
         connector: &impl Connector,
-        place: Place,
+        place: EndpointAddress,
         within: Duration,
     ) -> Result<TcpStream, Outcome> {
         let error = match timeout(within, connect(connector, place.address)).await {
@@ -125,7 +125,7 @@
     }
 
     /// No route leads to a server while others have been reached.
-    fn is_only_unrouted(&self, place: Place, within: Duration) -> bool {
+    fn is_only_unrouted(&self, place: EndpointAddress, within: Duration) -> bool {
         let (now, mut unrouted) = (Instant::now(), self.unrouted.borrow_mut());
         let new = || Spell { life: place.life, first: now, last: now };
         let spell = unrouted.entry(place.server).or_insert_with(new);
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -37,21 +37,21 @@
 /// A peer on loopback; connections wait in its queue.
 struct Peer {
     listener: TcpListener,
-    place: Place,
+    place: EndpointAddress,
 }
 
 async fn peer(number: u32) -> Peer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    Peer { listener, place: Place { server: ServerId(number), address, life: 0, dialect: NEW } }
+    Peer { listener, place: EndpointAddress { server: ServerId(number), address, life: 0, dialect: NEW } }
 }
 
 impl Reachability {
-    async fn fails(&self, errno: Errno, place: Place) -> Outcome {
+    async fn fails(&self, errno: Errno, place: EndpointAddress) -> Outcome {
         self.connect(&Scripted::failing([errno]), place, WITHIN).await.expect_err("it fails")
     }
 
-    async fn comes_up(&self, place: Place) {
+    async fn comes_up(&self, place: EndpointAddress) {
         self.connect(&Tcp, place, WITHIN).await.expect("it comes up");
     }
 }
@@ -138,7 +138,7 @@
             assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::ConnectFailed);
         }
         // Another life of it may stand elsewhere.
-        let moved = Place { life: 1, ..one.place };
+        let moved = EndpointAddress { life: 1, ..one.place };
         assert_eq!(reachability.fails(Errno::NETUNREACH, moved).await, Outcome::NotSent);
         // Once it has been reached all begins anew.
         reachability.comes_up(one.place).await;
@@ -151,7 +151,9 @@
 async fn servers_that_have_left_are_forgotten() {
     let (one, reachability) = (peer(1).await, Reachability::default());
     for server in 0..100 {
-        reachability.fails(Errno::NETUNREACH, Place { server: ServerId(server), ..one.place }).await;
+        reachability
+            .fails(Errno::NETUNREACH, EndpointAddress { server: ServerId(server), ..one.place })
+            .await;
     }
     reachability.retain(|server, _| server == ServerId(7));
     assert_eq!(reachability.unrouted.borrow().len(), 1);
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -6,7 +6,7 @@
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
 use heronhoist_decision::{Outcome, ServerId};
-use heronhoist_engine::Part;
+use heronhoist_engine::QuotaShare;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
 const HEADERS_MOST: usize = 64;
 
 /// A server on the network.
-pub type Place = heronhoist_engine::Place<SocketAddr>;
+pub type EndpointAddress = heronhoist_engine::EndpointAddress<SocketAddr>;
 
 /// A connection that carries no request.
 struct Idle {
@@ -160,7 +160,7 @@
 /// The connections to all backends of a pool.
 pub struct Connections {
     idle: RefCell<HashMap<ServerId, Vec<Idle>>>,
-    open: Rc<Part>,
+    open: Rc<QuotaShare>,
     siblings: Rc<Siblings>,
     connect_timeout: Cell<Duration>,
     idle_timeout: IdleTimeout,
@@ -171,7 +171,7 @@
 impl Connections {
     /// No connections yet, and no more than `open` has room for.
     pub fn new(
-        open: Rc<Part>,
+        open: Rc<QuotaShare>,
         siblings: &Rc<Siblings>,
         connect_timeout: Duration,
         keepalive: Duration,
@@ -210,7 +210,7 @@
     }
 
     /// The warmest connection that has rested, one that a trusted server has to spare, or a new one.
-    pub async fn lease(&self, place: Place) -> Result<Lease, Outcome> {
+    pub async fn lease(&self, place: EndpointAddress) -> Result<Lease, Outcome> {
         if let Some(idle) = self.pop(place) {
             let Idle { sender, view, task, since, .. } = idle;
             let (rested, written, received) = (Some(since.elapsed()), view.written(), view.received());
@@ -249,7 +249,7 @@
         Ok(Lease { sender: Some(sender), view, task, rested: None, written: 0, received: 0 })
     }
 
-    fn pop(&self, place: Place) -> Option<Idle> {
+    fn pop(&self, place: EndpointAddress) -> Option<Idle> {
         let (now, limit) = (Instant::now(), self.idle_timeout.limit());
         let mut idle = self.idle.borrow_mut();
         let pool = idle.get_mut(&place.server)?;
@@ -306,7 +306,7 @@
     }
 
     /// Learns from how a connection has served; and bytes may have come on it ahead of the request's first.
-    pub fn note(&self, place: Place, usage: &LeaseUse, end: ConnectionEnd) {
+    pub fn note(&self, place: EndpointAddress, usage: &LeaseUse, end: ConnectionEnd) {
         if end == ConnectionEnd::Answered {
             self.reachability.note_reached();
         }
@@ -319,7 +319,7 @@
     }
 
     /// Keeps a connection for the next request.
-    pub fn give_back(&self, place: Place, mut lease: Lease) {
+    pub fn give_back(&self, place: EndpointAddress, mut lease: Lease) {
         let Some(sender) = lease.sender.take() else { return };
         let (view, task) = (lease.view.clone(), lease.task.clone());
         let (since, life, is_evidence) = (Instant::now(), place.life, view.received() > lease.received);
--- a/crates/agent/src/connections/tests.rs
+++ b/crates/agent/src/connections/tests.rs
@@ -16,7 +16,7 @@
 
 /// A server on loopback, and its ends of the connections in the order in which they came.
 struct Server {
-    place: Place,
+    place: EndpointAddress,
     streams: Rc<RefCell<Vec<Weak<TcpStream>>>>,
     /// Written behind each answer, in the same piece.
     behind: Rc<Cell<&'static [u8]>>,
@@ -26,7 +26,7 @@
     async fn new(number: u32) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let place = Place { server: ServerId(number), address, life: 0, dialect: NEW };
+        let place = EndpointAddress { server: ServerId(number), address, life: 0, dialect: NEW };
         let (streams, behind) = (Rc::<RefCell<Vec<_>>>::default(), Rc::new(Cell::new(&b""[..])));
         let server = Server { place, streams: Rc::clone(&streams), behind: Rc::clone(&behind) };
         spawn_local(async move {
--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -6,7 +6,7 @@
 use crate::upload::{Payload, HELD_MOST};
 use bytes::Bytes;
 use heronhoist_decision::{DialectId, Dialects};
-use heronhoist_engine::{Exchange, Portion};
+use heronhoist_engine::{NewRequest, Reservation};
 use heronhoist_translate::mapping::{Dialect, Form};
 use heronhoist_translate::mixed::{self, Sides};
 use heronhoist_translate::{Mapping, Mappings, Notice, Side};
@@ -34,7 +34,7 @@
 
 /// The request of a new client for old servers too, where it can be said to them without loss and with the same key. Where it
 /// can't, it goes to new ones only.
-pub fn also_old(mappings: &Mappings, exchange: &mut Exchange<Call>, serving: Dialects) {
+pub fn also_old(mappings: &Mappings, exchange: &mut NewRequest<Call>, serving: Dialects) {
     if mappings.all().is_empty() {
         return;
     }
@@ -90,7 +90,7 @@
     mapping: &Mapping,
     from: Side,
     served: Served,
-) -> Result<(Bytes, Portion, Vec<Notice>), String> {
+) -> Result<(Bytes, Reservation, Vec<Notice>), String> {
     let Content::Held(bytes, portion) = served.body else {
         return Err(format!("it is longer than {HELD_MOST} bytes"));
     };
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use heronhoist_decision::Time;
 use heronhoist_engine::timing::timeout;
-use heronhoist_engine::{Feed, List, Member, Membership, SERVERS_MOST};
+use heronhoist_engine::{EndpointInfo, EndpointList, EndpointSink, EndpointSource, MAX_SERVERS};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -42,7 +42,7 @@
 const LIST_PATH: &str = "/registry/instances";
 /// The largest list that is read: some 500 bytes for each server that a pool takes. While it is read it takes about four
 /// times as much.
-const LIST_MOST: usize = SERVERS_MOST * 512;
+const LIST_MOST: usize = MAX_SERVERS * 512;
 /// Pause after an answer that came at once and brought nothing new, so that a discovery which does not wait is not
 /// asked without end; well within the 200 ms that may lie between two watches.
 const EMPTY_PAUSE: Duration = Duration::from_millis(100);
@@ -106,16 +106,16 @@
     pub boot_ms: f64,
 }
 
-impl From<ListReply> for List<SocketAddr> {
+impl From<ListReply> for EndpointList<SocketAddr> {
     fn from(reply: ListReply) -> Self {
-        let members = reply.targets.into_iter().map(Member::from).collect();
-        List { version: reply.rev, whole: reply.all, members }
+        let members = reply.targets.into_iter().map(EndpointInfo::from).collect();
+        EndpointList { version: reply.rev, whole: reply.all, members }
     }
 }
 
-impl From<Target> for Member<SocketAddr> {
+impl From<Target> for EndpointInfo<SocketAddr> {
     fn from(target: Target) -> Self {
-        Member {
+        EndpointInfo {
             name: target.uid,
             address: target.endpoint,
             zone: target.az,
@@ -123,9 +123,9 @@
             cell: target.pod_group,
             dialect: NEW,
             state: match target.state {
-                State::Serving => heronhoist_engine::State::Serving,
-                State::Draining => heronhoist_engine::State::Draining,
-                State::Deleted => heronhoist_engine::State::Gone,
+                State::Serving => heronhoist_engine::EndpointState::Serving,
+                State::Draining => heronhoist_engine::EndpointState::Draining,
+                State::Deleted => heronhoist_engine::EndpointState::Removed,
             },
             weight: target.capacity_hint,
             started: (target.boot_ms > 0.0).then(|| Time::from_ms(target.boot_ms)),
@@ -216,15 +216,15 @@
     pub old_kinds: Vec<String>,
 }
 
-impl Membership<SocketAddr> for Discovery {
-    fn run(self: Box<Self>, feed: Feed<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+impl EndpointSource<SocketAddr> for Discovery {
+    fn run(self: Box<Self>, feed: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(self.follow(Tcp, feed))
     }
 }
 
 impl Discovery {
     /// Follows the source, over connections that are made so.
-    async fn follow(self, connector: impl Connector + 'static, feed: Feed<SocketAddr>) {
+    async fn follow(self, connector: impl Connector + 'static, feed: EndpointSink<SocketAddr>) {
         let Discovery { mut source, pushed, old_kinds } = self;
         let connector = Rc::new(connector);
         if pushed {
@@ -248,7 +248,7 @@
 /// Calls one source.
 struct Client<'a, C> {
     connector: &'a Rc<C>,
-    feed: &'a Feed<SocketAddr>,
+    feed: &'a EndpointSink<SocketAddr>,
     address: SocketAddr,
     old_kinds: &'a [String],
 }
@@ -256,7 +256,7 @@
 impl<C: Connector + 'static> Client<'_, C> {
     /// Hands a list over; false if it was older than the one that stands.
     fn tell(&self, reply: ListReply) -> bool {
-        let mut list = List::from(reply);
+        let mut list = EndpointList::from(reply);
         for member in list.members.iter_mut().filter(|member| self.old_kinds.contains(&member.kind)) {
             member.dialect = OLD;
         }
--- a/crates/agent/src/discovery/tests.rs
+++ b/crates/agent/src/discovery/tests.rs
@@ -3,7 +3,9 @@
 
 use super::*;
 use heronhoist_decision::{Discovery as Way, Outcome, ServerId, Settings};
-use heronhoist_engine::{Ended, Gate, Payload, Place, Pool, Quota, ServerNames, Setup, Upstream};
+use heronhoist_engine::{
+    AttemptResult, EndpointAddress, Gate, Pool, PoolOptions, Quota, RequestPayload, ServerNames, Upstream,
+};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,16 +21,16 @@
 /// Nothing is sent to its servers.
 struct Nobody;
 struct Nothing;
-impl Payload for Nothing {}
+impl RequestPayload for Nothing {}
 
 impl Upstream for Nobody {
     type Address = SocketAddr;
     type Call = Nothing;
     type Answer = ();
-    async fn attempt(&self, _: Place<SocketAddr>, _: &Nothing, _: Gate<'_>) -> Ended<()> {
+    async fn attempt(&self, _: EndpointAddress<SocketAddr>, _: &Nothing, _: Gate<'_>) -> AttemptResult<()> {
         Outcome::NotSent.into()
     }
-    async fn probe(&self, _: Place<SocketAddr>) -> Ended<()> {
+    async fn probe(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -134,15 +136,15 @@
     way: Way,
     acts: &'static [Act],
     is_new: bool,
-    over: impl FnOnce(Discovery) -> Box<dyn Membership<SocketAddr>>,
+    over: impl FnOnce(Discovery) -> Box<dyn EndpointSource<SocketAddr>>,
 ) -> (Duration, Vec<(Instant, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let asked = Rc::default();
     let (_keep, source) = watch::channel(address);
     let settings = Settings { discovery: way, ..Settings::default() };
-    let known = List { version: 1, whole: true, members: vec![Member::serving("s", address)] };
-    let pool = Pool::new(Setup {
+    let known = EndpointList { version: 1, whole: true, members: vec![EndpointInfo::serving("s", address)] };
+    let pool = Pool::new(PoolOptions {
         name: "main".into(),
         settings,
         seed: 7,
--- a/crates/agent/src/discovery/tests/local_errors.rs
+++ b/crates/agent/src/discovery/tests/local_errors.rs
@@ -38,8 +38,8 @@
 
 struct Over(Discovery, Failing);
 
-impl Membership<SocketAddr> for Over {
-    fn run(self: Box<Self>, feed: Feed<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+impl EndpointSource<SocketAddr> for Over {
+    fn run(self: Box<Self>, feed: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(self.0.follow(self.1, feed))
     }
 }
@@ -53,7 +53,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
         let calls = Calls::default();
         let connector = Failing { errno, times: 40, calls: Rc::clone(&calls) };
-        let over = |discovery| Box::new(Over(discovery, connector)) as Box<dyn Membership<SocketAddr>>;
+        let over = |discovery| Box::new(Over(discovery, connector)) as Box<dyn EndpointSource<SocketAddr>>;
         let (_, asked) =
             LocalSet::new().block_on(&runtime.unwrap(), drained_over(way, &[Act::List], false, over));
         assert!(!asked.is_empty());
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -1,10 +1,10 @@
 //! Answers too long to be held whole: passed on as they come, no faster than the client takes them.
 
-use crate::connections::{Connections, Lease, Place};
+use crate::connections::{Connections, EndpointAddress, Lease};
 use crate::upload::BODY_MOST;
 use bytes::Bytes;
-use heronhoist_engine::timing::Limit;
-use heronhoist_engine::Portion;
+use heronhoist_engine::timing::DeadlineTimer;
+use heronhoist_engine::Reservation;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::collections::VecDeque;
 use std::io::{Error, ErrorKind};
@@ -44,7 +44,7 @@
     /// The connection; closed if the answer does not come whole.
     pub lease: Lease,
     /// What it leads to.
-    pub place: Place,
+    pub place: EndpointAddress,
     /// Where it came from.
     pub connections: Rc<Connections>,
 }
@@ -57,14 +57,14 @@
     given: u64,
     origin: Option<Origin>,
     waiting: bool,
-    limit: Limit,
-    _portion: Portion,
+    limit: DeadlineTimer,
+    _portion: Reservation,
 }
 
 impl Download {
     /// Of this answer so much has come.
-    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, portion: Portion) -> Self {
-        let limit = Limit::new(Instant::now());
+    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, portion: Reservation) -> Self {
+        let limit = DeadlineTimer::new(Instant::now());
         let (given, origin, waiting) = (0, None, false);
         Download { begun, rest, length, given, origin, waiting, limit, _portion: portion }
     }
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -5,7 +5,7 @@
 use crate::seats::Seat;
 use crate::upload::{Broken, Payload, Source, Upload, BODY_MOST, HELD_MOST};
 use heronhoist_decision::{ClassId, Dialects, Effect, KeyId, Span, TenantId};
-use heronhoist_engine::{Exchange, Part};
+use heronhoist_engine::{NewRequest, QuotaShare};
 use heronhoist_routes::Attributes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -131,9 +131,9 @@
     pub async fn read(
         &self,
         seat: &Seat,
-        bodies: &Rc<Part>,
+        bodies: &Rc<QuotaShare>,
         checked: Checked,
-    ) -> Result<Exchange<Call>, Fault> {
+    ) -> Result<NewRequest<Call>, Fault> {
         let Checked { class, call_id, budget, head, body } = checked;
         let stated = body.size_hint().exact();
         let held_most = stated.map_or(HELD_MOST, |bytes| HELD_MOST.min(bytes as usize));
@@ -194,7 +194,7 @@
             _portion: Some(portion),
         };
         let (name, class, dialects) = (Some(call_id.as_bytes().into()), class.id, Dialects::ALL);
-        Ok(Exchange { call, name, class, tenant, key, cost_hint, repeat, budget, deadline, dialects })
+        Ok(NewRequest { call, name, class, tenant, key, cost_hint, repeat, budget, deadline, dialects })
     }
 
     /// What the head alone shows: the class, the name, the client's time and the head's length.
--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/lanes.rs
@@ -7,7 +7,8 @@
 use crate::plan::{Members, PoolPlan};
 use heronhoist_decision::{ClassId, Discovery as Heard, Settings, Span};
 use heronhoist_engine::{
-    Declined, Drainable, Fixed, Levels, List, Member, Membership, Part, Pool, Quota, Setup,
+    DrainableSource, EndpointInfo, EndpointList, EndpointSource, Pool, PoolOptions, PoolStats, Quota,
+    QuotaShare, Rejection, StaticEndpoints,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +23,7 @@
 /// What changes a pool's list from here.
 enum Source {
     Discovery(watch::Sender<SocketAddr>),
-    Fixed(watch::Sender<Vec<Member<SocketAddr>>>),
+    Fixed(watch::Sender<Vec<EndpointInfo<SocketAddr>>>),
 }
 
 /// One pool, and what belongs to it here.
@@ -30,7 +31,7 @@
     /// The pool.
     pub pool: Pool<Http>,
     /// The memory for bodies of its requests and answers.
-    pub bodies: Rc<Part>,
+    pub bodies: Rc<QuotaShare>,
     source: Source,
     old_kinds: Vec<String>,
     /// The longest time to come back that its clients may be told; none where the settings don't let them be told.
@@ -52,7 +53,7 @@
     }
 
     /// When a client is told to come back that was declined.
-    pub fn advice(&self, declined: Declined) -> Option<Span> {
+    pub fn advice(&self, declined: Rejection) -> Option<Span> {
         Some(declined.come_back()?.min(self.advice_most.get()?))
     }
 
@@ -172,10 +173,10 @@
     }
 
     /// What all of them are now, added up.
-    pub fn levels(&self) -> Levels {
+    pub fn levels(&self) -> PoolStats {
         let lanes = self.lanes.borrow();
         let levels = lanes.iter().map(|lane| lane.pool.levels());
-        levels.fold(Levels::default(), |a, b| Levels {
+        levels.fold(PoolStats::default(), |a, b| PoolStats {
             known: a.known + b.known,
             excluded: a.excluded + b.excluded,
             open: a.open + b.open,
@@ -185,7 +186,12 @@
     /// Takes over the pools of a plan, whose settings have been validated. A pool goes on under its name unless its list
     /// comes from elsewhere now; one that the plan lacks takes nothing new, and what is under way in it ends as it began.
     /// `known` is the first pool's list as it was last known, and whether the source's versions go on from there.
-    pub fn revise(&self, plans: &[PoolPlan], ids: &[ClassId], mut known: Option<(List<SocketAddr>, bool)>) {
+    pub fn revise(
+        &self,
+        plans: &[PoolPlan],
+        ids: &[ClassId],
+        mut known: Option<(EndpointList<SocketAddr>, bool)>,
+    ) {
         self.forget_closed();
         let old = self.lanes.take();
         let lanes = plans.iter().map(|plan| {
@@ -202,14 +208,19 @@
         self.lanes.replace(lanes);
     }
 
-    fn open(&self, plan: &PoolPlan, ids: &[ClassId], known: Option<(List<SocketAddr>, bool)>) -> Rc<Lane> {
+    fn open(
+        &self,
+        plan: &PoolPlan,
+        ids: &[ClassId],
+        known: Option<(EndpointList<SocketAddr>, bool)>,
+    ) -> Rc<Lane> {
         let http = &plan.http;
         let open = self.connections.part();
         let connections = Connections::new(open, &self.siblings, http.connect_timeout, http.keepalive);
         let bodies = self.bodies.part();
         let upstream =
             Http::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
-        let (source, membership): (_, Box<dyn Membership<SocketAddr>>) = match &plan.members {
+        let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.members {
             Members::Discovery(address) => {
                 let (tell, source) = watch::channel(*address);
                 let pushed = plan.settings.discovery == Heard::Pushed;
@@ -220,13 +231,13 @@
             }
             Members::Fixed(members) => {
                 let (tell, told) = watch::channel(members.clone());
-                (Source::Fixed(tell), Box::new(Fixed::new(told)))
+                (Source::Fixed(tell), Box::new(StaticEndpoints::new(told)))
             }
         };
         // A list that stands in the file is known from the start.
         let fixed = || match &plan.members {
             Members::Fixed(members) => {
-                Some((List { version: 0, whole: true, members: members.clone() }, true))
+                Some((EndpointList { version: 0, whole: true, members: members.clone() }, true))
             }
             Members::Discovery(_) => None,
         };
@@ -234,14 +245,14 @@
         let membership = match &*self.drained.borrow() {
             Some(drained) => {
                 let members = known.as_ref().map_or(&[][..], |(list, _)| &list.members);
-                Box::new(Drainable::new(membership, drained.clone(), members))
+                Box::new(DrainableSource::new(membership, drained.clone(), members))
             }
             None => membership,
         };
         let (known, known_stands) = known.map_or((None, false), |(l, s)| (Some(l), s));
         // Each pool draws for itself.
         let seed = self.seed.replace(self.seed.get().wrapping_add(0x9e37_79b9_7f4a_7c15));
-        let setup = Setup {
+        let setup = PoolOptions {
             name: plan.name.clone(),
             settings: plan.settings.clone(),
             seed,
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -8,7 +8,7 @@
 use crate::upload::{Payload, Source, HELD_MOST};
 use bytes::Bytes;
 use heronhoist_decision::Effect;
-use heronhoist_engine::Exchange;
+use heronhoist_engine::NewRequest;
 use heronhoist_translate::mapping::Form;
 use heronhoist_translate::mixed::{self, Plan};
 use heronhoist_translate::wire::trouble::{Told, Trouble};
@@ -45,7 +45,7 @@
 /// A request in the servers' dialect.
 pub struct Translated {
     /// The request.
-    pub exchange: Exchange<Call>,
+    pub exchange: NewRequest<Call>,
     /// Its class, which a missing key may have changed.
     pub class: Rc<Class>,
     /// What was lost.
@@ -205,7 +205,7 @@
     name: &str,
     key: Option<String>,
     out: Vec<u8>,
-) -> Option<Exchange<Call>> {
+) -> Option<NewRequest<Call>> {
     let (method, uri, mut headers, body) = dialect::written(&mapping.new, old, out)?;
     headers.insert(CALL_ID, HeaderValue::from_str(name).ok()?);
     headers.insert("x-call-class", HeaderValue::from_str(&class.name).ok()?);
@@ -224,7 +224,7 @@
         client: None,
         _portion: None,
     };
-    Some(Exchange { name: Some(name.as_bytes().into()), ..Exchange::new(call, class.id, budget) })
+    Some(NewRequest { name: Some(name.as_bytes().into()), ..NewRequest::new(call, class.id, budget) })
 }
 
 /// What a client is told of losses, if there were any.
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the agent counts, and the page on which operators read it, in the Prometheus text format 0.0.4.
 
 use crate::gauge::{Gauge, Ticket};
-use heronhoist_engine::Levels;
+use heronhoist_engine::PoolStats;
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
@@ -199,7 +199,7 @@
     }
 
     /// The page.
-    pub fn render(&self, now: &Levels) -> String {
+    pub fn render(&self, now: &PoolStats) -> String {
         let [in_flight, known, excluded] = &self.levels;
         in_flight.set(self.taken.count() as i64);
         known.set(now.known as i64);
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::HttpTerms;
 use heronhoist_decision::Settings;
-use heronhoist_engine::{Member, ServerNames};
+use heronhoist_engine::{EndpointInfo, ServerNames};
 use heronhoist_routes::Table;
 use heronhoist_translate::Mappings;
 use std::net::SocketAddr;
@@ -46,5 +46,5 @@
     /// The platform's discovery, at this address.
     Discovery(SocketAddr),
     /// The file itself.
-    Fixed(Vec<Member<SocketAddr>>),
+    Fixed(Vec<EndpointInfo<SocketAddr>>),
 }
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Members, Plan};
 use crate::server::{Server, Serving};
 use heronhoist_decision::ClassId;
-use heronhoist_engine::List;
+use heronhoist_engine::EndpointList;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::signal::unix::Signal;
@@ -62,7 +62,7 @@
     plan: &Plan,
     classes: &mut Classes,
     lanes: &Lanes,
-    known: Option<(List<SocketAddr>, bool)>,
+    known: Option<(EndpointList<SocketAddr>, bool)>,
 ) -> Serving {
     let classes = classes.revise(plan);
     let ids: Vec<ClassId> = classes.iter().map(|class| class.id).collect();
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -18,8 +18,8 @@
 use bytes::Bytes;
 use heronhoist_config::Protocol;
 use heronhoist_decision::Span;
-use heronhoist_engine::timing::{caught_up, heartbeat, timeout, HEARTBEAT};
-use heronhoist_engine::{Declined, Exchange, Final, Portion};
+use heronhoist_engine::timing::{caught_up, heartbeat, timeout, HEARTBEAT_INTERVAL};
+use heronhoist_engine::{FinalResponse, NewRequest, Rejection, Reservation};
 use heronhoist_routes::{Attributes, Table};
 use heronhoist_translate::wire::trouble::{Told, Trouble};
 use heronhoist_translate::{Mapping, Mappings, Notice, Side};
@@ -190,7 +190,7 @@
             // What clients have said while the process was held up is no silence.
             heartbeat().await;
             self.seats.sweep(self.limits.get().rest_most);
-            sleep(HEARTBEAT).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -419,15 +419,17 @@
         let answer = match carried {
             Err(declined) => Err(Trouble::Refused(lane.advice(declined).map(Into::into))),
             // An old server's answer is the client's own.
-            Ok((Final::Served(served), in_flight)) if served.dialect == OLD => {
+            Ok((FinalResponse::Success(served), in_flight)) if served.dialect == OLD => {
                 Ok((reply(seat, served, in_flight), Vec::new()))
             }
-            Ok((Final::Served(served), _)) => {
+            Ok((FinalResponse::Success(served), _)) => {
                 self.translated(&mapping, Side::New, served).map_err(Trouble::Failed)
             }
-            Ok((Final::Refused(after), _)) => Err(Trouble::Refused(after.map(Into::into))),
-            Ok((Final::OutOfTime, _)) => Err(Trouble::Failed("Its time is up.".into())),
-            Ok((Final::Failed | Final::Unfinished, _)) => Err(Trouble::Failed(String::new())),
+            Ok((FinalResponse::Rejected(after), _)) => Err(Trouble::Refused(after.map(Into::into))),
+            Ok((FinalResponse::DeadlineExceeded, _)) => Err(Trouble::Failed("Its time is up.".into())),
+            Ok((FinalResponse::Failed | FinalResponse::IncompleteRequest, _)) => {
+                Err(Trouble::Failed(String::new()))
+            }
         };
         let mut answer = match answer {
             Ok((answer, more)) => {
@@ -474,8 +476,8 @@
         seat: &Rc<Seat>,
         lane: &Lane,
         (class, times): (&str, &Times),
-        exchange: Exchange<Call>,
-    ) -> Result<(Final<Served>, Option<Ticket>), Declined> {
+        exchange: NewRequest<Call>,
+    ) -> Result<(FinalResponse<Served>, Option<Ticket>), Rejection> {
         let mut in_flight = None;
         let since = Cell::new(None);
         let whole = |deadline: Instant| {
@@ -490,7 +492,7 @@
         // What was taken before the stop has its time, but no more than there is.
         let finished = async {
             self.finished().await;
-            Final::OutOfTime
+            FinalResponse::DeadlineExceeded
         };
         // Dropped by hyper with this future when the client closes its connection.
         let owed = lane.pool.submit(exchange)?;
@@ -502,9 +504,11 @@
         };
         if let Some(since) = since.get() {
             let outcome = match &answer {
-                Final::Served(_) => Outcome::Served,
-                Final::Refused(_) => Outcome::Refused,
-                Final::Failed | Final::OutOfTime | Final::Unfinished => Outcome::Failed,
+                FinalResponse::Success(_) => Outcome::Served,
+                FinalResponse::Rejected(_) => Outcome::Refused,
+                FinalResponse::Failed
+                | FinalResponse::DeadlineExceeded
+                | FinalResponse::IncompleteRequest => Outcome::Failed,
             };
             let took = since.elapsed();
             times.note(outcome, took);
@@ -526,18 +530,18 @@
         seat: &Rc<Seat>,
         lane: &Lane,
         of: (&str, &Times),
-        exchange: Exchange<Call>,
+        exchange: NewRequest<Call>,
     ) -> Result<Response<Reply>, Fault> {
         let upload = exchange.call.body.upload().map(Rc::clone);
         // Only what could go to an old server can come back from one.
         let mapping = exchange.call.old.as_ref().and_then(|old| old.by.clone());
         let (answer, in_flight) = match self.carry(seat, lane, of, exchange).await {
             Ok(carried) => carried,
-            Err(Declined::NameInUse) => return Err((StatusCode::CONFLICT, "X-Call-Id is in use")),
+            Err(Rejection::CorrelationIdInUse) => return Err((StatusCode::CONFLICT, "X-Call-Id is in use")),
             Err(declined) => return Ok(refused(lane.advice(declined))),
         };
         Ok(match answer {
-            Final::Served(served) if served.dialect == OLD => {
+            FinalResponse::Success(served) if served.dialect == OLD => {
                 let done = mapping.ok_or_else(String::new).and_then(|mapping| {
                     let (mut answer, notices) = self.translated(&mapping, Side::Old, served)?;
                     self.tell_losses(&mapping, &notices, &mut answer);
@@ -545,11 +549,11 @@
                 });
                 done.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "its answer has no counterpart"))
             }
-            Final::Served(served) => reply(seat, served, in_flight),
-            Final::Refused(retry_after) => refused(retry_after),
-            Final::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
-            Final::OutOfTime => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
-            Final::Unfinished => match upload.map(|upload| upload.state()) {
+            FinalResponse::Success(served) => reply(seat, served, in_flight),
+            FinalResponse::Rejected(retry_after) => refused(retry_after),
+            FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+            FinalResponse::DeadlineExceeded => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+            FinalResponse::IncompleteRequest => match upload.map(|upload| upload.state()) {
                 Some(Coming::Broken(broken)) => return Err(fault_of(broken)),
                 _ => return Err(fault_of(Broken::Unreadable)),
             },
@@ -589,7 +593,10 @@
 /// The body of an answer.
 enum Reply {
     /// All of it, and the memory that it holds.
-    Held(Full<Bytes>, #[expect(dead_code, reason = "held until the client has the bytes")] Option<Portion>),
+    Held(
+        Full<Bytes>,
+        #[expect(dead_code, reason = "held until the client has the bytes")] Option<Reservation>,
+    ),
     Passing(Passing),
 }
 
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -2,8 +2,8 @@
 //! a backend as it comes, no faster than that backend takes it.
 
 use bytes::Bytes;
-use heronhoist_engine::timing::Limit;
-use heronhoist_engine::Arriving;
+use heronhoist_engine::timing::DeadlineTimer;
+use heronhoist_engine::StreamingBody;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -51,13 +51,13 @@
     waiting_since: Option<Instant>,
     /// It was waited for in earnest since this was last set to false: then not all of it had come.
     has_paused: bool,
-    limit: Limit,
+    limit: DeadlineTimer,
 }
 
 impl Source {
     /// Nothing read yet.
     pub fn new(body: Incoming) -> Self {
-        let limit = Limit::new(Instant::now());
+        let limit = DeadlineTimer::new(Instant::now());
         Source { body, read: 0, waited: Duration::ZERO, waiting_since: None, has_paused: false, limit }
     }
 
@@ -222,8 +222,8 @@
     }
 }
 
-impl Arriving for Upload {
-    fn state(&self) -> heronhoist_engine::Coming {
+impl StreamingBody for Upload {
+    fn state(&self) -> heronhoist_engine::BodyProgress {
         Upload::state(self).into()
     }
 
@@ -235,17 +235,17 @@
         Upload::unread_since(self)
     }
 
-    fn ended(&self) -> Pin<Box<dyn Future<Output = heronhoist_engine::Coming> + '_>> {
+    fn ended(&self) -> Pin<Box<dyn Future<Output = heronhoist_engine::BodyProgress> + '_>> {
         Box::pin(async { Upload::ended(self).await.into() })
     }
 }
 
-impl From<Coming> for heronhoist_engine::Coming {
+impl From<Coming> for heronhoist_engine::BodyProgress {
     fn from(coming: Coming) -> Self {
         match coming {
-            Coming::More => heronhoist_engine::Coming::More,
-            Coming::Whole(at) => heronhoist_engine::Coming::Whole(at),
-            Coming::Broken(_) => heronhoist_engine::Coming::Broken,
+            Coming::More => heronhoist_engine::BodyProgress::Incomplete,
+            Coming::Whole(at) => heronhoist_engine::BodyProgress::Complete(at),
+            Coming::Broken(_) => heronhoist_engine::BodyProgress::Failed,
         }
     }
 }
--- a/crates/decision/tests/decisions_in_one_place.rs
+++ b/crates/decision/tests/decisions_in_one_place.rs
@@ -57,6 +57,11 @@
     sources
 }
 
+/// The identifiers and keywords of a source.
+fn words(code: &str) -> impl Iterator<Item = &str> {
+    code.split(|c: char| !c.is_ascii_alphanumeric() && c != '_').filter(|word| !word.is_empty())
+}
+
 fn without_comment(line: &str) -> String {
     line.split("//").next().unwrap_or_default().to_string()
 }
@@ -151,8 +156,9 @@
 fn only_the_policy_draws_servers() {
     for (file, code) in sources_elsewhere() {
         let draws = ["fastrand", "rand::", "getrandom", "RandomState"].iter().any(|word| code.contains(word));
-        let knows_servers =
-            ["ServerId", "Endpoint", "Place<", "Balancer"].iter().any(|word| code.contains(word));
+        // The types that hold a server's number; an `EndpointInfo` of a list names a server and has none.
+        let numbered = ["ServerId", "Endpoint", "EndpointUpdate", "EndpointAddress", "Balancer"];
+        let knows_servers = words(&code).any(|word| numbered.contains(&word));
         assert!(!draws || !knows_servers, "{file} draws at random, and knows servers");
     }
     for package in ["engine", "routes", "settings", "simhost", "config"] {
--- a/crates/engine/src/drains/tests.rs
+++ b/crates/engine/src/drainable_source/tests.rs
@@ -1,37 +1,39 @@
 use super::*;
-use crate::membership::Fixed;
+use crate::endpoint_source::StaticEndpoints;
 use crate::start_times::StartTimes;
 use heronhoist_decision::Span;
 use std::time::Duration;
 use tokio::task::yield_now;
 
-type Line = (String, State, bool);
+type Line = (String, EndpointState, bool);
 
 #[derive(Default)]
 struct Notes(RefCell<Vec<(bool, Vec<Line>)>>);
 
-impl Heard<u16> for Notes {
-    fn listed(&self, list: List<u16>) {
-        let line = |member: Member<u16>| (member.name, member.state, member.started.is_some());
+impl EndpointObserver<u16> for Notes {
+    fn listed(&self, list: EndpointList<u16>) {
+        let line = |member: EndpointInfo<u16>| (member.name, member.state, member.started.is_some());
         self.0.borrow_mut().push((list.whole, list.members.into_iter().map(line).collect()));
     }
     fn failed(&self) {}
 }
 
-fn line(name: &str, state: State, cold: bool) -> Line {
+fn line(name: &str, state: EndpointState, cold: bool) -> Line {
     (name.to_string(), state, cold)
 }
 
 #[tokio::test]
 async fn the_stricter_of_two_words_holds_and_who_comes_back_is_cold() {
-    use State::{Draining, Serving};
+    use EndpointState::{Draining, Serving};
     let notes = Rc::new(Notes::default());
     let (tell, drained) = watch::channel(BTreeSet::from(["a".to_string()]));
-    let listed = |state| vec![Member { state, ..Member::serving("a", 1) }, Member::serving("b", 2)];
+    let listed =
+        |state| vec![EndpointInfo { state, ..EndpointInfo::serving("a", 1) }, EndpointInfo::serving("b", 2)];
     let (list, lists) = watch::channel(listed(Serving));
     let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(None))));
-    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), starts, None);
-    let run = Box::new(Drainable::new(Box::new(Fixed::new(lists)), drained, &[])).run(feed);
+    let feed =
+        EndpointSink::new(Rc::clone(&notes) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts, None);
+    let run = Box::new(DrainableSource::new(Box::new(StaticEndpoints::new(lists)), drained, &[])).run(feed);
     let heard = async |wanted: Vec<(bool, Vec<Line>)>| {
         while notes.0.borrow().len() < wanted.len() {
             yield_now().await;
@@ -57,8 +59,8 @@
 /// A source that says nothing for as long as anybody looks.
 struct Silent;
 
-impl Membership<u16> for Silent {
-    fn run(self: Box<Self>, feed: Feed<u16>) -> Pin<Box<dyn Future<Output = ()>>> {
+impl EndpointSource<u16> for Silent {
+    fn run(self: Box<Self>, feed: EndpointSink<u16>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
             let _feed = feed;
             std::future::pending().await
@@ -69,8 +71,8 @@
 #[derive(Default)]
 struct Starts(RefCell<Vec<Option<Time>>>);
 
-impl Heard<u16> for Starts {
-    fn listed(&self, list: List<u16>) {
+impl EndpointObserver<u16> for Starts {
+    fn listed(&self, list: EndpointList<u16>) {
         self.0.borrow_mut().extend(list.members.into_iter().map(|member| member.started));
     }
     fn failed(&self) {}
@@ -82,13 +84,14 @@
 async fn before_the_first_list_the_known_starts_are_those_that_were_settled() {
     let (epoch, hour) = (Time(1_800_000_000_000_000), Span::from_ms(3.6e6));
     let heard = Rc::new(Starts::default());
-    let known = Member { started: Some(epoch + hour), ..Member::serving("a", 1) };
+    let known = EndpointInfo { started: Some(epoch + hour), ..EndpointInfo::serving("a", 1) };
     let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(Some(epoch)))));
     starts.borrow_mut().saved(&mut [known.clone()]);
     tokio::time::advance(Duration::from_secs(1)).await;
-    let feed = Feed::new(Rc::clone(&heard) as Rc<dyn Heard<u16>>, Rc::default(), starts, None);
+    let feed =
+        EndpointSink::new(Rc::clone(&heard) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts, None);
     let (tell, drained) = watch::channel(BTreeSet::new());
-    let run = Box::new(Drainable::new(Box::new(Silent), drained, &[known])).run(feed);
+    let run = Box::new(DrainableSource::new(Box::new(Silent), drained, &[known])).run(feed);
     let change = async {
         yield_now().await;
         for (told, names) in [(1, BTreeSet::from(["a".to_string()])), (2, BTreeSet::new())] {
--- a/crates/engine/src/membership/feed.rs
+++ b/crates/engine/src/endpoint_source/sink.rs
@@ -1,6 +1,6 @@
 //! The way from a source of lists to its pool, and what the pool's module wants of the source.
 
-use super::{Heard, List, Member};
+use super::{EndpointInfo, EndpointList, EndpointObserver};
 use crate::clock::Clock;
 use crate::start_times::StartTimes;
 use std::cell::{Cell, RefCell};
@@ -9,12 +9,12 @@
 
 /// What the module wants of its membership.
 #[derive(Default)]
-pub(crate) struct Wants {
+pub(crate) struct Subscription {
     following: watch::Sender<bool>,
     fetch: Notify,
 }
 
-impl Wants {
+impl Subscription {
     pub(crate) fn follow(&self, active: bool) {
         self.following.send_replace(active);
     }
@@ -26,21 +26,21 @@
 
 /// The way from a membership to its pool. It lets no list pass that is older than one that has passed before, so that
 /// no decision rests on one, and settles when servers started.
-pub struct Feed<A> {
-    to: Rc<dyn Heard<A>>,
-    wants: Rc<Wants>,
+pub struct EndpointSink<A> {
+    to: Rc<dyn EndpointObserver<A>>,
+    wants: Rc<Subscription>,
     starts: Rc<RefCell<StartTimes>>,
     version: Cell<Option<i64>>,
 }
 
-impl<A> Feed<A> {
+impl<A> EndpointSink<A> {
     pub(crate) fn new(
-        to: Rc<dyn Heard<A>>,
-        wants: Rc<Wants>,
+        to: Rc<dyn EndpointObserver<A>>,
+        wants: Rc<Subscription>,
         starts: Rc<RefCell<StartTimes>>,
         version: Option<i64>,
     ) -> Self {
-        Feed { to, wants, starts, version: Cell::new(version) }
+        EndpointSink { to, wants, starts, version: Cell::new(version) }
     }
 
     /// The pool's clock.
@@ -49,18 +49,18 @@
     }
 
     /// Settles when the servers of a list started that was known before the first one.
-    pub(crate) fn saved(&self, members: &mut [Member<A>]) {
+    pub(crate) fn saved(&self, members: &mut [EndpointInfo<A>]) {
         self.starts.borrow_mut().saved(members);
     }
 
     /// Where it leads.
-    pub(crate) fn heard(&self) -> Rc<dyn Heard<A>> {
+    pub(crate) fn heard(&self) -> Rc<dyn EndpointObserver<A>> {
         Rc::clone(&self.to)
     }
 
     /// The same way, with another stop on it, which hands on what it hears.
-    pub(crate) fn through(self, stop: Rc<dyn Heard<A>>) -> Feed<A> {
-        Feed { to: stop, ..self }
+    pub(crate) fn through(self, stop: Rc<dyn EndpointObserver<A>>) -> EndpointSink<A> {
+        EndpointSink { to: stop, ..self }
     }
 
     /// The version of the list that stands; `None` before the first of a source.
@@ -75,7 +75,7 @@
     }
 
     /// Hands a list over; false if it is older than one that stands, and so was left out.
-    pub fn listed(&self, mut list: List<A>) -> bool {
+    pub fn listed(&self, mut list: EndpointList<A>) -> bool {
         if self.version.get().is_some_and(|stands| list.version < stands) {
             tracing::warn!(
                 target: "heronhoist::membership",
--- a/crates/engine/src/membership/tests.rs
+++ b/crates/engine/src/endpoint_source/tests.rs
@@ -10,8 +10,8 @@
 #[derive(Default)]
 struct Notes(RefCell<Vec<(i64, usize)>>, Cell<u32>);
 
-impl Heard<u16> for Notes {
-    fn listed(&self, list: List<u16>) {
+impl EndpointObserver<u16> for Notes {
+    fn listed(&self, list: EndpointList<u16>) {
         self.0.borrow_mut().push((list.version, list.members.len()));
     }
     fn failed(&self) {
@@ -27,8 +27,13 @@
 #[test]
 fn an_older_list_does_not_pass_but_another_sources_does() {
     let notes = Rc::new(Notes::default());
-    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), starts(), Some(5));
-    let list = |version| List { version, whole: true, members: vec![Member::serving("a", 1)] };
+    let feed = EndpointSink::new(
+        Rc::clone(&notes) as Rc<dyn EndpointObserver<u16>>,
+        Rc::default(),
+        starts(),
+        Some(5),
+    );
+    let list = |version| EndpointList { version, whole: true, members: vec![EndpointInfo::serving("a", 1)] };
     assert!(!feed.listed(list(4)) && feed.listed(list(5)) && feed.listed(list(9)) && !feed.listed(list(8)));
     feed.new_source();
     assert!(feed.listed(list(2)) && !feed.listed(list(1)));
@@ -40,8 +45,8 @@
 #[derive(Default)]
 struct Starts(RefCell<Vec<Option<Time>>>);
 
-impl Heard<u16> for Starts {
-    fn listed(&self, list: List<u16>) {
+impl EndpointObserver<u16> for Starts {
+    fn listed(&self, list: EndpointList<u16>) {
         self.0.borrow_mut().extend(list.members.into_iter().map(|member| member.started));
     }
     fn failed(&self) {}
@@ -51,10 +56,11 @@
 #[tokio::test(start_paused = true)]
 async fn starts_are_bounded_by_the_lists_that_passed_from_the_same_source() {
     let heard = Rc::new(Starts::default());
-    let feed = Feed::new(Rc::clone(&heard) as Rc<dyn Heard<u16>>, Rc::default(), starts(), None);
+    let feed =
+        EndpointSink::new(Rc::clone(&heard) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts(), None);
     let tell = |version, name: &str, started| {
-        let members = vec![Member { started, ..Member::serving(name, 1) }];
-        feed.listed(List { version, whole: false, members })
+        let members = vec![EndpointInfo { started, ..EndpointInfo::serving(name, 1) }];
+        feed.listed(EndpointList { version, whole: false, members })
     };
     let begun = feed.clock().now();
     tell(6, "a", None);
@@ -72,12 +78,13 @@
 #[tokio::test]
 async fn a_fixed_list_is_told_at_once_and_at_each_change() {
     let notes = Rc::new(Notes::default());
-    let feed = Feed::new(Rc::clone(&notes) as Rc<dyn Heard<u16>>, Rc::default(), starts(), None);
-    let (tell, told) = watch::channel(vec![Member::serving("a", 1)]);
-    let run = Box::new(Fixed::new(told)).run(feed);
+    let feed =
+        EndpointSink::new(Rc::clone(&notes) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts(), None);
+    let (tell, told) = watch::channel(vec![EndpointInfo::serving("a", 1)]);
+    let run = Box::new(StaticEndpoints::new(told)).run(feed);
     let change = async {
         tokio::task::yield_now().await;
-        tell.send_replace(vec![Member::serving("a", 1), Member::serving("b", 2)]);
+        tell.send_replace(vec![EndpointInfo::serving("a", 1), EndpointInfo::serving("b", 2)]);
         while notes.0.borrow().len() < 2 {
             tokio::task::yield_now().await;
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -2,15 +2,15 @@
 //! that a decision module chooses. It knows time and tasks and no protocol.
 //!
 //! A [`Pool`] is one fleet of servers with one decision module, one [`Upstream`] that speaks to them and one
-//! [`Membership`] that says which they are. A front hands an [`Exchange`] to [`Pool::submit`] and awaits
-//! [`Owed::answer`]; whatever it drops unanswered is told to the module as gone. Where there are several pools in a
+//! [`EndpointSource`] that says which they are. A front hands an [`NewRequest`] to [`Pool::submit`] and awaits
+//! [`PendingResponse::answer`]; whatever it drops unanswered is told to the module as gone. Where there are several pools in a
 //! process, [`Quota`] shares what the process may hold, so that one fleet that hangs can't starve the others.
 //!
 //! All of it runs on one thread, in a [`tokio::task::LocalSet`].
 
 mod clock;
-mod drains;
-mod membership;
+mod drainable_source;
+mod endpoint_source;
 mod pool;
 mod quota;
 mod servers;
@@ -18,9 +18,16 @@
 pub mod timing;
 mod upstream;
 
-pub use drains::Drainable;
-pub use membership::{Feed, Fixed, Heard, List, Member, Membership, State};
-pub use pool::{Declined, Exchange, Final, Levels, Owed, Pool, Setup, ANSWER_RESERVE};
-pub use quota::{Part, Portion, Quota};
-pub use servers::{ServerNames, SERVERS_MOST};
-pub use upstream::{Arriving, Coming, Ended, Gate, Payload, Place, Upstream};
+pub use drainable_source::DrainableSource;
+pub use endpoint_source::{
+    EndpointInfo, EndpointList, EndpointObserver, EndpointSink, EndpointSource, EndpointState,
+    StaticEndpoints,
+};
+pub use pool::{
+    FinalResponse, NewRequest, PendingResponse, Pool, PoolOptions, PoolStats, Rejection, RESPONSE_RESERVE,
+};
+pub use quota::{Quota, QuotaShare, Reservation};
+pub use servers::{ServerNames, MAX_SERVERS};
+pub use upstream::{
+    AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, StreamingBody, Upstream,
+};
--- a/crates/engine/src/pool/attempts.rs
+++ b/crates/engine/src/pool/attempts.rs
@@ -1,10 +1,10 @@
 //! Attempts: sent, called off, and told to the module once they are over.
 
-use super::pending_response::Final;
+use super::pending_response::FinalResponse;
 use super::reserves::{reserve, ATTEMPT_RESERVE};
 use super::Pool;
 use crate::timing::read_until;
-use crate::upstream::{Coming, Ended, Gate, Payload, Place, Upstream};
+use crate::upstream::{AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, Upstream};
 use heronhoist_decision::{AttemptNumber, Event, Outcome, RequestId, ServerId, Span, Time};
 use std::cell::Cell;
 use std::future::{poll_fn, Future};
@@ -50,12 +50,12 @@
     async fn attempt(
         &self,
         (id, begin_by): (RequestId, Time),
-        place: Place<U::Address>,
+        place: EndpointAddress<U::Address>,
         call: &U::Call,
         until: Instant,
         budget: Duration,
         cancelled: oneshot::Receiver<()>,
-    ) -> Ended<U::Answer> {
+    ) -> AttemptResult<U::Answer> {
         let (sent, server) = (Cell::new(false), place.server);
         // A connection may take long to come up: by then the client may have gone or have its answer, and servers may have
         // forgotten the attempt that this one repeats.
@@ -77,11 +77,11 @@
         let late = async {
             match call.arriving() {
                 Some(arriving) => match arriving.ended().await {
-                    Coming::Whole(at) => {
+                    BodyProgress::Complete(at) => {
                         read_until((at + budget - reserve(ATTEMPT_RESERVE, budget)).min(until)).await
                     }
                     // The exchange sees that too, and knows what it means.
-                    Coming::More | Coming::Broken => std::future::pending().await,
+                    BodyProgress::Incomplete | BodyProgress::Failed => std::future::pending().await,
                 },
                 None => read_until(until).await,
             }
@@ -110,19 +110,19 @@
         &self,
         (id, attempt, server): (RequestId, u32, ServerId),
         sent: Instant,
-        ended: Ended<U::Answer>,
+        ended: AttemptResult<U::Answer>,
     ) {
         let (closed, spent, since, class) = {
             let mut core = self.0.core.borrow_mut();
             let Some(open) = core.open.get_mut(&id) else { return };
             open.out.retain(|(out, _)| *out != attempt);
             if let Some((answer, (reply, _))) = ended.answer.and_then(|a| Some((a, open.reply.take()?))) {
-                let _ = reply.send(Final::Served(answer));
+                let _ = reply.send(FinalResponse::Success(answer));
             }
             let arriving = open.call.arriving();
             let spent = arriving.is_some_and(|arriving| arriving.is_spent());
             let since = match arriving.map(|arriving| arriving.state()) {
-                Some(Coming::Whole(at)) => at.max(sent),
+                Some(BodyProgress::Complete(at)) => at.max(sent),
                 _ => sent,
             };
             (open.reply.is_none(), spent, since, open.class)
--- a/crates/engine/src/pool/endpoint_lists.rs
+++ b/crates/engine/src/pool/endpoint_lists.rs
@@ -1,12 +1,12 @@
 //! Lists of servers, taken over and told to the module.
 
 use super::Pool;
-use crate::membership::{Heard, List};
+use crate::endpoint_source::{EndpointList, EndpointObserver};
 use crate::upstream::Upstream;
 use heronhoist_decision::{Endpoint, EndpointUpdate, Event};
 
 impl<U: Upstream> Pool<U> {
-    pub(super) fn take_list(&self, list: List<U::Address>) -> Vec<Endpoint> {
+    pub(super) fn take_list(&self, list: EndpointList<U::Address>) -> Vec<Endpoint> {
         let upstream = &self.0.upstream;
         let (version, whole) = (list.version, list.whole);
         let told = tracing::enabled!(target: "heronhoist::membership", tracing::Level::DEBUG);
@@ -37,8 +37,8 @@
     }
 }
 
-impl<U: Upstream> Heard<U::Address> for Pool<U> {
-    fn listed(&self, list: List<U::Address>) {
+impl<U: Upstream> EndpointObserver<U::Address> for Pool<U> {
+    fn listed(&self, list: EndpointList<U::Address>) {
         let whole = list.whole;
         let lines = self.take_list(list);
         self.tell(Event::EndpointList(if whole {
--- a/crates/engine/src/pool/events.rs
+++ b/crates/engine/src/pool/events.rs
@@ -1,6 +1,6 @@
 //! Events go to the decision module, and what it decides is carried out.
 
-use super::pending_response::Final;
+use super::pending_response::FinalResponse;
 use super::Pool;
 use crate::upstream::Upstream;
 use heronhoist_decision::{Action, Event};
@@ -39,8 +39,10 @@
                         }
                     }
                 }
-                Action::Reject { request, retry_after } => self.answer(request, Final::Refused(retry_after)),
-                Action::Fail { request } => self.answer(request, Final::Failed),
+                Action::Reject { request, retry_after } => {
+                    self.answer(request, FinalResponse::Rejected(retry_after))
+                }
+                Action::Fail { request } => self.answer(request, FinalResponse::Failed),
                 Action::SetTimer { at, timer } => {
                     self.0.core.borrow_mut().timers.push(Reverse((at, timer.0)));
                     self.0.timers_changed.notify_one();
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -12,15 +12,15 @@
 mod stats;
 mod timers;
 
-pub use pending_response::{Final, Owed};
-pub use rejection::Declined;
-pub use requests::Exchange;
-pub use reserves::ANSWER_RESERVE;
-pub use stats::Levels;
+pub use pending_response::{FinalResponse, PendingResponse};
+pub use rejection::Rejection;
+pub use requests::NewRequest;
+pub use reserves::RESPONSE_RESERVE;
+pub use stats::PoolStats;
 
 use crate::clock::Clock;
-use crate::membership::{Feed, Heard, List, Membership, Wants};
-use crate::quota::Part;
+use crate::endpoint_source::{EndpointList, EndpointObserver, EndpointSink, EndpointSource, Subscription};
+use crate::quota::QuotaShare;
 use crate::servers::{ServerNames, Servers};
 use crate::start_times::StartTimes;
 use crate::upstream::Upstream;
@@ -28,7 +28,7 @@
     Action, Balancer, ClassId, Dialects, EndpointUpdate, Event, RequestId, Settings, SettingsError, Span,
     Time,
 };
-use requests::Open;
+use requests::OpenRequest;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -39,12 +39,12 @@
 use tokio::time::sleep;
 
 /// How long after the drain's grace a server that is gone is still known: whatever was decided before has gone by then.
-const FORGET_AFTER: Duration = Duration::from_secs(1);
+const REMOVED_SERVER_RETENTION: Duration = Duration::from_secs(1);
 /// How often connections that have rested long enough, and servers that have left, are looked for.
-const RETIRE_EVERY: Duration = Duration::from_millis(500);
+const RETIRE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a pool is made from.
-pub struct Setup<U: Upstream> {
+pub struct PoolOptions<U: Upstream> {
     /// For the log.
     pub name: String,
     /// What the module is told.
@@ -54,7 +54,7 @@
     /// What the settings' numbers of zones and kinds mean.
     pub names: ServerNames,
     /// The list as it was last known; it may be old.
-    pub known: Option<List<U::Address>>,
+    pub known: Option<EndpointList<U::Address>>,
     /// Whether the source's versions go on from that list's.
     pub known_stands: bool,
     /// The time at which the pool begins, for a simulation; `None` for the system's clock.
@@ -62,22 +62,22 @@
     /// Speaks to the servers.
     pub upstream: U,
     /// How many requests the pool may owe an answer.
-    pub requests: Rc<Part>,
+    pub requests: Rc<QuotaShare>,
 }
 
-struct Core<U: Upstream> {
+struct PoolState<U: Upstream> {
     balancer: Balancer,
-    open: FxHashMap<RequestId, Open<U>>,
+    open: FxHashMap<RequestId, OpenRequest<U>>,
     names: HashSet<Rc<[u8]>>,
     next_request: u64,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
     servers: Servers<U::Address>,
 }
 
-struct Inner<U: Upstream> {
+struct PoolInner<U: Upstream> {
     name: String,
     clock: Clock,
-    core: RefCell<Core<U>>,
+    core: RefCell<PoolState<U>>,
     /// Room for what the module wants done, kept from one event to the next.
     actions: Cell<Vec<Action>>,
     timers_changed: Notify,
@@ -87,11 +87,11 @@
     closed: watch::Sender<bool>,
     emptied: Notify,
     upstream: U,
-    wants: Rc<Wants>,
+    wants: Rc<Subscription>,
     starts: Rc<RefCell<StartTimes>>,
     /// The version that the source's first list must not be older than.
     version: Option<i64>,
-    requests: Rc<Part>,
+    requests: Rc<QuotaShare>,
     max_attempts: Cell<u32>,
     drain_grace: Cell<Duration>,
     /// How long servers take to warm up, and the share of what they can do that they have at first.
@@ -101,7 +101,7 @@
 }
 
 /// A handle to a pool.
-pub struct Pool<U: Upstream>(Rc<Inner<U>>);
+pub struct Pool<U: Upstream>(Rc<PoolInner<U>>);
 
 impl<U: Upstream> Clone for Pool<U> {
     fn clone(&self) -> Self {
@@ -111,8 +111,9 @@
 
 impl<U: Upstream> Pool<U> {
     /// Starts a module with the list as it was last known. Nothing runs by itself until [`Pool::run`] does.
-    pub fn new(setup: Setup<U>) -> Result<Self, SettingsError> {
-        let Setup { name, settings, seed, names, mut known, known_stands, epoch, upstream, requests } = setup;
+    pub fn new(setup: PoolOptions<U>) -> Result<Self, SettingsError> {
+        let PoolOptions { name, settings, seed, names, mut known, known_stands, epoch, upstream, requests } =
+            setup;
         let clock = Clock::new(epoch);
         let mut starts = StartTimes::new(clock);
         if let Some(known) = &mut known {
@@ -121,7 +122,7 @@
         let max_attempts = Cell::new(settings.max_attempts);
         let drain_grace = Cell::new(settings.drain_grace.into());
         let warming = Cell::new((settings.warm_up_time, settings.initial_capacity_share));
-        let core = Core {
+        let core = PoolState {
             balancer: Balancer::new(settings, seed)?,
             open: FxHashMap::default(),
             names: HashSet::new(),
@@ -130,7 +131,7 @@
             servers: Servers::new(&names),
         };
         let version = known.as_ref().filter(|_| known_stands).map(|list| list.version);
-        let pool = Pool(Rc::new(Inner {
+        let pool = Pool(Rc::new(PoolInner {
             name,
             clock,
             core: RefCell::new(core),
@@ -162,17 +163,17 @@
 
     /// Runs timers, follows the membership and looks after idle connections, until the pool is [closed](Pool::close)
     /// and its last request and attempt have ended.
-    pub async fn run(self, membership: Box<dyn Membership<U::Address>>) {
-        let heard: Rc<dyn Heard<U::Address>> = Rc::new(self.clone());
+    pub async fn run(self, membership: Box<dyn EndpointSource<U::Address>>) {
+        let heard: Rc<dyn EndpointObserver<U::Address>> = Rc::new(self.clone());
         let (wants, starts) = (Rc::clone(&self.0.wants), Rc::clone(&self.0.starts));
-        let feed = Feed::new(heard, wants, starts, self.0.version);
+        let feed = EndpointSink::new(heard, wants, starts, self.0.version);
         let retire = async {
             loop {
-                sleep(RETIRE_EVERY).await;
+                sleep(RETIRE_INTERVAL).await;
                 let core = &mut *self.0.core.borrow_mut();
                 // A connection that was at work when its server was told to drain, moved or left comes back after.
                 self.0.upstream.retire(&|server, life| core.servers.is_current(server, life));
-                core.servers.forget(self.0.drain_grace.get() + FORGET_AFTER);
+                core.servers.forget(self.0.drain_grace.get() + REMOVED_SERVER_RETENTION);
             }
         };
         let follow = async {
--- a/crates/engine/src/pool/requests.rs
+++ b/crates/engine/src/pool/requests.rs
@@ -1,9 +1,9 @@
 //! Requests: taken in, answered, given up and forgotten.
 
-use super::pending_response::{Final, Owed};
-use super::rejection::{Declined, COME_BACK};
+use super::pending_response::{FinalResponse, PendingResponse};
+use super::rejection::{Rejection, RETRY_AFTER};
 use super::Pool;
-use crate::quota::Portion;
+use crate::quota::Reservation;
 use crate::upstream::Upstream;
 use heronhoist_decision::{ClassId, Dialects, Event, KeyId, Request, RequestId, Span, TenantId};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 /// A request that a front hands over.
 #[derive(Debug)]
-pub struct Exchange<C> {
+pub struct NewRequest<C> {
     /// The request itself.
     pub call: C,
     /// The client's name for it, where servers tell requests by name: it must be the only one under way.
@@ -36,10 +36,10 @@
     pub dialects: Dialects,
 }
 
-impl<C> Exchange<C> {
+impl<C> NewRequest<C> {
     /// A whole request whose client waits for so long from now on; without name, tenant, key or hint.
     pub fn new(call: C, class: ClassId, budget: Duration) -> Self {
-        Exchange {
+        NewRequest {
             call,
             name: None,
             class,
@@ -55,7 +55,7 @@
 }
 
 /// A request that has attempts out or still owes its answer.
-pub(super) struct Open<U: Upstream> {
+pub(super) struct OpenRequest<U: Upstream> {
     pub(super) call: Rc<U::Call>,
     pub(super) class: ClassId,
     pub(super) name: Option<Rc<[u8]>>,
@@ -64,7 +64,7 @@
     pub(super) budget: Duration,
     /// Where its final answer goes, and its place among those that are owed one. Gone once it has that answer or its
     /// client has left.
-    pub(super) reply: Option<(oneshot::Sender<Final<U::Answer>>, Portion)>,
+    pub(super) reply: Option<(oneshot::Sender<FinalResponse<U::Answer>>, Reservation)>,
     pub(super) attempts: u32,
     /// How many the settings allowed when it came.
     pub(super) max_attempts: u32,
@@ -74,31 +74,31 @@
 
 impl<U: Upstream> Pool<U> {
     /// Takes a request in. It is owed one final answer from here on, unless what is returned is dropped first.
-    pub fn submit(&self, exchange: Exchange<U::Call>) -> Result<Owed<U>, Declined> {
-        let Exchange { call, name, class, tenant, key, cost_hint, repeat, budget, deadline, dialects } =
+    pub fn submit(&self, exchange: NewRequest<U::Call>) -> Result<PendingResponse<U>, Rejection> {
+        let NewRequest { call, name, class, tenant, key, cost_hint, repeat, budget, deadline, dialects } =
             exchange;
         if *self.0.closed.borrow() {
-            return Err(Declined::Closed(COME_BACK));
+            return Err(Rejection::PoolClosed(RETRY_AFTER));
         }
         if !self.0.has_list.get() {
-            return Err(Declined::NoList(COME_BACK));
+            return Err(Rejection::NoEndpoints(RETRY_AFTER));
         }
         // Whoever can speak to all may find one that comes back in time; the others would wait in vain.
         if dialects != Dialects::ALL && !dialects.intersects(self.0.dialects.get()) {
-            return Err(Declined::NoDialect(COME_BACK));
+            return Err(Rejection::NoCommonDialect(RETRY_AFTER));
         }
         let (reply, answer) = oneshot::channel();
         let call = Rc::new(call);
         let id = {
             let mut core = self.0.core.borrow_mut();
             if name.as_ref().is_some_and(|name| core.names.contains(name)) {
-                return Err(Declined::NameInUse);
+                return Err(Rejection::CorrelationIdInUse);
             }
-            let portion = self.0.requests.take(1).ok_or(Declined::Full(COME_BACK))?;
+            let portion = self.0.requests.take(1).ok_or(Rejection::PoolFull(RETRY_AFTER))?;
             core.names.extend(name.clone());
             let id = RequestId(core.next_request);
             core.next_request += 1;
-            let open = Open {
+            let open = OpenRequest {
                 call: Rc::clone(&call),
                 class,
                 name,
@@ -125,7 +125,7 @@
             is_streaming_in: deadline.is_none(),
             dialects,
         }));
-        Ok(Owed { pool: self.clone(), id, answer, call, budget, deadline })
+        Ok(PendingResponse { pool: self.clone(), id, answer, call, budget, deadline })
     }
 
     /// The last of a request has come: its client waits until `deadline`.
@@ -169,7 +169,7 @@
         }
     }
 
-    pub(super) fn answer(&self, id: RequestId, answer: Final<U::Answer>) {
+    pub(super) fn answer(&self, id: RequestId, answer: FinalResponse<U::Answer>) {
         if let Some((reply, _)) = self.0.core.borrow_mut().open.get_mut(&id).and_then(|o| o.reply.take()) {
             let _ = reply.send(answer);
         }
--- a/crates/engine/src/pool/stats.rs
+++ b/crates/engine/src/pool/stats.rs
@@ -6,7 +6,7 @@
 
 /// What a pool is at the moment of asking.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Levels {
+pub struct PoolStats {
     /// Servers in the list.
     pub known: usize,
     /// Those of them that the module avoids at present.
@@ -37,9 +37,9 @@
     }
 
     /// What it is now.
-    pub fn levels(&self) -> Levels {
+    pub fn levels(&self) -> PoolStats {
         let core = self.0.core.borrow();
         let excluded = core.balancer.excluded_endpoints(self.0.clock.now());
-        Levels { known: core.servers.known(), excluded, open: core.open.len() }
+        PoolStats { known: core.servers.known(), excluded, open: core.open.len() }
     }
 }
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,8 +1,8 @@
-use super::rejection::COME_BACK;
+use super::rejection::RETRY_AFTER;
 use super::*;
-use crate::membership::Member;
+use crate::endpoint_source::EndpointInfo;
 use crate::quota::Quota;
-use crate::upstream::{Arriving, Coming, Ended, Gate, Payload, Place};
+use crate::upstream::{AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, StreamingBody};
 use heronhoist_decision::{AttemptNumber, DeduplicationScope, Effect, Outcome, ServerId};
 use std::future::Future;
 use std::pin::Pin;
@@ -12,17 +12,17 @@
 /// Its servers never answer.
 struct Mute;
 struct Nothing;
-impl Payload for Nothing {}
+impl RequestPayload for Nothing {}
 
 impl Upstream for Mute {
     type Address = u16;
     type Call = Nothing;
     type Answer = ();
-    async fn attempt(&self, _: Place<u16>, _: &Nothing, gate: Gate<'_>) -> Ended<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
         gate.open();
         std::future::pending().await
     }
-    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -30,8 +30,12 @@
 }
 
 fn pool(known: bool, most: usize) -> Pool<Mute> {
-    let known = known.then(|| List { version: 1, whole: true, members: vec![Member::serving("s", 80)] });
-    Pool::new(Setup {
+    let known = known.then(|| EndpointList {
+        version: 1,
+        whole: true,
+        members: vec![EndpointInfo::serving("s", 80)],
+    });
+    Pool::new(PoolOptions {
         name: "main".into(),
         settings: Settings::default(),
         seed: 7,
@@ -45,9 +49,9 @@
     .expect("usable")
 }
 
-fn exchange(name: &str) -> Exchange<Nothing> {
+fn exchange(name: &str) -> NewRequest<Nothing> {
     let name = Some(name.as_bytes().into());
-    Exchange { name, ..Exchange::new(Nothing, ClassId(0), Duration::from_secs(60)) }
+    NewRequest { name, ..NewRequest::new(Nothing, ClassId(0), Duration::from_secs(60)) }
 }
 
 /// Guards the module's counts of what is in flight: a request that ends right after one of its attempts was
@@ -60,9 +64,9 @@
         let id = owed.id;
         let cancel = Action::Cancel { request: id, attempt: AttemptNumber(0) };
         pool.perform(vec![cancel, Action::Fail { request: id }]);
-        assert!(matches!(owed.answer(|deadline| deadline).await, Final::Failed));
+        assert!(matches!(owed.answer(|deadline| deadline).await, FinalResponse::Failed));
         assert!(pool.0.core.borrow().open.contains_key(&id), "its outcome has not been told");
-        assert_eq!(pool.submit(exchange("id")).err(), Some(Declined::NameInUse));
+        assert_eq!(pool.submit(exchange("id")).err(), Some(Rejection::CorrelationIdInUse));
         while pool.levels().open > 0 {
             yield_now().await;
         }
@@ -79,7 +83,7 @@
         let owed = pool.submit(exchange("id")).expect("taken");
         let id = owed.id;
         pool.perform(vec![Action::Fail { request: id }, Action::Reject { request: id, retry_after: None }]);
-        assert!(matches!(owed.answer(|deadline| deadline).await, Final::Failed));
+        assert!(matches!(owed.answer(|deadline| deadline).await, FinalResponse::Failed));
         pool.perform(vec![Action::Cancel { request: id, attempt: AttemptNumber(0) }]);
         while pool.levels().open > 0 {
             yield_now().await;
@@ -96,10 +100,10 @@
         let mut settings = Settings::default();
         settings.classes[0].latency_objective = Span::from_ms(11.0);
         pool.revise(settings, vec![ClassId(1)], &[]);
-        let owed = pool.submit(Exchange::new(Nothing, ClassId(1), budget)).expect("taken");
+        let owed = pool.submit(NewRequest::new(Nothing, ClassId(1), budget)).expect("taken");
         let answer = owed.answer(|deadline| deadline).await;
         let waited = begun.elapsed();
-        assert!(!matches!(answer, Final::Served(())), "its server never answers");
+        assert!(!matches!(answer, FinalResponse::Success(())), "its server never answers");
         assert!((Duration::from_millis(18)..budget).contains(&waited), "{waited:?}");
     };
     LocalSet::new().run_until(test).await;
@@ -111,16 +115,16 @@
     let test = async {
         let empty = pool(false, 9);
         let declined = empty.submit(exchange("a")).err().expect("declined");
-        assert_eq!(declined, Declined::NoList(COME_BACK));
+        assert_eq!(declined, Rejection::NoEndpoints(RETRY_AFTER));
         assert!(declined.come_back().is_some());
-        empty.listed(List { version: 1, whole: true, members: vec![Member::serving("s", 80)] });
+        empty.listed(EndpointList { version: 1, whole: true, members: vec![EndpointInfo::serving("s", 80)] });
         assert!(empty.submit(exchange("a")).is_ok());
         let full = pool(true, 1);
         let first = full.submit(exchange("a")).expect("taken");
-        assert_eq!(full.submit(exchange("b")).err(), Some(Declined::Full(COME_BACK)));
+        assert_eq!(full.submit(exchange("b")).err(), Some(Rejection::PoolFull(RETRY_AFTER)));
         drop(first);
         full.close();
-        assert_eq!(full.submit(exchange("b")).err(), Some(Declined::Closed(COME_BACK)));
+        assert_eq!(full.submit(exchange("b")).err(), Some(Rejection::PoolClosed(RETRY_AFTER)));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -136,7 +140,7 @@
     type Address = u16;
     type Call = Nothing;
     type Answer = ();
-    async fn attempt(&self, _: Place<u16>, _: &Nothing, gate: Gate<'_>) -> Ended<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
         self.up.notified().await;
         let opens = gate.open();
         self.opened.borrow_mut().push(opens);
@@ -149,7 +153,7 @@
             }
         }
     }
-    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -161,13 +165,13 @@
     let (up, opened) = (Rc::new(Notify::new()), Rc::default());
     let mut settings = Settings::default();
     settings.classes[0].effect = effect;
-    let members = vec![Member::serving("s", 80), Member::serving("t", 81)];
-    let pool = Pool::new(Setup {
+    let members = vec![EndpointInfo::serving("s", 80), EndpointInfo::serving("t", 81)];
+    let pool = Pool::new(PoolOptions {
         name: "main".into(),
         settings,
         seed: 7,
         names: ServerNames::default(),
-        known: Some(List { version: 1, whole: true, members }),
+        known: Some(EndpointList { version: 1, whole: true, members }),
         known_stands: true,
         epoch: None,
         upstream: Slow { up: Rc::clone(&up), breaks: Cell::new(breaks), opened: Rc::clone(&opened) },
@@ -203,7 +207,7 @@
     type Address = u16;
     type Call = Nothing;
     type Answer = ();
-    async fn attempt(&self, _: Place<u16>, _: &Nothing, gate: Gate<'_>) -> Ended<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
         let number = self.0.replace(self.0.get() + 1);
         if number > 0 {
             gate.open();
@@ -211,7 +215,7 @@
         }
         panic!("attempt {number}");
     }
-    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -223,13 +227,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_panic_of_an_attempt_ends_that_attempt_only() {
     let test = async {
-        let members = vec![Member::serving("s", 80), Member::serving("t", 81)];
-        let pool = Pool::new(Setup {
+        let members = vec![EndpointInfo::serving("s", 80), EndpointInfo::serving("t", 81)];
+        let pool = Pool::new(PoolOptions {
             name: "main".into(),
             settings: Settings::default(),
             seed: 7,
             names: ServerNames::default(),
-            known: Some(List { version: 1, whole: true, members }),
+            known: Some(EndpointList { version: 1, whole: true, members }),
             known_stands: true,
             epoch: None,
             upstream: Faulty(Cell::new(0)),
@@ -239,7 +243,7 @@
         let start = Instant::now();
         let owed = pool.submit(exchange("id")).expect("taken");
         let answer = owed.answer(|deadline| deadline).await;
-        assert!(matches!(answer, Final::Failed | Final::Refused(_)), "{answer:?}");
+        assert!(matches!(answer, FinalResponse::Failed | FinalResponse::Rejected(_)), "{answer:?}");
         assert!(start.elapsed() < Duration::from_secs(1), "of a minute, by the test's own clock");
         assert_eq!(pool.levels().open, 0);
         assert!(pool.submit(exchange("id")).is_ok(), "its name is free again");
@@ -250,20 +254,20 @@
 /// A request of which more is always to come.
 struct Endless;
 
-impl Arriving for Endless {
-    fn state(&self) -> Coming {
-        Coming::More
+impl StreamingBody for Endless {
+    fn state(&self) -> BodyProgress {
+        BodyProgress::Incomplete
     }
     fn is_spent(&self) -> bool {
         false
     }
-    fn ended(&self) -> Pin<Box<dyn Future<Output = Coming> + '_>> {
+    fn ended(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>> {
         Box::pin(std::future::pending())
     }
 }
 
-impl Payload for Endless {
-    fn arriving(&self) -> Option<&dyn Arriving> {
+impl RequestPayload for Endless {
+    fn arriving(&self) -> Option<&dyn StreamingBody> {
         Some(self)
     }
 }
@@ -275,11 +279,11 @@
     type Address = u16;
     type Call = Endless;
     type Answer = ();
-    async fn attempt(&self, _: Place<u16>, _: &Endless, gate: Gate<'_>) -> Ended<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &Endless, gate: Gate<'_>) -> AttemptResult<()> {
         gate.open();
         std::future::pending().await
     }
-    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -292,12 +296,16 @@
 async fn a_request_that_the_module_forgets_while_it_comes_is_answered() {
     for forgets in [true, false] {
         let test = async {
-            let pool = Pool::new(Setup {
+            let pool = Pool::new(PoolOptions {
                 name: "main".into(),
                 settings: Settings::default(),
                 seed: 7,
                 names: ServerNames::default(),
-                known: Some(List { version: 1, whole: true, members: vec![Member::serving("s", 80)] }),
+                known: Some(EndpointList {
+                    version: 1,
+                    whole: true,
+                    members: vec![EndpointInfo::serving("s", 80)],
+                }),
                 known_stands: true,
                 epoch: None,
                 upstream: Silent,
@@ -305,7 +313,7 @@
             });
             let pool = pool.expect("usable");
             let budget = Duration::from_secs(60);
-            let coming = Exchange { deadline: None, ..Exchange::new(Endless, ClassId(0), budget) };
+            let coming = NewRequest { deadline: None, ..NewRequest::new(Endless, ClassId(0), budget) };
             let owed = pool.submit(coming).expect("taken");
             if forgets {
                 pool.tell(Event::ClientDisconnected { request: owed.id });
@@ -313,7 +321,9 @@
             }
             let answer = tokio::time::timeout(10 * budget, owed.answer(|deadline| deadline)).await;
             match answer {
-                Ok(answer) => assert!(forgets && matches!(answer, Final::OutOfTime), "{answer:?}"),
+                Ok(answer) => {
+                    assert!(forgets && matches!(answer, FinalResponse::DeadlineExceeded), "{answer:?}")
+                }
                 Err(_) => assert!(!forgets, "no answer"),
             }
         };
@@ -361,7 +371,7 @@
         (settings.classes[0].latency_objective, settings.classes[0].deadline) = (ms(5000.0), ms(10_000.0));
         pool.revise(settings, vec![ClassId(1)], &[]);
         for late in [0, 5] {
-            let exchange = Exchange::new(Nothing, ClassId(1), Duration::from_secs(5));
+            let exchange = NewRequest::new(Nothing, ClassId(1), Duration::from_secs(5));
             tokio::time::advance(Duration::from_millis(late)).await;
             let owed = pool.submit(exchange).expect("taken");
             let attempts = pool.0.core.borrow().open.get(&owed.id).map(|open| open.attempts);
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -8,18 +8,18 @@
 /// So many of something, and the parts that hold them.
 pub struct Quota {
     most: Cell<usize>,
-    parts: RefCell<Vec<Weak<Part>>>,
+    parts: RefCell<Vec<Weak<QuotaShare>>>,
 }
 
 /// One holder of a [`Quota`].
-pub struct Part {
+pub struct QuotaShare {
     quota: Rc<Quota>,
     held: Cell<usize>,
 }
 
-/// What a [`Part`] holds of its quota; given back when dropped.
-pub struct Portion {
-    part: Rc<Part>,
+/// What a [`QuotaShare`] holds of its quota; given back when dropped.
+pub struct Reservation {
+    part: Rc<QuotaShare>,
     amount: usize,
 }
 
@@ -35,14 +35,14 @@
     }
 
     /// One more holder, until it and all its portions are dropped.
-    pub fn part(self: &Rc<Self>) -> Rc<Part> {
-        let part = Rc::new(Part { quota: Rc::clone(self), held: Cell::new(0) });
+    pub fn part(self: &Rc<Self>) -> Rc<QuotaShare> {
+        let part = Rc::new(QuotaShare { quota: Rc::clone(self), held: Cell::new(0) });
         self.parts.borrow_mut().push(Rc::downgrade(&part));
         part
     }
 
     /// A quota with a single holder.
-    pub fn alone(most: usize) -> Rc<Part> {
+    pub fn alone(most: usize) -> Rc<QuotaShare> {
         Quota::new(most).part()
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-impl Part {
+impl QuotaShare {
     /// How many more this part may take now.
     pub fn room(&self) -> usize {
         let most = self.quota.most.get();
@@ -83,13 +83,13 @@
     }
 
     /// Takes so many whether there is room or not: for whoever has made room that is about to be given back.
-    pub fn overdraw(self: &Rc<Self>, amount: usize) -> Portion {
+    pub fn overdraw(self: &Rc<Self>, amount: usize) -> Reservation {
         self.held.set(self.held.get() + amount);
-        Portion { part: Rc::clone(self), amount }
+        Reservation { part: Rc::clone(self), amount }
     }
 
     /// Sets so many aside until the portion is dropped; `None` if there are not so many for this part.
-    pub fn take(self: &Rc<Self>, amount: usize) -> Option<Portion> {
+    pub fn take(self: &Rc<Self>, amount: usize) -> Option<Reservation> {
         if amount > self.room() {
             return None;
         }
@@ -97,13 +97,13 @@
     }
 }
 
-impl Drop for Part {
+impl Drop for QuotaShare {
     fn drop(&mut self) {
         self.quota.parts.borrow_mut().retain(|part| part.strong_count() > 0);
     }
 }
 
-impl Drop for Portion {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.part.held.set(self.part.held.get() - self.amount);
     }
--- a/crates/engine/src/servers/mod.rs
+++ b/crates/engine/src/servers/mod.rs
@@ -1,14 +1,14 @@
 //! The identities and lives of a pool's servers.
 
-mod numbers;
+mod name_numbers;
 
-use crate::membership::{List, Member, State};
+use crate::endpoint_source::{EndpointInfo, EndpointList, EndpointState};
 use crate::timing::stalled_since;
-use crate::upstream::Place;
+use crate::upstream::EndpointAddress;
 use heronhoist_decision::{
     CellId, Dialects, Endpoint, MachineTypeId, Outcome, ServerId, Status, Time, ZoneId,
 };
-use numbers::Numbers;
+use name_numbers::NameNumbers;
 use rustc_hash::FxHashMap;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -18,9 +18,9 @@
 /// its last look at the clock and its write, and the way there takes a little too.
 const DRAIN_RESERVE: Duration = Duration::from_millis(200);
 /// Servers that a pool knows at any time, those that have just left among them. Lines beyond are left out, and told in the log.
-pub const SERVERS_MOST: usize = 4096;
+pub const MAX_SERVERS: usize = 4096;
 /// A server that was silent so often in a row can't be reached, as far as can be told from here.
-const SILENT: u32 = 3;
+const UNANSWERED_LIMIT: u32 = 3;
 
 /// The names that the settings number.
 #[derive(Debug, Clone, Default)]
@@ -32,7 +32,7 @@
 }
 
 struct Server<A> {
-    place: Place<A>,
+    place: EndpointAddress<A>,
     serving: bool,
     /// It has left, and is not only draining.
     gone: bool,
@@ -51,13 +51,13 @@
     ids: HashMap<String, ServerId>,
     /// No number is given twice, so that nothing of a server that has left falls to another.
     next: u32,
-    zones: Numbers,
-    kinds: Numbers,
+    zones: NameNumbers,
+    kinds: NameNumbers,
 }
 
 impl<A: Clone + PartialEq> Servers<A> {
     pub(crate) fn new(names: &ServerNames) -> Self {
-        let (zones, kinds) = (Numbers::new(&names.zones), Numbers::new(&names.kinds));
+        let (zones, kinds) = (NameNumbers::new(&names.zones), NameNumbers::new(&names.kinds));
         Servers { servers: FxHashMap::default(), ids: HashMap::new(), next: 0, zones, kinds }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// One more attempt or probe is out to it; `None` if it is not known any more.
-    pub(crate) fn enter(&mut self, server: ServerId) -> Option<Place<A>> {
+    pub(crate) fn enter(&mut self, server: ServerId) -> Option<EndpointAddress<A>> {
         self.servers.get_mut(&server).map(|s| {
             s.out += 1;
             s.place.clone()
@@ -128,7 +128,7 @@
     /// was silent several times in a row, lacks all; a cold one what `warmth` says of the time since it started.
     pub(crate) fn lacks(&self, warmth: impl Fn(Time) -> f64) -> Vec<(String, f64)> {
         let known = self.ids.iter().filter_map(|(name, id)| Some((name, self.servers.get(id)?)));
-        let lack = |server: &Server<A>| match server.serving && server.silent < SILENT {
+        let lack = |server: &Server<A>| match server.serving && server.silent < UNANSWERED_LIMIT {
             true => server.started.map_or(0.0, |started| 1.0 - warmth(started)),
             false => 1.0,
         };
@@ -150,7 +150,7 @@
 
     /// Takes over addresses and states; returns the lines in the module's terms. `cut` is told of each server whose
     /// resting connections lead nowhere from now on, or to one that wants nothing new.
-    pub(crate) fn take(&mut self, list: List<A>, mut cut: impl FnMut(ServerId)) -> Vec<Endpoint> {
+    pub(crate) fn take(&mut self, list: EndpointList<A>, mut cut: impl FnMut(ServerId)) -> Vec<Endpoint> {
         let told = list.members.len();
         let members = list.members.into_iter();
         let lines: Vec<Endpoint> = members.filter_map(|member| self.take_member(member, &mut cut)).collect();
@@ -177,12 +177,12 @@
     }
 
     /// `None` of a server that there is no room to know.
-    fn take_member(&mut self, member: Member<A>, cut: &mut impl FnMut(ServerId)) -> Option<Endpoint> {
+    fn take_member(&mut self, member: EndpointInfo<A>, cut: &mut impl FnMut(ServerId)) -> Option<Endpoint> {
         let started = member.started;
         let next = ServerId(self.next);
         let id = match self.ids.get(&member.name) {
             Some(id) => *id,
-            None if self.servers.len() >= SERVERS_MOST => return None,
+            None if self.servers.len() >= MAX_SERVERS => return None,
             None => {
                 self.ids.insert(member.name, next);
                 self.next += 1;
@@ -190,22 +190,26 @@
             }
         };
         let server = self.servers.entry(id).or_insert_with(|| {
-            let place =
-                Place { server: id, address: member.address.clone(), life: 0, dialect: member.dialect };
+            let place = EndpointAddress {
+                server: id,
+                address: member.address.clone(),
+                life: 0,
+                dialect: member.dialect,
+            };
             Server { place, serving: false, gone: false, off_since: None, started, out: 0, silent: 0 }
         });
         let moved = server.place.address != member.address || server.place.dialect != member.dialect;
         if moved || server.started != started {
             // Another process: connections to the one before lead nowhere. What is in flight ends as it began.
             let (dialect, life) = (member.dialect, server.place.life + 1);
-            server.place = Place { server: id, address: member.address, life, dialect };
+            server.place = EndpointAddress { server: id, address: member.address, life, dialect };
             (server.started, server.silent) = (started, 0);
             cut(id);
         }
-        server.gone = member.state == State::Gone;
+        server.gone = member.state == EndpointState::Removed;
         match member.state {
-            State::Serving => (server.serving, server.off_since) = (true, None),
-            State::Draining | State::Gone => {
+            EndpointState::Serving => (server.serving, server.off_since) = (true, None),
+            EndpointState::Draining | EndpointState::Removed => {
                 server.turn_off();
                 cut(id);
             }
@@ -217,9 +221,9 @@
             cell: CellId(member.cell),
             dialect: member.dialect,
             status: match member.state {
-                State::Serving => Status::Serving,
-                State::Draining => Status::Draining,
-                State::Gone => Status::Removed,
+                EndpointState::Serving => Status::Serving,
+                EndpointState::Draining => Status::Draining,
+                EndpointState::Removed => Status::Removed,
             },
             weight: member.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
             started_at: started,
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -2,13 +2,13 @@
 //! have been stepped; what was seen here bounds it.
 
 use crate::clock::Clock;
-use crate::membership::{List, Member, State};
-use crate::servers::SERVERS_MOST;
+use crate::endpoint_source::{EndpointInfo, EndpointList, EndpointState};
+use crate::servers::MAX_SERVERS;
 use heronhoist_decision::{Span, Time};
 use std::collections::HashMap;
 
 /// Starts that are remembered at any time, those of servers that have left among them.
-const REMEMBERED_MOST: usize = 2 * SERVERS_MOST;
+const MAX_REMEMBERED_STARTS: usize = 2 * MAX_SERVERS;
 
 #[derive(Debug, Clone)]
 struct Start {
@@ -50,13 +50,13 @@
     }
 
     /// Settles the starts in a list that was saved at a time that is not known, and so says nothing of when one it lacks came.
-    pub(crate) fn saved<A>(&mut self, members: &mut [Member<A>]) {
+    pub(crate) fn saved<A>(&mut self, members: &mut [EndpointInfo<A>]) {
         let now = self.clock.now();
         members.iter_mut().for_each(|member| self.settle(member, now));
     }
 
     /// Settles the starts in a list that the source has just sent.
-    pub(crate) fn listed<A>(&mut self, list: &mut List<A>) {
+    pub(crate) fn listed<A>(&mut self, list: &mut EndpointList<A>) {
         let now = self.clock.now();
         if list.whole {
             self.starts.values_mut().for_each(|start| start.listed = false);
@@ -64,14 +64,14 @@
         list.members.iter_mut().for_each(|member| self.settle(member, now));
         self.list_before = Some(now);
         // Servers that are replaced under ever new names would fill the memory.
-        if self.starts.len() > SERVERS_MOST {
+        if self.starts.len() > MAX_SERVERS {
             self.starts.retain(|_, start| start.listed);
         }
     }
 
-    fn settle<A>(&mut self, member: &mut Member<A>, now: Time) {
+    fn settle<A>(&mut self, member: &mut EndpointInfo<A>, now: Time) {
         let Some(told) = member.started else { return };
-        let leaves = member.state == State::Gone;
+        let leaves = member.state == EndpointState::Removed;
         let possible = self.list_before.is_none_or(|before| told >= before) && told <= now;
         let seen = if possible { told } else { now };
         let settled = match self.starts.get_mut(&member.name) {
@@ -88,7 +88,7 @@
                 settled
             }
             None => {
-                if !leaves && self.starts.len() < REMEMBERED_MOST {
+                if !leaves && self.starts.len() < MAX_REMEMBERED_STARTS {
                     self.starts.insert(member.name.clone(), Start { told, settled: seen, listed: true });
                 }
                 seen
--- a/crates/engine/src/start_times/tests.rs
+++ b/crates/engine/src/start_times/tests.rs
@@ -27,8 +27,8 @@
 
     /// The starts as they are settled when the source sends these lines, of which each is a name and a start.
     fn list(&mut self, whole: bool, lines: &[(&str, Option<Time>)]) -> Vec<Option<Time>> {
-        let member = |&(name, started)| Member { started, ..Member::serving(name, 80) };
-        let mut list = List { version: 0, whole, members: lines.iter().map(member).collect() };
+        let member = |&(name, started)| EndpointInfo { started, ..EndpointInfo::serving(name, 80) };
+        let mut list = EndpointList { version: 0, whole, members: lines.iter().map(member).collect() };
         self.0.listed(&mut list);
         list.members.into_iter().map(|member| member.started).collect()
     }
@@ -93,7 +93,7 @@
 #[tokio::test(start_paused = true)]
 async fn in_a_first_list_only_what_lies_ahead_is_impossible() {
     let mut told = Told::new();
-    let mut known = [Member { started: Some(EPOCH + HOUR), ..Member::serving("a", 80) }];
+    let mut known = [EndpointInfo { started: Some(EPOCH + HOUR), ..EndpointInfo::serving("a", 80) }];
     told.0.saved(&mut known);
     assert_eq!(known[0].started, Some(EPOCH));
     for _ in 0..2 {
@@ -113,8 +113,12 @@
     let early = before(told.now(), HOUR);
     told.list(true, &[("a", Some(early)), ("b", None)]);
     advance(Duration::from_secs(1)).await;
-    let gone = Member { state: State::Gone, started: Some(told.now()), ..Member::serving("a", 80) };
-    let mut list = List { version: 0, whole: false, members: vec![gone] };
+    let gone = EndpointInfo {
+        state: EndpointState::Removed,
+        started: Some(told.now()),
+        ..EndpointInfo::serving("a", 80)
+    };
+    let mut list = EndpointList { version: 0, whole: false, members: vec![gone] };
     told.0.listed(&mut list);
     assert_eq!(list.members[0].started, Some(early), "one that leaves has not restarted");
     advance(Duration::from_secs(60)).await;
@@ -148,12 +152,12 @@
         let mut lines: Vec<_> = names.iter().map(|name| (&**name, Some(told.now()))).collect();
         lines.push(("stays", Some(EPOCH + HOUR)));
         assert_eq!(told.list(n % 2 == 1, &lines)[3000], stays);
-        assert!(told.0.starts.len() <= REMEMBERED_MOST);
+        assert!(told.0.starts.len() <= MAX_REMEMBERED_STARTS);
     }
     let names: Vec<String> = (0..20_000).map(|i| format!("t{i}")).collect();
     let lines: Vec<_> = names.iter().map(|name| (&**name, Some(told.now()))).collect();
     told.list(false, &lines);
-    assert!(told.0.starts.len() <= REMEMBERED_MOST);
+    assert!(told.0.starts.len() <= MAX_REMEMBERED_STARTS);
     assert_eq!(told.one("stays", Some(EPOCH + HOUR)), stays);
     told.list(true, &[("stays", Some(EPOCH + HOUR))]);
     assert!(told.0.starts.len() == 1);
--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -14,22 +14,22 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 /// How often a process that looks after its event loop calls [`heartbeat`].
-pub const HEARTBEAT: Duration = Duration::from_millis(100);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// What is later than this says that the event loop has stood still.
-const LATE: Duration = Duration::from_millis(100);
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(100);
 /// Turns of the event loop that are given to what has come when a limit is over: one in which the sockets are looked at, and
 /// some for the tasks between a socket and whoever waits for what it brings.
-const TURNS: u32 = 4;
+const MIN_CATCH_UP_TURNS: u32 = 4;
 /// The same after the event loop has stood still, when there is much to read: a list of thousands of lines comes in dozens of
 /// pieces.
-const TURNS_MOST: u32 = 128;
+const MAX_CATCH_UP_TURNS: u32 = 128;
 
 thread_local! {
     /// When the event loop of this thread was last known to run and to have read what there was; `None` where nobody looks.
     static LAST_BEAT: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// The event loop runs. To be called every [`HEARTBEAT`]; comes back once what came while it stood still has had its turn.
+/// The event loop runs. To be called every [`HEARTBEAT_INTERVAL`]; comes back once what came while it stood still has had its turn.
 pub async fn heartbeat() {
     caught_up().await;
     LAST_BEAT.set(Some(Instant::now()));
@@ -37,12 +37,12 @@
 
 /// Since when the event loop has stood still, until what came meanwhile has been read; `None` while it runs.
 pub fn stalled_since() -> Option<Instant> {
-    LAST_BEAT.get().filter(|last| last.elapsed() > HEARTBEAT + LATE)
+    LAST_BEAT.get().filter(|last| last.elapsed() > HEARTBEAT_INTERVAL + MAX_HEARTBEAT_DELAY)
 }
 
 /// Comes back at once while the event loop runs; after it has stood still, once what came meanwhile has had its turn.
 pub async fn caught_up() {
-    for _ in 0..TURNS_MOST {
+    for _ in 0..MAX_CATCH_UP_TURNS {
         if stalled_since().is_none() {
             return;
         }
@@ -52,8 +52,8 @@
 
 /// Gives what has come its turn, at the end of a wait that was to end at `due`.
 async fn settle(due: Instant) {
-    let stood_still = due.elapsed() > LATE || stalled_since().is_some();
-    for _ in 0..if stood_still { TURNS_MOST } else { TURNS } {
+    let stood_still = due.elapsed() > MAX_HEARTBEAT_DELAY || stalled_since().is_some();
+    for _ in 0..if stood_still { MAX_CATCH_UP_TURNS } else { MIN_CATCH_UP_TURNS } {
         yield_now().await;
     }
 }
@@ -92,15 +92,15 @@
 }
 
 /// A time limit that is polled by hand, and set anew for each wait.
-pub struct Limit {
+pub struct DeadlineTimer {
     sleep: Pin<Box<Sleep>>,
     settling: Option<Pin<Box<dyn Future<Output = ()>>>>,
 }
 
-impl Limit {
+impl DeadlineTimer {
     /// Over at this time.
     pub fn new(due: Instant) -> Self {
-        Limit { sleep: Box::pin(sleep_until(due)), settling: None }
+        DeadlineTimer { sleep: Box::pin(sleep_until(due)), settling: None }
     }
 
     /// Over at this time instead.
--- a/crates/engine/src/timing/tests.rs
+++ b/crates/engine/src/timing/tests.rs
@@ -2,7 +2,7 @@
 //! whoever waits.
 
 use super::*;
-use crate::membership::{List, Member, State};
+use crate::endpoint_source::{EndpointInfo, EndpointList, EndpointState};
 use crate::servers::{ServerNames, Servers};
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
@@ -79,7 +79,7 @@
     play(async {
         let (near, far) = connection().await;
         let mut end = pin!(handed_on(near));
-        let mut limit = Limit::new(Instant::now());
+        let mut limit = DeadlineTimer::new(Instant::now());
         limit.reset(Instant::now() + LIMIT);
         let waiting = std::future::poll_fn(|cx| match end.as_mut().poll(cx) {
             Poll::Ready(byte) => Poll::Ready(byte.ok()),
@@ -111,7 +111,7 @@
         let end = handed_on(near);
         heartbeat().await;
         let beat = Instant::now();
-        advance(HEARTBEAT + LATE / 2).await;
+        advance(HEARTBEAT_INTERVAL + MAX_HEARTBEAT_DELAY / 2).await;
         assert_eq!(stalled_since(), None, "a turn that is a little late is none");
         stand_still(&far);
         advance(LIMIT).await;
@@ -139,12 +139,12 @@
         heartbeat().await;
         for (stall, still_sent_to) in [(Duration::ZERO, true), (GRACE, false)] {
             let mut servers = Servers::new(&ServerNames::default());
-            let serving = Member::serving("s", ());
-            let draining = Member { state: State::Draining, ..serving.clone() };
+            let serving = EndpointInfo::serving("s", ());
+            let draining = EndpointInfo { state: EndpointState::Draining, ..serving.clone() };
             let [first, second] = [serving, draining].map(|member| vec![member]);
-            let lines = servers.take(List { version: 1, whole: true, members: first }, |_| {});
+            let lines = servers.take(EndpointList { version: 1, whole: true, members: first }, |_| {});
             advance(stall).await;
-            servers.take(List { version: 2, whole: true, members: second }, |_| {});
+            servers.take(EndpointList { version: 2, whole: true, members: second }, |_| {});
             assert_eq!(servers.may_send(lines[0].server, GRACE), still_sent_to, "{stall:?}");
         }
     });
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -9,7 +9,7 @@
 
 /// A server's address, and which of its lives this is: what belongs to an earlier one is not used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place<A> {
+pub struct EndpointAddress<A> {
     /// The server.
     pub server: ServerId,
     /// Where it listens.
@@ -22,40 +22,40 @@
 
 /// How far a request that came in parts has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Coming {
+pub enum BodyProgress {
     /// More of it is to come.
-    More,
+    Incomplete,
     /// Its last byte came then.
-    Whole(Instant),
+    Complete(Instant),
     /// It will not come whole.
-    Broken,
+    Failed,
 }
 
 /// A request whose last part had not come when it was submitted.
-pub trait Arriving {
+pub trait StreamingBody {
     /// How far it has come.
-    fn state(&self) -> Coming;
-    /// Part of it went with an attempt and is not held any more, so that it can't be sent again.
+    fn state(&self) -> BodyProgress;
+    /// QuotaShare of it went with an attempt and is not held any more, so that it can't be sent again.
     fn is_spent(&self) -> bool;
     /// Since when its client may have sent all of it with nobody reading on; `None` if somebody has, or if it can't have.
     fn unread_since(&self) -> Option<Instant> {
         None
     }
     /// Comes back when the last of it has come, or never will.
-    fn ended(&self) -> Pin<Box<dyn Future<Output = Coming> + '_>>;
+    fn ended(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>>;
 }
 
 /// A request as a front hands it over; the engine looks at nothing else of it.
-pub trait Payload {
+pub trait RequestPayload {
     /// The request as it comes, if it was not whole from the start.
-    fn arriving(&self) -> Option<&dyn Arriving> {
+    fn arriving(&self) -> Option<&dyn StreamingBody> {
         None
     }
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug)]
-pub struct Ended<A> {
+pub struct AttemptResult<A> {
     /// In the module's terms.
     pub outcome: Outcome,
     /// The load report, if a readable one came, in the order of the settings.
@@ -64,9 +64,9 @@
     pub answer: Option<A>,
 }
 
-impl<A> From<Outcome> for Ended<A> {
+impl<A> From<Outcome> for AttemptResult<A> {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, report: None, answer: None }
+        AttemptResult { outcome, report: None, answer: None }
     }
 }
 
@@ -104,7 +104,7 @@
     /// How a server is reached.
     type Address: Clone + PartialEq + Debug + 'static;
     /// A request.
-    type Call: Payload + 'static;
+    type Call: RequestPayload + 'static;
     /// A server's answer.
     type Answer: 'static;
 
@@ -112,13 +112,16 @@
     /// again, so an outcome that [never ran](Outcome::never_ran) needs proof.
     fn attempt(
         &self,
-        place: Place<Self::Address>,
+        place: EndpointAddress<Self::Address>,
         call: &Self::Call,
         gate: Gate<'_>,
-    ) -> impl Future<Output = Ended<Self::Answer>>;
+    ) -> impl Future<Output = AttemptResult<Self::Answer>>;
 
     /// Asks a server how it is; ends within a bounded time.
-    fn probe(&self, place: Place<Self::Address>) -> impl Future<Output = Ended<Self::Answer>>;
+    fn probe(
+        &self,
+        place: EndpointAddress<Self::Address>,
+    ) -> impl Future<Output = AttemptResult<Self::Answer>>;
 
     /// Closes what rests of the connections to a server.
     fn close_idle(&self, server: ServerId);
--- a/crates/engine/tests/line/line.rs
+++ b/crates/engine/tests/line/line.rs
@@ -22,7 +22,7 @@
     pub class: usize,
 }
 
-impl Payload for Line {}
+impl RequestPayload for Line {}
 
 /// One connection an attempt; that is enough here.
 pub struct Lines;
@@ -32,7 +32,12 @@
     type Call = Line;
     type Answer = String;
 
-    async fn attempt(&self, place: Place<SocketAddr>, call: &Line, gate: Gate<'_>) -> Ended<String> {
+    async fn attempt(
+        &self,
+        place: EndpointAddress<SocketAddr>,
+        call: &Line,
+        gate: Gate<'_>,
+    ) -> AttemptResult<String> {
         let Ok(stream) = TcpStream::connect(place.address).await else {
             return Outcome::ConnectFailed.into();
         };
@@ -47,7 +52,7 @@
         match stream.read_line(&mut answer).await {
             Ok(n) if n > 0 && answer.ends_with('\n') => match answer.trim_end().split_once(' ') {
                 Some((name, text)) if name == call.name && text.starts_with("ok") => {
-                    Ended { answer: Some(text.to_string()), ..Outcome::Success.into() }
+                    AttemptResult { answer: Some(text.to_string()), ..Outcome::Success.into() }
                 }
                 Some((name, "busy")) if name == call.name => Outcome::Rejected.into(),
                 _ => Outcome::ServerError.into(),
@@ -56,7 +61,7 @@
         }
     }
 
-    async fn probe(&self, _: Place<SocketAddr>) -> Ended<String> {
+    async fn probe(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<String> {
         Outcome::NotSent.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -158,9 +163,9 @@
 }
 
 /// A front in so many words: takes a line, gives its final answer.
-pub async fn ask(pool: &Pool<Lines>, name: &str, class: usize) -> Result<Final<String>, Declined> {
+pub async fn ask(pool: &Pool<Lines>, name: &str, class: usize) -> Result<FinalResponse<String>, Rejection> {
     let call = Line { name: name.into(), class };
-    let exchange = Exchange::new(call, ClassId(class), Duration::from_secs(5));
-    let owed = pool.submit(Exchange { name: Some(name.as_bytes().into()), ..exchange })?;
+    let exchange = NewRequest::new(call, ClassId(class), Duration::from_secs(5));
+    let owed = pool.submit(NewRequest { name: Some(name.as_bytes().into()), ..exchange })?;
     Ok(timeout(BOUND, owed.answer(|deadline| deadline)).await.expect("an answer in time"))
 }
--- a/crates/engine/tests/line/main.rs
+++ b/crates/engine/tests/line/main.rs
@@ -34,7 +34,7 @@
     }
 }
 
-type Members = watch::Sender<Vec<Member<SocketAddr>>>;
+type Members = watch::Sender<Vec<EndpointInfo<SocketAddr>>>;
 
 struct World {
     pool: Pool<Lines>,
@@ -42,30 +42,30 @@
     run: JoinHandle<()>,
 }
 
-fn members(servers: &[&StandIn], state: impl Fn(usize) -> State) -> Vec<Member<SocketAddr>> {
-    let line = |(n, server): (usize, &&StandIn)| Member {
+fn members(servers: &[&StandIn], state: impl Fn(usize) -> EndpointState) -> Vec<EndpointInfo<SocketAddr>> {
+    let line = |(n, server): (usize, &&StandIn)| EndpointInfo {
         state: state(n),
-        ..Member::serving(&format!("s{n}"), server.address)
+        ..EndpointInfo::serving(&format!("s{n}"), server.address)
     };
     servers.iter().enumerate().map(line).collect()
 }
 
 fn world_of(quota: &Rc<Quota>, servers: &[&StandIn], settings: Settings) -> World {
-    let lines = members(servers, |_| State::Serving);
+    let lines = members(servers, |_| EndpointState::Serving);
     let (tell, told) = watch::channel(lines.clone());
-    let pool = Pool::new(Setup {
+    let pool = Pool::new(PoolOptions {
         name: "lines".into(),
         settings,
         seed: 7,
         names: ServerNames::default(),
-        known: Some(List { version: 0, whole: true, members: lines }),
+        known: Some(EndpointList { version: 0, whole: true, members: lines }),
         known_stands: true,
         epoch: None,
         upstream: Lines,
         requests: quota.part(),
     });
     let pool = pool.expect("usable");
-    let run = spawn_local(pool.clone().run(Box::new(Fixed::new(told))));
+    let run = spawn_local(pool.clone().run(Box::new(StaticEndpoints::new(told))));
     World { pool, members: tell, run }
 }
 
@@ -73,8 +73,8 @@
     world_of(&Quota::new(1000), servers, settings)
 }
 
-fn served(answer: &Result<Final<String>, Declined>) -> bool {
-    matches!(answer, Ok(Final::Served(_)))
+fn served(answer: &Result<FinalResponse<String>, Rejection>) -> bool {
+    matches!(answer, Ok(FinalResponse::Success(_)))
 }
 
 /// A server dies in mid-attempt: what may be repeated is served by the other, and what must not run twice has not.
@@ -126,9 +126,9 @@
         first.wait(1).await;
         world.members.send_replace(members(&[&first, &second], |n| {
             if n == 0 {
-                State::Draining
+                EndpointState::Draining
             } else {
-                State::Serving
+                EndpointState::Serving
             }
         }));
         while world.pool.levels().excluded == 0 {
@@ -252,7 +252,7 @@
         for answer in second {
             assert!(served(&answer.await.unwrap()));
         }
-        assert!(matches!(ask(&before.pool, "late", ONCE).await, Err(Declined::Closed(_))));
+        assert!(matches!(ask(&before.pool, "late", ONCE).await, Err(Rejection::PoolClosed(_))));
         assert!(!before.run.is_finished(), "requests are under way in it");
         old.go_on();
         for answer in first {
@@ -291,7 +291,7 @@
         let mut declined = 0;
         for answer in owed {
             match answer.await.unwrap() {
-                Err(Declined::Full(after)) if after > Span::ZERO => declined += 1,
+                Err(Rejection::PoolFull(after)) if after > Span::ZERO => declined += 1,
                 _ => {}
             }
         }
--- a/crates/engine/tests/starts.rs
+++ b/crates/engine/tests/starts.rs
@@ -15,16 +15,16 @@
 /// Nobody asks for anything here.
 struct Unasked;
 struct Nothing;
-impl Payload for Nothing {}
+impl RequestPayload for Nothing {}
 
 impl Upstream for Unasked {
     type Address = u16;
     type Call = Nothing;
     type Answer = ();
-    async fn attempt(&self, _: Place<u16>, _: &Nothing, _: Gate<'_>) -> Ended<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, _: Gate<'_>) -> AttemptResult<()> {
         Outcome::NotSent.into()
     }
-    async fn probe(&self, _: Place<u16>) -> Ended<()> {
+    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::Success.into()
     }
     fn close_idle(&self, _: ServerId) {}
@@ -32,17 +32,17 @@
 }
 
 /// One of each of the names, with the Unix time at which it is told to have started.
-fn members(lines: &[(&str, Option<i64>)]) -> Vec<Member<u16>> {
-    let member = |&(name, started): &(&str, Option<i64>)| Member {
+fn members(lines: &[(&str, Option<i64>)]) -> Vec<EndpointInfo<u16>> {
+    let member = |&(name, started): &(&str, Option<i64>)| EndpointInfo {
         started: started.map(|at| Time(at as u64)),
-        ..Member::serving(name, 80)
+        ..EndpointInfo::serving(name, 80)
     };
     lines.iter().map(member).collect()
 }
 
 struct World {
     pool: Pool<Unasked>,
-    lists: watch::Sender<Vec<Member<u16>>>,
+    lists: watch::Sender<Vec<EndpointInfo<u16>>>,
     drained: watch::Sender<BTreeSet<String>>,
 }
 
@@ -54,11 +54,12 @@
             warm_up_time: Span::from_ms(3000.0),
             ..Settings::default()
         };
-        let known = List { version: 0, whole: true, members: members(lines) };
+        let known = EndpointList { version: 0, whole: true, members: members(lines) };
         let (lists, told) = watch::channel(known.members.clone());
         let (drained, by_others) = watch::channel(BTreeSet::new());
-        let membership = Drainable::new(Box::new(Fixed::new(told)), by_others, &known.members);
-        let setup = Setup {
+        let membership =
+            DrainableSource::new(Box::new(StaticEndpoints::new(told)), by_others, &known.members);
+        let setup = PoolOptions {
             name: "main".into(),
             settings,
             seed: 7,
--- a/crates/lab/src/planted.rs
+++ b/crates/lab/src/planted.rs
@@ -7,7 +7,7 @@
 use crate::sim::Net;
 use crate::stage::{self, Ask, Carrier, Reply, World};
 use heronhoist_decision::Outcome;
-use heronhoist_engine::State;
+use heronhoist_engine::EndpointState;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,18 +54,18 @@
     }
 
     fn choose(&self) -> usize {
-        let states: Vec<State> = {
+        let states: Vec<EndpointState> = {
             let registry = self.world.registry.borrow();
             (0..3).map(|server| registry.state(server, registry.version())).collect()
         };
         let now = self.world.now();
-        if states[DRAINS] != State::Serving && self.drained.get().is_none() {
+        if states[DRAINS] != EndpointState::Serving && self.drained.get().is_none() {
             self.drained.set(Some(now));
             self.world.told(0, self.world.registry.borrow().version());
         }
         let is_cold = self.world.servers.borrow()[STARTS].warmth(now) < 1.0;
         match self.fault {
-            Fault::FloodsCold if is_cold && states[STARTS] == State::Serving => return STARTS,
+            Fault::FloodsCold if is_cold && states[STARTS] == EndpointState::Serving => return STARTS,
             Fault::IgnoresDrains if self.drained.get().is_some_and(|at| now < at + 700_000) => return DRAINS,
             _ => {}
         }
@@ -74,7 +74,7 @@
             let server = self.turn.get() % 3;
             // One that is cold gets little of it.
             let spared = server == STARTS && is_cold && self.turn.get() % 8 != 0;
-            if states[server] == State::Serving && !spared {
+            if states[server] == EndpointState::Serving && !spared {
                 return server;
             }
         }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -5,7 +5,7 @@
 use crate::signal::Signal;
 use crate::stage::{Ask, Carrier, Reply, World};
 use heronhoist_decision::Outcome;
-use heronhoist_engine::State;
+use heronhoist_engine::EndpointState;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
@@ -116,7 +116,7 @@
 
     /// What the list says, as far as they have heard.
     fn serves(&self, server: usize) -> bool {
-        self.world.registry.borrow().state(server, self.heard.get()) == State::Serving
+        self.world.registry.borrow().state(server, self.heard.get()) == EndpointState::Serving
     }
 
     fn choose(&self, agent: usize) -> Option<usize> {
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -11,7 +11,7 @@
 use crate::world::{Micros, Reach};
 use hdrhistogram::Histogram;
 use heronhoist_decision::{DeduplicationScope, Effect, Outcome, ReportSource};
-use heronhoist_engine::State;
+use heronhoist_engine::EndpointState;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -226,9 +226,9 @@
         let lines = registry.since(from);
         let target = |line: &crate::registry::Line| {
             let state = match line.state {
-                State::Serving => "SERVING",
-                State::Draining => "DRAINING",
-                State::Gone => "DELETED",
+                EndpointState::Serving => "SERVING",
+                EndpointState::Draining => "DRAINING",
+                EndpointState::Removed => "DELETED",
             };
             json!({"uid": line.name, "endpoint": self.servers[line.server], "az": "a", "model": "m",
                 "pod_group": line.building, "state": state, "capacity_hint": 1.0,
--- a/crates/lab/src/registry.rs
+++ b/crates/lab/src/registry.rs
@@ -2,7 +2,7 @@
 //! can be down.
 
 use crate::world::Micros;
-use heronhoist_engine::State;
+use heronhoist_engine::EndpointState;
 use std::mem::size_of;
 
 /// A line of the list.
@@ -17,7 +17,7 @@
     /// It speaks the old dialect.
     pub old: bool,
     /// What it does.
-    pub state: State,
+    pub state: EndpointState,
     /// When it last started, if that was in this run.
     pub started: Option<Micros>,
     /// The version that changed it last.
@@ -29,7 +29,7 @@
 pub struct Registry {
     lines: Vec<Line>,
     /// By address: which version brought which state.
-    past: Vec<Vec<(i64, State)>>,
+    past: Vec<Vec<(i64, EndpointState)>>,
     version: i64,
     lines_per_s: Option<f64>,
     busy_until: Micros,
@@ -49,7 +49,7 @@
             server,
             building: building(server, servers, buildings),
             old: false,
-            state: State::Serving,
+            state: EndpointState::Serving,
             started: None,
             version: 1,
         };
@@ -69,14 +69,15 @@
     pub fn held(&self) -> usize {
         let lines = self.lines.capacity() * size_of::<Line>();
         let names = self.lines.iter().map(|line| line.name.capacity()).sum::<usize>();
-        let past = self.past.iter().map(|past| past.capacity() * size_of::<(i64, State)>()).sum::<usize>();
+        let past =
+            self.past.iter().map(|past| past.capacity() * size_of::<(i64, EndpointState)>()).sum::<usize>();
         lines + names + past
     }
 
     /// What the machine at this address did by this version.
-    pub fn state(&self, server: usize, version: i64) -> State {
+    pub fn state(&self, server: usize, version: i64) -> EndpointState {
         let past = self.past.get(server).map_or(&[][..], Vec::as_slice);
-        past.iter().rev().find(|(at, _)| *at <= version).map_or(State::Serving, |(_, state)| *state)
+        past.iter().rev().find(|(at, _)| *at <= version).map_or(EndpointState::Serving, |(_, state)| *state)
     }
 
     /// The newest version.
@@ -88,12 +89,12 @@
     pub fn since(&self, version: Option<i64>) -> Vec<Line> {
         match version {
             Some(from) => self.lines.iter().filter(|line| line.version > from).cloned().collect(),
-            None => self.lines.iter().filter(|line| line.state != State::Gone).cloned().collect(),
+            None => self.lines.iter().filter(|line| line.state != EndpointState::Removed).cloned().collect(),
         }
     }
 
     /// The machine at this address changes; returns the version that says so.
-    pub fn set(&mut self, server: usize, state: State, started: Option<Micros>) -> i64 {
+    pub fn set(&mut self, server: usize, state: EndpointState, started: Option<Micros>) -> i64 {
         self.version += 1;
         let version = self.version;
         if let Some(line) = self.lines.iter_mut().rev().find(|line| line.server == server) {
@@ -108,15 +109,15 @@
 
     /// The machine at this address has left, and another has come; returns the version that says so.
     pub fn replace(&mut self, server: usize, now: Micros) -> i64 {
-        let version = self.set(server, State::Gone, None);
+        let version = self.set(server, EndpointState::Removed, None);
         let Some(old) = self.lines.iter().rev().find(|line| line.server == server).cloned() else {
             return version;
         };
         let name = format!("s{server}-{version}");
         if let Some(past) = self.past.get_mut(server) {
-            past.push((version, State::Serving));
+            past.push((version, EndpointState::Serving));
         }
-        self.lines.push(Line { name, state: State::Serving, started: Some(now), version, ..old });
+        self.lines.push(Line { name, state: EndpointState::Serving, started: Some(now), version, ..old });
         version
     }
 
--- a/crates/lab/src/registry/tests.rs
+++ b/crates/lab/src/registry/tests.rs
@@ -4,18 +4,21 @@
 fn lists_have_versions_and_a_replacement_has_a_name_of_its_own() {
     let mut registry = Registry::new(4, 2, None);
     assert_eq!(registry.since(None).iter().map(|l| l.building).collect::<Vec<_>>(), [0, 0, 1, 1]);
-    assert_eq!(registry.set(1, State::Draining, None), 2);
+    assert_eq!(registry.set(1, EndpointState::Draining, None), 2);
     assert_eq!(registry.replace(1, 77), 3);
     let changed = registry.since(Some(2));
     assert_eq!(
         changed.iter().map(|l| (l.name.as_str(), l.state)).collect::<Vec<_>>(),
-        [("s1", State::Gone), ("s1-3", State::Serving)]
+        [("s1", EndpointState::Removed), ("s1-3", EndpointState::Serving)]
     );
     assert_eq!((registry.since(None).len(), registry.since(Some(3)).len()), (4, 0));
-    registry.set(1, State::Draining, None);
+    registry.set(1, EndpointState::Draining, None);
     assert_eq!(registry.since(Some(3))[0].name, "s1-3");
     let states = [1, 2, 3, 4].map(|version| registry.state(1, version));
-    assert_eq!(states, [State::Serving, State::Draining, State::Serving, State::Draining]);
+    assert_eq!(
+        states,
+        [EndpointState::Serving, EndpointState::Draining, EndpointState::Serving, EndpointState::Draining]
+    );
 }
 
 #[test]
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -202,7 +202,7 @@
     said: Option<Asked>,
 }
 
-impl Payload for Held {}
+impl RequestPayload for Held {}
 
 /// An answer, in the dialect of the server that gave it, where both are spoken.
 type Answered = Option<(Side, Vec<u8>)>;
@@ -224,7 +224,12 @@
     type Call = Held;
     type Answer = Answered;
 
-    async fn attempt(&self, place: Place<usize>, call: &Held, gate: Gate<'_>) -> Ended<Answered> {
+    async fn attempt(
+        &self,
+        place: EndpointAddress<usize>,
+        call: &Held,
+        gate: Gate<'_>,
+    ) -> AttemptResult<Answered> {
         self.places.borrow_mut().insert(place.server, (place.address, place.life));
         let side = if place.dialect == OLD { Side::Old } else { Side::New };
         let said = call.said.as_ref().map(|asked| (asked, side));
@@ -243,10 +248,10 @@
             let speech = self.net.world.speech.as_ref().filter(|_| call.said.is_some())?;
             Some((side, speech.answer(call.ask.class, call.ask.call, side)))
         });
-        Ended { answer, report, ..outcome.into() }
+        AttemptResult { answer, report, ..outcome.into() }
     }
 
-    async fn probe(&self, place: Place<usize>) -> Ended<Answered> {
+    async fn probe(&self, place: EndpointAddress<usize>) -> AttemptResult<Answered> {
         let world = &self.net.world;
         world.ledger.borrow_mut().probes += 1;
         let connected = tokio::time::timeout(CONNECT_WAIT, self.net.connection(place.address)).await;
@@ -288,8 +293,8 @@
     seen: u64,
 }
 
-impl Membership<usize> for Told {
-    fn run(mut self: Box<Self>, feed: Feed<usize>) -> Pin<Box<dyn Future<Output = ()>>> {
+impl EndpointSource<usize> for Told {
+    fn run(mut self: Box<Self>, feed: EndpointSink<usize>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
             let mut owed = true;
             loop {
@@ -331,19 +336,19 @@
                 sleep_until(self.world.at(written)).await;
                 owed = false;
                 self.world.told(self.agent, version);
-                feed.listed(List { version, whole, members: lines.iter().map(member).collect() });
+                feed.listed(EndpointList { version, whole, members: lines.iter().map(member).collect() });
             }
         })
     }
 }
 
-fn member(line: &crate::registry::Line) -> Member<usize> {
-    Member {
+fn member(line: &crate::registry::Line) -> EndpointInfo<usize> {
+    EndpointInfo {
         state: line.state,
         dialect: if line.old { OLD } else { DialectId(0) },
         cell: line.building,
         started: line.started.map(Time),
-        ..Member::serving(&line.name, line.server)
+        ..EndpointInfo::serving(&line.name, line.server)
     }
 }
 
@@ -361,7 +366,7 @@
     seed: u64,
     lives: RefCell<Vec<Option<Rc<Life>>>>,
     /// The list as each agent last had it: what its next life knows.
-    known: RefCell<Vec<List<usize>>>,
+    known: RefCell<Vec<EndpointList<usize>>>,
     started: Cell<u64>,
 }
 
@@ -370,7 +375,7 @@
         let first = {
             let registry = world.registry.borrow();
             let members = registry.since(None).iter().map(member).collect();
-            List { version: registry.version(), whole: true, members }
+            EndpointList { version: registry.version(), whole: true, members }
         };
         let agents = world.scenario.agents;
         let engines = Rc::new(Engines {
@@ -390,7 +395,7 @@
         let net = Net::new(world, agent);
         let known = self.known.borrow()[agent].clone();
         world.told(agent, known.version);
-        let setup = Setup {
+        let setup = PoolOptions {
             name: format!("a{agent}"),
             settings: world.scenario.settings.clone(),
             seed: self.seed.wrapping_mul(1_000_003).wrapping_add(nonce),
@@ -420,7 +425,7 @@
         let registry = self.world.registry.borrow();
         if version == registry.version() {
             let members = registry.since(None).iter().map(member).collect();
-            self.known.borrow_mut()[agent] = List { version, whole: true, members };
+            self.known.borrow_mut()[agent] = EndpointList { version, whole: true, members };
         }
         Some(life)
     }
@@ -478,14 +483,14 @@
             [(new, DialectId(0)), (old, OLD)].into_iter().fold(Dialects::NONE, with)
         });
         let side = said.as_ref().map(|asked| asked.side);
-        let exchange = Exchange {
+        let exchange = NewRequest {
             name: None,
             dialects,
             tenant: (!self.world.scenario.tenants.is_empty()).then_some(TenantId(ask.tenant)),
             key: Some(KeyId(ask.call as u64)),
             cost_hint: ask.hint.map(Span),
             repeat: ask.again,
-            ..Exchange::new(Held { ask, said }, ClassId(ask.class), ask.budget)
+            ..NewRequest::new(Held { ask, said }, ClassId(ask.class), ask.budget)
         };
         let owed = match life.pool.submit(exchange) {
             Err(declined) => {
@@ -497,9 +502,9 @@
             biased;
             _ = life.dead.wait_for(|dead| dead) => Reply::Broken,
             answer = owed.answer(|deadline| deadline) => Reply::Answer(match answer {
-                Final::Served(answered) => self.pass_on(&ask, side, answered),
-                Final::Refused(wait) => Answer::Refused(wait.map(|wait| wait.0)),
-                Final::Failed | Final::OutOfTime | Final::Unfinished => Answer::Failed,
+                FinalResponse::Success(answered) => self.pass_on(&ask, side, answered),
+                FinalResponse::Rejected(wait) => Answer::Refused(wait.map(|wait| wait.0)),
+                FinalResponse::Failed | FinalResponse::DeadlineExceeded | FinalResponse::IncompleteRequest => Answer::Failed,
             }),
         }
     }
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -7,7 +7,7 @@
 use crate::signal::Signal;
 use crate::speech::Speech;
 use crate::world::{Fate, Job, Memory, Micros, Reach, Server};
-use heronhoist_engine::State;
+use heronhoist_engine::EndpointState;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Pareto};
 use rand_pcg::Pcg64;
@@ -385,7 +385,11 @@
             let mut ledger = self.ledger.borrow_mut();
             match event.what {
                 What::Kill | What::Drain => {
-                    let state = if event.what == What::Kill { State::Gone } else { State::Draining };
+                    let state = if event.what == What::Kill {
+                        EndpointState::Removed
+                    } else {
+                        EndpointState::Draining
+                    };
                     let version = registry.set(server, state, None);
                     ledger.off.push(Off { server, version, until: None });
                 }
@@ -397,7 +401,7 @@
                         .for_each(|off| off.until = Some(now));
                     let version = match event.what {
                         What::Replace | What::Renew | What::Revert => registry.replace(server, now),
-                        _ => registry.set(server, State::Serving, Some(now)),
+                        _ => registry.set(server, EndpointState::Serving, Some(now)),
                     };
                     let old = &mut self.old.borrow_mut()[server];
                     *old = match event.what {
