--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -10,8 +10,8 @@
 use crate::wire::View;
 use bytes::{Bytes, BytesMut};
 use heronhoist_decision::{DialectId, Outcome, ServerId};
-use heronhoist_engine::timing::{caught_up, read_until, timeout, timeout_at};
-use heronhoist_engine::{Gate, QuotaShare, Reservation, StreamingBody, Upstream};
+use heronhoist_engine::timing::{catch_up, sleep_until_settled, timeout, timeout_at};
+use heronhoist_engine::{Gate, Incarnation, QuotaShare, Reservation, StreamingBody, Upstream};
 use heronhoist_translate::wire::trouble::is_refusal;
 use heronhoist_translate::Mapping;
 use http_body_util::BodyExt;
@@ -125,7 +125,7 @@
 pub type AttemptResult = heronhoist_engine::AttemptResult<Served>;
 
 impl heronhoist_engine::RequestPayload for Call {
-    fn arriving(&self) -> Option<&dyn StreamingBody> {
+    fn streaming_body(&self) -> Option<&dyn StreamingBody> {
         self.body.upload().map(|upload| &**upload as &dyn StreamingBody)
     }
 }
@@ -228,14 +228,14 @@
 
 impl Upstream for Http {
     type Address = SocketAddr;
-    type Call = Call;
-    type Answer = Served;
+    type Request = Call;
+    type Response = Served;
 
     async fn attempt(&self, place: EndpointAddress, call: &Call, gate: Gate<'_>) -> AttemptResult {
         self.0.attempt(place, call, &gate).await
     }
 
-    async fn probe(&self, place: EndpointAddress) -> AttemptResult {
+    async fn health_check(&self, place: EndpointAddress) -> AttemptResult {
         self.0.probe(place).await
     }
 
@@ -243,7 +243,7 @@
         self.0.connections.close_idle(server);
     }
 
-    fn retire(&self, is_current: &dyn Fn(ServerId, u64) -> bool) {
+    fn close_stale(&self, is_current: &dyn Fn(ServerId, Incarnation) -> bool) {
         self.0.connections.retire(is_current);
     }
 }
@@ -261,16 +261,16 @@
                 Err(outcome) => return outcome.into(),
             };
             // What was told while the process was held up closes the gate too.
-            caught_up().await;
+            catch_up().await;
             // Told no more than its client has left, and nothing if that is nothing.
-            let left = call.left(gate.until);
+            let left = call.left(gate.deadline);
             if left.is_zero() || !gate.open() {
                 self.connections.give_back(place, lease);
                 return Outcome::NotSent.into();
             }
             let view = lease.view.clone();
             let before = view.written();
-            let at_work = AtWork::new(&self.connections, place, &lease, gate.until);
+            let at_work = AtWork::new(&self.connections, place, &lease, gate.deadline);
             view.count_nothing();
             let counted = async {
                 // Of a long body nobody may know the length before its end.
@@ -295,7 +295,7 @@
             match answer {
                 // An answer to what was not all there yet is none to this request.
                 Ok(mut ended) if is_whole => {
-                    match ended.answer.as_mut().map(|served| &mut served.body) {
+                    match ended.response.as_mut().map(|served| &mut served.body) {
                         Some(Content::Coming(download)) => {
                             download.keep(Origin { lease, place, connections: Rc::clone(&self.connections) });
                         }
@@ -367,7 +367,7 @@
         let framing = body_length(head.status, &head.headers).ok_or(Spoilt::Answer)?;
         let length = framing.bytes();
         let held_most = length.unwrap_or(HELD_MOST as u64).min(HELD_MOST as u64) as usize;
-        let portion = self.bodies.take(held_most).ok_or(Spoilt::Answer)?;
+        let portion = self.bodies.try_reserve(held_most).ok_or(Spoilt::Answer)?;
         let is_long = length.is_some_and(|length| length > HELD_MOST as u64);
         let (mut begun, mut held) = (VecDeque::new(), 0);
         let (mut ended, mut since) = (false, None);
@@ -409,7 +409,7 @@
         if outcome != Outcome::Success {
             // Nobody gets its body; one that is long costs its connection.
             return if ended {
-                Ok(AttemptResult { outcome, report, answer: None })
+                Ok(AttemptResult { outcome, load_report: report, response: None })
             } else {
                 Err(Spoilt::Answer)
             };
@@ -421,7 +421,11 @@
             view.lift_allowance();
             Content::Coming(Box::new(Download::new(begun, body, framing, portion)))
         };
-        Ok(AttemptResult { outcome, report, answer: Some(Served { body, content_type, dialect }) })
+        Ok(AttemptResult {
+            outcome,
+            load_report: report,
+            response: Some(Served { body, content_type, dialect }),
+        })
     }
 
     /// Asks a server how it is.
@@ -451,8 +455,8 @@
         if is_old && ended.outcome == Outcome::ServerError {
             ended.outcome = Outcome::Success;
         }
-        if let Some(Served { body: Content::Held(text, _), .. }) = ended.answer.take() {
-            ended.report = ended.report.or_else(|| self.report(&text));
+        if let Some(Served { body: Content::Held(text, _), .. }) = ended.response.take() {
+            ended.load_report = ended.load_report.or_else(|| self.report(&text));
         }
         ended
     }
@@ -492,7 +496,7 @@
 /// Comes back when the peer has taken nothing of what waits to be written for too long.
 async fn stuck(view: &View) {
     loop {
-        read_until(Instant::now() + STUCK_LOOK).await;
+        sleep_until_settled(Instant::now() + STUCK_LOOK).await;
         if view.stuck_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
             return;
         }
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -10,8 +10,9 @@
     let fields: Vec<String> = fields.iter().map(|f| f.to_string()).collect();
     let has_reports = !fields.is_empty();
     let (connect, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
-    let connections = Connections::new(Quota::alone(most), &Rc::new(Siblings::default()), connect, keepalive);
-    Http::new(connections, Quota::alone(1 << 20), fields, has_reports).0
+    let connections =
+        Connections::new(Quota::single_share(most), &Rc::new(Siblings::default()), connect, keepalive);
+    Http::new(connections, Quota::single_share(1 << 20), fields, has_reports).0
 }
 
 fn post(body: usize) -> Call {
@@ -38,7 +39,7 @@
 }
 
 async fn gated(backends: &Inner, address: SocketAddr, body: usize, may_send: bool) -> Outcome {
-    let place = EndpointAddress { server: ServerId(0), address, life: 0, dialect: NEW };
+    let place = EndpointAddress { server: ServerId(0), address, incarnation: Incarnation(0), dialect: NEW };
     let (sent, lawful) = (Cell::new(false), || may_send);
     let gate = Gate::new(&sent, &lawful, Instant::now() + Duration::from_secs(60));
     backends.attempt(place, &post(body), &gate).await.outcome
@@ -69,7 +70,7 @@
         let place = EndpointAddress {
             server: ServerId(0),
             address: server.local_addr().unwrap(),
-            life: 0,
+            incarnation: Incarnation(0),
             dialect: NEW,
         };
         let (sent, client) = (Cell::new(false), Cell::new(Some(client)));
@@ -254,7 +255,8 @@
     let client = async {
         let mut served = 0;
         for _ in 0..40 {
-            let place = EndpointAddress { server: ServerId(0), address, life: 0, dialect: NEW };
+            let place =
+                EndpointAddress { server: ServerId(0), address, incarnation: Incarnation(0), dialect: NEW };
             let (sent, lawful, until) =
                 (Cell::new(false), || true, Instant::now() + Duration::from_millis(200));
             let (gate, call) = (Gate::new(&sent, &lawful, until), post(9));
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -180,7 +180,7 @@
     let duration = |span: Option<Span>, other_ms| Duration::from(span.unwrap_or(Span::from_ms(other_ms)));
     let pool = PoolPlan {
         name: MAIN.into(),
-        names: ServerNames { zones: file.zone_names().to_vec(), kinds: file.kind_names().to_vec() },
+        names: ServerNames { zones: file.zone_names().to_vec(), machine_types: file.kind_names().to_vec() },
         http: HttpTerms {
             report_names: file.report_names().to_vec(),
             has_reports: settings.report_source != ReportSource::None,
@@ -252,7 +252,7 @@
     PoolPlan {
         name: pool.name.clone(),
         settings: pool.settings.clone(),
-        names: ServerNames { zones: pool.zones.clone(), kinds: Vec::new() },
+        names: ServerNames { zones: pool.zones.clone(), machine_types: Vec::new() },
         http: HttpTerms {
             report_names: Vec::new(),
             has_reports: false,
--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -4,6 +4,7 @@
 use crate::socket_error::ConnectError;
 use heronhoist_decision::{Outcome, ServerId};
 use heronhoist_engine::timing::timeout;
+use heronhoist_engine::Incarnation;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -81,7 +82,7 @@
 
 /// A row of failures for want of a route.
 struct Spell {
-    life: u64,
+    incarnation: Incarnation,
     first: Instant,
     last: Instant,
 }
@@ -119,17 +120,17 @@
         }
     }
 
-    /// Forgets servers that are not what they were: `is_current` tells of a server and a life whether that still is.
-    pub fn retain(&self, is_current: impl Fn(ServerId, u64) -> bool) {
-        self.unrouted.borrow_mut().retain(|&server, spell| is_current(server, spell.life));
+    /// Forgets servers that are not what they were: `is_current` tells of a server and an incarnation whether that still is.
+    pub fn retain(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
+        self.unrouted.borrow_mut().retain(|&server, spell| is_current(server, spell.incarnation));
     }
 
     /// No route leads to a server while others have been reached.
     fn is_only_unrouted(&self, place: EndpointAddress, within: Duration) -> bool {
         let (now, mut unrouted) = (Instant::now(), self.unrouted.borrow_mut());
-        let new = || Spell { life: place.life, first: now, last: now };
+        let new = || Spell { incarnation: place.incarnation, first: now, last: now };
         let spell = unrouted.entry(place.server).or_insert_with(new);
-        if spell.life != place.life || now.duration_since(spell.last) > SPELL_GAP {
+        if spell.incarnation != place.incarnation || now.duration_since(spell.last) > SPELL_GAP {
             *spell = new();
         }
         spell.last = now;
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -43,7 +43,15 @@
 async fn peer(number: u32) -> Peer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    Peer { listener, place: EndpointAddress { server: ServerId(number), address, life: 0, dialect: NEW } }
+    Peer {
+        listener,
+        place: EndpointAddress {
+            server: ServerId(number),
+            address,
+            incarnation: Incarnation(0),
+            dialect: NEW,
+        },
+    }
 }
 
 impl Reachability {
@@ -137,8 +145,8 @@
         for _ in 0..3 {
             assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::ConnectFailed);
         }
-        // Another life of it may stand elsewhere.
-        let moved = EndpointAddress { life: 1, ..one.place };
+        // Another incarnation of it may stand elsewhere.
+        let moved = EndpointAddress { incarnation: Incarnation(1), ..one.place };
         assert_eq!(reachability.fails(Errno::NETUNREACH, moved).await, Outcome::NotSent);
         // Once it has been reached all begins anew.
         reachability.comes_up(one.place).await;
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -6,7 +6,7 @@
 use crate::upload::Outgoing;
 use crate::wire::{View, Wire};
 use heronhoist_decision::{Outcome, ServerId};
-use heronhoist_engine::QuotaShare;
+use heronhoist_engine::{Incarnation, QuotaShare};
 use hyper::client::conn::http1::{Builder, SendRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -47,7 +47,7 @@
     view: View,
     task: AbortHandle,
     since: Instant,
-    life: u64,
+    incarnation: Incarnation,
     /// Its rest can tell how the server behaves after an answer, and has not yet.
     is_evidence: bool,
 }
@@ -65,9 +65,10 @@
 
 impl Idle {
     /// Whatever has come on it since its last answer makes it useless: it would be taken for the next answer.
-    fn usable(&self, now: Instant, rest: Duration, life: u64) -> Use {
+    fn usable(&self, now: Instant, rest: Duration, incarnation: Incarnation) -> Use {
         let age = now.saturating_duration_since(self.since);
-        if age >= rest || self.life != life || self.sender.is_closed() || !self.view.is_quiet() {
+        if age >= rest || self.incarnation != incarnation || self.sender.is_closed() || !self.view.is_quiet()
+        {
             Use::Never
         } else if self.sender.is_ready() {
             if self.has_rested(now) {
@@ -151,7 +152,7 @@
     /// Closes the coldest idle connection of those pools that hold more than their reserve; false if there is none.
     fn close_borrowed(&self) -> bool {
         let all: Vec<_> = self.0.borrow().iter().filter_map(Weak::upgrade).collect();
-        let borrowed = all.iter().filter(|sibling| sibling.open.borrows());
+        let borrowed = all.iter().filter(|sibling| sibling.open.has_borrowed());
         let coldest = borrowed.filter_map(|sibling| Some((sibling.coldest()?, sibling)));
         coldest.min_by_key(|(since, _)| *since).is_some_and(|(_, sibling)| sibling.close_coldest())
     }
@@ -206,7 +207,7 @@
     /// How many are open.
     #[cfg(test)]
     pub fn count(&self) -> usize {
-        self.open.held()
+        self.open.in_use()
     }
 
     /// The warmest connection that has rested, one that a trusted server has to spare, or a new one.
@@ -218,7 +219,7 @@
         }
         // What is closed for this one gives its descriptor back in a moment.
         let made_room = || self.close_one() || self.siblings.close_borrowed();
-        let portion = match self.open.take(1) {
+        let portion = match self.open.try_reserve(1) {
             Some(portion) => portion,
             None if made_room() => self.open.overdraw(1),
             None => return Err(Outcome::NotSent),
@@ -229,7 +230,7 @@
             target: "heronhoist::connection",
             server,
             up = connected.is_ok(),
-            held = self.open.held(),
+            held = self.open.in_use(),
             elapsed_us = begun.elapsed().as_micros() as u64,
             "connection opened"
         );
@@ -242,7 +243,7 @@
         let trust = Rc::clone(&self.trust);
         let task = tokio::task::spawn_local(async move {
             if connection.await.is_err_and(|e| is_unrequested(&e)) {
-                trust.unrequested(place.server, place.life);
+                trust.unrequested(place.server, place.incarnation);
             }
         });
         let task = task.abort_handle();
@@ -256,7 +257,7 @@
         // They stand in the order in which their rests began.
         let rested = pool.partition_point(|idle| idle.has_rested(now));
         for i in (0..rested).rev() {
-            match pool[i].usable(now, limit, place.life) {
+            match pool[i].usable(now, limit, place.incarnation) {
                 Use::Now => {
                     let mut idle = pool.remove(i);
                     self.learn(place.server, &mut idle);
@@ -268,18 +269,18 @@
                 }
             }
         }
-        if !self.trust.is_earned(place.server, place.life) {
+        if !self.trust.is_earned(place.server, place.incarnation) {
             return None;
         }
         let mut at = pool.partition_point(|idle| idle.has_rested(now));
         while pool.len() - at >= UNRESTED_LEAST {
-            match pool[at].usable(now, limit, place.life) {
+            match pool[at].usable(now, limit, place.incarnation) {
                 Use::Now | Use::Unrested => return Some(pool.remove(at)),
                 Use::Soon => at += 1,
                 Use::Never => {
                     self.close(place.server, &pool.remove(at));
                     // What was seen on it may have ended the trust.
-                    if !self.trust.is_earned(place.server, place.life) {
+                    if !self.trust.is_earned(place.server, place.incarnation) {
                         return None;
                     }
                 }
@@ -291,7 +292,7 @@
     /// Counts the rest of a connection that is quiet.
     fn learn(&self, server: ServerId, idle: &mut Idle) {
         if std::mem::take(&mut idle.is_evidence) {
-            self.trust.quiet_rest(server, idle.life);
+            self.trust.quiet_rest(server, idle.incarnation);
         }
     }
 
@@ -299,7 +300,7 @@
     fn close(&self, server: ServerId, idle: &Idle) -> bool {
         // Of what hyper has read already its task has told.
         if idle.view.has_unread() {
-            self.trust.unrequested(server, idle.life);
+            self.trust.unrequested(server, idle.incarnation);
         }
         idle.task.abort();
         !idle.sender.is_closed()
@@ -314,7 +315,7 @@
         let view = &usage.view;
         let unasked = view.written() == usage.written && view.received() > usage.received;
         if unasked || view.has_unrequested() {
-            self.trust.unrequested(place.server, place.life);
+            self.trust.unrequested(place.server, place.incarnation);
         }
     }
 
@@ -322,12 +323,13 @@
     pub fn give_back(&self, place: EndpointAddress, mut lease: Lease) {
         let Some(sender) = lease.sender.take() else { return };
         let (view, task) = (lease.view.clone(), lease.task.clone());
-        let (since, life, is_evidence) = (Instant::now(), place.life, view.received() > lease.received);
-        let idle = Idle { sender, view, task, since, life, is_evidence };
+        let (since, incarnation, is_evidence) =
+            (Instant::now(), place.incarnation, view.received() > lease.received);
+        let idle = Idle { sender, view, task, since, incarnation, is_evidence };
         let mut all = self.idle.borrow_mut();
         let pool = all.entry(place.server).or_default();
         pool.push(idle);
-        if pool.len() > IDLE_ENOUGH && self.trust.is_earned(place.server, place.life) {
+        if pool.len() > IDLE_ENOUGH && self.trust.is_earned(place.server, place.incarnation) {
             self.close(place.server, &pool.remove(0));
         }
     }
@@ -384,13 +386,13 @@
     }
 
     /// Closes what has rested long enough, has been closed by its server, or leads to one that is not what it
-    /// was: `is_current` tells of a server and a life whether that still is.
-    pub fn retire(&self, is_current: impl Fn(ServerId, u64) -> bool) {
+    /// was: `is_current` tells of a server and an incarnation whether that still is.
+    pub fn retire(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
         let (now, limit) = (Instant::now(), self.idle_timeout.limit());
         self.idle.borrow_mut().retain(|&server, pool| {
             pool.retain_mut(|idle| {
-                let use_of_it = idle.usable(now, limit, idle.life);
-                let keep = use_of_it != Use::Never && is_current(server, idle.life);
+                let use_of_it = idle.usable(now, limit, idle.incarnation);
+                let keep = use_of_it != Use::Never && is_current(server, idle.incarnation);
                 if !keep {
                     self.close(server, idle);
                 } else if use_of_it == Use::Now {
--- a/crates/agent/src/connections/tests.rs
+++ b/crates/agent/src/connections/tests.rs
@@ -26,7 +26,8 @@
     async fn new(number: u32) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let place = EndpointAddress { server: ServerId(number), address, life: 0, dialect: NEW };
+        let place =
+            EndpointAddress { server: ServerId(number), address, incarnation: Incarnation(0), dialect: NEW };
         let (streams, behind) = (Rc::<RefCell<Vec<_>>>::default(), Rc::new(Cell::new(&b""[..])));
         let server = Server { place, streams: Rc::clone(&streams), behind: Rc::clone(&behind) };
         spawn_local(async move {
@@ -81,7 +82,7 @@
 
 fn connections(most: usize) -> Rc<Connections> {
     let (connect, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
-    Connections::new(Quota::alone(most), &Rc::default(), connect, keepalive)
+    Connections::new(Quota::single_share(most), &Rc::default(), connect, keepalive)
 }
 
 /// Time stands but for what the test advances: while a blocking task runs, the clock does not go on by itself.
@@ -144,7 +145,7 @@
 }
 
 fn is_trusted(connections: &Connections, server: &Server) -> bool {
-    connections.trust.is_earned(server.place.server, server.place.life)
+    connections.trust.is_earned(server.place.server, server.place.incarnation)
 }
 
 /// Until hyper has heard what the server sent on that connection.
--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -42,7 +42,7 @@
     if !serving.contains(OLD) {
         return;
     }
-    let call = &exchange.call;
+    let call = &exchange.request;
     let said = mappings.of_new(call.method.as_str(), call.uri.path()).find_map(|mapping| {
         let Payload::Held(body) = &call.body else { return None };
         let is_query = call.method == Method::GET;
@@ -52,7 +52,7 @@
         said(mapping, &call.headers, plan.other?)
     });
     if let Some(said) = said {
-        exchange.call.old = Some(Box::new(said));
+        exchange.request.old = Some(Box::new(said));
         exchange.dialects = exchange.dialects.with(OLD);
     }
 }
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -109,7 +109,7 @@
 impl From<ListReply> for EndpointList<SocketAddr> {
     fn from(reply: ListReply) -> Self {
         let members = reply.targets.into_iter().map(EndpointInfo::from).collect();
-        EndpointList { version: reply.rev, whole: reply.all, members }
+        EndpointList { version: reply.rev, is_complete: reply.all, endpoints: members }
     }
 }
 
@@ -119,7 +119,7 @@
             name: target.uid,
             address: target.endpoint,
             zone: target.az,
-            kind: target.model,
+            machine_type: target.model,
             cell: target.pod_group,
             dialect: NEW,
             state: match target.state {
@@ -128,7 +128,7 @@
                 State::Deleted => heronhoist_engine::EndpointState::Removed,
             },
             weight: target.capacity_hint,
-            started: (target.boot_ms > 0.0).then(|| Time::from_ms(target.boot_ms)),
+            started_at: (target.boot_ms > 0.0).then(|| Time::from_ms(target.boot_ms)),
         }
     }
 }
@@ -228,7 +228,7 @@
         let Discovery { mut source, pushed, old_kinds } = self;
         let connector = Rc::new(connector);
         if pushed {
-            feed.follow();
+            feed.subscribe();
         }
         loop {
             let address = *source.borrow_and_update();
@@ -240,7 +240,7 @@
                 // list.
                 moved = source.changed() => if moved.is_err() { return },
             }
-            feed.new_source();
+            feed.reset_source();
         }
     }
 }
@@ -257,10 +257,11 @@
     /// Hands a list over; false if it was older than the one that stands.
     fn tell(&self, reply: ListReply) -> bool {
         let mut list = EndpointList::from(reply);
-        for member in list.members.iter_mut().filter(|member| self.old_kinds.contains(&member.kind)) {
+        for member in list.endpoints.iter_mut().filter(|member| self.old_kinds.contains(&member.machine_type))
+        {
             member.dialect = OLD;
         }
-        self.feed.listed(list)
+        self.feed.publish(list)
     }
 
     /// A new source owes nothing to the version of the old one: it is asked for the whole list first, whatever the module is
@@ -295,14 +296,14 @@
             None => self.begin().await,
         };
         loop {
-            self.feed.followed(true).await;
+            self.feed.wait_for_subscription(true).await;
             let version = self.feed.version();
             let path =
                 format!("{LIST_PATH}?from={}&hold_ms={}", version.unwrap_or_default(), HOLD.as_millis());
             let asked = Instant::now();
             let answer = tokio::select! {
                 answer = call(&**self.connector, self.address, &mut connection, &path, HOLD + HEAD_WAIT) => answer,
-                () = self.feed.followed(false) => continue,
+                () = self.feed.wait_for_subscription(false) => continue,
             };
             match answer {
                 Some(list) => {
@@ -313,7 +314,7 @@
                     }
                 }
                 None if pushed => sleep(AGAIN_PAUSE).await,
-                None => self.feed.lost(),
+                None => self.feed.report_subscription_lost(),
             }
         }
     }
@@ -321,13 +322,13 @@
     /// Fetches the whole list whenever the module asks for it.
     async fn fetch(&self) {
         loop {
-            self.feed.asked().await;
+            self.feed.fetch_requested().await;
             match call(&**self.connector, self.address, &mut None, LIST_PATH, HOLD + HEAD_WAIT).await {
                 // Left out if the watch has brought something newer meanwhile.
                 Some(list) => {
                     self.tell(list);
                 }
-                None => self.feed.failed(),
+                None => self.feed.report_failure(),
             }
         }
     }
--- a/crates/agent/src/discovery/tests.rs
+++ b/crates/agent/src/discovery/tests.rs
@@ -4,7 +4,8 @@
 use super::*;
 use heronhoist_decision::{Discovery as Way, Outcome, ServerId, Settings};
 use heronhoist_engine::{
-    AttemptResult, EndpointAddress, Gate, Pool, PoolOptions, Quota, RequestPayload, ServerNames, Upstream,
+    AttemptResult, EndpointAddress, Gate, Incarnation, Pool, PoolOptions, Quota, RequestPayload, ServerNames,
+    Upstream,
 };
 use std::cell::Cell;
 use std::rc::Rc;
@@ -25,16 +26,16 @@
 
 impl Upstream for Nobody {
     type Address = SocketAddr;
-    type Call = Nothing;
-    type Answer = ();
+    type Request = Nothing;
+    type Response = ();
     async fn attempt(&self, _: EndpointAddress<SocketAddr>, _: &Nothing, _: Gate<'_>) -> AttemptResult<()> {
         Outcome::NotSent.into()
     }
-    async fn probe(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<()> {
+    async fn health_check(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// What becomes of a call.
@@ -143,24 +144,25 @@
     let asked = Rc::default();
     let (_keep, source) = watch::channel(address);
     let settings = Settings { discovery: way, ..Settings::default() };
-    let known = EndpointList { version: 1, whole: true, members: vec![EndpointInfo::serving("s", address)] };
+    let known =
+        EndpointList { version: 1, is_complete: true, endpoints: vec![EndpointInfo::serving("s", address)] };
     let pool = Pool::new(PoolOptions {
         name: "main".into(),
         settings,
         seed: 7,
-        names: ServerNames::default(),
-        known: Some(known),
-        known_stands: !is_new,
+        server_names: ServerNames::default(),
+        initial_list: Some(known),
+        continues_versions: !is_new,
         epoch: None,
         upstream: Nobody,
-        requests: Quota::alone(9),
+        request_quota: Quota::single_share(9),
     });
     let pool = pool.expect("usable settings");
     let discovery = Discovery { source, pushed: way == Way::Pushed, old_kinds: Vec::new() };
     let begun = Instant::now();
     spawn_local(serve(listener, acts, Rc::clone(&asked)));
     spawn_local(pool.clone().run(over(discovery)));
-    while pool.can_decide() {
+    while pool.has_serving_server() {
         assert!(begun.elapsed() < LONGEST, "the drain is never heard of");
         sleep(Duration::from_millis(50)).await;
     }
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -98,7 +98,7 @@
                 if !std::mem::replace(&mut self.waiting, true) {
                     self.limit.reset(Instant::now() + SILENCE_MOST);
                 }
-                ready!(self.limit.poll_over(cx));
+                ready!(self.limit.poll_expired(cx));
                 return Poll::Ready(Some(Err(ErrorKind::TimedOut.into())));
             };
             self.waiting = false;
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -137,7 +137,7 @@
         let Checked { class, call_id, budget, head, body } = checked;
         let stated = body.size_hint().exact();
         let held_most = stated.map_or(HELD_MOST, |bytes| HELD_MOST.min(bytes as usize));
-        let Some(portion) = bodies.take(held_most) else {
+        let Some(portion) = bodies.try_reserve(held_most) else {
             discard(body);
             return Err((StatusCode::SERVICE_UNAVAILABLE, "no memory for the body now"));
         };
@@ -194,7 +194,18 @@
             _portion: Some(portion),
         };
         let (name, class, dialects) = (Some(call_id.as_bytes().into()), class.id, Dialects::ALL);
-        Ok(NewRequest { call, name, class, tenant, key, cost_hint, repeat, budget, deadline, dialects })
+        Ok(NewRequest {
+            request: call,
+            correlation_id: name,
+            class,
+            tenant,
+            key,
+            cost_hint,
+            is_retry: repeat,
+            client_timeout: budget,
+            deadline,
+            dialects,
+        })
     }
 
     /// What the head alone shows: the class, the name, the client's time and the head's length.
--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/lanes.rs
@@ -54,7 +54,7 @@
 
     /// When a client is told to come back that was declined.
     pub fn advice(&self, declined: Rejection) -> Option<Span> {
-        Some(declined.come_back()?.min(self.advice_most.get()?))
+        Some(declined.retry_after()?.min(self.advice_most.get()?))
     }
 
     /// When a client is told to come back for whose body there was no memory.
@@ -86,7 +86,7 @@
         self.times.borrow_mut().clear();
         self.pool.upstream().revise(&plan.http);
         self.advice_most.set(advice_most(&plan.settings));
-        self.pool.revise(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
+        self.pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
         true
     }
 }
@@ -136,29 +136,29 @@
     /// What servers lack of what they can do, by name; the most, where several pools know one.
     pub fn lacks(&self) -> BTreeMap<String, f64> {
         let mut lacks = BTreeMap::new();
-        for (name, lack) in self.lanes.borrow().iter().flat_map(|lane| lane.pool.lacks()) {
-            let most = lacks.entry(name).or_insert(lack);
-            *most = lack.max(*most);
+        for missing in self.lanes.borrow().iter().flat_map(|lane| lane.pool.missing_capacity()) {
+            let most = lacks.entry(missing.server).or_insert(missing.share);
+            *most = missing.share.max(*most);
         }
         lacks
     }
 
     /// Pools that were closed and have nothing under way any more are let go of.
     fn forget_closed(&self) {
-        self.closing.borrow_mut().retain(|lane| lane.pool.levels().open > 0);
+        self.closing.borrow_mut().retain(|lane| lane.pool.stats().open_requests > 0);
     }
 
     /// Whether nothing is out to a server, and nothing will be sent to it while it drains.
     pub fn is_quiet(&self, server: &str) -> bool {
         self.forget_closed();
         let (lanes, closing) = (self.lanes.borrow(), self.closing.borrow());
-        lanes.iter().chain(closing.iter()).all(|lane| lane.pool.is_quiet(server))
+        lanes.iter().chain(closing.iter()).all(|lane| lane.pool.is_drained(server))
     }
 
     /// So much from now on; what is held beyond that is given back as far as it rests.
     pub fn limit(&self, room: Room) {
-        self.connections.set(room.connections);
-        self.bodies.set(room.body_bytes);
+        self.connections.set_limit(room.connections);
+        self.bodies.set_limit(room.body_bytes);
         self.lanes.borrow().iter().for_each(|lane| lane.pool.upstream().connections().shrink());
     }
 
@@ -169,17 +169,17 @@
 
     /// True if there is a server to send to in one of them.
     pub fn can_decide(&self) -> bool {
-        self.lanes.borrow().iter().any(|lane| lane.pool.can_decide())
+        self.lanes.borrow().iter().any(|lane| lane.pool.has_serving_server())
     }
 
     /// What all of them are now, added up.
     pub fn levels(&self) -> PoolStats {
         let lanes = self.lanes.borrow();
-        let levels = lanes.iter().map(|lane| lane.pool.levels());
+        let levels = lanes.iter().map(|lane| lane.pool.stats());
         levels.fold(PoolStats::default(), |a, b| PoolStats {
-            known: a.known + b.known,
+            listed: a.listed + b.listed,
             excluded: a.excluded + b.excluded,
-            open: a.open + b.open,
+            open_requests: a.open_requests + b.open_requests,
         })
     }
 
@@ -215,9 +215,9 @@
         known: Option<(EndpointList<SocketAddr>, bool)>,
     ) -> Rc<Lane> {
         let http = &plan.http;
-        let open = self.connections.part();
+        let open = self.connections.share();
         let connections = Connections::new(open, &self.siblings, http.connect_timeout, http.keepalive);
-        let bodies = self.bodies.part();
+        let bodies = self.bodies.share();
         let upstream =
             Http::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
         let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.members {
@@ -237,14 +237,14 @@
         // A list that stands in the file is known from the start.
         let fixed = || match &plan.members {
             Members::Fixed(members) => {
-                Some((EndpointList { version: 0, whole: true, members: members.clone() }, true))
+                Some((EndpointList { version: 0, is_complete: true, endpoints: members.clone() }, true))
             }
             Members::Discovery(_) => None,
         };
         let known = known.or_else(fixed);
         let membership = match &*self.drained.borrow() {
             Some(drained) => {
-                let members = known.as_ref().map_or(&[][..], |(list, _)| &list.members);
+                let members = known.as_ref().map_or(&[][..], |(list, _)| &list.endpoints);
                 Box::new(DrainableSource::new(membership, drained.clone(), members))
             }
             None => membership,
@@ -256,17 +256,17 @@
             name: plan.name.clone(),
             settings: plan.settings.clone(),
             seed,
-            names: plan.names.clone(),
-            known,
-            known_stands,
+            server_names: plan.names.clone(),
+            initial_list: known,
+            continues_versions: known_stands,
             epoch: None,
             upstream,
-            requests: self.requests.part(),
+            request_quota: self.requests.share(),
         };
         let pool = Pool::new(setup).expect("settings are validated with their plan");
         // Its classes were numbered by their places; that is no number that another pool's class has.
         if ids.iter().enumerate().any(|(place, id)| place != id.0) {
-            pool.revise(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
+            pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
         }
         spawn_local(pool.clone().run(membership));
         let advice_most = Cell::new(advice_most(&plan.settings));
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -135,7 +135,7 @@
         return Err(too_large());
     }
     let no_room = || Trouble::Refused(lane.body_advice().map(Into::into));
-    let Some(portion) = lane.bodies.take(stated.map_or(HELD_MOST, |bytes| bytes as usize)) else {
+    let Some(portion) = lane.bodies.try_reserve(stated.map_or(HELD_MOST, |bytes| bytes as usize)) else {
         discard(body);
         return Err(no_room());
     };
@@ -158,7 +158,7 @@
     let said = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
     let message = mapping.old.decode(Part::Request, said, Limits::default()).map_err(wrong)?;
     let Plan { sides, other, notices, key } =
-        mixed::from_old(&mapping, &message, dialect::sides(lane.pool.dialects())).map_err(wrong)?;
+        mixed::from_old(&mapping, &message, dialect::sides(lane.pool.serving_dialects())).map_err(wrong)?;
     // Without one for new servers it goes to old ones only, as it is.
     let out = other.unwrap_or_default();
     drop(portion);
@@ -174,13 +174,13 @@
     let key = key.filter(|_| is_keyed);
     let old = sides.old.then(|| as_it_came(&head, bytes));
     let held = out.len() + old.as_ref().map_or(0, |old| old.body.len());
-    let portion = lane.bodies.take(held).ok_or_else(no_room)?;
+    let portion = lane.bodies.try_reserve(held).ok_or_else(no_room)?;
     let name = format!("{:032x}", fastrand::u128(..));
     let exchange = exchange(&mapping, &class, &head.headers, &name, key, out);
     let mut exchange = exchange.ok_or_else(|| wrong("its path or a header can't be written"))?;
-    exchange.call._portion = Some(portion);
-    exchange.call.client = Some(seat.view().clone());
-    exchange.call.old = old.map(Box::new);
+    exchange.request._portion = Some(portion);
+    exchange.request.client = Some(seat.view().clone());
+    exchange.request.old = old.map(Box::new);
     exchange.dialects = dialect::dialects(sides);
     Ok(Translated { exchange, class, notices })
 }
@@ -224,7 +224,10 @@
         client: None,
         _portion: None,
     };
-    Some(NewRequest { name: Some(name.as_bytes().into()), ..NewRequest::new(call, class.id, budget) })
+    Some(NewRequest {
+        correlation_id: Some(name.as_bytes().into()),
+        ..NewRequest::new(call, class.id, budget)
+    })
 }
 
 /// What a client is told of losses, if there were any.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -35,7 +35,7 @@
 use config::Config;
 use fleet::member::{Drains, Member};
 use handover::Sharers;
-use heronhoist_engine::timing::{read_until, timeout};
+use heronhoist_engine::timing::{sleep_until_settled, timeout};
 use lanes::Lanes;
 use metrics::Metrics;
 use ops::Shown;
@@ -177,7 +177,7 @@
     if predecessor.is_some() {
         let heard = async {
             for lane in served {
-                lane.pool.heard().await;
+                lane.pool.endpoints_published().await;
             }
         };
         let _ = timeout(LIST_WAIT, heard).await;
@@ -219,10 +219,10 @@
     if sharers.has_successor() {
         // New connections are the successor's from now on; those that are open may still be used for a while.
         end(accepting.into_iter().map(|(_, task)| task).collect()).await;
-        read_until(stop + ACCEPT_ON).await;
+        sleep_until_settled(stop + ACCEPT_ON).await;
     } else {
         // Whoever has come by then is let in, also if this process was held up meanwhile.
-        read_until(stop + ACCEPT_ON).await;
+        sleep_until_settled(stop + ACCEPT_ON).await;
         for (closing, task) in accepting {
             closing.notify_one();
             let _ = task.await;
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -202,7 +202,7 @@
     pub fn render(&self, now: &PoolStats) -> String {
         let [in_flight, known, excluded] = &self.levels;
         in_flight.set(self.taken.count() as i64);
-        known.set(now.known as i64);
+        known.set(now.listed as i64);
         excluded.set(now.excluded as i64);
         let mut page = Vec::with_capacity(8192);
         // It can only fail where a family has no figure, and the others are written all the same.
--- a/crates/agent/src/metrics/tests.rs
+++ b/crates/agent/src/metrics/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const NONE: PoolStats = PoolStats { known: 0, excluded: 0, open: 0 };
+const NONE: PoolStats = PoolStats { listed: 0, excluded: 0, open_requests: 0 };
 
 #[test]
 fn what_was_counted_stands_on_the_page() {
@@ -11,7 +11,7 @@
     metrics.reloads_failed.add();
     metrics.times("main", "lookup").note(Outcome::Served, Duration::from_millis(7));
     let ticket = metrics.take();
-    let page = metrics.render(&PoolStats { known: 12, excluded: 2, open: 0 });
+    let page = metrics.render(&PoolStats { listed: 12, excluded: 2, open_requests: 0 });
     for line in [
         "# TYPE app_served_total counter",
         "app_served_total{class=\"lookup\"} 3",
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use heronhoist_config::Protocol;
 use heronhoist_decision::Span;
-use heronhoist_engine::timing::{caught_up, heartbeat, timeout, HEARTBEAT_INTERVAL};
+use heronhoist_engine::timing::{catch_up, heartbeat, timeout, HEARTBEAT_INTERVAL};
 use heronhoist_engine::{FinalResponse, NewRequest, Rejection, Reservation};
 use heronhoist_routes::{Attributes, Table};
 use heronhoist_translate::wire::trouble::{Told, Trouble};
@@ -368,8 +368,8 @@
         let class = Rc::clone(&checked.class);
         let times = lane.times(&self.metrics, &class.name);
         let mut exchange = serving.catalogue.read(seat, &lane.bodies, checked).await?;
-        dialect::also_old(&serving.mappings, &mut exchange, lane.pool.dialects());
-        let upload = exchange.call.body.upload().map(Rc::clone);
+        dialect::also_old(&serving.mappings, &mut exchange, lane.pool.serving_dialects());
+        let upload = exchange.request.body.upload().map(Rc::clone);
         let answer = self.pass_on(seat, lane, (&class.name, &times), exchange).await;
         if let Some(rest) = upload.and_then(|upload| upload.give_up()) {
             seat.discard(true);
@@ -488,7 +488,7 @@
             self.answer_by.get().map_or(deadline, |by| deadline.min(by))
         };
         // Nothing is decided before what was told while the process was held up is known.
-        caught_up().await;
+        catch_up().await;
         // What was taken before the stop has its time, but no more than there is.
         let finished = async {
             self.finished().await;
@@ -499,7 +499,7 @@
         let id = owed.id();
         let answer = tokio::select! {
             biased;
-            answer = owed.answer(whole) => answer,
+            answer = owed.wait(whole) => answer,
             answer = finished => answer,
         };
         if let Some(since) = since.get() {
@@ -532,9 +532,9 @@
         of: (&str, &Times),
         exchange: NewRequest<Call>,
     ) -> Result<Response<Reply>, Fault> {
-        let upload = exchange.call.body.upload().map(Rc::clone);
+        let upload = exchange.request.body.upload().map(Rc::clone);
         // Only what could go to an old server can come back from one.
-        let mapping = exchange.call.old.as_ref().and_then(|old| old.by.clone());
+        let mapping = exchange.request.old.as_ref().and_then(|old| old.by.clone());
         let (answer, in_flight) = match self.carry(seat, lane, of, exchange).await {
             Ok(carried) => carried,
             Err(Rejection::CorrelationIdInUse) => return Err((StatusCode::CONFLICT, "X-Call-Id is in use")),
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -72,7 +72,7 @@
                     let left = (WAIT_BASE + earned).saturating_sub(self.waited);
                     self.limit.reset(now + left.min(SILENCE_MOST));
                 }
-                ready!(self.limit.poll_over(cx));
+                ready!(self.limit.poll_expired(cx));
                 return Poll::Ready(Some(Err(Broken::Slow)));
             };
             if let Some(since) = self.waiting_since.take() {
@@ -223,11 +223,11 @@
 }
 
 impl StreamingBody for Upload {
-    fn state(&self) -> heronhoist_engine::BodyProgress {
+    fn progress(&self) -> heronhoist_engine::BodyProgress {
         Upload::state(self).into()
     }
 
-    fn is_spent(&self) -> bool {
+    fn is_consumed(&self) -> bool {
         Upload::is_spent(self)
     }
 
@@ -235,7 +235,7 @@
         Upload::unread_since(self)
     }
 
-    fn ended(&self) -> Pin<Box<dyn Future<Output = heronhoist_engine::BodyProgress> + '_>> {
+    fn finished(&self) -> Pin<Box<dyn Future<Output = heronhoist_engine::BodyProgress> + '_>> {
         Box::pin(async { Upload::ended(self).await.into() })
     }
 }
--- a/crates/engine/src/drainable_source.rs
+++ b/crates/engine/src/drainable_source.rs
@@ -1,4 +1,4 @@
-//! Servers that are taken out from here, whatever their source says: a second word beside the list's, of which the stricter holds.
+//! Servers that are drained from here, whatever their source says: the stricter of the two holds.
 
 use crate::clock::Clock;
 use crate::endpoint_source::{
@@ -13,117 +13,139 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// A membership some of whose servers drain by another's word. One that was taken out by it and is not any more is told as
-/// started at that moment: it is cold.
+/// An endpoint source of which some servers are drained by a second authority. A server whose drain by it has ended
+/// counts as started at that moment: it has to warm up.
 pub struct DrainableSource<A> {
-    inner: Box<dyn EndpointSource<A>>,
+    source: Box<dyn EndpointSource<A>>,
     drained: watch::Receiver<BTreeSet<String>>,
     known: Vec<EndpointInfo<A>>,
 }
 
 impl<A> DrainableSource<A> {
-    /// Over a source whose list was last known so; `drained` names the servers that drain by the other word.
+    /// Wraps a source whose list was last `known` so; `drained` holds the names of the servers that are drained here.
+    #[must_use]
     pub fn new(
-        inner: Box<dyn EndpointSource<A>>,
+        source: Box<dyn EndpointSource<A>>,
         drained: watch::Receiver<BTreeSet<String>>,
         known: &[EndpointInfo<A>],
     ) -> Self
     where
         A: Clone,
     {
-        DrainableSource { inner, drained, known: known.to_vec() }
+        DrainableSource { source, drained, known: known.to_vec() }
     }
 }
 
-/// What stands between the source and the pool.
+/// Stands between the source and the pool and drains servers in the lists that pass.
 struct DrainFilter<A> {
-    to: Rc<dyn EndpointObserver<A>>,
+    observer: Rc<dyn EndpointObserver<A>>,
     drained: watch::Receiver<BTreeSet<String>>,
     version: Cell<i64>,
-    /// The lines as the source has them.
-    members: RefCell<BTreeMap<String, EndpointInfo<A>>>,
-    /// Which of them the pool was told to drain by the other word.
-    told: RefCell<BTreeSet<String>>,
-    /// When servers came back that had been taken out by it.
-    back: RefCell<BTreeMap<String, Time>>,
+    /// The servers as the source lists them.
+    endpoints: RefCell<BTreeMap<String, EndpointInfo<A>>>,
+    /// The drained servers of which the pool has been notified.
+    notified: RefCell<BTreeSet<String>>,
+    /// When drains ended, by the server's name.
+    drain_ended_at: RefCell<BTreeMap<String, Time>>,
     clock: Clock,
 }
 
 impl<A: Clone> DrainFilter<A> {
-    /// A line as the pool is told it.
-    fn both(&self, member: &EndpointInfo<A>) -> EndpointInfo<A> {
-        let mut member = member.clone();
-        if member.state == EndpointState::Serving && self.drained.borrow().contains(&member.name) {
-            member.state = EndpointState::Draining;
+    fn new(
+        sink: &EndpointSink<A>,
+        drained: watch::Receiver<BTreeSet<String>>,
+        known: Vec<EndpointInfo<A>>,
+    ) -> Rc<Self> {
+        let endpoints = known.into_iter().map(|endpoint| (endpoint.name.clone(), endpoint));
+        Rc::new(DrainFilter {
+            observer: sink.observer(),
+            drained,
+            version: Cell::new(sink.version().unwrap_or(0)),
+            endpoints: RefCell::new(endpoints.collect()),
+            notified: RefCell::default(),
+            drain_ended_at: RefCell::default(),
+            clock: sink.clock(),
+        })
+    }
+
+    /// A server as the pool gets to see it.
+    fn effective(&self, endpoint: &EndpointInfo<A>) -> EndpointInfo<A> {
+        let mut endpoint = endpoint.clone();
+        if endpoint.state == EndpointState::Serving && self.drained.borrow().contains(&endpoint.name) {
+            endpoint.state = EndpointState::Draining;
         }
-        if let Some(back) = self.back.borrow().get(&member.name) {
-            member.started = member.started.max(Some(*back));
+        if let Some(ended_at) = self.drain_ended_at.borrow().get(&endpoint.name) {
+            endpoint.started_at = endpoint.started_at.max(Some(*ended_at));
         }
-        member
+        endpoint
     }
 
-    /// What the other word has changed.
-    fn turn(&self) {
+    /// Notifies the pool of the drains that have begun or ended since the last call.
+    fn apply_drains(&self) {
         let drained = self.drained.borrow().clone();
-        let told = self.told.replace(drained.clone());
-        let members = self.members.borrow();
-        for name in told.difference(&drained).filter(|name| members.contains_key(*name)) {
-            self.back.borrow_mut().insert(name.clone(), self.clock.now());
-        }
-        let changed = told.symmetric_difference(&drained).filter_map(|name| members.get(name));
-        let changed: Vec<EndpointInfo<A>> = changed.map(|member| self.both(member)).collect();
-        drop(members);
+        let notified = self.notified.replace(drained.clone());
+        self.record_ended_drains(notified.difference(&drained));
+        let changed = self.effective_endpoints(notified.symmetric_difference(&drained));
         if !changed.is_empty() {
-            self.to.listed(EndpointList { version: self.version.get(), whole: false, members: changed });
+            let version = self.version.get();
+            self.observer.on_endpoints(EndpointList { version, is_complete: false, endpoints: changed });
         }
     }
-}
 
-impl<A: Clone> EndpointObserver<A> for DrainFilter<A> {
-    fn listed(&self, list: EndpointList<A>) {
-        self.version.set(list.version);
-        let mut members = self.members.borrow_mut();
-        if list.whole {
-            members.clear();
+    fn record_ended_drains<'a>(&self, names: impl Iterator<Item = &'a String>) {
+        let endpoints = self.endpoints.borrow();
+        for name in names.filter(|name| endpoints.contains_key(*name)) {
+            self.drain_ended_at.borrow_mut().insert(name.clone(), self.clock.now());
+        }
+    }
+
+    fn effective_endpoints<'a>(&self, names: impl Iterator<Item = &'a String>) -> Vec<EndpointInfo<A>> {
+        let endpoints = self.endpoints.borrow();
+        let listed = names.filter_map(|name| endpoints.get(name));
+        listed.map(|endpoint| self.effective(endpoint)).collect()
+    }
+
+    /// Remembers a list as the source has it, so that a later change of the drains can be told in its lines.
+    fn remember(&self, list: &EndpointList<A>) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        if list.is_complete {
+            endpoints.clear();
         }
-        for member in &list.members {
-            if member.state == EndpointState::Removed {
-                members.remove(&member.name);
-            } else if members.len() < MAX_SERVERS || members.contains_key(&member.name) {
-                members.insert(member.name.clone(), member.clone());
+        for endpoint in &list.endpoints {
+            if endpoint.state == EndpointState::Removed {
+                endpoints.remove(&endpoint.name);
+            } else if endpoints.len() < MAX_SERVERS || endpoints.contains_key(&endpoint.name) {
+                endpoints.insert(endpoint.name.clone(), endpoint.clone());
             }
         }
-        self.back.borrow_mut().retain(|name, _| members.contains_key(name));
-        drop(members);
-        let told = list.members.iter().map(|member| self.both(member)).collect();
-        self.to.listed(EndpointList { members: told, ..list });
+        self.drain_ended_at.borrow_mut().retain(|name, _| endpoints.contains_key(name));
+    }
+}
+
+impl<A: Clone> EndpointObserver<A> for DrainFilter<A> {
+    fn on_endpoints(&self, list: EndpointList<A>) {
+        self.version.set(list.version);
+        self.remember(&list);
+        let endpoints = list.endpoints.iter().map(|endpoint| self.effective(endpoint)).collect();
+        self.observer.on_endpoints(EndpointList { endpoints, ..list });
     }
 
-    fn failed(&self) {
-        self.to.failed();
+    fn on_failure(&self) {
+        self.observer.on_failure();
     }
 }
 
 impl<A: Clone + 'static> EndpointSource<A> for DrainableSource<A> {
-    fn run(self: Box<Self>, feed: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>> {
-        let DrainableSource { inner, mut drained, mut known } = *self;
-        feed.saved(&mut known);
-        let known = known.into_iter().map(|member| (member.name.clone(), member));
-        let desk = Rc::new(DrainFilter {
-            to: feed.heard(),
-            drained: drained.clone(),
-            version: Cell::new(feed.version().unwrap_or(0)),
-            members: RefCell::new(known.collect()),
-            told: RefCell::default(),
-            back: RefCell::default(),
-            clock: feed.clock(),
-        });
-        let feed = feed.through(Rc::clone(&desk) as Rc<dyn EndpointObserver<A>>);
+    fn run(self: Box<Self>, sink: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>> {
+        let DrainableSource { source, mut drained, mut known } = *self;
+        sink.settle_saved(&mut known);
+        let filter = DrainFilter::new(&sink, drained.clone(), known);
+        let sink = sink.with_observer(Rc::clone(&filter) as Rc<dyn EndpointObserver<A>>);
         Box::pin(async move {
-            let turning = async {
+            let apply_drains = async {
                 loop {
                     drained.mark_unchanged();
-                    desk.turn();
+                    filter.apply_drains();
                     if drained.changed().await.is_err() {
                         std::future::pending::<()>().await;
                     }
@@ -131,8 +153,8 @@
             };
             tokio::select! {
                 biased;
-                () = turning => {}
-                () = inner.run(feed) => {}
+                () = apply_drains => {}
+                () = source.run(sink) => {}
             }
         })
     }
--- a/crates/engine/src/drainable_source/tests.rs
+++ b/crates/engine/src/drainable_source/tests.rs
@@ -11,11 +11,11 @@
 struct Notes(RefCell<Vec<(bool, Vec<Line>)>>);
 
 impl EndpointObserver<u16> for Notes {
-    fn listed(&self, list: EndpointList<u16>) {
-        let line = |member: EndpointInfo<u16>| (member.name, member.state, member.started.is_some());
-        self.0.borrow_mut().push((list.whole, list.members.into_iter().map(line).collect()));
+    fn on_endpoints(&self, list: EndpointList<u16>) {
+        let line = |member: EndpointInfo<u16>| (member.name, member.state, member.started_at.is_some());
+        self.0.borrow_mut().push((list.is_complete, list.endpoints.into_iter().map(line).collect()));
     }
-    fn failed(&self) {}
+    fn on_failure(&self) {}
 }
 
 fn line(name: &str, state: EndpointState, cold: bool) -> Line {
@@ -72,10 +72,10 @@
 struct Starts(RefCell<Vec<Option<Time>>>);
 
 impl EndpointObserver<u16> for Starts {
-    fn listed(&self, list: EndpointList<u16>) {
-        self.0.borrow_mut().extend(list.members.into_iter().map(|member| member.started));
+    fn on_endpoints(&self, list: EndpointList<u16>) {
+        self.0.borrow_mut().extend(list.endpoints.into_iter().map(|member| member.started_at));
     }
-    fn failed(&self) {}
+    fn on_failure(&self) {}
 }
 
 /// While the source has not answered yet, the other word is told in lines of the list that is known: by the pool's clock, and
@@ -84,9 +84,9 @@
 async fn before_the_first_list_the_known_starts_are_those_that_were_settled() {
     let (epoch, hour) = (Time(1_800_000_000_000_000), Span::from_ms(3.6e6));
     let heard = Rc::new(Starts::default());
-    let known = EndpointInfo { started: Some(epoch + hour), ..EndpointInfo::serving("a", 1) };
+    let known = EndpointInfo { started_at: Some(epoch + hour), ..EndpointInfo::serving("a", 1) };
     let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(Some(epoch)))));
-    starts.borrow_mut().saved(&mut [known.clone()]);
+    starts.borrow_mut().settle_saved(&mut [known.clone()]);
     tokio::time::advance(Duration::from_secs(1)).await;
     let feed =
         EndpointSink::new(Rc::clone(&heard) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts, None);
--- a/crates/engine/src/endpoint_source/mod.rs
+++ b/crates/engine/src/endpoint_source/mod.rs
@@ -1,13 +1,14 @@
-//! Which servers there are: lists with versions, from whoever knows.
+//! Which servers there are: versioned endpoint lists, and the sources that they come from.
 
 mod sink;
 mod static_endpoints;
+mod subscription;
 
 pub use sink::EndpointSink;
-pub(crate) use sink::Subscription;
 pub use static_endpoints::StaticEndpoints;
+pub(crate) use subscription::Subscription;
 
-use heronhoist_decision::{DialectId, Time};
+use heronhoist_decision::{DialectId, Status, Time};
 use std::future::Future;
 use std::pin::Pin;
 
@@ -16,78 +17,88 @@
 pub enum EndpointState {
     /// Takes requests.
     Serving,
-    /// Finishes what it has.
+    /// Finishes the requests that it has and takes no new ones.
     Draining,
-    /// Has left.
+    /// Is no longer in the list.
     Removed,
 }
 
-/// A line of a list.
+impl From<EndpointState> for Status {
+    fn from(state: EndpointState) -> Status {
+        match state {
+            EndpointState::Serving => Status::Serving,
+            EndpointState::Draining => Status::Draining,
+            EndpointState::Removed => Status::Removed,
+        }
+    }
+}
+
+/// One server in an endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointInfo<A> {
-    /// The server's name; another name is another server, whatever its address.
+    /// The server's name. Another name is another server, whatever its address.
     pub name: String,
     /// Where it is reached.
     pub address: A,
     /// The name of its zone.
     pub zone: String,
-    /// The name of its kind of machine.
-    pub kind: String,
-    /// The group of servers that drop each other's repeats.
+    /// The name of its machine type.
+    pub machine_type: String,
+    /// The group of servers that deduplicate each other's requests.
     pub cell: u32,
-    /// What it speaks. One that speaks otherwise from now on is another process, in a life of its own.
+    /// What it speaks. A change of it is a new incarnation of the server.
     pub dialect: DialectId,
     /// What it does at present.
     pub state: EndpointState,
-    /// Its size among the others, if the list says.
+    /// Its size relative to the others, if the list says.
     pub weight: Option<f64>,
-    /// When it last started, if that was lately; by the source's clock until its list has passed the [`EndpointSink`], and in the
-    /// pool's time from there on.
-    pub started: Option<Time>,
+    /// When it last started, if that was lately: by the source's clock until its list has passed the [`EndpointSink`],
+    /// and in the pool's time from there on.
+    pub started_at: Option<Time>,
 }
 
 impl<A> EndpointInfo<A> {
-    /// A server that serves, in no zone, kind or cell of its own.
+    /// A server that serves, without zone, machine type, cell, weight and start time of its own.
+    #[must_use]
     pub fn serving(name: &str, address: A) -> Self {
-        let (zone, kind) = (String::new(), String::new());
-        let (cell, dialect, weight, started) = (0, DialectId(0), None, None);
         EndpointInfo {
             name: name.into(),
             address,
-            zone,
-            kind,
-            cell,
-            dialect,
+            zone: String::new(),
+            machine_type: String::new(),
+            cell: 0,
+            dialect: DialectId(0),
             state: EndpointState::Serving,
-            weight,
-            started,
+            weight: None,
+            started_at: None,
         }
     }
 }
 
-/// A list, or what has changed of one.
+/// An endpoint list, or what has changed in one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointList<A> {
     /// Grows with each change at the source.
     pub version: i64,
-    /// This is all of it: what it leaves out has left.
-    pub whole: bool,
-    /// Its lines.
-    pub members: Vec<EndpointInfo<A>>,
+    /// Whether this is the whole list, so that a server that it lacks has been removed.
+    pub is_complete: bool,
+    /// The servers.
+    pub endpoints: Vec<EndpointInfo<A>>,
 }
 
-/// What a pool does with what its membership says.
+/// Receives what an endpoint source publishes.
 pub trait EndpointObserver<A> {
     /// A list has come, no older than the one before it.
-    fn listed(&self, list: EndpointList<A>);
-    /// What the module had asked for could not be had.
-    fn failed(&self);
+    fn on_endpoints(&self, list: EndpointList<A>);
+
+    /// What the decision module asked of the source failed.
+    fn on_failure(&self);
 }
 
-/// A source of lists. It runs for as long as its pool does, and hands over what it hears.
+/// A source of endpoint lists. It runs for as long as its pool does.
 pub trait EndpointSource<A> {
-    /// Runs until dropped.
-    fn run(self: Box<Self>, feed: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>>;
+    /// Publishes lists to `sink` until dropped.
+    fn run(self: Box<Self>, sink: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>>;
 }
 
 #[cfg(test)]
--- a/crates/engine/src/endpoint_source/sink.rs
+++ b/crates/engine/src/endpoint_source/sink.rs
@@ -1,82 +1,65 @@
-//! The way from a source of lists to its pool, and what the pool's module wants of the source.
+//! Where an endpoint source publishes its lists, on their way to its pool.
 
-use super::{EndpointInfo, EndpointList, EndpointObserver};
+use super::{EndpointInfo, EndpointList, EndpointObserver, Subscription};
 use crate::clock::Clock;
 use crate::start_times::StartTimes;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use tokio::sync::{watch, Notify};
 
-/// What the module wants of its membership.
-#[derive(Default)]
-pub(crate) struct Subscription {
-    following: watch::Sender<bool>,
-    fetch: Notify,
-}
-
-impl Subscription {
-    pub(crate) fn follow(&self, active: bool) {
-        self.following.send_replace(active);
-    }
-
-    pub(crate) fn fetch(&self) {
-        self.fetch.notify_one();
-    }
-}
-
-/// The way from a membership to its pool. It lets no list pass that is older than one that has passed before, so that
-/// no decision rests on one, and settles when servers started.
+/// The way from an endpoint source to its pool. It lets no list pass that is older than one that has passed before, so
+/// that no decision rests on one, and settles when servers started.
 pub struct EndpointSink<A> {
-    to: Rc<dyn EndpointObserver<A>>,
-    wants: Rc<Subscription>,
-    starts: Rc<RefCell<StartTimes>>,
+    observer: Rc<dyn EndpointObserver<A>>,
+    subscription: Rc<Subscription>,
+    start_times: Rc<RefCell<StartTimes>>,
     version: Cell<Option<i64>>,
 }
 
 impl<A> EndpointSink<A> {
     pub(crate) fn new(
-        to: Rc<dyn EndpointObserver<A>>,
-        wants: Rc<Subscription>,
-        starts: Rc<RefCell<StartTimes>>,
+        observer: Rc<dyn EndpointObserver<A>>,
+        subscription: Rc<Subscription>,
+        start_times: Rc<RefCell<StartTimes>>,
         version: Option<i64>,
     ) -> Self {
-        EndpointSink { to, wants, starts, version: Cell::new(version) }
+        EndpointSink { observer, subscription, start_times, version: Cell::new(version) }
     }
 
     /// The pool's clock.
     pub(crate) fn clock(&self) -> Clock {
-        self.starts.borrow().clock()
+        self.start_times.borrow().clock()
     }
 
-    /// Settles when the servers of a list started that was known before the first one.
-    pub(crate) fn saved(&self, members: &mut [EndpointInfo<A>]) {
-        self.starts.borrow_mut().saved(members);
+    /// Settles the start times in a list that was known before the source's first one.
+    pub(crate) fn settle_saved(&self, endpoints: &mut [EndpointInfo<A>]) {
+        self.start_times.borrow_mut().settle_saved(endpoints);
     }
 
-    /// Where it leads.
-    pub(crate) fn heard(&self) -> Rc<dyn EndpointObserver<A>> {
-        Rc::clone(&self.to)
+    /// Who receives the lists.
+    pub(crate) fn observer(&self) -> Rc<dyn EndpointObserver<A>> {
+        Rc::clone(&self.observer)
     }
 
-    /// The same way, with another stop on it, which hands on what it hears.
-    pub(crate) fn through(self, stop: Rc<dyn EndpointObserver<A>>) -> EndpointSink<A> {
-        EndpointSink { to: stop, ..self }
+    /// The same sink with another observer, which stands before the one so far.
+    pub(crate) fn with_observer(self, observer: Rc<dyn EndpointObserver<A>>) -> EndpointSink<A> {
+        EndpointSink { observer, ..self }
     }
 
-    /// The version of the list that stands; `None` before the first of a source.
+    /// The version of the newest list; `None` before the first one of a source.
+    #[must_use]
     pub fn version(&self) -> Option<i64> {
         self.version.get()
     }
 
-    /// What comes from now on is another source's, whose versions have nothing to do with those before.
-    pub fn new_source(&self) {
+    /// Announces that the following lists come from another source, whose versions don't continue those before.
+    pub fn reset_source(&self) {
         self.version.set(None);
-        self.starts.borrow_mut().new_source();
+        self.start_times.borrow_mut().reset_source();
     }
 
-    /// Hands a list over; false if it is older than one that stands, and so was left out.
-    pub fn listed(&self, mut list: EndpointList<A>) -> bool {
-        if self.version.get().is_some_and(|stands| list.version < stands) {
+    /// Publishes a list. Returns false, and drops the list, if it is older than the newest one.
+    pub fn publish(&self, mut list: EndpointList<A>) -> bool {
+        if self.version.get().is_some_and(|newest| list.version < newest) {
             tracing::warn!(
                 target: "heronhoist::membership",
                 version = list.version,
@@ -86,34 +69,34 @@
             return false;
         }
         self.version.set(Some(list.version));
-        self.starts.borrow_mut().listed(&mut list);
-        self.to.listed(list);
+        self.start_times.borrow_mut().settle_list(&mut list);
+        self.observer.on_endpoints(list);
         true
     }
 
-    /// What the module had asked for could not be had.
-    pub fn failed(&self) {
-        self.to.failed();
+    /// Reports that what the decision module asked for failed.
+    pub fn report_failure(&self) {
+        self.observer.on_failure();
     }
 
-    /// The list can't be followed any more; it is not, until the module says so again.
-    pub fn lost(&self) {
-        self.wants.follow(false);
-        self.to.failed();
+    /// Reports that the subscription broke. It is inactive until the decision module subscribes again.
+    pub fn report_subscription_lost(&self) {
+        self.subscription.set_active(false);
+        self.observer.on_failure();
     }
 
-    /// Follows the list from now on, whatever the module says: for a source that sends by itself.
-    pub fn follow(&self) {
-        self.wants.follow(true);
+    /// Makes the subscription active without the decision module: for a source that pushes its lists.
+    pub fn subscribe(&self) {
+        self.subscription.set_active(true);
     }
 
-    /// Comes back once the module follows the list, or does not any more.
-    pub async fn followed(&self, active: bool) {
-        let _ = self.wants.following.subscribe().wait_for(|following| *following == active).await;
+    /// Waits until the subscription is active, or is not.
+    pub async fn wait_for_subscription(&self, is_active: bool) {
+        self.subscription.wait_for_active(is_active).await;
     }
 
-    /// Comes back once the module asks for the whole list.
-    pub async fn asked(&self) {
-        self.wants.fetch.notified().await;
+    /// Waits until the decision module requests the whole list.
+    pub async fn fetch_requested(&self) {
+        self.subscription.fetch_requested().await;
     }
 }
--- a/crates/engine/src/endpoint_source/static_endpoints.rs
+++ b/crates/engine/src/endpoint_source/static_endpoints.rs
@@ -1,31 +1,33 @@
-//! A list that only its owner changes.
+//! An endpoint list that only its owner changes, such as one in a file.
 
 use super::{EndpointInfo, EndpointList, EndpointSink, EndpointSource};
 use std::future::Future;
 use std::pin::Pin;
 use tokio::sync::watch;
 
-/// A list that only its owner changes, such as one in a file.
+/// An endpoint list that only its owner changes, such as one in a file.
 pub struct StaticEndpoints<A>(watch::Receiver<Vec<EndpointInfo<A>>>);
 
 impl<A: Clone + PartialEq> StaticEndpoints<A> {
-    /// Follows whatever the sender says.
-    pub fn new(members: watch::Receiver<Vec<EndpointInfo<A>>>) -> Self {
-        StaticEndpoints(members)
+    /// Publishes the channel's value, and each change of it.
+    #[must_use]
+    pub fn new(endpoints: watch::Receiver<Vec<EndpointInfo<A>>>) -> Self {
+        StaticEndpoints(endpoints)
     }
 }
 
 impl<A: Clone + 'static> EndpointSource<A> for StaticEndpoints<A> {
-    fn run(mut self: Box<Self>, feed: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>> {
+    fn run(mut self: Box<Self>, sink: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
             loop {
-                let version = feed.version().unwrap_or(0) + 1;
-                let members = self.0.borrow_and_update().clone();
-                feed.listed(EndpointList { version, whole: true, members });
+                let version = sink.version().unwrap_or(0) + 1;
+                let endpoints = self.0.borrow_and_update().clone();
+                sink.publish(EndpointList { version, is_complete: true, endpoints });
                 tokio::select! {
                     biased;
+                    // An owner that is gone changes nothing any more; its last list stays.
                     changed = self.0.changed() => if changed.is_err() { std::future::pending::<()>().await },
-                    () = feed.asked() => {}
+                    () = sink.fetch_requested() => {}
                 }
             }
         })
--- a/crates/engine/src/endpoint_source/tests.rs
+++ b/crates/engine/src/endpoint_source/tests.rs
@@ -11,10 +11,10 @@
 struct Notes(RefCell<Vec<(i64, usize)>>, Cell<u32>);
 
 impl EndpointObserver<u16> for Notes {
-    fn listed(&self, list: EndpointList<u16>) {
-        self.0.borrow_mut().push((list.version, list.members.len()));
+    fn on_endpoints(&self, list: EndpointList<u16>) {
+        self.0.borrow_mut().push((list.version, list.endpoints.len()));
     }
-    fn failed(&self) {
+    fn on_failure(&self) {
         self.1.set(self.1.get() + 1);
     }
 }
@@ -33,12 +33,15 @@
         starts(),
         Some(5),
     );
-    let list = |version| EndpointList { version, whole: true, members: vec![EndpointInfo::serving("a", 1)] };
-    assert!(!feed.listed(list(4)) && feed.listed(list(5)) && feed.listed(list(9)) && !feed.listed(list(8)));
-    feed.new_source();
-    assert!(feed.listed(list(2)) && !feed.listed(list(1)));
+    let list =
+        |version| EndpointList { version, is_complete: true, endpoints: vec![EndpointInfo::serving("a", 1)] };
+    assert!(
+        !feed.publish(list(4)) && feed.publish(list(5)) && feed.publish(list(9)) && !feed.publish(list(8))
+    );
+    feed.reset_source();
+    assert!(feed.publish(list(2)) && !feed.publish(list(1)));
     assert_eq!(*notes.0.borrow(), [(5, 1), (9, 1), (2, 1)]);
-    feed.failed();
+    feed.report_failure();
     assert_eq!(notes.1.get(), 1);
 }
 
@@ -46,10 +49,10 @@
 struct Starts(RefCell<Vec<Option<Time>>>);
 
 impl EndpointObserver<u16> for Starts {
-    fn listed(&self, list: EndpointList<u16>) {
-        self.0.borrow_mut().extend(list.members.into_iter().map(|member| member.started));
+    fn on_endpoints(&self, list: EndpointList<u16>) {
+        self.0.borrow_mut().extend(list.endpoints.into_iter().map(|member| member.started_at));
     }
-    fn failed(&self) {}
+    fn on_failure(&self) {}
 }
 
 /// A list that is left out bounds no start, and what another source tells first is bounded by none of this one's lists.
@@ -59,8 +62,8 @@
     let feed =
         EndpointSink::new(Rc::clone(&heard) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts(), None);
     let tell = |version, name: &str, started| {
-        let members = vec![EndpointInfo { started, ..EndpointInfo::serving(name, 1) }];
-        feed.listed(EndpointList { version, whole: false, members })
+        let members = vec![EndpointInfo { started_at: started, ..EndpointInfo::serving(name, 1) }];
+        feed.publish(EndpointList { version, is_complete: false, endpoints: members })
     };
     let begun = feed.clock().now();
     tell(6, "a", None);
@@ -69,7 +72,7 @@
     let (now, between, before) = (feed.clock().now(), begun + Span(1_000_000), Time(begun.0 - 1));
     tell(7, "b", Some(between));
     tell(8, "c", Some(between));
-    feed.new_source();
+    feed.reset_source();
     tell(1, "d", Some(before));
     tell(2, "e", Some(before));
     assert_eq!(*heard.0.borrow(), [None, Some(between), Some(now), Some(before), Some(now)]);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,12 +1,13 @@
-//! The engine: what lies between a front, which owes its clients exactly one final answer a request, and the servers
-//! that a decision module chooses. It knows time and tasks and no protocol.
+//! The engine: it stands between a frontend, which owes each client exactly one final response, and the servers that a
+//! decision module selects. It knows time and tasks, and no protocol.
 //!
-//! A [`Pool`] is one fleet of servers with one decision module, one [`Upstream`] that speaks to them and one
-//! [`EndpointSource`] that says which they are. A front hands an [`NewRequest`] to [`Pool::submit`] and awaits
-//! [`PendingResponse::answer`]; whatever it drops unanswered is told to the module as gone. Where there are several pools in a
-//! process, [`Quota`] shares what the process may hold, so that one fleet that hangs can't starve the others.
+//! A [`Pool`] is one fleet of servers with one decision module, one [`Upstream`] that speaks to the servers and one
+//! [`EndpointSource`] that lists them. A frontend hands a [`NewRequest`] to [`Pool::submit`] and awaits
+//! [`PendingResponse::wait`]; a pending response that is dropped counts as a client that has disconnected. Where a
+//! process has several pools, a [`Quota`] shares what the process may hold, so that a fleet that hangs can't starve the
+//! others.
 //!
-//! All of it runs on one thread, in a [`tokio::task::LocalSet`].
+//! Everything runs on one thread, in a [`tokio::task::LocalSet`].
 
 mod clock;
 mod drainable_source;
@@ -27,7 +28,7 @@
     FinalResponse, NewRequest, PendingResponse, Pool, PoolOptions, PoolStats, Rejection, RESPONSE_RESERVE,
 };
 pub use quota::{Quota, QuotaShare, Reservation};
-pub use servers::{ServerNames, MAX_SERVERS};
+pub use servers::{MissingCapacity, ServerNames, MAX_SERVERS};
 pub use upstream::{
-    AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, StreamingBody, Upstream,
+    AttemptResult, BodyProgress, EndpointAddress, Gate, Incarnation, RequestPayload, StreamingBody, Upstream,
 };
--- a/crates/engine/src/pool/attempts.rs
+++ b/crates/engine/src/pool/attempts.rs
@@ -1,15 +1,17 @@
-//! Attempts: sent, called off, and told to the module once they are over.
+//! Attempts: sent, cancelled, and reported to the decision module once they have ended.
 
 use super::pending_response::FinalResponse;
-use super::reserves::{reserve, ATTEMPT_RESERVE};
+use super::requests::InFlightAttempt;
+use super::reserves::attempt_reserve;
 use super::Pool;
-use crate::timing::read_until;
+use crate::clock::span;
+use crate::timing::sleep_until_settled;
 use crate::upstream::{AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, Upstream};
-use heronhoist_decision::{AttemptNumber, Event, Outcome, RequestId, ServerId, Span, Time};
+use heronhoist_decision::{AttemptNumber, Event, Outcome, RequestId, ServerId, Time};
 use std::cell::Cell;
 use std::future::{poll_fn, Future};
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::pin::pin;
+use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
@@ -17,136 +19,185 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
+/// One attempt of one request.
+#[derive(Debug, Clone, Copy)]
+struct Attempt {
+    request: RequestId,
+    number: AttemptNumber,
+    server: ServerId,
+    started_at: Instant,
+}
+
+/// The times that bound an attempt.
+#[derive(Debug, Clone, Copy)]
+struct AttemptDeadlines {
+    /// The last time at which its first byte may be written.
+    begin_by: Time,
+    /// When it times out.
+    timeout_at: Instant,
+    /// How long the client waits once the request has arrived whole.
+    client_timeout: Duration,
+}
+
 impl<U: Upstream> Pool<U> {
-    pub(super) fn send(&self, id: RequestId, server: ServerId, timeout_at: Time, begin_by: Time) {
-        let now = Instant::now();
-        let mut core = self.0.core.borrow_mut();
-        let core = &mut *core;
-        let Some(open) = core.open.get_mut(&id) else { return };
-        let attempt = open.attempts;
-        open.attempts += 1;
+    /// Starts an attempt. Each one that the decision module asks for is reported back, also one that is not sent.
+    pub(super) fn send(&self, request_id: RequestId, server: ServerId, timeout_at: Time, begin_by: Time) {
+        let started_at = Instant::now();
+        let mut state = self.0.state.borrow_mut();
+        let state = &mut *state;
+        let Some(open) = state.requests.get_mut(&request_id) else { return };
+        let number = AttemptNumber(open.attempts_started);
+        open.attempts_started += 1;
         let (cancel, cancelled) = oneshot::channel();
-        open.out.push((attempt, Some(cancel)));
-        // Nothing is sent for a request that has its answer, nor beyond the attempts or the time it has.
-        let latest = open.deadline.map(|deadline| deadline - reserve(ATTEMPT_RESERVE, open.budget));
-        let until = self.0.clock.instant(timeout_at);
-        let until = latest.map_or(until, |latest| until.min(latest));
-        let lawful = open.reply.is_some() && attempt < open.max_attempts && until > now;
-        let place = if lawful { core.servers.enter(server) } else { None };
-        let (pool, call, budget) = (self.clone(), Rc::clone(&open.call), open.budget);
+        open.in_flight.push(InFlightAttempt { number, cancel: Some(cancel) });
+
+        let client_timeout = open.client_timeout;
+        let timeout_at = self.0.clock.instant(timeout_at);
+        let latest = open.deadline.map(|deadline| deadline - attempt_reserve(client_timeout));
+        let timeout_at = latest.map_or(timeout_at, |latest| timeout_at.min(latest));
+        // Nothing is sent for a request that has its response, nor beyond the attempts or the time it has.
+        let is_allowed = open.is_pending() && number.0 < open.max_attempts && timeout_at > started_at;
+        let endpoint = if is_allowed { state.servers.begin_use(server) } else { None };
+
+        let attempt = Attempt { request: request_id, number, server, started_at };
+        let deadlines = AttemptDeadlines { begin_by, timeout_at, client_timeout };
+        let (pool, request) = (self.clone(), Rc::clone(&open.request));
         spawn_local(async move {
-            let ended = match place {
-                Some(place) => {
-                    let ended = pool.attempt((id, begin_by), place, &call, until, budget, cancelled).await;
-                    pool.0.core.borrow_mut().servers.leave(server, ended.outcome);
-                    ended
+            let result = match endpoint {
+                Some(endpoint) => {
+                    let result = pool.run_attempt(request_id, endpoint, &request, deadlines, cancelled).await;
+                    pool.0.state.borrow_mut().servers.end_use(server, result.outcome);
+                    result
                 }
                 None => Outcome::NotSent.into(),
             };
-            pool.attempt_over((id, attempt, server), now, ended);
+            pool.finish_attempt(attempt, result);
         });
     }
 
-    async fn attempt(
+    /// Cancels an attempt. It stays in flight until it has been reported, because its request must not be forgotten
+    /// before.
+    pub(super) fn cancel(&self, request: RequestId, number: AttemptNumber) {
+        let mut state = self.0.state.borrow_mut();
+        let Some(open) = state.requests.get_mut(&request) else { return };
+        for attempt in open.in_flight.iter_mut().filter(|attempt| attempt.number == number) {
+            if let Some(cancel) = attempt.cancel.take() {
+                let _ = cancel.send(());
+            }
+        }
+    }
+
+    async fn run_attempt(
         &self,
-        (id, begin_by): (RequestId, Time),
-        place: EndpointAddress<U::Address>,
-        call: &U::Call,
-        until: Instant,
-        budget: Duration,
+        request_id: RequestId,
+        endpoint: EndpointAddress<U::Address>,
+        request: &U::Request,
+        deadlines: AttemptDeadlines,
         cancelled: oneshot::Receiver<()>,
-    ) -> AttemptResult<U::Answer> {
-        let (sent, server) = (Cell::new(false), place.server);
-        // A connection may take long to come up: by then the client may have gone or have its answer, and servers may have
-        // forgotten the attempt that this one repeats.
-        let lawful = || {
-            let core = self.0.core.borrow();
-            let owed = core.open.get(&id).is_some_and(|open| open.reply.is_some());
-            owed && self.0.clock.now() <= begin_by && core.servers.may_send(server, self.0.drain_grace.get())
-        };
-        let gate = Gate::new(&sent, &lawful, until);
-        let mut exchange = pin!(self.0.upstream.attempt(place, call, gate));
-        // A panic costs this attempt and no more: nobody would hear of its end, and its request waited for its deadline.
-        let exchange = poll_fn(|cx| {
-            catch_unwind(AssertUnwindSafe(|| exchange.as_mut().poll(cx))).unwrap_or_else(|_| {
-                tracing::error!(target: "heronhoist::engine", pool = self.0.name, "an attempt has panicked; going on");
-                let outcome = if sent.get() { Outcome::ConnectionReset } else { Outcome::NotSent };
-                Poll::Ready(outcome.into())
-            })
-        });
-        let late = async {
-            match call.arriving() {
-                Some(arriving) => match arriving.ended().await {
-                    BodyProgress::Complete(at) => {
-                        read_until((at + budget - reserve(ATTEMPT_RESERVE, budget)).min(until)).await
-                    }
-                    // The exchange sees that too, and knows what it means.
-                    BodyProgress::Incomplete | BodyProgress::Failed => std::future::pending().await,
-                },
-                None => read_until(until).await,
-            }
-        };
-        let in_time = async {
-            tokio::select! {
-                biased;
-                ended = exchange => Ok(ended),
-                () = late => Err(()),
-            }
-        };
+    ) -> AttemptResult<U::Response> {
+        let (is_sent, server) = (Cell::new(false), endpoint.server);
+        let may_send = || self.may_send(request_id, server, deadlines.begin_by);
+        let gate = Gate::new(&is_sent, &may_send, deadlines.timeout_at);
+        // Pinned here, so that it is dropped only after its last word on what was sent has been read.
+        let attempt = pin!(self.0.upstream.attempt(endpoint, request, gate));
+        let attempt = self.guarded(&is_sent, attempt);
         tokio::select! {
             biased;
-            ended = in_time => match ended {
-                Ok(ended) => ended,
-                Err(()) if sent.get() => Outcome::TimedOut.into(),
-                // The time was used up by waiting for a connection.
-                Err(()) => Outcome::NotSent.into(),
-            },
+            result = attempt => result,
+            () = timed_out(request, deadlines) => {
+                // Without a first byte the time was used up by waiting for a connection.
+                let outcome = if is_sent.get() { Outcome::TimedOut } else { Outcome::NotSent };
+                outcome.into()
+            }
             Ok(()) = cancelled => Outcome::Cancelled.into(),
         }
     }
 
-    /// An attempt is over: a served request has its answer at once, whatever the module thinks of it.
-    fn attempt_over(
+    /// Whether the first byte of an attempt may be written now. A connection may take long to come up: by then the client
+    /// may have disconnected or have its response, and servers may have forgotten the attempt that this one repeats.
+    fn may_send(&self, request: RequestId, server: ServerId, begin_by: Time) -> bool {
+        let state = self.0.state.borrow();
+        let is_pending = state.requests.get(&request).is_some_and(|open| open.is_pending());
+        is_pending
+            && self.0.clock.now() <= begin_by
+            && state.servers.may_send(server, self.0.settings.get().drain_grace)
+    }
+
+    /// Turns a panic of an attempt into an outcome. A panic costs this attempt and no more: without an outcome its request
+    /// would wait until its deadline.
+    async fn guarded(
         &self,
-        (id, attempt, server): (RequestId, u32, ServerId),
-        sent: Instant,
-        ended: AttemptResult<U::Answer>,
-    ) {
-        let (closed, spent, since, class) = {
-            let mut core = self.0.core.borrow_mut();
-            let Some(open) = core.open.get_mut(&id) else { return };
-            open.out.retain(|(out, _)| *out != attempt);
-            if let Some((answer, (reply, _))) = ended.answer.and_then(|a| Some((a, open.reply.take()?))) {
-                let _ = reply.send(FinalResponse::Success(answer));
+        is_sent: &Cell<bool>,
+        mut attempt: Pin<&mut impl Future<Output = AttemptResult<U::Response>>>,
+    ) -> AttemptResult<U::Response> {
+        poll_fn(|cx| {
+            catch_unwind(AssertUnwindSafe(|| attempt.as_mut().poll(cx))).unwrap_or_else(|_| {
+                tracing::error!(target: "heronhoist::engine", pool = self.0.name, "an attempt has panicked; going on");
+                let outcome = if is_sent.get() { Outcome::ConnectionReset } else { Outcome::NotSent };
+                Poll::Ready(outcome.into())
+            })
+        })
+        .await
+    }
+
+    /// Reports an attempt that has ended. A request that was served has its final response at once, whatever the decision
+    /// module makes of it.
+    fn finish_attempt(&self, attempt: Attempt, result: AttemptResult<U::Response>) {
+        let (is_request_finished, is_body_consumed, since, class) = {
+            let mut state = self.0.state.borrow_mut();
+            let Some(open) = state.requests.get_mut(&attempt.request) else { return };
+            open.in_flight.retain(|in_flight| in_flight.number != attempt.number);
+            if let Some(response) = result.response {
+                if let Some(reply) = open.reply.take() {
+                    reply.send(FinalResponse::Success(response));
+                }
             }
-            let arriving = open.call.arriving();
-            let spent = arriving.is_some_and(|arriving| arriving.is_spent());
-            let since = match arriving.map(|arriving| arriving.state()) {
-                Some(BodyProgress::Complete(at)) => at.max(sent),
-                _ => sent,
+            let body = open.request.streaming_body();
+            let is_body_consumed = body.is_some_and(|body| body.is_consumed());
+            // A server can't answer before it has the whole request.
+            let since = match body.map(|body| body.progress()) {
+                Some(BodyProgress::Complete(at)) => at.max(attempt.started_at),
+                _ => attempt.started_at,
             };
-            (open.reply.is_none(), spent, since, open.class)
+            (!open.is_pending(), is_body_consumed, since, open.class)
         };
         tracing::debug!(
             target: "heronhoist::attempt",
             pool = self.0.name,
-            request = id.0,
+            request = attempt.request.0,
             class = class.0,
-            attempt,
-            server = server.0,
-            outcome = ?ended.outcome,
+            attempt = attempt.number.0,
+            server = attempt.server.0,
+            outcome = ?result.outcome,
             elapsed_us = since.elapsed().as_micros() as u64,
             "attempt ended"
         );
-        self.tell(Event::AttemptEnded {
-            request: id,
-            attempt: AttemptNumber(attempt),
-            outcome: ended.outcome,
-            elapsed: Span(since.elapsed().as_micros() as u64),
-            report: ended.report,
-            is_request_finished: closed,
-            is_body_consumed: spent,
+        self.handle_event(Event::AttemptEnded {
+            request: attempt.request,
+            attempt: attempt.number,
+            outcome: result.outcome,
+            elapsed: span(since.elapsed()),
+            report: result.load_report,
+            is_request_finished,
+            is_body_consumed,
         });
-        self.forget_ended(id);
+        self.forget_if_finished(attempt.request);
+    }
+}
+
+/// Waits until an attempt times out. While the request still arrives nothing is late; from its last byte on the client's
+/// time runs too.
+async fn timed_out(request: &impl RequestPayload, deadlines: AttemptDeadlines) {
+    let Some(body) = request.streaming_body() else {
+        return sleep_until_settled(deadlines.timeout_at).await;
+    };
+    match body.finished().await {
+        BodyProgress::Complete(at) => {
+            let client_timeout = deadlines.client_timeout;
+            let latest = at + client_timeout - attempt_reserve(client_timeout);
+            sleep_until_settled(latest.min(deadlines.timeout_at)).await
+        }
+        // The attempt sees that too, and knows what it means.
+        BodyProgress::Incomplete | BodyProgress::Failed => std::future::pending().await,
     }
 }
--- a/crates/engine/src/pool/endpoint_lists.rs
+++ b/crates/engine/src/pool/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of servers, taken over and told to the module.
+//! Endpoint lists are applied to the pool's servers and passed to the decision module.
 
 use super::Pool;
 use crate::endpoint_source::{EndpointList, EndpointObserver};
@@ -6,51 +6,61 @@
 use heronhoist_decision::{Endpoint, EndpointUpdate, Event};
 
 impl<U: Upstream> Pool<U> {
-    pub(super) fn take_list(&self, list: EndpointList<U::Address>) -> Vec<Endpoint> {
-        let upstream = &self.0.upstream;
-        let (version, whole) = (list.version, list.whole);
-        let told = tracing::enabled!(target: "heronhoist::membership", tracing::Level::DEBUG);
-        let named = list.members.iter().filter(|_| told);
-        let names: Vec<String> = named.map(|member| member.name.clone()).collect();
-        let lines = {
-            let mut core = self.0.core.borrow_mut();
-            let lines = core.servers.take(list, |server| upstream.close_idle(server));
-            self.0.dialects.set(core.servers.dialects());
-            lines
+    /// Applies a list and returns its lines in the decision module's terms.
+    pub(super) fn apply_endpoint_list(&self, list: EndpointList<U::Address>) -> Vec<Endpoint> {
+        let (version, is_complete) = (list.version, list.is_complete);
+        let logged_names = logged_names(&list);
+        let endpoints = {
+            let mut state = self.0.state.borrow_mut();
+            let endpoints = state.servers.apply(list, |server| self.0.upstream.close_idle(server));
+            self.0.serving_dialects.set(state.servers.serving_dialects());
+            endpoints
         };
-        for (line, name) in lines.iter().zip(names) {
-            let age_ms = line.started_at.map(|at| self.0.clock.now().since(at).as_ms() as u64);
-            tracing::debug!(
-                target: "heronhoist::membership",
-                pool = self.0.name,
-                version,
-                whole,
-                server = line.server.0,
-                name,
-                zone = line.zone.0,
-                status = ?line.status,
-                age_ms,
-                "server listed"
-            );
+        for (endpoint, name) in endpoints.iter().zip(logged_names) {
+            self.log_endpoint(endpoint, &name, version, is_complete);
         }
-        lines
+        endpoints
     }
+
+    fn log_endpoint(&self, endpoint: &Endpoint, name: &str, version: i64, is_complete: bool) {
+        let age_ms = endpoint.started_at.map(|at| self.0.clock.now().since(at).as_ms() as u64);
+        tracing::debug!(
+            target: "heronhoist::membership",
+            pool = self.0.name,
+            version,
+            whole = is_complete,
+            server = endpoint.server.0,
+            name,
+            zone = endpoint.zone.0,
+            status = ?endpoint.status,
+            age_ms,
+            "server listed"
+        );
+    }
+}
+
+/// The names of a list's servers if its lines go to the log; they are not copied in vain.
+fn logged_names<A>(list: &EndpointList<A>) -> Vec<String> {
+    if !tracing::enabled!(target: "heronhoist::membership", tracing::Level::DEBUG) {
+        return Vec::new();
+    }
+    list.endpoints.iter().map(|endpoint| endpoint.name.clone()).collect()
 }
 
 impl<U: Upstream> EndpointObserver<U::Address> for Pool<U> {
-    fn listed(&self, list: EndpointList<U::Address>) {
-        let whole = list.whole;
-        let lines = self.take_list(list);
-        self.tell(Event::EndpointList(if whole {
-            EndpointUpdate::Complete(lines)
+    fn on_endpoints(&self, list: EndpointList<U::Address>) {
+        let is_complete = list.is_complete;
+        let endpoints = self.apply_endpoint_list(list);
+        self.handle_event(Event::EndpointList(if is_complete {
+            EndpointUpdate::Complete(endpoints)
         } else {
-            EndpointUpdate::Changes(lines)
+            EndpointUpdate::Changes(endpoints)
         }));
-        self.0.has_list.set(true);
-        self.0.heard.send_replace(true);
+        self.0.has_endpoint_list.set(true);
+        self.0.has_published.send_replace(true);
     }
 
-    fn failed(&self) {
-        self.tell(Event::EndpointList(EndpointUpdate::Failed));
+    fn on_failure(&self) {
+        self.handle_event(Event::EndpointList(EndpointUpdate::Failed));
     }
 }
--- a/crates/engine/src/pool/health_checks.rs
+++ b/crates/engine/src/pool/health_checks.rs
@@ -1,40 +1,42 @@
 //! Health checks of servers.
 
 use super::Pool;
+use crate::clock::span;
 use crate::upstream::Upstream;
-use heronhoist_decision::{Event, Outcome, ServerId, Span};
+use heronhoist_decision::{Event, Outcome, ServerId};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
 impl<U: Upstream> Pool<U> {
-    pub(super) fn probe(&self, server: ServerId) {
-        let place = self.0.core.borrow_mut().servers.enter(server);
-        let (pool, sent) = (self.clone(), Instant::now());
+    /// Starts a health check. The decision module waits for the result of each one, also of a server that is not known
+    /// any more.
+    pub(super) fn check_health(&self, server: ServerId) {
+        let endpoint = self.0.state.borrow_mut().servers.begin_use(server);
+        let (pool, started_at) = (self.clone(), Instant::now());
         spawn_local(async move {
-            let ended = match place {
-                Some(place) => {
-                    let ended = pool.0.upstream.probe(place).await;
-                    pool.0.core.borrow_mut().servers.leave(server, ended.outcome);
-                    ended
+            let result = match endpoint {
+                Some(endpoint) => {
+                    let result = pool.0.upstream.health_check(endpoint).await;
+                    pool.0.state.borrow_mut().servers.end_use(server, result.outcome);
+                    result
                 }
-                // The module waits for an answer to each probe.
                 None => Outcome::NotSent.into(),
             };
-            let elapsed = Span(sent.elapsed().as_micros() as u64);
+            let elapsed = span(started_at.elapsed());
             tracing::debug!(
                 target: "heronhoist::probe",
                 pool = pool.0.name,
                 server = server.0,
-                outcome = ?ended.outcome,
+                outcome = ?result.outcome,
                 elapsed_us = elapsed.0,
-                report = ?ended.report,
+                report = ?result.load_report,
                 "probe ended"
             );
-            pool.tell(Event::HealthCheckResult {
+            pool.handle_event(Event::HealthCheckResult {
                 server,
-                outcome: ended.outcome,
+                outcome: result.outcome,
                 elapsed,
-                report: ended.report,
+                report: result.load_report,
             });
         });
     }
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -1,10 +1,11 @@
-//! One fleet of servers and the requests that are under way to it: owns the decision module, turns what happens into
-//! events, and carries out the actions.
+//! One fleet of servers and the requests in flight to it. A pool owns the decision module, turns what happens into events
+//! for it, and carries out the actions that it decides on.
 
 mod attempts;
 mod endpoint_lists;
 mod events;
 mod health_checks;
+mod options;
 mod pending_response;
 mod rejection;
 mod requests;
@@ -12,6 +13,7 @@
 mod stats;
 mod timers;
 
+pub use options::PoolOptions;
 pub use pending_response::{FinalResponse, PendingResponse};
 pub use rejection::Rejection;
 pub use requests::NewRequest;
@@ -19,15 +21,15 @@
 pub use stats::PoolStats;
 
 use crate::clock::Clock;
-use crate::endpoint_source::{EndpointList, EndpointObserver, EndpointSink, EndpointSource, Subscription};
+use crate::endpoint_source::{EndpointObserver, EndpointSink, EndpointSource, Subscription};
 use crate::quota::QuotaShare;
 use crate::servers::{ServerNames, Servers};
 use crate::start_times::StartTimes;
 use crate::upstream::Upstream;
 use heronhoist_decision::{
-    Action, Balancer, ClassId, Dialects, EndpointUpdate, Event, RequestId, Settings, SettingsError, Span,
-    Time,
+    Action, Balancer, ClassId, Dialects, EndpointUpdate, Event, RequestId, Settings, SettingsError, Time,
 };
+use options::SettingsInForce;
 use requests::OpenRequest;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -38,66 +40,58 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::sleep;
 
-/// How long after the drain's grace a server that is gone is still known: whatever was decided before has gone by then.
+/// How long after the drain grace a removed server is still known: whatever was decided before has ended by then.
 const REMOVED_SERVER_RETENTION: Duration = Duration::from_secs(1);
-/// How often connections that have rested long enough, and servers that have left, are looked for.
-const RETIRE_INTERVAL: Duration = Duration::from_millis(500);
-
-/// What a pool is made from.
-pub struct PoolOptions<U: Upstream> {
-    /// For the log.
-    pub name: String,
-    /// What the module is told.
-    pub settings: Settings,
-    /// For the module's draws.
-    pub seed: u64,
-    /// What the settings' numbers of zones and kinds mean.
-    pub names: ServerNames,
-    /// The list as it was last known; it may be old.
-    pub known: Option<EndpointList<U::Address>>,
-    /// Whether the source's versions go on from that list's.
-    pub known_stands: bool,
-    /// The time at which the pool begins, for a simulation; `None` for the system's clock.
-    pub epoch: Option<Time>,
-    /// Speaks to the servers.
-    pub upstream: U,
-    /// How many requests the pool may owe an answer.
-    pub requests: Rc<QuotaShare>,
-}
+/// How often stale connections are closed and removed servers forgotten. Neither is urgent: no request uses them.
+const CLEAN_UP_INTERVAL: Duration = Duration::from_millis(500);
 
+/// What changes with each event.
 struct PoolState<U: Upstream> {
     balancer: Balancer,
-    open: FxHashMap<RequestId, OpenRequest<U>>,
-    names: HashSet<Rc<[u8]>>,
+    requests: FxHashMap<RequestId, OpenRequest<U>>,
+    /// Those of the open requests that have one.
+    correlation_ids: HashSet<Rc<[u8]>>,
     next_request: u64,
+    /// The decision module's timers, the earliest first.
     timers: BinaryHeap<Reverse<(Time, u64)>>,
     servers: Servers<U::Address>,
 }
 
+impl<U: Upstream> PoolState<U> {
+    fn new(balancer: Balancer, names: &ServerNames) -> Self {
+        PoolState {
+            balancer,
+            requests: FxHashMap::default(),
+            correlation_ids: HashSet::new(),
+            next_request: 0,
+            timers: BinaryHeap::new(),
+            servers: Servers::new(names),
+        }
+    }
+}
+
 struct PoolInner<U: Upstream> {
     name: String,
     clock: Clock,
-    core: RefCell<PoolState<U>>,
-    /// Room for what the module wants done, kept from one event to the next.
-    actions: Cell<Vec<Action>>,
+    state: RefCell<PoolState<U>>,
+    settings: Cell<SettingsInForce>,
+    /// The buffer for the decision module's actions, kept from one event to the next.
+    action_buffer: Cell<Vec<Action>>,
     timers_changed: Notify,
-    /// A list has been taken, be it an old one; and its source has answered at least once.
-    has_list: Cell<bool>,
-    heard: watch::Sender<bool>,
-    closed: watch::Sender<bool>,
-    emptied: Notify,
+    /// Whether an endpoint list is known, be it a saved one.
+    has_endpoint_list: Cell<bool>,
+    /// Whether the endpoint source has published a list.
+    has_published: watch::Sender<bool>,
+    is_closed: watch::Sender<bool>,
+    last_request_ended: Notify,
     upstream: U,
-    wants: Rc<Subscription>,
-    starts: Rc<RefCell<StartTimes>>,
+    subscription: Rc<Subscription>,
+    start_times: Rc<RefCell<StartTimes>>,
     /// The version that the source's first list must not be older than.
-    version: Option<i64>,
-    requests: Rc<QuotaShare>,
-    max_attempts: Cell<u32>,
-    drain_grace: Cell<Duration>,
-    /// How long servers take to warm up, and the share of what they can do that they have at first.
-    warming: Cell<(Span, f64)>,
-    /// What the servers speak that serve.
-    dialects: Cell<Dialects>,
+    initial_version: Option<i64>,
+    request_quota: Rc<QuotaShare>,
+    /// What the serving servers speak.
+    serving_dialects: Cell<Dialects>,
 }
 
 /// A handle to a pool.
@@ -110,133 +104,130 @@
 }
 
 impl<U: Upstream> Pool<U> {
-    /// Starts a module with the list as it was last known. Nothing runs by itself until [`Pool::run`] does.
-    pub fn new(setup: PoolOptions<U>) -> Result<Self, SettingsError> {
-        let PoolOptions { name, settings, seed, names, mut known, known_stands, epoch, upstream, requests } =
-            setup;
-        let clock = Clock::new(epoch);
-        let mut starts = StartTimes::new(clock);
-        if let Some(known) = &mut known {
-            starts.saved(&mut known.members);
+    /// Starts a decision module with the initial endpoint list. Nothing runs by itself until [`Pool::run`] does.
+    ///
+    /// # Errors
+    ///
+    /// The settings are not valid.
+    pub fn new(options: PoolOptions<U>) -> Result<Self, SettingsError> {
+        let clock = Clock::new(options.epoch);
+        let mut start_times = StartTimes::new(clock);
+        let mut initial_list = options.initial_list;
+        if let Some(list) = &mut initial_list {
+            start_times.settle_saved(&mut list.endpoints);
         }
-        let max_attempts = Cell::new(settings.max_attempts);
-        let drain_grace = Cell::new(settings.drain_grace.into());
-        let warming = Cell::new((settings.warm_up_time, settings.initial_capacity_share));
-        let core = PoolState {
-            balancer: Balancer::new(settings, seed)?,
-            open: FxHashMap::default(),
-            names: HashSet::new(),
-            next_request: 0,
-            timers: BinaryHeap::new(),
-            servers: Servers::new(&names),
-        };
-        let version = known.as_ref().filter(|_| known_stands).map(|list| list.version);
+        let continued_list = initial_list.as_ref().filter(|_| options.continues_versions);
+        let settings = SettingsInForce::from(&options.settings);
+        let balancer = Balancer::new(options.settings, options.seed)?;
         let pool = Pool(Rc::new(PoolInner {
-            name,
+            name: options.name,
             clock,
-            core: RefCell::new(core),
-            actions: Cell::default(),
+            state: RefCell::new(PoolState::new(balancer, &options.server_names)),
+            settings: Cell::new(settings),
+            action_buffer: Cell::default(),
             timers_changed: Notify::new(),
-            has_list: Cell::new(known.is_some()),
-            heard: watch::Sender::new(false),
-            closed: watch::Sender::new(false),
-            emptied: Notify::new(),
-            upstream,
-            wants: Rc::default(),
-            starts: Rc::new(RefCell::new(starts)),
-            version,
-            requests,
-            max_attempts,
-            drain_grace,
-            warming,
-            dialects: Cell::new(Dialects::NONE),
+            has_endpoint_list: Cell::new(initial_list.is_some()),
+            has_published: watch::Sender::new(false),
+            is_closed: watch::Sender::new(false),
+            last_request_ended: Notify::new(),
+            upstream: options.upstream,
+            subscription: Rc::default(),
+            initial_version: continued_list.map(|list| list.version),
+            start_times: Rc::new(RefCell::new(start_times)),
+            request_quota: options.request_quota,
+            serving_dialects: Cell::new(Dialects::NONE),
         }));
-        let mut actions = Vec::new();
-        pool.0.core.borrow_mut().balancer.start(pool.0.clock.now(), &mut actions);
-        pool.perform(actions);
-        if let Some(known) = known {
-            let lines = pool.take_list(known);
-            pool.tell(Event::EndpointList(EndpointUpdate::Saved(lines)));
+        pool.start();
+        if let Some(list) = initial_list {
+            let endpoints = pool.apply_endpoint_list(list);
+            pool.handle_event(Event::EndpointList(EndpointUpdate::Saved(endpoints)));
         }
         Ok(pool)
     }
 
-    /// Runs timers, follows the membership and looks after idle connections, until the pool is [closed](Pool::close)
-    /// and its last request and attempt have ended.
-    pub async fn run(self, membership: Box<dyn EndpointSource<U::Address>>) {
-        let heard: Rc<dyn EndpointObserver<U::Address>> = Rc::new(self.clone());
-        let (wants, starts) = (Rc::clone(&self.0.wants), Rc::clone(&self.0.starts));
-        let feed = EndpointSink::new(heard, wants, starts, self.0.version);
-        let retire = async {
-            loop {
-                sleep(RETIRE_INTERVAL).await;
-                let core = &mut *self.0.core.borrow_mut();
-                // A connection that was at work when its server was told to drain, moved or left comes back after.
-                self.0.upstream.retire(&|server, life| core.servers.is_current(server, life));
-                core.servers.forget(self.0.drain_grace.get() + REMOVED_SERVER_RETENTION);
-            }
-        };
-        let follow = async {
-            membership.run(feed).await;
-            // What was heard last stands.
+    fn start(&self) {
+        let mut actions = Vec::new();
+        self.0.state.borrow_mut().balancer.start(self.0.clock.now(), &mut actions);
+        self.perform(actions);
+    }
+
+    /// Runs the timers, follows the endpoint source and looks after idle connections, until the pool is
+    /// [closed](Pool::close) and its last request and attempt have ended.
+    pub async fn run(self, source: Box<dyn EndpointSource<U::Address>>) {
+        let observer: Rc<dyn EndpointObserver<U::Address>> = Rc::new(self.clone());
+        let (subscription, start_times) = (Rc::clone(&self.0.subscription), Rc::clone(&self.0.start_times));
+        let sink = EndpointSink::new(observer, subscription, start_times, self.0.initial_version);
+        let follow_source = async {
+            source.run(sink).await;
+            // The last list stays.
             std::future::pending::<()>().await;
         };
-        let over = async {
-            let _ = self.0.closed.subscribe().wait_for(|closed| *closed).await;
-            while !self.0.core.borrow().open.is_empty() {
-                self.0.emptied.notified().await;
-            }
-        };
         tokio::select! {
             biased;
             () = self.run_timers() => {}
-            () = follow => {}
-            () = retire => {}
-            () = over => {}
+            () = follow_source => {}
+            () = self.clean_up_periodically() => {}
+            () = self.closed_and_idle() => {}
+        }
+    }
+
+    async fn clean_up_periodically(&self) {
+        loop {
+            sleep(CLEAN_UP_INTERVAL).await;
+            let state = &mut *self.0.state.borrow_mut();
+            // A connection that was in use when its server was told to drain, moved or was removed becomes idle after.
+            let servers = &state.servers;
+            self.0.upstream.close_stale(&|server, incarnation| servers.is_current(server, incarnation));
+            state.servers.remove_expired(self.0.settings.get().drain_grace + REMOVED_SERVER_RETENTION);
+        }
+    }
+
+    async fn closed_and_idle(&self) {
+        let _ = self.0.is_closed.subscribe().wait_for(|is_closed| *is_closed).await;
+        while !self.0.state.borrow().requests.is_empty() {
+            self.0.last_request_ended.notified().await;
         }
     }
 
-    /// What it is called.
+    /// The pool's name.
+    #[must_use]
     pub fn name(&self) -> &str {
         &self.0.name
     }
 
-    /// What speaks to its servers.
+    /// The side that speaks to the servers.
+    #[must_use]
     pub fn upstream(&self) -> &U {
         &self.0.upstream
     }
 
-    /// True if there is a server to send to.
-    pub fn can_decide(&self) -> bool {
-        self.0.core.borrow().servers.any_serving()
+    /// What the serving servers speak.
+    #[must_use]
+    pub fn serving_dialects(&self) -> Dialects {
+        self.0.serving_dialects.get()
     }
 
-    /// Comes back once the membership's source has answered.
-    pub async fn heard(&self) {
-        let _ = self.0.heard.subscribe().wait_for(|heard| *heard).await;
+    /// Waits until the endpoint source has published a list.
+    pub async fn endpoints_published(&self) {
+        let _ = self.0.has_published.subscribe().wait_for(|has_published| *has_published).await;
     }
 
-    /// Takes nothing new from now on; what is under way ends under the rules that it began with.
+    /// Takes nothing new from now on; requests that are open end under the rules that they began with.
     pub fn close(&self) {
-        self.0.closed.send_replace(true);
-    }
-
-    /// New settings, with the numbers of their classes and the names of their zones. Requests under way keep what they
-    /// came with.
-    pub fn revise(&self, settings: Settings, classes: Vec<ClassId>, zones: &[String]) {
-        self.0.max_attempts.set(settings.max_attempts);
-        self.0.drain_grace.set(settings.drain_grace.into());
-        self.0.warming.set((settings.warm_up_time, settings.initial_capacity_share));
-        // The list's lines are numbered as the first settings named the zones.
-        let zone =
-            zones.get(settings.zone.0 as usize).map(|name| self.0.core.borrow_mut().servers.zone(name));
-        let settings = Settings { zone: zone.unwrap_or(settings.zone), ..settings };
-        self.tell(Event::Settings { settings: Box::new(settings), class_ids: classes });
+        self.0.is_closed.send_replace(true);
     }
 
-    /// What the servers speak that there are to send to.
-    pub fn dialects(&self) -> Dialects {
-        self.0.dialects.get()
+    /// Puts new settings in force, with the numbers of their classes and the names of their zones. Requests that are
+    /// open keep the limits that they came with.
+    pub fn update_settings(&self, settings: Settings, classes: Vec<ClassId>, zones: &[String]) {
+        self.0.settings.set(SettingsInForce::from(&settings));
+        // The servers' zones are numbered as the first settings named them.
+        let zone = zones
+            .get(settings.zone.0 as usize)
+            .map(|name| self.0.state.borrow_mut().servers.zone_id(name))
+            .unwrap_or(settings.zone);
+        let settings = Settings { zone, ..settings };
+        self.handle_event(Event::Settings { settings: Box::new(settings), class_ids: classes });
     }
 }
 
--- a/crates/engine/src/pool/rejection.rs
+++ b/crates/engine/src/pool/rejection.rs
@@ -1,28 +1,35 @@
-//! Why a request was not taken.
+//! Why a request was not accepted.
 
 use heronhoist_decision::Span;
 
-/// When to come back to a pool that has not been told of any server, or has no room: a list takes about so long.
+/// When to retry with a pool that knows no server or has no capacity, in microseconds: a first list takes about 250 ms.
 pub(super) const RETRY_AFTER: Span = Span(250_000);
 
-/// Why a request was not taken. Nothing of it has been sent; the front answers at once.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a request was not accepted. Nothing of it has been sent; the frontend answers at once. The span is the time after
+/// which a retry makes sense.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// One with its name is still under way, or an attempt of it: servers could not tell the two apart.
+    /// A request with its correlation id, or an attempt of one, is still open: servers could not tell the two apart.
+    #[error("a request with the same correlation id is open")]
     CorrelationIdInUse,
-    /// The pool has not been told of any server yet.
+    /// The pool knows no endpoint list yet.
+    #[error("no endpoint list is known yet")]
     NoEndpoints(Span),
-    /// No server is serving that speaks what it can be said in.
+    /// No serving server speaks a dialect that the request can be written in.
+    #[error("no serving server speaks the request's dialects")]
     NoCommonDialect(Span),
-    /// The pool holds as many requests as it may.
+    /// As many requests are open as the pool may hold.
+    #[error("the pool holds as many requests as it may")]
     PoolFull(Span),
-    /// The pool takes nothing new any more.
+    /// The pool takes no new requests any more.
+    #[error("the pool is closed")]
     PoolClosed(Span),
 }
 
 impl Rejection {
-    /// When a new try makes sense, if it does.
-    pub fn come_back(self) -> Option<Span> {
+    /// The time after which a retry makes sense, if it does.
+    #[must_use]
+    pub fn retry_after(self) -> Option<Span> {
         match self {
             Rejection::CorrelationIdInUse => None,
             Rejection::NoEndpoints(after)
--- a/crates/engine/src/pool/requests.rs
+++ b/crates/engine/src/pool/requests.rs
@@ -1,178 +1,243 @@
-//! Requests: taken in, answered, given up and forgotten.
+//! Requests: submitted, answered, given up and forgotten.
 
 use super::pending_response::{FinalResponse, PendingResponse};
 use super::rejection::{Rejection, RETRY_AFTER};
 use super::Pool;
+use crate::clock::span;
 use crate::quota::Reservation;
 use crate::upstream::Upstream;
-use heronhoist_decision::{ClassId, Dialects, Event, KeyId, Request, RequestId, Span, TenantId};
+use heronhoist_decision::{
+    AttemptNumber, ClassId, Dialects, Event, KeyId, Request, RequestId, Span, TenantId,
+};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
-/// A request that a front hands over.
+/// A request without an attempt for so many times its client's timeout in a row has been forgotten by the decision module:
+/// the module may hold a request that still arrives for one timeout, and the first of them may have begun late.
+const MAX_IDLE_TIMEOUTS: u32 = 2;
+
+/// A request that a frontend hands over.
 #[derive(Debug)]
-pub struct NewRequest<C> {
+pub struct NewRequest<R> {
     /// The request itself.
-    pub call: C,
-    /// The client's name for it, where servers tell requests by name: it must be the only one under way.
-    pub name: Option<Rc<[u8]>>,
+    pub request: R,
+    /// What servers tell the request by, where they do; no other open request may have the same.
+    pub correlation_id: Option<Rc<[u8]>>,
     /// Its class.
     pub class: ClassId,
     /// Whose it is.
     pub tenant: Option<TenantId>,
     /// What it concerns.
     pub key: Option<KeyId>,
-    /// A guess at its work.
+    /// An estimate of its work, in microseconds.
     pub cost_hint: Option<Span>,
-    /// The client says that it repeats an earlier one.
-    pub repeat: bool,
-    /// How long the client waits once the request is whole.
-    pub budget: Duration,
+    /// Whether the client says that it retries an earlier one.
+    pub is_retry: bool,
+    /// How long the client waits once the request has arrived whole.
+    pub client_timeout: Duration,
     /// When the client stops waiting; `None` while more of the request is to come.
     pub deadline: Option<Instant>,
-    /// What it can be said in.
+    /// The dialects that it can be written in.
     pub dialects: Dialects,
 }
 
-impl<C> NewRequest<C> {
-    /// A whole request whose client waits for so long from now on; without name, tenant, key or hint.
-    pub fn new(call: C, class: ClassId, budget: Duration) -> Self {
+impl<R> NewRequest<R> {
+    /// A whole request whose client waits for `client_timeout` from now on; without correlation id, tenant, key and hint,
+    /// in any dialect.
+    #[must_use]
+    pub fn new(request: R, class: ClassId, client_timeout: Duration) -> Self {
         NewRequest {
-            call,
-            name: None,
+            request,
+            correlation_id: None,
             class,
             tenant: None,
             key: None,
             cost_hint: None,
-            repeat: false,
-            budget,
-            deadline: Some(Instant::now() + budget),
+            is_retry: false,
+            client_timeout,
+            deadline: Some(Instant::now() + client_timeout),
             dialects: Dialects::ALL,
         }
     }
 }
 
-/// A request that has attempts out or still owes its answer.
+/// A request that waits for its final response or has attempts in flight.
 pub(super) struct OpenRequest<U: Upstream> {
-    pub(super) call: Rc<U::Call>,
+    pub(super) request: Rc<U::Request>,
     pub(super) class: ClassId,
-    pub(super) name: Option<Rc<[u8]>>,
+    correlation_id: Option<Rc<[u8]>>,
     /// When the client stops waiting; `None` while more of the request is to come.
     pub(super) deadline: Option<Instant>,
-    pub(super) budget: Duration,
-    /// Where its final answer goes, and its place among those that are owed one. Gone once it has that answer or its
-    /// client has left.
-    pub(super) reply: Option<(oneshot::Sender<FinalResponse<U::Answer>>, Reservation)>,
-    pub(super) attempts: u32,
-    /// How many the settings allowed when it came.
+    pub(super) client_timeout: Duration,
+    /// `None` once the final response has been given or the client has disconnected.
+    pub(super) reply: Option<ReplySlot<U::Response>>,
+    /// How many attempts have been started; the next one's number.
+    pub(super) attempts_started: u32,
+    /// The most attempts, by the settings that were in force when the request came.
     pub(super) max_attempts: u32,
-    /// The attempts that are out, few at any time, and what calls each off.
-    pub(super) out: Vec<(u32, Option<oneshot::Sender<()>>)>,
+    /// Few at any time.
+    pub(super) in_flight: Vec<InFlightAttempt>,
+}
+
+impl<U: Upstream> OpenRequest<U> {
+    /// Whether its client still waits for its final response.
+    pub(super) fn is_pending(&self) -> bool {
+        self.reply.is_some()
+    }
+
+    fn is_finished(&self) -> bool {
+        !self.is_pending() && self.in_flight.is_empty()
+    }
+}
+
+/// Where a final response goes, and the request's place in the pool's quota.
+pub(super) struct ReplySlot<R> {
+    sender: oneshot::Sender<FinalResponse<R>>,
+    _reservation: Reservation,
+}
+
+impl<R> ReplySlot<R> {
+    /// A client that has disconnected meanwhile needs no response.
+    pub(super) fn send(self, response: FinalResponse<R>) {
+        let _ = self.sender.send(response);
+    }
+}
+
+/// An attempt that has not ended.
+pub(super) struct InFlightAttempt {
+    pub(super) number: AttemptNumber,
+    /// `None` once it has been cancelled.
+    pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
 impl<U: Upstream> Pool<U> {
-    /// Takes a request in. It is owed one final answer from here on, unless what is returned is dropped first.
-    pub fn submit(&self, exchange: NewRequest<U::Call>) -> Result<PendingResponse<U>, Rejection> {
-        let NewRequest { call, name, class, tenant, key, cost_hint, repeat, budget, deadline, dialects } =
-            exchange;
-        if *self.0.closed.borrow() {
-            return Err(Rejection::PoolClosed(RETRY_AFTER));
-        }
-        if !self.0.has_list.get() {
-            return Err(Rejection::NoEndpoints(RETRY_AFTER));
-        }
-        // Whoever can speak to all may find one that comes back in time; the others would wait in vain.
-        if dialects != Dialects::ALL && !dialects.intersects(self.0.dialects.get()) {
-            return Err(Rejection::NoCommonDialect(RETRY_AFTER));
-        }
-        let (reply, answer) = oneshot::channel();
-        let call = Rc::new(call);
+    /// Accepts a request. From here on it gets one final response, unless the pending response is dropped first.
+    ///
+    /// # Errors
+    ///
+    /// The pool does not accept the request, and nothing of it has been sent.
+    pub fn submit(&self, new: NewRequest<U::Request>) -> Result<PendingResponse<U>, Rejection> {
+        self.check_accepts(new.dialects)?;
+        let (sender, response) = oneshot::channel();
+        let request = Rc::new(new.request);
         let id = {
-            let mut core = self.0.core.borrow_mut();
-            if name.as_ref().is_some_and(|name| core.names.contains(name)) {
+            let mut state = self.0.state.borrow_mut();
+            if new.correlation_id.as_ref().is_some_and(|id| state.correlation_ids.contains(id)) {
                 return Err(Rejection::CorrelationIdInUse);
             }
-            let portion = self.0.requests.take(1).ok_or(Rejection::PoolFull(RETRY_AFTER))?;
-            core.names.extend(name.clone());
-            let id = RequestId(core.next_request);
-            core.next_request += 1;
+            let reservation = self.0.request_quota.try_reserve(1).ok_or(Rejection::PoolFull(RETRY_AFTER))?;
+            state.correlation_ids.extend(new.correlation_id.clone());
+            let id = RequestId(state.next_request);
+            state.next_request += 1;
             let open = OpenRequest {
-                call: Rc::clone(&call),
-                class,
-                name,
-                deadline,
-                budget,
-                reply: Some((reply, portion)),
-                attempts: 0,
-                max_attempts: self.0.max_attempts.get(),
-                out: Vec::with_capacity(1),
+                request: Rc::clone(&request),
+                class: new.class,
+                correlation_id: new.correlation_id,
+                deadline: new.deadline,
+                client_timeout: new.client_timeout,
+                reply: Some(ReplySlot { sender, _reservation: reservation }),
+                attempts_started: 0,
+                max_attempts: self.0.settings.get().max_attempts,
+                in_flight: Vec::with_capacity(1),
             };
-            core.open.insert(id, open);
+            state.requests.insert(id, open);
             id
         };
-        let left = deadline.map_or(budget, |at| at.saturating_duration_since(Instant::now()));
-        self.tell(Event::Request(Request {
+        let (client_timeout, deadline) = (new.client_timeout, new.deadline);
+        self.handle_event(Event::Request(Request {
             id,
-            class,
-            tenant,
-            key,
-            cost_hint,
-            is_retry: repeat,
-            time_left: Span(left.as_micros() as u64),
-            client_timeout: Span(budget.as_micros() as u64),
+            class: new.class,
+            tenant: new.tenant,
+            key: new.key,
+            cost_hint: new.cost_hint,
+            is_retry: new.is_retry,
+            time_left: span(deadline.map_or(client_timeout, time_until)),
+            client_timeout: span(client_timeout),
             is_streaming_in: deadline.is_none(),
-            dialects,
+            dialects: new.dialects,
         }));
-        Ok(PendingResponse { pool: self.clone(), id, answer, call, budget, deadline })
+        Ok(PendingResponse::new(self.clone(), id, response, request, client_timeout, deadline))
+    }
+
+    fn check_accepts(&self, dialects: Dialects) -> Result<(), Rejection> {
+        if *self.0.is_closed.borrow() {
+            return Err(Rejection::PoolClosed(RETRY_AFTER));
+        }
+        if !self.0.has_endpoint_list.get() {
+            return Err(Rejection::NoEndpoints(RETRY_AFTER));
+        }
+        // A request in any dialect may find a server that returns in time; the others would wait in vain.
+        let needs_certain_dialects = dialects != Dialects::ALL;
+        if needs_certain_dialects && !dialects.intersects(self.serving_dialects()) {
+            return Err(Rejection::NoCommonDialect(RETRY_AFTER));
+        }
+        Ok(())
     }
 
-    /// The last of a request has come: its client waits until `deadline`.
-    pub(super) fn arrived(&self, id: RequestId, deadline: Instant) {
-        if let Some(open) = self.0.core.borrow_mut().open.get_mut(&id) {
+    /// The last part of a request has arrived: its client waits until `deadline`.
+    pub(super) fn request_complete(&self, id: RequestId, deadline: Instant) {
+        if let Some(open) = self.0.state.borrow_mut().requests.get_mut(&id) {
             open.deadline = Some(deadline);
         }
-        let left = deadline.saturating_duration_since(Instant::now());
-        self.tell(Event::RequestComplete { request: id, time_left: Span(left.as_micros() as u64) });
+        let time_left = span(time_until(deadline));
+        self.handle_event(Event::RequestComplete { request: id, time_left });
     }
 
-    /// Comes back once a request has had no attempt out for all the time that the module may hold it. The module must have
-    /// panicked over it.
-    pub(super) async fn forgotten(&self, id: RequestId, budget: Duration) {
-        let mut idle = 0;
-        while idle < 2 {
-            sleep(budget).await;
-            let is_out = self.0.core.borrow().open.get(&id).is_some_and(|open| !open.out.is_empty());
-            idle = if is_out { 0 } else { idle + 1 };
+    /// Waits until a request has had no attempt in flight for all the time that the decision module may hold it. The
+    /// module must have panicked over it.
+    pub(super) async fn request_orphaned(&self, id: RequestId, client_timeout: Duration) {
+        let mut idle_timeouts = 0;
+        while idle_timeouts < MAX_IDLE_TIMEOUTS {
+            sleep(client_timeout).await;
+            let has_attempt = {
+                let state = self.0.state.borrow();
+                state.requests.get(&id).is_some_and(|open| !open.in_flight.is_empty())
+            };
+            idle_timeouts = if has_attempt { 0 } else { idle_timeouts + 1 };
         }
     }
 
-    /// Nothing is owed to a request any more: its client has gone, or its time is up.
-    pub(super) fn abandon(&self, id: RequestId) {
-        let owed = self.0.core.borrow_mut().open.get_mut(&id).is_some_and(|o| o.reply.take().is_some());
-        if owed {
-            self.tell(Event::ClientDisconnected { request: id });
-            self.forget_ended(id);
+    /// Nobody waits for a request's final response any more: its client has disconnected, or its time is up.
+    pub(super) fn client_disconnected(&self, id: RequestId) {
+        let was_pending = {
+            let mut state = self.0.state.borrow_mut();
+            state.requests.get_mut(&id).is_some_and(|open| open.reply.take().is_some())
+        };
+        if was_pending {
+            self.handle_event(Event::ClientDisconnected { request: id });
+            self.forget_if_finished(id);
         }
     }
 
-    pub(super) fn forget_ended(&self, id: RequestId) {
-        let mut core = self.0.core.borrow_mut();
-        if core.open.get(&id).is_some_and(|o| o.reply.is_none() && o.out.is_empty()) {
-            if let Some(name) = core.open.remove(&id).and_then(|open| open.name) {
-                core.names.remove(&name);
-            }
-            if core.open.is_empty() {
-                self.0.emptied.notify_one();
-            }
+    /// Gives a request its final response; the first one is the only one.
+    pub(super) fn respond(&self, id: RequestId, response: FinalResponse<U::Response>) {
+        let reply = {
+            let mut state = self.0.state.borrow_mut();
+            state.requests.get_mut(&id).and_then(|open| open.reply.take())
+        };
+        if let Some(reply) = reply {
+            reply.send(response);
         }
+        self.forget_if_finished(id);
     }
 
-    pub(super) fn answer(&self, id: RequestId, answer: FinalResponse<U::Answer>) {
-        if let Some((reply, _)) = self.0.core.borrow_mut().open.get_mut(&id).and_then(|o| o.reply.take()) {
-            let _ = reply.send(answer);
+    pub(super) fn forget_if_finished(&self, id: RequestId) {
+        let mut state = self.0.state.borrow_mut();
+        if !state.requests.get(&id).is_some_and(OpenRequest::is_finished) {
+            return;
+        }
+        let finished = state.requests.remove(&id);
+        if let Some(correlation_id) = finished.and_then(|open| open.correlation_id) {
+            state.correlation_ids.remove(&correlation_id);
+        }
+        if state.requests.is_empty() {
+            self.0.last_request_ended.notify_one();
         }
-        self.forget_ended(id);
     }
 }
+
+fn time_until(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now())
+}
--- a/crates/engine/src/pool/stats.rs
+++ b/crates/engine/src/pool/stats.rs
@@ -1,45 +1,51 @@
-//! What a pool is at the moment of asking.
+//! What a pool reports about itself.
 
 use super::Pool;
+use crate::servers::MissingCapacity;
 use crate::upstream::Upstream;
-use heronhoist_decision::Time;
 
-/// What a pool is at the moment of asking.
+/// The state of a pool at the moment of asking.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PoolStats {
     /// Servers in the list.
-    pub known: usize,
-    /// Those of them that the module avoids at present.
+    pub listed: usize,
+    /// Listed servers that the decision module avoids at present.
     pub excluded: usize,
-    /// Requests taken that still owe their answer, or have an attempt out.
-    pub open: usize,
+    /// Requests that wait for their response or have an attempt in flight.
+    pub open_requests: usize,
 }
 
 impl<U: Upstream> Pool<U> {
-    /// What servers lack of what they can do, as far as can be told from here, from 0 to 1; those that lack nothing are left out.
-    pub fn lacks(&self) -> Vec<(String, f64)> {
-        let ((warm_after, cold), now) = (self.0.warming.get(), self.0.clock.now());
-        let cold = cold.min(1.0);
-        let warmth = |started: Time| {
-            let part = now.since(started).as_ms() / warm_after.as_ms();
-            if part < 1.0 {
-                cold + (1.0 - cold) * part
-            } else {
-                1.0
-            }
-        };
-        self.0.core.borrow().servers.lacks(warmth)
+    /// The pool's state now.
+    #[must_use]
+    pub fn stats(&self) -> PoolStats {
+        let state = self.0.state.borrow();
+        PoolStats {
+            listed: state.servers.listed_count(),
+            excluded: state.balancer.excluded_endpoints(self.0.clock.now()),
+            open_requests: state.requests.len(),
+        }
     }
 
-    /// Whether nothing is out to the server of this name, and nothing will be sent to it until a list says that it serves.
-    pub fn is_quiet(&self, server: &str) -> bool {
-        self.0.core.borrow().servers.is_quiet(server, self.0.drain_grace.get())
+    /// Whether there is a server to send to.
+    #[must_use]
+    pub fn has_serving_server(&self) -> bool {
+        self.0.state.borrow().servers.has_serving()
     }
 
-    /// What it is now.
-    pub fn levels(&self) -> PoolStats {
-        let core = self.0.core.borrow();
-        let excluded = core.balancer.excluded_endpoints(self.0.clock.now());
-        PoolStats { known: core.servers.known(), excluded, open: core.open.len() }
+    /// The servers that lack some of their capacity, as far as this process can tell.
+    #[must_use]
+    pub fn missing_capacity(&self) -> Vec<MissingCapacity> {
+        let slow_start = self.0.settings.get().slow_start;
+        let now = self.0.clock.now();
+        let capacity_share = |started_at| slow_start.capacity_share(now.since(started_at));
+        self.0.state.borrow().servers.missing_capacity(capacity_share)
+    }
+
+    /// Whether nothing is in flight to the server of this name, and nothing will be sent to it until a list says that it
+    /// serves.
+    #[must_use]
+    pub fn is_drained(&self, server: &str) -> bool {
+        self.0.state.borrow().servers.is_drained(server, self.0.settings.get().drain_grace)
     }
 }
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,9 +1,11 @@
 use super::rejection::RETRY_AFTER;
 use super::*;
-use crate::endpoint_source::EndpointInfo;
+use crate::endpoint_source::{EndpointInfo, EndpointList};
 use crate::quota::Quota;
-use crate::upstream::{AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, StreamingBody};
-use heronhoist_decision::{AttemptNumber, DeduplicationScope, Effect, Outcome, ServerId};
+use crate::upstream::{
+    AttemptResult, BodyProgress, EndpointAddress, Gate, Incarnation, RequestPayload, StreamingBody,
+};
+use heronhoist_decision::{AttemptNumber, DeduplicationScope, Effect, Outcome, ServerId, Span};
 use std::future::Future;
 use std::pin::Pin;
 use tokio::task::{yield_now, LocalSet};
@@ -16,42 +18,42 @@
 
 impl Upstream for Mute {
     type Address = u16;
-    type Call = Nothing;
-    type Answer = ();
+    type Request = Nothing;
+    type Response = ();
     async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
         gate.open();
         std::future::pending().await
     }
-    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
+    async fn health_check(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 fn pool(known: bool, most: usize) -> Pool<Mute> {
     let known = known.then(|| EndpointList {
         version: 1,
-        whole: true,
-        members: vec![EndpointInfo::serving("s", 80)],
+        is_complete: true,
+        endpoints: vec![EndpointInfo::serving("s", 80)],
     });
     Pool::new(PoolOptions {
         name: "main".into(),
         settings: Settings::default(),
         seed: 7,
-        names: ServerNames::default(),
-        known,
-        known_stands: true,
+        server_names: ServerNames::default(),
+        initial_list: known,
+        continues_versions: true,
         epoch: None,
         upstream: Mute,
-        requests: Quota::alone(most),
+        request_quota: Quota::single_share(most),
     })
     .expect("usable")
 }
 
 fn exchange(name: &str) -> NewRequest<Nothing> {
     let name = Some(name.as_bytes().into());
-    NewRequest { name, ..NewRequest::new(Nothing, ClassId(0), Duration::from_secs(60)) }
+    NewRequest { correlation_id: name, ..NewRequest::new(Nothing, ClassId(0), Duration::from_secs(60)) }
 }
 
 /// Guards the module's counts of what is in flight: a request that ends right after one of its attempts was
@@ -64,10 +66,10 @@
         let id = owed.id;
         let cancel = Action::Cancel { request: id, attempt: AttemptNumber(0) };
         pool.perform(vec![cancel, Action::Fail { request: id }]);
-        assert!(matches!(owed.answer(|deadline| deadline).await, FinalResponse::Failed));
-        assert!(pool.0.core.borrow().open.contains_key(&id), "its outcome has not been told");
+        assert!(matches!(owed.wait(|deadline| deadline).await, FinalResponse::Failed));
+        assert!(pool.0.state.borrow().requests.contains_key(&id), "its outcome has not been told");
         assert_eq!(pool.submit(exchange("id")).err(), Some(Rejection::CorrelationIdInUse));
-        while pool.levels().open > 0 {
+        while pool.stats().open_requests > 0 {
             yield_now().await;
         }
         assert!(pool.submit(exchange("id")).is_ok(), "its name is free again");
@@ -83,9 +85,9 @@
         let owed = pool.submit(exchange("id")).expect("taken");
         let id = owed.id;
         pool.perform(vec![Action::Fail { request: id }, Action::Reject { request: id, retry_after: None }]);
-        assert!(matches!(owed.answer(|deadline| deadline).await, FinalResponse::Failed));
+        assert!(matches!(owed.wait(|deadline| deadline).await, FinalResponse::Failed));
         pool.perform(vec![Action::Cancel { request: id, attempt: AttemptNumber(0) }]);
-        while pool.levels().open > 0 {
+        while pool.stats().open_requests > 0 {
             yield_now().await;
         }
     };
@@ -99,9 +101,9 @@
         let (pool, begun, budget) = (pool(true, 9), Instant::now(), Duration::from_millis(23));
         let mut settings = Settings::default();
         settings.classes[0].latency_objective = Span::from_ms(11.0);
-        pool.revise(settings, vec![ClassId(1)], &[]);
+        pool.update_settings(settings, vec![ClassId(1)], &[]);
         let owed = pool.submit(NewRequest::new(Nothing, ClassId(1), budget)).expect("taken");
-        let answer = owed.answer(|deadline| deadline).await;
+        let answer = owed.wait(|deadline| deadline).await;
         let waited = begun.elapsed();
         assert!(!matches!(answer, FinalResponse::Success(())), "its server never answers");
         assert!((Duration::from_millis(18)..budget).contains(&waited), "{waited:?}");
@@ -116,8 +118,12 @@
         let empty = pool(false, 9);
         let declined = empty.submit(exchange("a")).err().expect("declined");
         assert_eq!(declined, Rejection::NoEndpoints(RETRY_AFTER));
-        assert!(declined.come_back().is_some());
-        empty.listed(EndpointList { version: 1, whole: true, members: vec![EndpointInfo::serving("s", 80)] });
+        assert!(declined.retry_after().is_some());
+        empty.on_endpoints(EndpointList {
+            version: 1,
+            is_complete: true,
+            endpoints: vec![EndpointInfo::serving("s", 80)],
+        });
         assert!(empty.submit(exchange("a")).is_ok());
         let full = pool(true, 1);
         let first = full.submit(exchange("a")).expect("taken");
@@ -138,8 +144,8 @@
 
 impl Upstream for Slow {
     type Address = u16;
-    type Call = Nothing;
-    type Answer = ();
+    type Request = Nothing;
+    type Response = ();
     async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
         self.up.notified().await;
         let opens = gate.open();
@@ -153,11 +159,11 @@
             }
         }
     }
-    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
+    async fn health_check(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// A pool whose class has this effect, what brings its connections up, and what the gate has said of each.
@@ -170,12 +176,12 @@
         name: "main".into(),
         settings,
         seed: 7,
-        names: ServerNames::default(),
-        known: Some(EndpointList { version: 1, whole: true, members }),
-        known_stands: true,
+        server_names: ServerNames::default(),
+        initial_list: Some(EndpointList { version: 1, is_complete: true, endpoints: members }),
+        continues_versions: true,
         epoch: None,
         upstream: Slow { up: Rc::clone(&up), breaks: Cell::new(breaks), opened: Rc::clone(&opened) },
-        requests: Quota::alone(9),
+        request_quota: Quota::single_share(9),
     });
     (pool.expect("usable"), up, opened)
 }
@@ -205,8 +211,8 @@
 
 impl Upstream for Faulty {
     type Address = u16;
-    type Call = Nothing;
-    type Answer = ();
+    type Request = Nothing;
+    type Response = ();
     async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
         let number = self.0.replace(self.0.get() + 1);
         if number > 0 {
@@ -215,11 +221,11 @@
         }
         panic!("attempt {number}");
     }
-    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
+    async fn health_check(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// A panic of an attempt is an end of it like any other: its request has its answer long before its time is up, and
@@ -232,20 +238,20 @@
             name: "main".into(),
             settings: Settings::default(),
             seed: 7,
-            names: ServerNames::default(),
-            known: Some(EndpointList { version: 1, whole: true, members }),
-            known_stands: true,
+            server_names: ServerNames::default(),
+            initial_list: Some(EndpointList { version: 1, is_complete: true, endpoints: members }),
+            continues_versions: true,
             epoch: None,
             upstream: Faulty(Cell::new(0)),
-            requests: Quota::alone(9),
+            request_quota: Quota::single_share(9),
         });
         let pool = pool.expect("usable");
         let start = Instant::now();
         let owed = pool.submit(exchange("id")).expect("taken");
-        let answer = owed.answer(|deadline| deadline).await;
+        let answer = owed.wait(|deadline| deadline).await;
         assert!(matches!(answer, FinalResponse::Failed | FinalResponse::Rejected(_)), "{answer:?}");
         assert!(start.elapsed() < Duration::from_secs(1), "of a minute, by the test's own clock");
-        assert_eq!(pool.levels().open, 0);
+        assert_eq!(pool.stats().open_requests, 0);
         assert!(pool.submit(exchange("id")).is_ok(), "its name is free again");
     };
     LocalSet::new().run_until(test).await;
@@ -255,19 +261,19 @@
 struct Endless;
 
 impl StreamingBody for Endless {
-    fn state(&self) -> BodyProgress {
+    fn progress(&self) -> BodyProgress {
         BodyProgress::Incomplete
     }
-    fn is_spent(&self) -> bool {
+    fn is_consumed(&self) -> bool {
         false
     }
-    fn ended(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>> {
+    fn finished(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>> {
         Box::pin(std::future::pending())
     }
 }
 
 impl RequestPayload for Endless {
-    fn arriving(&self) -> Option<&dyn StreamingBody> {
+    fn streaming_body(&self) -> Option<&dyn StreamingBody> {
         Some(self)
     }
 }
@@ -277,17 +283,17 @@
 
 impl Upstream for Silent {
     type Address = u16;
-    type Call = Endless;
-    type Answer = ();
+    type Request = Endless;
+    type Response = ();
     async fn attempt(&self, _: EndpointAddress<u16>, _: &Endless, gate: Gate<'_>) -> AttemptResult<()> {
         gate.open();
         std::future::pending().await
     }
-    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
+    async fn health_check(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// That each request has its answer does not hang on the module, for one that is still coming either: what the module forgets
@@ -300,26 +306,26 @@
                 name: "main".into(),
                 settings: Settings::default(),
                 seed: 7,
-                names: ServerNames::default(),
-                known: Some(EndpointList {
+                server_names: ServerNames::default(),
+                initial_list: Some(EndpointList {
                     version: 1,
-                    whole: true,
-                    members: vec![EndpointInfo::serving("s", 80)],
+                    is_complete: true,
+                    endpoints: vec![EndpointInfo::serving("s", 80)],
                 }),
-                known_stands: true,
+                continues_versions: true,
                 epoch: None,
                 upstream: Silent,
-                requests: Quota::alone(9),
+                request_quota: Quota::single_share(9),
             });
             let pool = pool.expect("usable");
             let budget = Duration::from_secs(60);
             let coming = NewRequest { deadline: None, ..NewRequest::new(Endless, ClassId(0), budget) };
             let owed = pool.submit(coming).expect("taken");
             if forgets {
-                pool.tell(Event::ClientDisconnected { request: owed.id });
+                pool.handle_event(Event::ClientDisconnected { request: owed.id });
                 pool.perform(vec![Action::Cancel { request: owed.id, attempt: AttemptNumber(0) }]);
             }
-            let answer = tokio::time::timeout(10 * budget, owed.answer(|deadline| deadline)).await;
+            let answer = tokio::time::timeout(10 * budget, owed.wait(|deadline| deadline)).await;
             match answer {
                 Ok(answer) => {
                     assert!(forgets && matches!(answer, FinalResponse::DeadlineExceeded), "{answer:?}")
@@ -346,7 +352,7 @@
                 yield_now().await;
             }
             // The repeat has been decided, in time.
-            while pool.0.core.borrow().open[&owed.id].attempts < 2 {
+            while pool.0.state.borrow().requests[&owed.id].attempts_started < 2 {
                 yield_now().await;
             }
             tokio::time::advance(Duration::from_millis(waited)).await;
@@ -369,12 +375,12 @@
         let mut settings = Settings::default();
         let ms = Span::from_ms;
         (settings.classes[0].latency_objective, settings.classes[0].deadline) = (ms(5000.0), ms(10_000.0));
-        pool.revise(settings, vec![ClassId(1)], &[]);
+        pool.update_settings(settings, vec![ClassId(1)], &[]);
         for late in [0, 5] {
             let exchange = NewRequest::new(Nothing, ClassId(1), Duration::from_secs(5));
             tokio::time::advance(Duration::from_millis(late)).await;
             let owed = pool.submit(exchange).expect("taken");
-            let attempts = pool.0.core.borrow().open.get(&owed.id).map(|open| open.attempts);
+            let attempts = pool.0.state.borrow().requests.get(&owed.id).map(|open| open.attempts_started);
             assert_eq!(attempts, Some(1), "sent, {late} ms late");
         }
     };
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,96 +1,114 @@
-//! What the process may hold of something (descriptors, bytes, requests), shared between the parts of it. Each part is
-//! sure of its reserve, half of an equal share; the other half goes to whoever comes first. So a part that hangs with
-//! all that it could get leaves the others able to go on, and a part that is alone may hold everything.
+//! What the process may hold of a resource (descriptors, bytes, requests), shared between the parts of the process.
+//! Each share is guaranteed half of an equal part; the other half of the resource goes to whoever comes first. So a
+//! share that hangs with all that it could get leaves the others able to go on, and a single share may hold everything.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 
-/// So many of something, and the parts that hold them.
+/// An amount of a resource, and the shares that hold it.
 pub struct Quota {
-    most: Cell<usize>,
-    parts: RefCell<Vec<Weak<QuotaShare>>>,
+    limit: Cell<usize>,
+    shares: RefCell<Vec<Weak<QuotaShare>>>,
 }
 
 /// One holder of a [`Quota`].
 pub struct QuotaShare {
     quota: Rc<Quota>,
-    held: Cell<usize>,
+    in_use: Cell<usize>,
 }
 
-/// What a [`QuotaShare`] holds of its quota; given back when dropped.
+/// An amount that a [`QuotaShare`] holds; given back when dropped.
+#[must_use = "the amount is given back when this is dropped"]
 pub struct Reservation {
-    part: Rc<QuotaShare>,
+    share: Rc<QuotaShare>,
     amount: usize,
 }
 
 impl Quota {
-    /// So many in all.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Quota { most: Cell::new(most), parts: RefCell::default() })
+    /// A quota of `limit` units over all shares.
+    #[must_use]
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(Quota { limit: Cell::new(limit), shares: RefCell::default() })
     }
 
-    /// So many from now on; what is held beyond that is given back in time.
-    pub fn set(&self, most: usize) {
-        self.most.set(most);
+    /// A quota of `limit` units with a single share.
+    #[must_use]
+    pub fn single_share(limit: usize) -> Rc<QuotaShare> {
+        Quota::new(limit).share()
     }
 
-    /// One more holder, until it and all its portions are dropped.
-    pub fn part(self: &Rc<Self>) -> Rc<QuotaShare> {
-        let part = Rc::new(QuotaShare { quota: Rc::clone(self), held: Cell::new(0) });
-        self.parts.borrow_mut().push(Rc::downgrade(&part));
-        part
+    /// Changes the limit. What is held beyond a lower one is given back as its holders drop it.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
     }
 
-    /// A quota with a single holder.
-    pub fn alone(most: usize) -> Rc<QuotaShare> {
-        Quota::new(most).part()
+    /// Adds a share, which lasts until it and all its reservations are dropped.
+    #[must_use]
+    pub fn share(self: &Rc<Self>) -> Rc<QuotaShare> {
+        let share = Rc::new(QuotaShare { quota: Rc::clone(self), in_use: Cell::new(0) });
+        self.shares.borrow_mut().push(Rc::downgrade(&share));
+        share
     }
 
-    /// Over all parts.
-    fn sum(&self, of_held: impl Fn(usize) -> usize) -> usize {
-        self.parts.borrow().iter().filter_map(Weak::upgrade).map(|part| of_held(part.held.get())).sum()
+    fn share_count(&self) -> usize {
+        self.shares.borrow().len()
+    }
+
+    /// How much each share is guaranteed: half of an equal part.
+    fn guaranteed(&self) -> usize {
+        self.limit.get() / (2 * self.share_count())
+    }
+
+    /// The sum over all shares of a function of what each holds.
+    fn sum(&self, of_in_use: impl Fn(usize) -> usize) -> usize {
+        let shares = self.shares.borrow();
+        shares.iter().filter_map(Weak::upgrade).map(|share| of_in_use(share.in_use.get())).sum()
     }
 }
 
 impl QuotaShare {
-    /// How many more this part may take now.
-    pub fn room(&self) -> usize {
-        let most = self.quota.most.get();
-        if self.quota.parts.borrow().len() == 1 {
-            return most.saturating_sub(self.held.get());
+    /// How much more this share may take now.
+    #[must_use]
+    pub fn available(&self) -> usize {
+        let limit = self.quota.limit.get();
+        let count = self.quota.share_count();
+        if count == 1 {
+            return limit.saturating_sub(self.in_use.get());
         }
-        let count = self.quota.parts.borrow().len();
-        let reserve = most / (2 * count);
-        let shared = most - reserve * count;
-        let lent = self.quota.sum(|held| held.saturating_sub(reserve));
-        reserve.saturating_sub(self.held.get()) + shared.saturating_sub(lent)
+        let guaranteed = self.quota.guaranteed();
+        let common = limit - guaranteed * count;
+        let borrowed = self.quota.sum(|in_use| in_use.saturating_sub(guaranteed));
+        guaranteed.saturating_sub(self.in_use.get()) + common.saturating_sub(borrowed)
     }
 
-    /// How many this part holds.
-    pub fn held(&self) -> usize {
-        self.held.get()
+    /// How much this share holds.
+    #[must_use]
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 
-    /// How many more all parts together hold than there are, as after the quota was made smaller.
+    /// How much all shares together hold beyond the limit, as after the limit was lowered.
+    #[must_use]
     pub fn excess(&self) -> usize {
-        self.quota.sum(|held| held).saturating_sub(self.quota.most.get())
+        self.quota.sum(|in_use| in_use).saturating_sub(self.quota.limit.get())
     }
 
-    /// Whether it holds more than its reserve, so that what it gives back serves the others.
-    pub fn borrows(&self) -> bool {
-        let parts = self.quota.parts.borrow().len();
-        parts > 1 && self.held.get() > self.quota.most.get() / (2 * parts)
+    /// Whether this share holds more than it is guaranteed, so that what it gives back serves the others.
+    #[must_use]
+    pub fn has_borrowed(&self) -> bool {
+        self.quota.share_count() > 1 && self.in_use.get() > self.quota.guaranteed()
     }
 
-    /// Takes so many whether there is room or not: for whoever has made room that is about to be given back.
+    /// Reserves an amount whether it is available or not: for a caller that is about to give back as much.
     pub fn overdraw(self: &Rc<Self>, amount: usize) -> Reservation {
-        self.held.set(self.held.get() + amount);
-        Reservation { part: Rc::clone(self), amount }
+        self.in_use.set(self.in_use.get() + amount);
+        Reservation { share: Rc::clone(self), amount }
     }
 
-    /// Sets so many aside until the portion is dropped; `None` if there are not so many for this part.
-    pub fn take(self: &Rc<Self>, amount: usize) -> Option<Reservation> {
-        if amount > self.room() {
+    /// Reserves an amount until the reservation is dropped; `None` if this share may not take so much.
+    #[must_use]
+    pub fn try_reserve(self: &Rc<Self>, amount: usize) -> Option<Reservation> {
+        if amount > self.available() {
             return None;
         }
         Some(self.overdraw(amount))
@@ -99,13 +117,13 @@
 
 impl Drop for QuotaShare {
     fn drop(&mut self) {
-        self.quota.parts.borrow_mut().retain(|part| part.strong_count() > 0);
+        self.quota.shares.borrow_mut().retain(|share| share.strong_count() > 0);
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.part.held.set(self.part.held.get() - self.amount);
+        self.share.in_use.set(self.share.in_use.get() - self.amount);
     }
 }
 
--- a/crates/engine/src/start_times/tests.rs
+++ b/crates/engine/src/start_times/tests.rs
@@ -27,10 +27,12 @@
 
     /// The starts as they are settled when the source sends these lines, of which each is a name and a start.
     fn list(&mut self, whole: bool, lines: &[(&str, Option<Time>)]) -> Vec<Option<Time>> {
-        let member = |&(name, started)| EndpointInfo { started, ..EndpointInfo::serving(name, 80) };
-        let mut list = EndpointList { version: 0, whole, members: lines.iter().map(member).collect() };
-        self.0.listed(&mut list);
-        list.members.into_iter().map(|member| member.started).collect()
+        let member =
+            |&(name, started)| EndpointInfo { started_at: started, ..EndpointInfo::serving(name, 80) };
+        let mut list =
+            EndpointList { version: 0, is_complete: whole, endpoints: lines.iter().map(member).collect() };
+        self.0.settle_list(&mut list);
+        list.endpoints.into_iter().map(|member| member.started_at).collect()
     }
 
     fn one(&mut self, name: &str, started: Option<Time>) -> Option<Time> {
@@ -68,7 +70,7 @@
             for (n, whole) in [false, true, true, false].into_iter().enumerate() {
                 advance(Duration::from_millis(1000)).await;
                 if n == 2 {
-                    told.0.new_source();
+                    told.0.reset_source();
                 }
                 assert_eq!(told.list(whole, &[(name, wrong)]), [Some(seen)], "{name}");
             }
@@ -93,12 +95,12 @@
 #[tokio::test(start_paused = true)]
 async fn in_a_first_list_only_what_lies_ahead_is_impossible() {
     let mut told = Told::new();
-    let mut known = [EndpointInfo { started: Some(EPOCH + HOUR), ..EndpointInfo::serving("a", 80) }];
-    told.0.saved(&mut known);
-    assert_eq!(known[0].started, Some(EPOCH));
+    let mut known = [EndpointInfo { started_at: Some(EPOCH + HOUR), ..EndpointInfo::serving("a", 80) }];
+    told.0.settle_saved(&mut known);
+    assert_eq!(known[0].started_at, Some(EPOCH));
     for _ in 0..2 {
         advance(Duration::from_secs(1)).await;
-        told.0.new_source();
+        told.0.reset_source();
         let (now, early) = (told.now(), before(EPOCH, HOUR));
         let name = format!("b{}", now.0);
         let lines = [("a", Some(EPOCH + HOUR)), (&*name, Some(early)), ("ahead", Some(now + HOUR))];
@@ -115,12 +117,12 @@
     advance(Duration::from_secs(1)).await;
     let gone = EndpointInfo {
         state: EndpointState::Removed,
-        started: Some(told.now()),
+        started_at: Some(told.now()),
         ..EndpointInfo::serving("a", 80)
     };
-    let mut list = EndpointList { version: 0, whole: false, members: vec![gone] };
-    told.0.listed(&mut list);
-    assert_eq!(list.members[0].started, Some(early), "one that leaves has not restarted");
+    let mut list = EndpointList { version: 0, is_complete: false, endpoints: vec![gone] };
+    told.0.settle_list(&mut list);
+    assert_eq!(list.endpoints[0].started_at, Some(early), "one that leaves has not restarted");
     advance(Duration::from_secs(60)).await;
     told.list(true, &[("b", None)]);
     advance(Duration::from_secs(1)).await;
@@ -135,7 +137,7 @@
 async fn a_restart_is_told_apart_from_the_start_before() {
     let mut told = Told::new();
     let first = told.list(true, &[("a", Some(told.now() + HOUR))])[0];
-    told.0.new_source();
+    told.0.reset_source();
     let second = told.one("a", Some(told.now() + HOUR + HOUR));
     let third = told.one("a", Some(before(told.now(), HOUR)));
     assert!(first < second && second < third, "{first:?}, {second:?}, {third:?}");
--- a/crates/engine/src/timing/tests.rs
+++ b/crates/engine/src/timing/tests.rs
@@ -14,7 +14,7 @@
 const LIMIT: Duration = Duration::from_secs(4);
 
 fn play<T>(what: impl Future<Output = T>) -> T {
-    LAST_BEAT.set(None);
+    LAST_HEARTBEAT.set(None);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.unwrap(), what)
 }
@@ -83,7 +83,7 @@
         limit.reset(Instant::now() + LIMIT);
         let waiting = std::future::poll_fn(|cx| match end.as_mut().poll(cx) {
             Poll::Ready(byte) => Poll::Ready(byte.ok()),
-            Poll::Pending => limit.poll_over(cx).map(|()| None),
+            Poll::Pending => limit.poll_expired(cx).map(|()| None),
         });
         let stall = async {
             yield_now().await;
@@ -122,7 +122,7 @@
             let _ = end.await;
             reader.set(true);
         });
-        caught_up().await;
+        catch_up().await;
         assert!(read.get());
         assert_eq!(stalled_since(), Some(beat), "only a beat ends it");
         heartbeat().await;
@@ -142,9 +142,10 @@
             let serving = EndpointInfo::serving("s", ());
             let draining = EndpointInfo { state: EndpointState::Draining, ..serving.clone() };
             let [first, second] = [serving, draining].map(|member| vec![member]);
-            let lines = servers.take(EndpointList { version: 1, whole: true, members: first }, |_| {});
+            let lines =
+                servers.apply(EndpointList { version: 1, is_complete: true, endpoints: first }, |_| {});
             advance(stall).await;
-            servers.take(EndpointList { version: 2, whole: true, members: second }, |_| {});
+            servers.apply(EndpointList { version: 2, is_complete: true, endpoints: second }, |_| {});
             assert_eq!(servers.may_send(lines[0].server, GRACE), still_sent_to, "{stall:?}");
         }
     });
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What the engine asks of the side that speaks to servers.
+//! What the engine asks of the side that speaks to servers in their own protocol.
 
 use heronhoist_decision::{DialectId, Outcome, ServerId};
 use std::cell::Cell;
@@ -7,126 +7,144 @@
 use std::pin::Pin;
 use tokio::time::Instant;
 
-/// A server's address, and which of its lives this is: what belongs to an earlier one is not used again.
+/// Counts the restarts and moves of one server, and the changes of its dialect. What belongs to an earlier incarnation,
+/// such as an idle connection, must not be used for a later one.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Incarnation(pub u64);
+
+impl Incarnation {
+    /// The incarnation after this one.
+    #[must_use]
+    pub fn next(self) -> Self {
+        Incarnation(self.0 + 1)
+    }
+}
+
+/// Where a server is reached, and in which incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointAddress<A> {
     /// The server.
     pub server: ServerId,
     /// Where it listens.
     pub address: A,
-    /// Counts its restarts and moves, and changes of what it speaks.
-    pub life: u64,
-    /// What it speaks in that life.
+    /// The incarnation that listens there.
+    pub incarnation: Incarnation,
+    /// The dialect that this incarnation speaks.
     pub dialect: DialectId,
 }
 
-/// How far a request that came in parts has come.
+/// How far a streaming request body has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyProgress {
     /// More of it is to come.
     Incomplete,
-    /// Its last byte came then.
+    /// Its last byte arrived at this time.
     Complete(Instant),
-    /// It will not come whole.
+    /// The rest of it will never arrive.
     Failed,
 }
 
-/// A request whose last part had not come when it was submitted.
+/// The body of a request that was submitted before its last byte had arrived.
 pub trait StreamingBody {
-    /// How far it has come.
-    fn state(&self) -> BodyProgress;
-    /// QuotaShare of it went with an attempt and is not held any more, so that it can't be sent again.
-    fn is_spent(&self) -> bool;
-    /// Since when its client may have sent all of it with nobody reading on; `None` if somebody has, or if it can't have.
+    /// How far it has arrived.
+    fn progress(&self) -> BodyProgress;
+
+    /// Whether an attempt has consumed a part that is no longer buffered, so that the request can't be sent again.
+    fn is_consumed(&self) -> bool;
+
+    /// Since when the client may have sent the whole body while nobody reads it. `None` once somebody has read on, or
+    /// if the body is too long to be under way whole.
     fn unread_since(&self) -> Option<Instant> {
         None
     }
-    /// Comes back when the last of it has come, or never will.
-    fn ended(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>>;
+
+    /// Waits until the last byte has arrived or it is certain that it never will.
+    fn finished(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>>;
 }
 
-/// A request as a front hands it over; the engine looks at nothing else of it.
+/// All that the engine asks of a request.
 pub trait RequestPayload {
-    /// The request as it comes, if it was not whole from the start.
-    fn arriving(&self) -> Option<&dyn StreamingBody> {
+    /// The body, if it had not arrived whole when the request was submitted.
+    fn streaming_body(&self) -> Option<&dyn StreamingBody> {
         None
     }
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Debug)]
-pub struct AttemptResult<A> {
-    /// In the module's terms.
+pub struct AttemptResult<R> {
+    /// The outcome in the decision module's terms.
     pub outcome: Outcome,
-    /// The load report, if a readable one came, in the order of the settings.
-    pub report: Option<Vec<f64>>,
-    /// The answer, if the outcome is a success.
-    pub answer: Option<A>,
+    /// The server's load report, if a readable one came; its values in the order of the settings.
+    pub load_report: Option<Vec<f64>>,
+    /// The response, if the outcome is a success.
+    pub response: Option<R>,
 }
 
-impl<A> From<Outcome> for AttemptResult<A> {
+impl<R> From<Outcome> for AttemptResult<R> {
     fn from(outcome: Outcome) -> Self {
-        AttemptResult { outcome, report: None, answer: None }
+        AttemptResult { outcome, load_report: None, response: None }
     }
 }
 
-/// What an attempt has to ask before its first byte, and tell after it.
+/// The send gate: an attempt asks it right before its first byte, and tells it if that byte was not written after all.
 pub struct Gate<'a> {
-    sent: &'a Cell<bool>,
-    lawful: &'a dyn Fn() -> bool,
-    /// When the attempt is called off as timed out.
-    pub until: Instant,
+    is_sent: &'a Cell<bool>,
+    may_send: &'a dyn Fn() -> bool,
+    /// When the attempt times out.
+    pub deadline: Instant,
 }
 
 impl<'a> Gate<'a> {
-    /// Open as long as `lawful` says so; `sent` shows whether a byte counts as written.
-    pub fn new(sent: &'a Cell<bool>, lawful: &'a dyn Fn() -> bool, until: Instant) -> Self {
-        Gate { sent, lawful, until }
+    /// A gate that opens while `may_send` holds. `is_sent` shows whether a byte counts as written.
+    pub fn new(is_sent: &'a Cell<bool>, may_send: &'a dyn Fn() -> bool, deadline: Instant) -> Self {
+        Gate { is_sent, may_send, deadline }
     }
 
-    /// Whether this server may still be sent something new, and the request still owes its answer. Asked when the first byte
-    /// could go, since a server may have been told to drain, or a client have gone, while a connection was on its way. If so,
-    /// a byte counts as written from here on.
+    /// Whether the first byte may be written now. If so, it counts as written from here on.
+    ///
+    /// To be asked when the connection is up, because while it was being made the server may have begun to drain, the
+    /// client may have disconnected, and the time in which a retry is deduplicated may have passed.
     pub fn open(&self) -> bool {
-        let lawful = (self.lawful)();
-        self.sent.set(lawful);
-        lawful
+        let may_send = (self.may_send)();
+        self.is_sent.set(may_send);
+        may_send
     }
 
-    /// It has turned out that no byte was written after all.
+    /// Takes [`open`](Gate::open) back: no byte was written after all.
     pub fn nothing_was_sent(&self) {
-        self.sent.set(false);
+        self.is_sent.set(false);
     }
 }
 
-/// Speaks to servers in their own protocol. An attempt or a probe whose future is dropped is called off at once.
+/// Speaks to servers in their own protocol. Dropping the future of an attempt or a health check cancels it at once.
 pub trait Upstream: 'static {
     /// How a server is reached.
     type Address: Clone + PartialEq + Debug + 'static;
     /// A request.
-    type Call: RequestPayload + 'static;
-    /// A server's answer.
-    type Answer: 'static;
+    type Request: RequestPayload + 'static;
+    /// A server's response.
+    type Response: 'static;
 
-    /// Sends one attempt, once `gate` is [open](Gate::open). What it reports decides whether the request may be sent
+    /// Sends one attempt, once `gate` is [open](Gate::open). Its outcome decides whether the request may be sent
     /// again, so an outcome that [never ran](Outcome::never_ran) needs proof.
     fn attempt(
         &self,
-        place: EndpointAddress<Self::Address>,
-        call: &Self::Call,
+        endpoint: EndpointAddress<Self::Address>,
+        request: &Self::Request,
         gate: Gate<'_>,
-    ) -> impl Future<Output = AttemptResult<Self::Answer>>;
+    ) -> impl Future<Output = AttemptResult<Self::Response>>;
 
-    /// Asks a server how it is; ends within a bounded time.
-    fn probe(
+    /// Checks a server's health; ends within a bounded time.
+    fn health_check(
         &self,
-        place: EndpointAddress<Self::Address>,
-    ) -> impl Future<Output = AttemptResult<Self::Answer>>;
+        endpoint: EndpointAddress<Self::Address>,
+    ) -> impl Future<Output = AttemptResult<Self::Response>>;
 
-    /// Closes what rests of the connections to a server.
+    /// Closes the idle connections to a server.
     fn close_idle(&self, server: ServerId);
 
-    /// Closes connections that rest where they are of no use: `is_current` tells of a server and a life whether it
-    /// serves and still is in that life. Called now and then.
-    fn retire(&self, is_current: &dyn Fn(ServerId, u64) -> bool);
+    /// Closes the idle connections to servers that no longer serve in the incarnation that they were made to, as
+    /// `is_current` tells. Called periodically.
+    fn close_stale(&self, is_current: &dyn Fn(ServerId, Incarnation) -> bool);
 }
--- a/crates/engine/tests/line/line.rs
+++ b/crates/engine/tests/line/line.rs
@@ -29,8 +29,8 @@
 
 impl Upstream for Lines {
     type Address = SocketAddr;
-    type Call = Line;
-    type Answer = String;
+    type Request = Line;
+    type Response = String;
 
     async fn attempt(
         &self,
@@ -52,7 +52,7 @@
         match stream.read_line(&mut answer).await {
             Ok(n) if n > 0 && answer.ends_with('\n') => match answer.trim_end().split_once(' ') {
                 Some((name, text)) if name == call.name && text.starts_with("ok") => {
-                    AttemptResult { answer: Some(text.to_string()), ..Outcome::Success.into() }
+                    AttemptResult { response: Some(text.to_string()), ..Outcome::Success.into() }
                 }
                 Some((name, "busy")) if name == call.name => Outcome::Rejected.into(),
                 _ => Outcome::ServerError.into(),
@@ -61,11 +61,11 @@
         }
     }
 
-    async fn probe(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<String> {
+    async fn health_check(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<String> {
         Outcome::NotSent.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// What a stand-in does with a request that it has read whole, after it has noted that it ran.
@@ -166,6 +166,6 @@
 pub async fn ask(pool: &Pool<Lines>, name: &str, class: usize) -> Result<FinalResponse<String>, Rejection> {
     let call = Line { name: name.into(), class };
     let exchange = NewRequest::new(call, ClassId(class), Duration::from_secs(5));
-    let owed = pool.submit(NewRequest { name: Some(name.as_bytes().into()), ..exchange })?;
-    Ok(timeout(BOUND, owed.answer(|deadline| deadline)).await.expect("an answer in time"))
+    let owed = pool.submit(NewRequest { correlation_id: Some(name.as_bytes().into()), ..exchange })?;
+    Ok(timeout(BOUND, owed.wait(|deadline| deadline)).await.expect("an answer in time"))
 }
--- a/crates/engine/tests/line/main.rs
+++ b/crates/engine/tests/line/main.rs
@@ -57,12 +57,12 @@
         name: "lines".into(),
         settings,
         seed: 7,
-        names: ServerNames::default(),
-        known: Some(EndpointList { version: 0, whole: true, members: lines }),
-        known_stands: true,
+        server_names: ServerNames::default(),
+        initial_list: Some(EndpointList { version: 0, is_complete: true, endpoints: lines }),
+        continues_versions: true,
         epoch: None,
         upstream: Lines,
-        requests: quota.part(),
+        request_quota: quota.share(),
     });
     let pool = pool.expect("usable");
     let run = spawn_local(pool.clone().run(Box::new(StaticEndpoints::new(told))));
@@ -131,7 +131,7 @@
                 EndpointState::Serving
             }
         }));
-        while world.pool.levels().excluded == 0 {
+        while world.pool.stats().excluded == 0 {
             yield_now().await;
         }
         // Connections that were on their way when the drain was told must not be written to: the grace is over.
@@ -281,7 +281,7 @@
                 spawn_local(async move { ask(&pool, &format!("mute{n}"), READ).await })
             })
             .collect();
-        while hangs.pool.levels().open < 30 {
+        while hangs.pool.stats().open_requests < 30 {
             yield_now().await;
         }
         for n in 0..200 {
@@ -309,7 +309,7 @@
         // The same name twice, one after the other, as a program would that forgot its rules.
         for _ in 0..2 {
             assert!(served(&ask(&world.pool, "planted", ONCE).await));
-            while world.pool.levels().open > 0 {
+            while world.pool.stats().open_requests > 0 {
                 yield_now().await;
             }
         }
--- a/crates/engine/tests/starts.rs
+++ b/crates/engine/tests/starts.rs
@@ -19,22 +19,22 @@
 
 impl Upstream for Unasked {
     type Address = u16;
-    type Call = Nothing;
-    type Answer = ();
+    type Request = Nothing;
+    type Response = ();
     async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, _: Gate<'_>) -> AttemptResult<()> {
         Outcome::NotSent.into()
     }
-    async fn probe(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
+    async fn health_check(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
         Outcome::Success.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// One of each of the names, with the Unix time at which it is told to have started.
 fn members(lines: &[(&str, Option<i64>)]) -> Vec<EndpointInfo<u16>> {
     let member = |&(name, started): &(&str, Option<i64>)| EndpointInfo {
-        started: started.map(|at| Time(at as u64)),
+        started_at: started.map(|at| Time(at as u64)),
         ..EndpointInfo::serving(name, 80)
     };
     lines.iter().map(member).collect()
@@ -54,25 +54,25 @@
             warm_up_time: Span::from_ms(3000.0),
             ..Settings::default()
         };
-        let known = EndpointList { version: 0, whole: true, members: members(lines) };
-        let (lists, told) = watch::channel(known.members.clone());
+        let known = EndpointList { version: 0, is_complete: true, endpoints: members(lines) };
+        let (lists, told) = watch::channel(known.endpoints.clone());
         let (drained, by_others) = watch::channel(BTreeSet::new());
         let membership =
-            DrainableSource::new(Box::new(StaticEndpoints::new(told)), by_others, &known.members);
+            DrainableSource::new(Box::new(StaticEndpoints::new(told)), by_others, &known.endpoints);
         let setup = PoolOptions {
             name: "main".into(),
             settings,
             seed: 7,
-            names: ServerNames::default(),
-            known: Some(known),
-            known_stands: true,
+            server_names: ServerNames::default(),
+            initial_list: Some(known),
+            continues_versions: true,
             epoch: Some(EPOCH),
             upstream: Unasked,
-            requests: Quota::alone(9),
+            request_quota: Quota::single_share(9),
         };
         let pool = Pool::new(setup).expect("usable");
         spawn_local(pool.clone().run(Box::new(membership)));
-        pool.heard().await;
+        pool.endpoints_published().await;
         World { pool, lists, drained }
     }
 
@@ -83,7 +83,11 @@
 
     /// What a server lacks of what it can do.
     fn lack(&self, name: &str) -> f64 {
-        self.pool.lacks().into_iter().find(|(known, _)| known == name).map_or(0.0, |(_, lack)| lack)
+        self.pool
+            .missing_capacity()
+            .into_iter()
+            .find(|missing| missing.server == name)
+            .map_or(0.0, |missing| missing.share)
     }
 }
 
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -213,16 +213,16 @@
 struct Simulated {
     net: Rc<Net>,
     reports: bool,
-    /// Which server of the module's list is which machine, and in which life it was last met.
-    places: RefCell<HashMap<ServerId, (usize, u64)>>,
+    /// Which server of the module's list is which machine, and in which incarnation it was last met.
+    places: RefCell<HashMap<ServerId, (usize, Incarnation)>>,
     /// What the planted leak keeps.
     leaked: RefCell<Vec<Vec<u8>>>,
 }
 
 impl Upstream for Simulated {
     type Address = usize;
-    type Call = Held;
-    type Answer = Answered;
+    type Request = Held;
+    type Response = Answered;
 
     async fn attempt(
         &self,
@@ -230,7 +230,7 @@
         call: &Held,
         gate: Gate<'_>,
     ) -> AttemptResult<Answered> {
-        self.places.borrow_mut().insert(place.server, (place.address, place.life));
+        self.places.borrow_mut().insert(place.server, (place.address, place.incarnation));
         let side = if place.dialect == OLD { Side::Old } else { Side::New };
         let said = call.said.as_ref().map(|asked| (asked, side));
         if said.is_some_and(|(asked, side)| asked.said(side).is_none()) {
@@ -248,10 +248,10 @@
             let speech = self.net.world.speech.as_ref().filter(|_| call.said.is_some())?;
             Some((side, speech.answer(call.ask.class, call.ask.call, side)))
         });
-        AttemptResult { answer, report, ..outcome.into() }
+        AttemptResult { response: answer, load_report: report, ..outcome.into() }
     }
 
-    async fn probe(&self, place: EndpointAddress<usize>) -> AttemptResult<Answered> {
+    async fn health_check(&self, place: EndpointAddress<usize>) -> AttemptResult<Answered> {
         let world = &self.net.world;
         world.ledger.borrow_mut().probes += 1;
         let connected = tokio::time::timeout(CONNECT_WAIT, self.net.connection(place.address)).await;
@@ -279,9 +279,9 @@
         }
     }
 
-    fn retire(&self, is_current: &dyn Fn(ServerId, u64) -> bool) {
+    fn close_stale(&self, is_current: &dyn Fn(ServerId, Incarnation) -> bool) {
         // Servers that leave under ever new names are not kept. Another may have taken the machine's place by now.
-        self.places.borrow_mut().retain(|server, (_, life)| is_current(*server, *life));
+        self.places.borrow_mut().retain(|server, (_, incarnation)| is_current(*server, *incarnation));
     }
 }
 
@@ -302,7 +302,7 @@
                     tokio::select! {
                         biased;
                         _ = self.world.changed.wait_for(|n| n != self.seen) => {}
-                        () = feed.asked() => owed = true,
+                        () = feed.fetch_requested() => owed = true,
                     }
                 }
                 self.seen = self.world.changed.get();
@@ -312,7 +312,7 @@
                 };
                 if down {
                     if std::mem::take(&mut owed) {
-                        feed.failed();
+                        feed.report_failure();
                     }
                     continue;
                 }
@@ -329,14 +329,18 @@
                     (registry.version(), lines, written)
                 };
                 let Some(written) = written else {
-                    feed.failed();
+                    feed.report_failure();
                     sleep(ASK_AGAIN.mul_f64(0.5 + self.world.draw())).await;
                     continue;
                 };
                 sleep_until(self.world.at(written)).await;
                 owed = false;
                 self.world.told(self.agent, version);
-                feed.listed(EndpointList { version, whole, members: lines.iter().map(member).collect() });
+                feed.publish(EndpointList {
+                    version,
+                    is_complete: whole,
+                    endpoints: lines.iter().map(member).collect(),
+                });
             }
         })
     }
@@ -347,7 +351,7 @@
         state: line.state,
         dialect: if line.old { OLD } else { DialectId(0) },
         cell: line.building,
-        started: line.started.map(Time),
+        started_at: line.started.map(Time),
         ..EndpointInfo::serving(&line.name, line.server)
     }
 }
@@ -375,7 +379,7 @@
         let first = {
             let registry = world.registry.borrow();
             let members = registry.since(None).iter().map(member).collect();
-            EndpointList { version: registry.version(), whole: true, members }
+            EndpointList { version: registry.version(), is_complete: true, endpoints: members }
         };
         let agents = world.scenario.agents;
         let engines = Rc::new(Engines {
@@ -399,9 +403,9 @@
             name: format!("a{agent}"),
             settings: world.scenario.settings.clone(),
             seed: self.seed.wrapping_mul(1_000_003).wrapping_add(nonce),
-            names: ServerNames::default(),
-            known: Some(known),
-            known_stands: true,
+            server_names: ServerNames::default(),
+            initial_list: Some(known),
+            continues_versions: true,
             epoch: Some(Time(world.now())),
             upstream: Simulated {
                 net: Rc::clone(&net),
@@ -409,7 +413,7 @@
                 places: RefCell::default(),
                 leaked: RefCell::default(),
             },
-            requests: Quota::alone(100_000),
+            request_quota: Quota::single_share(100_000),
         };
         let pool = Pool::new(setup).expect("a scenario's settings are usable");
         let told = Told { world: Rc::clone(world), agent, seen: 0 };
@@ -425,7 +429,7 @@
         let registry = self.world.registry.borrow();
         if version == registry.version() {
             let members = registry.since(None).iter().map(member).collect();
-            self.known.borrow_mut()[agent] = EndpointList { version, whole: true, members };
+            self.known.borrow_mut()[agent] = EndpointList { version, is_complete: true, endpoints: members };
         }
         Some(life)
     }
@@ -443,7 +447,7 @@
             rng.random::<f64>()
         };
         let side = if draw(0) < mixed.old_clients { Side::Old } else { Side::New };
-        let serving = life.pool.dialects();
+        let serving = life.pool.serving_dialects();
         let serving = Sides { old: serving.contains(OLD), new: serving.contains(DialectId(0)) };
         let asked = speech.asked(ask.class, ask.call, side, draw(1) < mixed.own_keys, serving);
         let mut asked = asked.ok_or(())?;
@@ -484,24 +488,24 @@
         });
         let side = said.as_ref().map(|asked| asked.side);
         let exchange = NewRequest {
-            name: None,
+            correlation_id: None,
             dialects,
             tenant: (!self.world.scenario.tenants.is_empty()).then_some(TenantId(ask.tenant)),
             key: Some(KeyId(ask.call as u64)),
             cost_hint: ask.hint.map(Span),
-            repeat: ask.again,
+            is_retry: ask.again,
             ..NewRequest::new(Held { ask, said }, ClassId(ask.class), ask.budget)
         };
         let owed = match life.pool.submit(exchange) {
             Err(declined) => {
-                return Reply::Answer(Answer::Refused(declined.come_back().map(|wait| wait.0)));
+                return Reply::Answer(Answer::Refused(declined.retry_after().map(|wait| wait.0)));
             }
             Ok(owed) => owed,
         };
         tokio::select! {
             biased;
             _ = life.dead.wait_for(|dead| dead) => Reply::Broken,
-            answer = owed.answer(|deadline| deadline) => Reply::Answer(match answer {
+            answer = owed.wait(|deadline| deadline) => Reply::Answer(match answer {
                 FinalResponse::Success(answered) => self.pass_on(&ask, side, answered),
                 FinalResponse::Rejected(wait) => Answer::Refused(wait.map(|wait| wait.0)),
                 FinalResponse::Failed | FinalResponse::DeadlineExceeded | FinalResponse::IncompleteRequest => Answer::Failed,
@@ -535,7 +539,7 @@
                 if let Some(life) = &self.lives.borrow()[agent] {
                     let settings = &self.world.scenario.settings;
                     let classes = (0..settings.classes.len()).map(ClassId).collect();
-                    life.pool.revise(settings.clone(), classes, &[]);
+                    life.pool.update_settings(settings.clone(), classes, &[]);
                 }
             }
             _ => {}
