--- a/crates/engine/src/endpoint_source/tests.rs
+++ b/crates/engine/src/endpoint_source/tests.rs
@@ -8,9 +8,9 @@
 use tokio::sync::watch;
 
 #[derive(Default)]
-struct Notes(RefCell<Vec<(i64, usize)>>, Cell<u32>);
+struct RecordingObserver(RefCell<Vec<(i64, usize)>>, Cell<u32>);
 
-impl EndpointObserver<u16> for Notes {
+impl EndpointObserver<u16> for RecordingObserver {
     fn on_endpoints(&self, list: EndpointList<u16>) {
         self.0.borrow_mut().push((list.version, list.endpoints.len()));
     }
@@ -19,79 +19,87 @@
     }
 }
 
-fn starts() -> Rc<RefCell<StartTimes>> {
+fn start_times() -> Rc<RefCell<StartTimes>> {
     Rc::new(RefCell::new(StartTimes::new(Clock::new(None))))
 }
 
-/// A watch and a fetch can cross: whatever is older than what stands must not undo a drain.
+/// A watch and a fetch can cross: a list that is older than the newest one must not undo a drain.
 #[test]
 fn an_older_list_does_not_pass_but_another_sources_does() {
-    let notes = Rc::new(Notes::default());
-    let feed = EndpointSink::new(
-        Rc::clone(&notes) as Rc<dyn EndpointObserver<u16>>,
+    let observer = Rc::new(RecordingObserver::default());
+    let sink = EndpointSink::new(
+        Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>,
         Rc::default(),
-        starts(),
+        start_times(),
         Some(5),
     );
     let list =
         |version| EndpointList { version, is_complete: true, endpoints: vec![EndpointInfo::serving("a", 1)] };
     assert!(
-        !feed.publish(list(4)) && feed.publish(list(5)) && feed.publish(list(9)) && !feed.publish(list(8))
+        !sink.publish(list(4)) && sink.publish(list(5)) && sink.publish(list(9)) && !sink.publish(list(8))
     );
-    feed.reset_source();
-    assert!(feed.publish(list(2)) && !feed.publish(list(1)));
-    assert_eq!(*notes.0.borrow(), [(5, 1), (9, 1), (2, 1)]);
-    feed.report_failure();
-    assert_eq!(notes.1.get(), 1);
+    sink.reset_source();
+    assert!(sink.publish(list(2)) && !sink.publish(list(1)));
+    assert_eq!(*observer.0.borrow(), [(5, 1), (9, 1), (2, 1)]);
+    sink.report_failure();
+    assert_eq!(observer.1.get(), 1);
 }
 
 #[derive(Default)]
-struct Starts(RefCell<Vec<Option<Time>>>);
+struct StartObserver(RefCell<Vec<Option<Time>>>);
 
-impl EndpointObserver<u16> for Starts {
+impl EndpointObserver<u16> for StartObserver {
     fn on_endpoints(&self, list: EndpointList<u16>) {
-        self.0.borrow_mut().extend(list.endpoints.into_iter().map(|member| member.started_at));
+        self.0.borrow_mut().extend(list.endpoints.into_iter().map(|endpoint| endpoint.started_at));
     }
     fn on_failure(&self) {}
 }
 
-/// A list that is left out bounds no start, and what another source tells first is bounded by none of this one's lists.
+/// A list that is dropped bounds no start, and what another source reports first is bounded by none of this one's lists.
 #[tokio::test(start_paused = true)]
 async fn starts_are_bounded_by_the_lists_that_passed_from_the_same_source() {
-    let heard = Rc::new(Starts::default());
-    let feed =
-        EndpointSink::new(Rc::clone(&heard) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts(), None);
-    let tell = |version, name: &str, started| {
+    let observer = Rc::new(StartObserver::default());
+    let sink = EndpointSink::new(
+        Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>,
+        Rc::default(),
+        start_times(),
+        None,
+    );
+    let publish = |version, name: &str, started| {
         let members = vec![EndpointInfo { started_at: started, ..EndpointInfo::serving(name, 1) }];
-        feed.publish(EndpointList { version, is_complete: false, endpoints: members })
+        sink.publish(EndpointList { version, is_complete: false, endpoints: members })
     };
-    let begun = feed.clock().now();
-    tell(6, "a", None);
+    let started_at = sink.clock().now();
+    publish(6, "a", None);
     tokio::time::advance(Duration::from_secs(2)).await;
-    assert!(!tell(5, "a", None));
-    let (now, between, before) = (feed.clock().now(), begun + Span(1_000_000), Time(begun.0 - 1));
-    tell(7, "b", Some(between));
-    tell(8, "c", Some(between));
-    feed.reset_source();
-    tell(1, "d", Some(before));
-    tell(2, "e", Some(before));
-    assert_eq!(*heard.0.borrow(), [None, Some(between), Some(now), Some(before), Some(now)]);
+    assert!(!publish(5, "a", None));
+    let (now, between, before) = (sink.clock().now(), started_at + Span(1_000_000), Time(started_at.0 - 1));
+    publish(7, "b", Some(between));
+    publish(8, "c", Some(between));
+    sink.reset_source();
+    publish(1, "d", Some(before));
+    publish(2, "e", Some(before));
+    assert_eq!(*observer.0.borrow(), [None, Some(between), Some(now), Some(before), Some(now)]);
 }
 
 #[tokio::test]
-async fn a_fixed_list_is_told_at_once_and_at_each_change() {
-    let notes = Rc::new(Notes::default());
-    let feed =
-        EndpointSink::new(Rc::clone(&notes) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts(), None);
-    let (tell, told) = watch::channel(vec![EndpointInfo::serving("a", 1)]);
-    let run = Box::new(StaticEndpoints::new(told)).run(feed);
+async fn a_static_list_is_published_at_once_and_at_each_change() {
+    let observer = Rc::new(RecordingObserver::default());
+    let sink = EndpointSink::new(
+        Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>,
+        Rc::default(),
+        start_times(),
+        None,
+    );
+    let (sender, receiver) = watch::channel(vec![EndpointInfo::serving("a", 1)]);
+    let run = Box::new(StaticEndpoints::new(receiver)).run(sink);
     let change = async {
         tokio::task::yield_now().await;
-        tell.send_replace(vec![EndpointInfo::serving("a", 1), EndpointInfo::serving("b", 2)]);
-        while notes.0.borrow().len() < 2 {
+        sender.send_replace(vec![EndpointInfo::serving("a", 1), EndpointInfo::serving("b", 2)]);
+        while observer.0.borrow().len() < 2 {
             tokio::task::yield_now().await;
         }
     };
     tokio::select! { () = run => unreachable!(), () = change => {} }
-    assert_eq!(*notes.0.borrow(), [(1, 1), (2, 2)]);
+    assert_eq!(*observer.0.borrow(), [(1, 1), (2, 2)]);
 }
--- a/crates/engine/src/pool/requests.rs
+++ b/crates/engine/src/pool/requests.rs
@@ -14,8 +14,9 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
-/// A request without an attempt for so many times its client's timeout in a row has been forgotten by the decision module:
-/// the module may hold a request that still arrives for one timeout, and the first of them may have begun late.
+/// A request that has no attempt at the ends of so many client timeouts in a row has been forgotten by the decision module,
+/// which may hold one that still arrives for a whole timeout. Only the ends are looked at, so that an attempt may have been
+/// in flight until just before the first of them.
 const MAX_IDLE_TIMEOUTS: u32 = 2;
 
 /// A request that a frontend hands over.
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -7,20 +7,28 @@
 };
 use heronhoist_decision::{AttemptNumber, DeduplicationScope, Effect, Outcome, ServerId, Span};
 use std::future::Future;
+use std::marker::PhantomData;
 use std::pin::Pin;
 use tokio::task::{yield_now, LocalSet};
 use tokio::time::Instant;
 
-/// Its servers never answer.
-struct Mute;
 struct Nothing;
 impl RequestPayload for Nothing {}
 
-impl Upstream for Mute {
+/// Its servers never answer.
+struct Silent<R>(PhantomData<R>);
+
+impl<R> Default for Silent<R> {
+    fn default() -> Self {
+        Silent(PhantomData)
+    }
+}
+
+impl<R: RequestPayload + 'static> Upstream for Silent<R> {
     type Address = u16;
-    type Request = Nothing;
+    type Request = R;
     type Response = ();
-    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &R, gate: Gate<'_>) -> AttemptResult<()> {
         gate.open();
         std::future::pending().await
     }
@@ -31,61 +39,72 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-fn pool(known: bool, most: usize) -> Pool<Mute> {
-    let known = known.then(|| EndpointList {
-        version: 1,
-        is_complete: true,
-        endpoints: vec![EndpointInfo::serving("s", 80)],
-    });
-    Pool::new(PoolOptions {
+const SERVER: (&str, u16) = ("s", 80);
+const OTHER_SERVER: (&str, u16) = ("t", 81);
+
+fn endpoint_list(servers: &[(&str, u16)]) -> EndpointList<u16> {
+    let endpoints = servers.iter().map(|(name, port)| EndpointInfo::serving(name, *port)).collect();
+    EndpointList { version: 1, is_complete: true, endpoints }
+}
+
+fn options<U: Upstream<Address = u16>>(upstream: U, servers: &[(&str, u16)]) -> PoolOptions<U> {
+    PoolOptions {
         name: "main".into(),
         settings: Settings::default(),
         seed: 7,
         server_names: ServerNames::default(),
-        initial_list: known,
+        initial_list: Some(endpoint_list(servers)),
         continues_versions: true,
         epoch: None,
-        upstream: Mute,
-        request_quota: Quota::single_share(most),
-    })
-    .expect("usable")
+        upstream,
+        request_quota: Quota::single_share(9),
+    }
+}
+
+fn pool_with<U: Upstream<Address = u16>>(options: PoolOptions<U>) -> Pool<U> {
+    Pool::new(options).expect("valid settings")
 }
 
-fn exchange(name: &str) -> NewRequest<Nothing> {
+/// A pool of one server that never answers.
+fn silent_pool() -> Pool<Silent<Nothing>> {
+    pool_with(options(Silent::default(), &[SERVER]))
+}
+
+fn request(name: &str) -> NewRequest<Nothing> {
     let name = Some(name.as_bytes().into());
     NewRequest { correlation_id: name, ..NewRequest::new(Nothing, ClassId(0), Duration::from_secs(60)) }
 }
 
-/// Guards the module's counts of what is in flight: a request that ends right after one of its attempts was
-/// called off must not be forgotten before that attempt's outcome is told.
+/// Guards the module's counts of what is in flight: a request that ends right after one of its attempts was cancelled must
+/// not be forgotten before that attempt's outcome is reported.
 #[tokio::test]
-async fn an_attempt_called_off_is_reported_though_its_request_has_ended() {
+async fn a_cancelled_attempt_is_reported_though_its_request_has_ended() {
     let test = async {
-        let pool = pool(true, 9);
-        let owed = pool.submit(exchange("id")).expect("taken");
-        let id = owed.id;
+        let pool = silent_pool();
+        let pending = pool.submit(request("id")).expect("accepted");
+        let id = pending.id;
         let cancel = Action::Cancel { request: id, attempt: AttemptNumber(0) };
         pool.perform(vec![cancel, Action::Fail { request: id }]);
-        assert!(matches!(owed.wait(|deadline| deadline).await, FinalResponse::Failed));
-        assert!(pool.0.state.borrow().requests.contains_key(&id), "its outcome has not been told");
-        assert_eq!(pool.submit(exchange("id")).err(), Some(Rejection::CorrelationIdInUse));
+        assert!(matches!(pending.wait(|deadline| deadline).await, FinalResponse::Failed));
+        assert!(pool.0.state.borrow().requests.contains_key(&id), "its outcome has not been reported");
+        assert_eq!(pool.submit(request("id")).err(), Some(Rejection::CorrelationIdInUse));
         while pool.stats().open_requests > 0 {
             yield_now().await;
         }
-        assert!(pool.submit(exchange("id")).is_ok(), "its name is free again");
+        assert!(pool.submit(request("id")).is_ok(), "its correlation id is free again");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Nothing is answered twice, and nothing is kept of a request that is over.
+/// No client gets two responses, and nothing is kept of a finished request.
 #[tokio::test]
-async fn the_first_answer_is_the_only_one() {
+async fn the_first_response_is_the_only_one() {
     let test = async {
-        let pool = pool(true, 9);
-        let owed = pool.submit(exchange("id")).expect("taken");
-        let id = owed.id;
+        let pool = silent_pool();
+        let pending = pool.submit(request("id")).expect("accepted");
+        let id = pending.id;
         pool.perform(vec![Action::Fail { request: id }, Action::Reject { request: id, retry_after: None }]);
-        assert!(matches!(owed.wait(|deadline| deadline).await, FinalResponse::Failed));
+        assert!(matches!(pending.wait(|deadline| deadline).await, FinalResponse::Failed));
         pool.perform(vec![Action::Cancel { request: id, attempt: AttemptNumber(0) }]);
         while pool.stats().open_requests > 0 {
             yield_now().await;
@@ -94,67 +113,68 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A client that waits for 23 ms gets nearly all of them for its attempt, and its answer in time.
+/// A client that waits for 23 ms gets nearly all of them for its attempt, and its final response in time.
 #[tokio::test(start_paused = true)]
-async fn a_short_budget_is_not_spent_on_reserves() {
+async fn a_short_client_timeout_is_not_spent_on_reserves() {
     let test = async {
-        let (pool, begun, budget) = (pool(true, 9), Instant::now(), Duration::from_millis(23));
+        let (pool, started_at, client_timeout) = (silent_pool(), Instant::now(), Duration::from_millis(23));
         let mut settings = Settings::default();
         settings.classes[0].latency_objective = Span::from_ms(11.0);
         pool.update_settings(settings, vec![ClassId(1)], &[]);
-        let owed = pool.submit(NewRequest::new(Nothing, ClassId(1), budget)).expect("taken");
-        let answer = owed.wait(|deadline| deadline).await;
-        let waited = begun.elapsed();
-        assert!(!matches!(answer, FinalResponse::Success(())), "its server never answers");
-        assert!((Duration::from_millis(18)..budget).contains(&waited), "{waited:?}");
+        let pending = pool.submit(NewRequest::new(Nothing, ClassId(1), client_timeout)).expect("accepted");
+        let response = pending.wait(|deadline| deadline).await;
+        let waited = started_at.elapsed();
+        assert!(!matches!(response, FinalResponse::Success(())), "its server never answers");
+        assert!((Duration::from_millis(18)..client_timeout).contains(&waited), "{waited:?}");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// What can't be taken is turned away at once, with a time to come back.
+/// What can't be accepted is rejected at once, with a time after which to retry.
 #[tokio::test(start_paused = true)]
-async fn a_pool_without_a_list_or_room_declines_at_once() {
+async fn a_pool_without_endpoints_or_capacity_rejects_at_once() {
     let test = async {
-        let empty = pool(false, 9);
-        let declined = empty.submit(exchange("a")).err().expect("declined");
-        assert_eq!(declined, Rejection::NoEndpoints(RETRY_AFTER));
-        assert!(declined.retry_after().is_some());
-        empty.on_endpoints(EndpointList {
-            version: 1,
-            is_complete: true,
-            endpoints: vec![EndpointInfo::serving("s", 80)],
+        let empty =
+            pool_with(PoolOptions { initial_list: None, ..options(Silent::<Nothing>::default(), &[]) });
+        let rejection = empty.submit(request("a")).err().expect("rejected");
+        assert_eq!(rejection, Rejection::NoEndpoints(RETRY_AFTER));
+        assert!(rejection.retry_after().is_some());
+        empty.on_endpoints(endpoint_list(&[SERVER]));
+        assert!(empty.submit(request("a")).is_ok());
+        let one_request = Quota::single_share(1);
+        let full = pool_with(PoolOptions {
+            request_quota: one_request,
+            ..options(Silent::<Nothing>::default(), &[SERVER])
         });
-        assert!(empty.submit(exchange("a")).is_ok());
-        let full = pool(true, 1);
-        let first = full.submit(exchange("a")).expect("taken");
-        assert_eq!(full.submit(exchange("b")).err(), Some(Rejection::PoolFull(RETRY_AFTER)));
+        let first = full.submit(request("a")).expect("accepted");
+        assert_eq!(full.submit(request("b")).err(), Some(Rejection::PoolFull(RETRY_AFTER)));
         drop(first);
         full.close();
-        assert_eq!(full.submit(exchange("b")).err(), Some(Rejection::PoolClosed(RETRY_AFTER)));
+        assert_eq!(full.submit(request("b")).err(), Some(Rejection::PoolClosed(RETRY_AFTER)));
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Its connections come up when they are told to; so many requests are then read and their connections reset.
-struct Slow {
-    up: Rc<Notify>,
-    breaks: Cell<u32>,
+/// Its connections come up when it is notified; so many requests are then read and their connections reset.
+struct SlowToConnect {
+    connected: Rc<Notify>,
+    resets: Cell<u32>,
     opened: Rc<RefCell<Vec<bool>>>,
 }
 
-impl Upstream for Slow {
+impl Upstream for SlowToConnect {
     type Address = u16;
     type Request = Nothing;
     type Response = ();
     async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
-        self.up.notified().await;
+        self.connected.notified().await;
         let opens = gate.open();
         self.opened.borrow_mut().push(opens);
-        match self.breaks.get() {
+        match self.resets.get() {
             0 if opens => std::future::pending().await,
             0 => Outcome::NotSent.into(),
             left => {
-                self.breaks.set(left - 1);
+                self.resets.set(left - 1);
                 Outcome::ConnectionReset.into()
             }
         }
@@ -166,50 +186,43 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// A pool whose class has this effect, what brings its connections up, and what the gate has said of each.
-fn slow(effect: Effect, breaks: u32) -> (Pool<Slow>, Rc<Notify>, Rc<RefCell<Vec<bool>>>) {
-    let (up, opened) = (Rc::new(Notify::new()), Rc::default());
-    let mut settings = Settings::default();
-    settings.classes[0].effect = effect;
-    let members = vec![EndpointInfo::serving("s", 80), EndpointInfo::serving("t", 81)];
-    let pool = Pool::new(PoolOptions {
-        name: "main".into(),
-        settings,
-        seed: 7,
-        server_names: ServerNames::default(),
-        initial_list: Some(EndpointList { version: 1, is_complete: true, endpoints: members }),
-        continues_versions: true,
-        epoch: None,
-        upstream: Slow { up: Rc::clone(&up), breaks: Cell::new(breaks), opened: Rc::clone(&opened) },
-        request_quota: Quota::single_share(9),
-    });
-    (pool.expect("usable"), up, opened)
+/// A pool whose class has this effect, what brings its connections up, and whether the gate opened for each.
+fn slow_pool(effect: Effect, resets: u32) -> (Pool<SlowToConnect>, Rc<Notify>, Rc<RefCell<Vec<bool>>>) {
+    let (connected, opened) = (Rc::new(Notify::new()), Rc::default());
+    let upstream = SlowToConnect {
+        connected: Rc::clone(&connected),
+        resets: Cell::new(resets),
+        opened: Rc::clone(&opened),
+    };
+    let mut options = options(upstream, &[SERVER, OTHER_SERVER]);
+    options.settings.classes[0].effect = effect;
+    (pool_with(options), connected, opened)
 }
 
-/// A client that has gone while a connection came up is sent nowhere; one that waits is.
+/// Nothing is sent for a client that has disconnected while a connection came up; for one that waits it is.
 #[tokio::test(start_paused = true)]
-async fn nothing_begins_for_a_client_that_has_gone() {
+async fn no_attempt_begins_for_a_disconnected_client() {
     let test = async {
-        for gone in [false, true] {
-            let (pool, up, opened) = slow(Effect::Idempotent, 0);
-            let owed = pool.submit(exchange("id")).expect("taken");
+        for has_disconnected in [false, true] {
+            let (pool, connected, opened) = slow_pool(Effect::Idempotent, 0);
+            let pending = pool.submit(request("id")).expect("accepted");
             yield_now().await;
-            let kept = (!gone).then_some(owed);
-            up.notify_one();
+            let kept_pending = (!has_disconnected).then_some(pending);
+            connected.notify_one();
             while opened.borrow().is_empty() {
                 yield_now().await;
             }
-            assert_eq!(*opened.borrow(), [!gone]);
-            drop(kept);
+            assert_eq!(*opened.borrow(), [!has_disconnected]);
+            drop(kept_pending);
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
 /// Its attempts panic, some once they have been sent.
-struct Faulty(Cell<u32>);
+struct Panicking(Cell<u32>);
 
-impl Upstream for Faulty {
+impl Upstream for Panicking {
     type Address = u16;
     type Request = Nothing;
     type Response = ();
@@ -228,31 +241,19 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// A panic of an attempt is an end of it like any other: its request has its answer long before its time is up, and
+/// A panic of an attempt is an end of it like any other: its request has its final response long before its deadline, and
 /// nothing of it is left.
 #[tokio::test(start_paused = true)]
 async fn a_panic_of_an_attempt_ends_that_attempt_only() {
     let test = async {
-        let members = vec![EndpointInfo::serving("s", 80), EndpointInfo::serving("t", 81)];
-        let pool = Pool::new(PoolOptions {
-            name: "main".into(),
-            settings: Settings::default(),
-            seed: 7,
-            server_names: ServerNames::default(),
-            initial_list: Some(EndpointList { version: 1, is_complete: true, endpoints: members }),
-            continues_versions: true,
-            epoch: None,
-            upstream: Faulty(Cell::new(0)),
-            request_quota: Quota::single_share(9),
-        });
-        let pool = pool.expect("usable");
+        let pool = pool_with(options(Panicking(Cell::new(0)), &[SERVER, OTHER_SERVER]));
         let start = Instant::now();
-        let owed = pool.submit(exchange("id")).expect("taken");
-        let answer = owed.wait(|deadline| deadline).await;
-        assert!(matches!(answer, FinalResponse::Failed | FinalResponse::Rejected(_)), "{answer:?}");
+        let pending = pool.submit(request("id")).expect("accepted");
+        let response = pending.wait(|deadline| deadline).await;
+        assert!(matches!(response, FinalResponse::Failed | FinalResponse::Rejected(_)), "{response:?}");
         assert!(start.elapsed() < Duration::from_secs(1), "of a minute, by the test's own clock");
         assert_eq!(pool.stats().open_requests, 0);
-        assert!(pool.submit(exchange("id")).is_ok(), "its name is free again");
+        assert!(pool.submit(request("id")).is_ok(), "its correlation id is free again");
     };
     LocalSet::new().run_until(test).await;
 }
@@ -278,85 +279,54 @@
     }
 }
 
-/// Its servers never answer.
-struct Silent;
-
-impl Upstream for Silent {
-    type Address = u16;
-    type Request = Endless;
-    type Response = ();
-    async fn attempt(&self, _: EndpointAddress<u16>, _: &Endless, gate: Gate<'_>) -> AttemptResult<()> {
-        gate.open();
-        std::future::pending().await
-    }
-    async fn health_check(&self, _: EndpointAddress<u16>) -> AttemptResult<()> {
-        Outcome::TimedOut.into()
-    }
-    fn close_idle(&self, _: ServerId) {}
-    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
-}
-
-/// That each request has its answer does not hang on the module, for one that is still coming either: what the module forgets
-/// goes to no server, so nobody would come to its end. One that is being sent may take its time.
+/// That each request gets its final response does not hang on the module, also while its body streams in: what the module
+/// forgets goes to no server, so nobody would read to its end. One that is being sent may take its time.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_the_module_forgets_while_it_comes_is_answered() {
+async fn a_request_that_the_module_forgets_while_it_streams_in_is_answered() {
     for forgets in [true, false] {
         let test = async {
-            let pool = Pool::new(PoolOptions {
-                name: "main".into(),
-                settings: Settings::default(),
-                seed: 7,
-                server_names: ServerNames::default(),
-                initial_list: Some(EndpointList {
-                    version: 1,
-                    is_complete: true,
-                    endpoints: vec![EndpointInfo::serving("s", 80)],
-                }),
-                continues_versions: true,
-                epoch: None,
-                upstream: Silent,
-                request_quota: Quota::single_share(9),
-            });
-            let pool = pool.expect("usable");
-            let budget = Duration::from_secs(60);
-            let coming = NewRequest { deadline: None, ..NewRequest::new(Endless, ClassId(0), budget) };
-            let owed = pool.submit(coming).expect("taken");
+            let pool = pool_with(options(Silent::<Endless>::default(), &[SERVER]));
+            let client_timeout = Duration::from_secs(60);
+            let streaming =
+                NewRequest { deadline: None, ..NewRequest::new(Endless, ClassId(0), client_timeout) };
+            let pending = pool.submit(streaming).expect("accepted");
             if forgets {
-                pool.handle_event(Event::ClientDisconnected { request: owed.id });
-                pool.perform(vec![Action::Cancel { request: owed.id, attempt: AttemptNumber(0) }]);
+                pool.handle_event(Event::ClientDisconnected { request: pending.id });
+                pool.perform(vec![Action::Cancel { request: pending.id, attempt: AttemptNumber(0) }]);
             }
-            let answer = tokio::time::timeout(10 * budget, owed.wait(|deadline| deadline)).await;
-            match answer {
-                Ok(answer) => {
-                    assert!(forgets && matches!(answer, FinalResponse::DeadlineExceeded), "{answer:?}")
+            let response = tokio::time::timeout(10 * client_timeout, pending.wait(|deadline| deadline)).await;
+            match response {
+                Ok(response) => {
+                    assert!(forgets && matches!(response, FinalResponse::DeadlineExceeded), "{response:?}")
                 }
-                Err(_) => assert!(!forgets, "no answer"),
+                Err(_) => assert!(!forgets, "no response"),
             }
         };
         LocalSet::new().run_until(test).await;
     }
 }
 
-/// The window of a keyed class runs on while the repeat's connection comes up: nothing is sent after it.
+/// The deduplication window runs on while the retry's connection comes up: nothing is sent after it.
 #[tokio::test(start_paused = true)]
-async fn no_repeat_begins_after_its_window() {
+async fn no_retry_begins_after_the_deduplication_window() {
     let window = Span::from_ms(450.0);
     let test = async {
         for (waited, begins) in [(449, true), (451, false)] {
-            let (pool, up, opened) = slow(Effect::Deduplicated { scope: DeduplicationScope::All, window }, 1);
-            let owed = pool.submit(exchange("id")).expect("taken");
+            let (pool, connected, opened) =
+                slow_pool(Effect::Deduplicated { scope: DeduplicationScope::All, window }, 1);
+            let pending = pool.submit(request("id")).expect("accepted");
             yield_now().await;
             // Its server may have run it.
-            up.notify_one();
+            connected.notify_one();
             while opened.borrow().is_empty() {
                 yield_now().await;
             }
-            // The repeat has been decided, in time.
-            while pool.0.state.borrow().requests[&owed.id].attempts_started < 2 {
+            // The retry has been decided on, in time.
+            while pool.0.state.borrow().requests[&pending.id].attempts_started < 2 {
                 yield_now().await;
             }
             tokio::time::advance(Duration::from_millis(waited)).await;
-            up.notify_one();
+            connected.notify_one();
             while opened.borrow().len() < 2 {
                 yield_now().await;
             }
@@ -366,21 +336,21 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A request that the process comes to late, as under a loaded machine, is a first try all the same: what its client said
-/// tells that, and not what is left of it.
+/// A request that the process comes to late, as on a loaded machine, is a first try all the same: what its client said tells
+/// that, and not how much of its time is left.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_is_taken_up_late_is_no_second_try() {
+async fn a_request_that_is_processed_late_is_no_retry() {
     let test = async {
-        let pool = pool(true, 9);
+        let pool = silent_pool();
         let mut settings = Settings::default();
         let ms = Span::from_ms;
         (settings.classes[0].latency_objective, settings.classes[0].deadline) = (ms(5000.0), ms(10_000.0));
         pool.update_settings(settings, vec![ClassId(1)], &[]);
         for late in [0, 5] {
-            let exchange = NewRequest::new(Nothing, ClassId(1), Duration::from_secs(5));
+            let request = NewRequest::new(Nothing, ClassId(1), Duration::from_secs(5));
             tokio::time::advance(Duration::from_millis(late)).await;
-            let owed = pool.submit(exchange).expect("taken");
-            let attempts = pool.0.state.borrow().requests.get(&owed.id).map(|open| open.attempts_started);
+            let pending = pool.submit(request).expect("accepted");
+            let attempts = pool.0.state.borrow().requests.get(&pending.id).map(|open| open.attempts_started);
             assert_eq!(attempts, Some(1), "sent, {late} ms late");
         }
     };
--- a/crates/engine/src/quota/tests.rs
+++ b/crates/engine/src/quota/tests.rs
@@ -1,53 +1,55 @@
 use super::*;
 
 #[test]
-fn what_is_dropped_is_free_again_and_no_more_than_all_is_given() {
+fn a_dropped_reservation_is_available_again_and_the_limit_holds() {
     let quota = Quota::new(10);
-    let part = quota.share();
-    let first = part.try_reserve(7);
-    assert!(first.is_some() && part.try_reserve(4).is_none());
-    let second = part.try_reserve(3);
+    let share = quota.share();
+    let first = share.try_reserve(7);
+    assert!(first.is_some() && share.try_reserve(4).is_none());
+    let second = share.try_reserve(3);
     drop(first);
-    assert!(part.try_reserve(8).is_none() && part.try_reserve(7).is_some());
+    assert!(share.try_reserve(8).is_none() && share.try_reserve(7).is_some());
     drop(second);
-    let all = part.try_reserve(10);
+    let whole = share.try_reserve(10);
     quota.set_limit(5);
-    assert!(all.is_some() && part.try_reserve(1).is_none() && part.excess() == 5);
-    drop(all);
-    assert!(part.try_reserve(6).is_none() && part.try_reserve(5).is_some());
+    assert!(whole.is_some() && share.try_reserve(1).is_none() && share.excess() == 5);
+    drop(whole);
+    assert!(share.try_reserve(6).is_none() && share.try_reserve(5).is_some());
 }
 
-/// A part that takes all it can get and gives nothing back leaves each other part its reserve, at any number of
-/// parts, and the parts never hold more than there is.
+/// A share that takes all it can get and gives nothing back leaves each other share what it is guaranteed, at any number of
+/// shares, and together they never hold more than the limit.
 #[test]
-fn a_part_that_hangs_leaves_the_others_their_reserve() {
-    for parts in 2..=9 {
-        for most in [1, 7, 64, 1000] {
-            let quota = Quota::new(most);
-            let all: Vec<_> = (0..parts).map(|_| quota.share()).collect();
-            let greedy: Vec<_> = std::iter::from_fn(|| all[0].try_reserve(1)).collect();
-            let reserve = most / (2 * parts);
-            assert_eq!(greedy.len(), most - reserve * (parts - 1));
-            for part in &all[1..] {
-                let own: Vec<_> = std::iter::from_fn(|| part.try_reserve(1)).collect();
-                assert_eq!(own.len(), reserve, "{parts} parts of {most}");
+fn a_share_that_hangs_leaves_the_others_their_guarantee() {
+    for share_count in 2..=9 {
+        for limit in [1, 7, 64, 1000] {
+            let quota = Quota::new(limit);
+            let shares: Vec<_> = (0..share_count).map(|_| quota.share()).collect();
+            let greedy: Vec<_> = std::iter::from_fn(|| shares[0].try_reserve(1)).collect();
+            let guaranteed = limit / (2 * share_count);
+            assert_eq!(greedy.len(), limit - guaranteed * (share_count - 1));
+            for share in &shares[1..] {
+                let own: Vec<_> = std::iter::from_fn(|| share.try_reserve(1)).collect();
+                assert_eq!(own.len(), guaranteed, "{share_count} shares of {limit}");
             }
-            assert!(all[0].excess() == 0 && all[0].has_borrowed() == (most > reserve * parts));
+            assert!(
+                shares[0].excess() == 0 && shares[0].has_borrowed() == (limit > guaranteed * share_count)
+            );
         }
     }
 }
 
-/// What a part that is gone held is still counted until it is given back, and its reserve goes to the others.
+/// What a dropped share held is counted until it is given back, and its guarantee goes to the others.
 #[test]
-fn a_part_that_leaves_frees_its_reserve() {
+fn a_dropped_share_frees_its_guarantee() {
     let quota = Quota::new(100);
     let (first, second) = (quota.share(), quota.share());
-    let kept = second.try_reserve(30);
+    let reservation = second.try_reserve(30);
     drop(second);
     assert!(
         first.try_reserve(71).is_none() && first.try_reserve(70).is_some(),
-        "the portion keeps its part alive"
+        "the reservation keeps its share alive"
     );
-    drop(kept);
+    drop(reservation);
     assert!(first.try_reserve(100).is_some());
 }
--- a/crates/engine/src/servers/tests.rs
+++ b/crates/engine/src/servers/tests.rs
@@ -2,30 +2,30 @@
 use super::*;
 use heronhoist_decision::Status;
 
-/// Servers that are replaced under ever new names must not be kept, and the one that takes the address of one
-/// that has gone is another: nothing of the old one is its own.
+/// Servers that are replaced under ever new names must not be kept, and the one that takes the address of a removed one is
+/// another: it inherits nothing.
 #[tokio::test(start_paused = true)]
-async fn servers_that_have_left_are_forgotten() {
+async fn removed_servers_are_forgotten() {
     let mut servers = Servers::new(&ServerNames::default());
-    let mut numbers = HashSet::new();
+    let mut ids = HashSet::new();
     for n in 0..50 {
-        let members = vec![EndpointInfo::serving(&format!("s{n}"), 80)];
-        let lines = servers.apply(EndpointList { version: n, is_complete: true, endpoints: members }, |_| {});
+        let endpoints = vec![EndpointInfo::serving(&format!("s{n}"), 80)];
+        let lines = servers.apply(EndpointList { version: n, is_complete: true, endpoints }, |_| {});
         tokio::time::advance(Duration::from_secs(1)).await;
         servers.remove_expired(Duration::from_secs(2));
         assert!(servers.servers.len() <= 4, "{} are kept", servers.servers.len());
         assert_eq!(servers.ids.len(), servers.servers.len());
-        assert!(numbers.insert(lines[0].server), "a number is given twice");
+        assert!(ids.insert(lines[0].server), "a number is given twice");
     }
 }
 
-/// Changes that name ever new servers and never end one fill no memory; what is known is still heard of.
+/// Changes that name ever new servers and never remove one fill no memory; what is known is still updated.
 #[tokio::test(start_paused = true)]
-async fn a_pool_knows_so_many_servers_and_no_more() {
+async fn no_more_than_max_servers_are_known() {
     let mut servers = Servers::new(&ServerNames::default());
     for n in 0..3 {
-        let members = (0..3000).map(|i| EndpointInfo::serving(&format!("s{n}-{i}"), 80)).collect();
-        servers.apply(EndpointList { version: n, is_complete: false, endpoints: members }, |_| {});
+        let endpoints = (0..3000).map(|i| EndpointInfo::serving(&format!("s{n}-{i}"), 80)).collect();
+        servers.apply(EndpointList { version: n, is_complete: false, endpoints }, |_| {});
     }
     assert_eq!((servers.servers.len(), servers.ids.len()), (MAX_SERVERS, MAX_SERVERS));
     let drained = EndpointInfo { state: EndpointState::Draining, ..EndpointInfo::serving("s0-7", 80) };
@@ -33,7 +33,7 @@
         servers.apply(EndpointList { version: 3, is_complete: false, endpoints: vec![drained] }, |_| {});
     assert_eq!(lines.len(), 1);
     assert_eq!(lines[0].status, Status::Draining);
-    // Those that leave make room, once their grace is over.
+    // Removed servers make room, once their grace is over.
     let last = vec![EndpointInfo::serving("last", 80)];
     assert_eq!(
         servers.apply(EndpointList { version: 4, is_complete: true, endpoints: last.clone() }, |_| {}).len(),
@@ -47,33 +47,33 @@
     );
 }
 
-/// What drains is cut off before its grace is over, and one that something is out to stays known.
+/// A draining server is cut off before its grace is over, and one with something in flight stays known.
 #[tokio::test(start_paused = true)]
-async fn a_drain_closes_the_gate_in_time_and_a_restart_is_a_new_life() {
+async fn a_drain_closes_the_gate_in_time_and_a_restart_is_a_new_incarnation() {
     let mut servers = Servers::new(&ServerNames::default());
     let list = |version, state, started| {
-        let member = EndpointInfo { state, started_at: started, ..EndpointInfo::serving("s", 80) };
-        EndpointList { version, is_complete: true, endpoints: vec![member] }
+        let endpoint = EndpointInfo { state, started_at: started, ..EndpointInfo::serving("s", 80) };
+        EndpointList { version, is_complete: true, endpoints: vec![endpoint] }
     };
-    let mut cut = Vec::new();
-    let id = servers.apply(list(1, EndpointState::Serving, None), |id| cut.push(id))[0].server;
+    let mut closed = Vec::new();
+    let id = servers.apply(list(1, EndpointState::Serving, None), |id| closed.push(id))[0].server;
     let grace = Duration::from_millis(500);
-    assert!(servers.may_send(id, grace) && servers.is_current(id, Incarnation(0)) && cut.is_empty());
-    let place = servers.begin_use(id).expect("known");
-    servers.apply(list(2, EndpointState::Draining, None), |id| cut.push(id));
-    assert_eq!(cut, [id]);
+    assert!(servers.may_send(id, grace) && servers.is_current(id, Incarnation(0)) && closed.is_empty());
+    let endpoint = servers.begin_use(id).expect("known");
+    servers.apply(list(2, EndpointState::Draining, None), |id| closed.push(id));
+    assert_eq!(closed, [id]);
     assert!(servers.may_send(id, grace) && !servers.has_serving());
     tokio::time::advance(Duration::from_millis(299)).await;
-    // A drain that is told again does not begin anew.
+    // A drain that is listed again does not begin anew.
     servers.apply(list(3, EndpointState::Draining, None), |_| {});
     assert!(servers.may_send(id, grace));
     tokio::time::advance(Duration::from_millis(1)).await;
     assert!(!servers.may_send(id, grace), "0.15 s of being held up and the way there are left of its grace");
     servers.apply(list(4, EndpointState::Serving, Some(Time(7))), |_| {});
-    assert!(servers.may_send(id, grace) && servers.is_current(id, place.incarnation.next()));
+    assert!(servers.may_send(id, grace) && servers.is_current(id, endpoint.incarnation.next()));
     servers.apply(EndpointList { version: 5, is_complete: true, endpoints: vec![] }, |_| {});
     servers.remove_expired(Duration::ZERO);
-    assert!(servers.begin_use(id).is_some(), "something is out to it");
+    assert!(servers.begin_use(id).is_some(), "something is in flight to it");
     (0..2).for_each(|_| servers.end_use(id, Outcome::Cancelled));
     servers.remove_expired(Duration::ZERO);
     assert!(servers.begin_use(id).is_none() && !servers.may_send(id, grace));
@@ -83,19 +83,20 @@
     MissingCapacity { server: server.to_string(), share }
 }
 
-/// Quiet is who has nothing out and is past the grace; what a server lacks is told by its silence, its drain and its start.
+/// A server is drained that has nothing in flight and is past its grace; what it lacks follows from attempts without an
+/// answer, its drain and its start.
 #[tokio::test(start_paused = true)]
-async fn who_is_quiet_and_what_servers_lack() {
+async fn drained_servers_and_missing_capacity() {
     let mut servers = Servers::new(&ServerNames::default());
     let list = |version, state| {
-        let members =
+        let endpoints =
             vec![EndpointInfo { state, ..EndpointInfo::serving("s", 80) }, EndpointInfo::serving("t", 81)];
-        EndpointList { version, is_complete: true, endpoints: members }
+        EndpointList { version, is_complete: true, endpoints }
     };
     let id = servers.apply(list(1, EndpointState::Serving), |_| {})[0].server;
-    let (grace, warm) = (Duration::from_millis(500), |_| 0.25);
+    let (grace, capacity_share) = (Duration::from_millis(500), |_| 0.25);
     assert!(servers.is_drained("unknown", grace) && !servers.is_drained("s", grace));
-    for (outcome, lacks) in [
+    for (outcome, lacking_count) in [
         (Outcome::TimedOut, 0),
         (Outcome::ConnectFailed, 0),
         (Outcome::Cancelled, 0),
@@ -104,27 +105,27 @@
     ] {
         servers.begin_use(id);
         servers.end_use(id, outcome);
-        assert_eq!(servers.missing_capacity(warm).len(), lacks, "{outcome:?}");
+        assert_eq!(servers.missing_capacity(capacity_share).len(), lacking_count, "{outcome:?}");
     }
     servers.begin_use(id);
     servers.apply(list(2, EndpointState::Draining), |_| {});
     tokio::time::advance(grace).await;
-    assert!(!servers.is_drained("s", grace), "something is out");
+    assert!(!servers.is_drained("s", grace), "something is in flight");
     servers.end_use(id, Outcome::Success);
     assert!(servers.is_drained("s", grace));
-    assert_eq!(servers.missing_capacity(warm), [lacking("s", 1.0)]);
+    assert_eq!(servers.missing_capacity(capacity_share), [lacking("s", 1.0)]);
     let started = EndpointInfo { started_at: Some(Time(7)), ..EndpointInfo::serving("s", 80) };
     servers.apply(EndpointList { version: 3, is_complete: false, endpoints: vec![started] }, |_| {});
-    assert_eq!(servers.missing_capacity(warm), [lacking("s", 0.75)]);
+    assert_eq!(servers.missing_capacity(capacity_share), [lacking("s", 0.75)]);
 }
 
 #[test]
 fn names_past_the_bound_share_a_number() {
-    let mut numbers = NameNumbers::new(&["a".into(), "b".into()]);
-    assert_eq!((numbers.number_of("b"), numbers.number_of("c"), numbers.number_of("c")), (1, 2, 2));
+    let mut ids = NameNumbers::new(&["a".into(), "b".into()]);
+    assert_eq!((ids.number_of("b"), ids.number_of("c"), ids.number_of("c")), (1, 2, 2));
     (0..5000).for_each(|n| {
-        numbers.number_of(&format!("z{n}"));
+        ids.number_of(&format!("z{n}"));
     });
-    assert_eq!(numbers.0.len() as u32, MAX_NUMBERED_NAMES + 1);
-    assert_eq!(numbers.number_of("another"), MAX_NUMBERED_NAMES + 1);
+    assert_eq!(ids.0.len() as u32, MAX_NUMBERED_NAMES + 1);
+    assert_eq!(ids.number_of("another"), MAX_NUMBERED_NAMES + 1);
 }
--- a/crates/engine/src/timing/tests.rs
+++ b/crates/engine/src/timing/tests.rs
@@ -1,4 +1,4 @@
-//! Time is the runtime's own and moves only when the tests say so; bytes go over real sockets, tasks stand between them and
+//! Time is the runtime's own and moves only when the tests say so; bytes go over real sockets, and tasks stand between them and
 //! whoever waits.
 
 use super::*;
@@ -13,10 +13,10 @@
 
 const LIMIT: Duration = Duration::from_secs(4);
 
-fn play<T>(what: impl Future<Output = T>) -> T {
+fn run<T>(test: impl Future<Output = T>) -> T {
     LAST_HEARTBEAT.set(None);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.unwrap(), what)
+    LocalSet::new().block_on(&runtime.unwrap(), test)
 }
 
 /// Both ends of a connection.
@@ -27,7 +27,7 @@
     (near.unwrap(), far.unwrap().0)
 }
 
-/// A byte that two tasks hand on, one after the other, as a connection and a call on it do.
+/// A byte that two tasks pass on, one after the other, as a connection and a call on it do.
 fn handed_on(mut near: TcpStream) -> oneshot::Receiver<u8> {
     let (first, passed) = oneshot::channel();
     let (last, end) = oneshot::channel();
@@ -44,19 +44,19 @@
     end
 }
 
-/// The event loop stands still from here on, and a byte comes meanwhile.
-fn stand_still(far: &TcpStream) {
+/// The event loop stalls from here on, and a byte arrives meanwhile.
+fn stall(far: &TcpStream) {
     assert_eq!(far.try_write(&[7]).unwrap(), 1);
 }
 
 #[test]
-fn what_came_while_the_process_stood_still_is_read_before_the_time_is_over() {
-    play(async {
+fn what_arrived_during_a_stall_is_read_before_the_timeout_expires() {
+    run(async {
         let (near, far) = connection().await;
         let end = handed_on(near);
         let waiting = spawn_local(timeout(LIMIT, end));
         yield_now().await;
-        stand_still(&far);
+        stall(&far);
         // The timer is served before the sockets are looked at.
         advance(LIMIT * 2).await;
         assert_eq!(waiting.await.unwrap(), Ok(Ok(7)));
@@ -64,19 +64,19 @@
 }
 
 #[test]
-fn nothing_that_came_is_over_in_time() {
-    play(async {
+fn a_timeout_without_an_arrival_expires_on_time() {
+    run(async {
         let (near, far) = connection().await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(timeout(LIMIT, handed_on(near)).await, Err(Elapsed));
-        assert!(begun.elapsed() < LIMIT + Duration::from_millis(10), "{:?}", begun.elapsed());
+        assert!(started_at.elapsed() < LIMIT + Duration::from_millis(10), "{:?}", started_at.elapsed());
         drop(far);
     });
 }
 
 #[test]
-fn a_limit_polled_by_hand_reads_first_too() {
-    play(async {
+fn a_polled_deadline_reads_first_too() {
+    run(async {
         let (near, far) = connection().await;
         let mut end = pin!(handed_on(near));
         let mut limit = DeadlineTimer::new(Instant::now());
@@ -87,35 +87,36 @@
         });
         let stall = async {
             yield_now().await;
-            stand_still(&far);
+            stall(&far);
             advance(LIMIT * 2).await;
         };
         assert_eq!(tokio::join!(waiting, stall).0, Some(7));
     });
 }
 
-/// Nobody looks after the event loop of a simulation or a tool: it never stands still, and nothing waits for it.
+/// Nobody watches the event loop of a simulation or a tool: it never stalls, and nothing waits for it.
 #[test]
-fn without_a_heartbeat_nothing_is_late() {
-    play(async {
+fn without_heartbeats_nothing_has_stalled() {
+    run(async {
         advance(LIMIT).await;
         assert_eq!(stalled_since(), None);
     });
 }
 
-/// After a stall whoever asks waits until what came has been read, and what is read meanwhile may be as old as the last beat.
+/// After a stall whoever asks waits until what arrived has been read, and what is read meanwhile may be as old as the last
+/// heartbeat.
 #[test]
-fn after_a_stall_all_wait_until_what_came_is_read() {
-    play(async {
+fn after_a_stall_all_wait_until_what_arrived_is_read() {
+    run(async {
         let (near, far) = connection().await;
         let end = handed_on(near);
         heartbeat().await;
-        let beat = Instant::now();
+        let last_heartbeat = Instant::now();
         advance(HEARTBEAT_INTERVAL + MAX_HEARTBEAT_DELAY / 2).await;
         assert_eq!(stalled_since(), None, "a turn that is a little late is none");
-        stand_still(&far);
+        stall(&far);
         advance(LIMIT).await;
-        assert_eq!(stalled_since(), Some(beat));
+        assert_eq!(stalled_since(), Some(last_heartbeat));
         let read = Rc::new(Cell::new(false));
         let reader = Rc::clone(&read);
         spawn_local(async move {
@@ -124,18 +125,18 @@
         });
         catch_up().await;
         assert!(read.get());
-        assert_eq!(stalled_since(), Some(beat), "only a beat ends it");
+        assert_eq!(stalled_since(), Some(last_heartbeat), "only a heartbeat ends it");
         heartbeat().await;
         assert_eq!(stalled_since(), None);
     });
 }
 
-/// A drain that is read after a stall may have been told right after the last turn before it; otherwise it counts from the
-/// time at which it is read.
+/// A drain that is read after a stall may have been published right after the last turn before it; otherwise it counts from
+/// the time at which it is read.
 #[test]
 fn a_drain_read_after_a_stall_counts_from_its_beginning() {
     const GRACE: Duration = Duration::from_secs(1);
-    play(async {
+    run(async {
         heartbeat().await;
         for (stall, still_sent_to) in [(Duration::ZERO, true), (GRACE, false)] {
             let mut servers = Servers::new(&ServerNames::default());
--- a/crates/engine/tests/line/line.rs
+++ b/crates/engine/tests/line/line.rs
@@ -14,7 +14,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-/// Far beyond anything that a sound engine needs.
+/// Far beyond anything that a sound engine needs; nothing is judged by it.
 pub const BOUND: Duration = Duration::from_secs(20);
 
 pub struct Line {
@@ -34,11 +34,11 @@
 
     async fn attempt(
         &self,
-        place: EndpointAddress<SocketAddr>,
+        endpoint: EndpointAddress<SocketAddr>,
         call: &Line,
         gate: Gate<'_>,
     ) -> AttemptResult<String> {
-        let Ok(stream) = TcpStream::connect(place.address).await else {
+        let Ok(stream) = TcpStream::connect(endpoint.address).await else {
             return Outcome::ConnectFailed.into();
         };
         if !gate.open() {
@@ -68,11 +68,11 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// What a stand-in does with a request that it has read whole, after it has noted that it ran.
+/// What a stand-in does with a request that it has read whole, after it has recorded that it ran.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Act {
+pub enum Behaviour {
     Answer,
-    /// Turned away unseen: it does not run.
+    /// Rejected: it does not run.
     Busy,
     /// Runs, and the connection breaks before the answer.
     Break,
@@ -84,25 +84,30 @@
 pub struct StandIn {
     pub address: SocketAddr,
     pub ran: Rc<RefCell<Vec<String>>>,
-    pub heard: Rc<Cell<usize>>,
-    pub act: Rc<Cell<Act>>,
+    pub received: Rc<Cell<usize>>,
+    pub behaviour: Rc<Cell<Behaviour>>,
     changed: Rc<Notify>,
     release: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
 impl StandIn {
-    pub async fn new(act: Act) -> StandIn {
+    pub async fn new(behaviour: Behaviour) -> StandIn {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (ran, heard, changed) = <(Rc<RefCell<Vec<String>>>, Rc<Cell<usize>>, Rc<Notify>)>::default();
-        let (act, release) = (Rc::new(Cell::new(act)), watch::Sender::new(false));
-        let parts =
-            (Rc::clone(&ran), Rc::clone(&heard), Rc::clone(&changed), Rc::clone(&act), release.clone());
+        let (ran, received, changed) = <(Rc<RefCell<Vec<String>>>, Rc<Cell<usize>>, Rc<Notify>)>::default();
+        let (behaviour, release) = (Rc::new(Cell::new(behaviour)), watch::Sender::new(false));
+        let shared = (
+            Rc::clone(&ran),
+            Rc::clone(&received),
+            Rc::clone(&changed),
+            Rc::clone(&behaviour),
+            release.clone(),
+        );
         let task = spawn_local(async move {
             let mut open = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                let (ran, heard, changed, act, release) = parts.clone();
+                let (ran, received, changed, behaviour, release) = shared.clone();
                 open.spawn_local(async move {
                     let mut stream = BufReader::new(stream);
                     let mut line = String::new();
@@ -110,17 +115,17 @@
                         return;
                     }
                     let name = line.split(' ').next().unwrap_or_default().to_string();
-                    heard.set(heard.get() + 1);
-                    let act = act.get();
-                    if act != Act::Busy {
+                    received.set(received.get() + 1);
+                    let behaviour = behaviour.get();
+                    if behaviour != Behaviour::Busy {
                         ran.borrow_mut().push(name.clone());
                     }
                     changed.notify_waiters();
-                    let answer = match act {
-                        Act::Answer => format!("{name} ok\n"),
-                        Act::Busy => format!("{name} busy\n"),
-                        Act::Break => return,
-                        Act::Hold => {
+                    let answer = match behaviour {
+                        Behaviour::Answer => format!("{name} ok\n"),
+                        Behaviour::Busy => format!("{name} busy\n"),
+                        Behaviour::Break => return,
+                        Behaviour::Hold => {
                             let _ = release.subscribe().wait_for(|go| *go).await;
                             format!("{name} ok\n")
                         }
@@ -129,20 +134,20 @@
                 });
             }
         });
-        StandIn { address, ran, heard, act, changed, release, task }
+        StandIn { address, ran, received, behaviour, changed, release, task }
     }
 
     /// Waits until so many requests have been read.
-    pub async fn wait(&self, count: usize) {
-        let come = async {
-            while self.heard.get() < count {
+    pub async fn wait_for(&self, count: usize) {
+        let arrive = async {
+            while self.received.get() < count {
                 self.changed.notified().await;
             }
         };
-        timeout(BOUND, come).await.expect("it comes");
+        timeout(BOUND, arrive).await.expect("it comes");
     }
 
-    pub fn go_on(&self) {
+    pub fn release_held(&self) {
         self.release.send_replace(true);
     }
 
@@ -162,10 +167,10 @@
     runs
 }
 
-/// A front in so many words: takes a line, gives its final answer.
-pub async fn ask(pool: &Pool<Lines>, name: &str, class: usize) -> Result<FinalResponse<String>, Rejection> {
+/// A minimal frontend: submits a line and waits for its final response.
+pub async fn call(pool: &Pool<Lines>, name: &str, class: usize) -> Result<FinalResponse<String>, Rejection> {
     let call = Line { name: name.into(), class };
-    let exchange = NewRequest::new(call, ClassId(class), Duration::from_secs(5));
-    let owed = pool.submit(NewRequest { correlation_id: Some(name.as_bytes().into()), ..exchange })?;
-    Ok(timeout(BOUND, owed.wait(|deadline| deadline)).await.expect("an answer in time"))
+    let request = NewRequest::new(call, ClassId(class), Duration::from_secs(5));
+    let pending = pool.submit(NewRequest { correlation_id: Some(name.as_bytes().into()), ..request })?;
+    Ok(timeout(BOUND, pending.wait(|deadline| deadline)).await.expect("an answer in time"))
 }
