--- a/crates/engine/src/drainable_source.rs
+++ b/crates/engine/src/drainable_source.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Stands between the source and the pool and drains servers in the lists that pass.
+/// Sits between the source and the pool and drains servers in the lists that pass.
 struct DrainFilter<A> {
     observer: Rc<dyn EndpointObserver<A>>,
     drained: watch::Receiver<BTreeSet<String>>,
@@ -105,7 +105,7 @@
         listed.map(|endpoint| self.effective(endpoint)).collect()
     }
 
-    /// Remembers a list as the source has it, so that a later change of the drains can be told in its lines.
+    /// Remembers a list as the source has it, so that a later change of the drains can be published with its data.
     fn remember(&self, list: &EndpointList<A>) {
         let mut endpoints = self.endpoints.borrow_mut();
         if list.is_complete {
--- a/crates/engine/src/endpoint_source/sink.rs
+++ b/crates/engine/src/endpoint_source/sink.rs
@@ -40,7 +40,7 @@
         Rc::clone(&self.observer)
     }
 
-    /// The same sink with another observer, which stands before the one so far.
+    /// The same sink with another observer, which passes lists on to the one so far.
     pub(crate) fn with_observer(self, observer: Rc<dyn EndpointObserver<A>>) -> EndpointSink<A> {
         EndpointSink { observer, ..self }
     }
--- a/crates/engine/src/pool/attempts.rs
+++ b/crates/engine/src/pool/attempts.rs
@@ -98,7 +98,7 @@
         let (is_sent, server) = (Cell::new(false), endpoint.server);
         let may_send = || self.may_send(request_id, server, deadlines.begin_by);
         let gate = Gate::new(&is_sent, &may_send, deadlines.timeout_at);
-        // Pinned here, so that it is dropped only after its last word on what was sent has been read.
+        // Pinned here, so that it is dropped only after `is_sent` has been read.
         let attempt = pin!(self.0.upstream.attempt(endpoint, request, gate));
         let attempt = self.guarded(&is_sent, attempt);
         tokio::select! {
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -27,7 +27,7 @@
 use crate::start_times::StartTimes;
 use crate::upstream::Upstream;
 use heronhoist_decision::{
-    Action, Balancer, ClassId, Dialects, EndpointUpdate, Event, RequestId, Settings, SettingsError, Time,
+    Action, Balancer, ClassId, Dialects, EndpointUpdate, Event, RequestId, Settings, SettingsError,
 };
 use options::SettingsInForce;
 use requests::OpenRequest;
@@ -37,6 +37,7 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::rc::Rc;
 use std::time::Duration;
+use timers::ScheduledTimer;
 use tokio::sync::{watch, Notify};
 use tokio::time::sleep;
 
@@ -53,7 +54,7 @@
     correlation_ids: HashSet<Rc<[u8]>>,
     next_request: u64,
     /// The decision module's timers, the earliest first.
-    timers: BinaryHeap<Reverse<(Time, u64)>>,
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
     servers: Servers<U::Address>,
 }
 
--- a/crates/engine/src/pool/options.rs
+++ b/crates/engine/src/pool/options.rs
@@ -66,7 +66,7 @@
     pub(super) fn capacity_share(&self, age: Span) -> f64 {
         let initial = self.initial_capacity_share.min(1.0);
         let progress = age.as_ms() / self.warm_up_time.as_ms();
-        // Not turned round: without a warm-up time the progress of a server that has just started is no number.
+        // In this order, because without a warm-up time the progress of a server that has just started is not a number.
         if progress < 1.0 {
             initial + (1.0 - initial) * progress
         } else {
--- a/crates/engine/src/pool/pending_response.rs
+++ b/crates/engine/src/pool/pending_response.rs
@@ -19,7 +19,7 @@
     Rejected(Option<Span>),
     /// The request failed; it may have run or not.
     Failed,
-    /// The client's time is up and the decision module has said nothing; the request may have run or not.
+    /// The client's time is up and the decision module has not decided; the request may have run or not.
     DeadlineExceeded,
     /// The request did not arrive whole, so that no response is due.
     IncompleteRequest,
@@ -78,8 +78,8 @@
 
     /// Waits until the last of the body has arrived; returns a final response that comes before.
     ///
-    /// The body's end alone may never come, because nobody reads on in a body that no attempt sends. Two watchers stand
-    /// beside it, and neither covers the other's cases:
+    /// The body's end alone may never come, because nobody reads on in a body that no attempt sends. Two watchers are
+    /// needed beside it, because neither covers the other's cases:
     ///
     /// - `unread_too_long` is for a client that may have sent all of a short body already and waits, while no attempt has
     ///   read on. Its timeout runs since then, so it needs its response within that one timeout. It says nothing about a
--- a/crates/engine/src/pool/requests.rs
+++ b/crates/engine/src/pool/requests.rs
@@ -2,7 +2,7 @@
 
 use super::pending_response::{FinalResponse, PendingResponse};
 use super::rejection::{Rejection, RETRY_AFTER};
-use super::Pool;
+use super::{Pool, PoolState};
 use crate::clock::span;
 use crate::quota::Reservation;
 use crate::upstream::Upstream;
@@ -24,7 +24,7 @@
 pub struct NewRequest<R> {
     /// The request itself.
     pub request: R,
-    /// What servers tell the request by, where they do; no other open request may have the same.
+    /// Identifies the request to servers that tell requests apart by an id; no other open request may have the same.
     pub correlation_id: Option<Rc<[u8]>>,
     /// Its class.
     pub class: ClassId,
@@ -113,6 +113,17 @@
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
+impl<U: Upstream> PoolState<U> {
+    /// Adds a request under a number that no other one of this pool has had.
+    fn add_request(&mut self, open: OpenRequest<U>) -> RequestId {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        self.correlation_ids.extend(open.correlation_id.clone());
+        self.requests.insert(id, open);
+        id
+    }
+}
+
 impl<U: Upstream> Pool<U> {
     /// Accepts a request. From here on it gets one final response, unless the pending response is dropped first.
     ///
@@ -129,10 +140,7 @@
                 return Err(Rejection::CorrelationIdInUse);
             }
             let reservation = self.0.request_quota.try_reserve(1).ok_or(Rejection::PoolFull(RETRY_AFTER))?;
-            state.correlation_ids.extend(new.correlation_id.clone());
-            let id = RequestId(state.next_request);
-            state.next_request += 1;
-            let open = OpenRequest {
+            state.add_request(OpenRequest {
                 request: Rc::clone(&request),
                 class: new.class,
                 correlation_id: new.correlation_id,
@@ -142,9 +150,7 @@
                 attempts_started: 0,
                 max_attempts: self.0.settings.get().max_attempts,
                 in_flight: Vec::with_capacity(1),
-            };
-            state.requests.insert(id, open);
-            id
+            })
         };
         let (client_timeout, deadline) = (new.client_timeout, new.deadline);
         self.handle_event(Event::Request(Request {
--- a/crates/engine/src/pool/timers.rs
+++ b/crates/engine/src/pool/timers.rs
@@ -6,16 +6,23 @@
 use std::cmp::Reverse;
 use tokio::time::sleep_until;
 
+/// A timer that has been set. Timers are ordered by the time at which they are due, and those of one time by their ids.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ScheduledTimer {
+    at: Time,
+    id: u64,
+}
+
 impl<U: Upstream> Pool<U> {
     pub(super) fn set_timer(&self, at: Time, timer: TimerId) {
-        self.0.state.borrow_mut().timers.push(Reverse((at, timer.0)));
+        self.0.state.borrow_mut().timers.push(Reverse(ScheduledTimer { at, id: timer.0 }));
         self.0.timers_changed.notify_one();
     }
 
     /// Tells the decision module of each timer when it is due. Never returns.
     pub(super) async fn run_timers(&self) {
         loop {
-            let next = self.0.state.borrow().timers.peek().map(|Reverse((at, _))| *at);
+            let next = self.0.state.borrow().timers.peek().map(|Reverse(timer)| timer.at);
             match next {
                 None => self.0.timers_changed.notified().await,
                 Some(at) => tokio::select! {
@@ -32,10 +39,10 @@
 
     fn pop_due_timer(&self) -> Option<TimerId> {
         let mut state = self.0.state.borrow_mut();
-        let Reverse((at, _)) = *state.timers.peek()?;
-        if at > self.0.clock.now() {
+        let Reverse(next) = *state.timers.peek()?;
+        if next.at > self.0.clock.now() {
             return None;
         }
-        state.timers.pop().map(|Reverse((_, id))| TimerId(id))
+        state.timers.pop().map(|Reverse(timer)| TimerId(timer.id))
     }
 }
--- a/crates/engine/src/servers/server.rs
+++ b/crates/engine/src/servers/server.rs
@@ -76,7 +76,7 @@
             }
             EndpointState::Draining | EndpointState::Removed => {
                 self.is_serving = false;
-                // What is read after the event loop stood still may have come right after its last turn.
+                // What is read after a stall of the event loop may have come right after its last turn.
                 let since = || stalled_since().unwrap_or_else(Instant::now);
                 self.unavailable_since.get_or_insert_with(since);
             }
