--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -60,7 +60,7 @@
     /// The connection of the client that waits for the answer; probes have none.
     pub client: Option<View>,
     /// The memory that the body holds.
-    pub _portion: Option<Reservation>,
+    pub _reservation: Option<Reservation>,
 }
 
 /// A request as servers of the old dialect get it.
@@ -367,7 +367,7 @@
         let framing = body_length(head.status, &head.headers).ok_or(Spoilt::Answer)?;
         let length = framing.bytes();
         let held_most = length.unwrap_or(HELD_MOST as u64).min(HELD_MOST as u64) as usize;
-        let portion = self.bodies.try_reserve(held_most).ok_or(Spoilt::Answer)?;
+        let reservation = self.bodies.try_reserve(held_most).ok_or(Spoilt::Answer)?;
         let is_long = length.is_some_and(|length| length > HELD_MOST as u64);
         let (mut begun, mut held) = (VecDeque::new(), 0);
         let (mut ended, mut since) = (false, None);
@@ -416,10 +416,10 @@
         }
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
         let body = if ended {
-            Content::Held(joined(begun, held), portion)
+            Content::Held(joined(begun, held), reservation)
         } else {
             view.lift_allowance();
-            Content::Coming(Box::new(Download::new(begun, body, framing, portion)))
+            Content::Coming(Box::new(Download::new(begun, body, framing, reservation)))
         };
         Ok(AttemptResult {
             outcome,
@@ -443,8 +443,17 @@
             let (method, uri, headers, body) = (method.clone(), uri.clone(), HeaderMap::new(), Bytes::new());
             Box::new(Said { method, uri, headers, body, by: None })
         });
-        let call =
-            Call { method, uri, headers, body, old, budget, counters: None, client: None, _portion: None };
+        let call = Call {
+            method,
+            uri,
+            headers,
+            body,
+            old,
+            budget,
+            counters: None,
+            client: None,
+            _reservation: None,
+        };
         let until = Instant::now() + PROBE_WAIT;
         // Nothing but its time can stop a probe.
         let sent = Cell::new(false);
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -26,7 +26,7 @@
         budget: Duration::from_secs(60),
         counters: None,
         client: None,
-        _portion: None,
+        _reservation: None,
     }
 }
 
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -219,8 +219,8 @@
         }
         // What is closed for this one gives its descriptor back in a moment.
         let made_room = || self.close_one() || self.siblings.close_borrowed();
-        let portion = match self.open.try_reserve(1) {
-            Some(portion) => portion,
+        let reservation = match self.open.try_reserve(1) {
+            Some(reservation) => reservation,
             None if made_room() => self.open.overdraw(1),
             None => return Err(Outcome::NotSent),
         };
@@ -234,7 +234,7 @@
             elapsed_us = begun.elapsed().as_micros() as u64,
             "connection opened"
         );
-        let (wire, view) = Wire::new(connected?, portion);
+        let (wire, view) = Wire::new(connected?, reservation);
         let mut builder = Builder::new();
         builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
         let Ok((sender, connection)) = builder.handshake(wire).await else {
--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -34,15 +34,15 @@
 
 /// The request of a new client for old servers too, where it can be said to them without loss and with the same key. Where it
 /// can't, it goes to new ones only.
-pub fn also_old(mappings: &Mappings, exchange: &mut NewRequest<Call>, serving: Dialects) {
+pub fn also_old(mappings: &Mappings, new_request: &mut NewRequest<Call>, serving: Dialects) {
     if mappings.all().is_empty() {
         return;
     }
-    exchange.dialects = Dialects::only(NEW);
+    new_request.dialects = Dialects::only(NEW);
     if !serving.contains(OLD) {
         return;
     }
-    let call = &exchange.request;
+    let call = &new_request.request;
     let said = mappings.of_new(call.method.as_str(), call.uri.path()).find_map(|mapping| {
         let Payload::Held(body) = &call.body else { return None };
         let is_query = call.method == Method::GET;
@@ -52,8 +52,8 @@
         said(mapping, &call.headers, plan.other?)
     });
     if let Some(said) = said {
-        exchange.request.old = Some(Box::new(said));
-        exchange.dialects = exchange.dialects.with(OLD);
+        new_request.request.old = Some(Box::new(said));
+        new_request.dialects = new_request.dialects.with(OLD);
     }
 }
 
@@ -91,9 +91,9 @@
     from: Side,
     served: Served,
 ) -> Result<(Bytes, Reservation, Vec<Notice>), String> {
-    let Content::Held(bytes, portion) = served.body else {
+    let Content::Held(bytes, reservation) = served.body else {
         return Err(format!("it is longer than {HELD_MOST} bytes"));
     };
     let (body, notices) = mixed::answer(mapping, from, &bytes)?;
-    Ok((body.into(), portion, notices))
+    Ok((body.into(), reservation, notices))
 }
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -217,22 +217,22 @@
 }
 
 impl EndpointSource<SocketAddr> for Discovery {
-    fn run(self: Box<Self>, feed: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(self.follow(Tcp, feed))
+    fn run(self: Box<Self>, sink: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+        Box::pin(self.follow(Tcp, sink))
     }
 }
 
 impl Discovery {
     /// Follows the source, over connections that are made so.
-    async fn follow(self, connector: impl Connector + 'static, feed: EndpointSink<SocketAddr>) {
+    async fn follow(self, connector: impl Connector + 'static, sink: EndpointSink<SocketAddr>) {
         let Discovery { mut source, pushed, old_kinds } = self;
         let connector = Rc::new(connector);
         if pushed {
-            feed.subscribe();
+            sink.subscribe();
         }
         loop {
             let address = *source.borrow_and_update();
-            let client = Client { connector: &connector, feed: &feed, address, old_kinds: &old_kinds };
+            let client = Client { connector: &connector, sink: &sink, address, old_kinds: &old_kinds };
             tokio::select! {
                 () = client.watch(pushed) => return,
                 () = client.fetch() => return,
@@ -240,7 +240,7 @@
                 // list.
                 moved = source.changed() => if moved.is_err() { return },
             }
-            feed.reset_source();
+            sink.reset_source();
         }
     }
 }
@@ -248,7 +248,7 @@
 /// Calls one source.
 struct Client<'a, C> {
     connector: &'a Rc<C>,
-    feed: &'a EndpointSink<SocketAddr>,
+    sink: &'a EndpointSink<SocketAddr>,
     address: SocketAddr,
     old_kinds: &'a [String],
 }
@@ -261,7 +261,7 @@
         {
             member.dialect = OLD;
         }
-        self.feed.publish(list)
+        self.sink.publish(list)
     }
 
     /// A new source owes nothing to the version of the old one: it is asked for the whole list first, whatever the module is
@@ -291,30 +291,30 @@
     /// Watches as long as the module follows the list. Where lists are pushed the watch is the push: it runs at
     /// all times, and a failure is no news to the module, which has asked for nothing.
     async fn watch(&self, pushed: bool) {
-        let mut connection = match self.feed.version() {
+        let mut connection = match self.sink.version() {
             Some(_) => None,
             None => self.begin().await,
         };
         loop {
-            self.feed.wait_for_subscription(true).await;
-            let version = self.feed.version();
+            self.sink.wait_for_subscription(true).await;
+            let version = self.sink.version();
             let path =
                 format!("{LIST_PATH}?from={}&hold_ms={}", version.unwrap_or_default(), HOLD.as_millis());
             let asked = Instant::now();
             let answer = tokio::select! {
                 answer = call(&**self.connector, self.address, &mut connection, &path, HOLD + HEAD_WAIT) => answer,
-                () = self.feed.wait_for_subscription(false) => continue,
+                () = self.sink.wait_for_subscription(false) => continue,
             };
             match answer {
                 Some(list) => {
-                    let empty = Some(list.rev) == self.feed.version() && asked.elapsed() < EMPTY_PAUSE;
+                    let empty = Some(list.rev) == self.sink.version() && asked.elapsed() < EMPTY_PAUSE;
                     let taken = self.tell(list);
                     if empty || !taken {
                         sleep(EMPTY_PAUSE).await;
                     }
                 }
                 None if pushed => sleep(AGAIN_PAUSE).await,
-                None => self.feed.report_subscription_lost(),
+                None => self.sink.report_subscription_lost(),
             }
         }
     }
@@ -322,13 +322,13 @@
     /// Fetches the whole list whenever the module asks for it.
     async fn fetch(&self) {
         loop {
-            self.feed.fetch_requested().await;
+            self.sink.fetch_requested().await;
             match call(&**self.connector, self.address, &mut None, LIST_PATH, HOLD + HEAD_WAIT).await {
                 // Left out if the watch has brought something newer meanwhile.
                 Some(list) => {
                     self.tell(list);
                 }
-                None => self.feed.report_failure(),
+                None => self.sink.report_failure(),
             }
         }
     }
--- a/crates/agent/src/discovery/tests/local_errors.rs
+++ b/crates/agent/src/discovery/tests/local_errors.rs
@@ -39,8 +39,8 @@
 struct Over(Discovery, Failing);
 
 impl EndpointSource<SocketAddr> for Over {
-    fn run(self: Box<Self>, feed: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(self.0.follow(self.1, feed))
+    fn run(self: Box<Self>, sink: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+        Box::pin(self.0.follow(self.1, sink))
     }
 }
 
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -58,15 +58,15 @@
     origin: Option<Origin>,
     waiting: bool,
     limit: DeadlineTimer,
-    _portion: Reservation,
+    _reservation: Reservation,
 }
 
 impl Download {
     /// Of this answer so much has come.
-    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, portion: Reservation) -> Self {
+    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, reservation: Reservation) -> Self {
         let limit = DeadlineTimer::new(Instant::now());
         let (given, origin, waiting) = (0, None, false);
-        Download { begun, rest, length, given, origin, waiting, limit, _portion: portion }
+        Download { begun, rest, length, given, origin, waiting, limit, _reservation: reservation }
     }
 
     /// Keeps the connection as long as the answer comes on it.
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -137,7 +137,7 @@
         let Checked { class, call_id, budget, head, body } = checked;
         let stated = body.size_hint().exact();
         let held_most = stated.map_or(HELD_MOST, |bytes| HELD_MOST.min(bytes as usize));
-        let Some(portion) = bodies.try_reserve(held_most) else {
+        let Some(reservation) = bodies.try_reserve(held_most) else {
             discard(body);
             return Err((StatusCode::SERVICE_UNAVAILABLE, "no memory for the body now"));
         };
@@ -191,7 +191,7 @@
             budget,
             counters: Some(Rc::clone(&class.counters)),
             client: Some(seat.view().clone()),
-            _portion: Some(portion),
+            _reservation: Some(reservation),
         };
         let (name, class, dialects) = (Some(call_id.as_bytes().into()), class.id, Dialects::ALL);
         Ok(NewRequest {
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -45,7 +45,7 @@
 /// A request in the servers' dialect.
 pub struct Translated {
     /// The request.
-    pub exchange: NewRequest<Call>,
+    pub new_request: NewRequest<Call>,
     /// Its class, which a missing key may have changed.
     pub class: Rc<Class>,
     /// What was lost.
@@ -135,7 +135,7 @@
         return Err(too_large());
     }
     let no_room = || Trouble::Refused(lane.body_advice().map(Into::into));
-    let Some(portion) = lane.bodies.try_reserve(stated.map_or(HELD_MOST, |bytes| bytes as usize)) else {
+    let Some(reservation) = lane.bodies.try_reserve(stated.map_or(HELD_MOST, |bytes| bytes as usize)) else {
         discard(body);
         return Err(no_room());
     };
@@ -161,7 +161,7 @@
         mixed::from_old(&mapping, &message, dialect::sides(lane.pool.serving_dialects())).map_err(wrong)?;
     // Without one for new servers it goes to old ones only, as it is.
     let out = other.unwrap_or_default();
-    drop(portion);
+    drop(reservation);
 
     let class = match mapping.class_without_key() {
         Some(other) if key.is_none() => catalogue.class(other).unwrap_or(class),
@@ -174,15 +174,15 @@
     let key = key.filter(|_| is_keyed);
     let old = sides.old.then(|| as_it_came(&head, bytes));
     let held = out.len() + old.as_ref().map_or(0, |old| old.body.len());
-    let portion = lane.bodies.try_reserve(held).ok_or_else(no_room)?;
+    let reservation = lane.bodies.try_reserve(held).ok_or_else(no_room)?;
     let name = format!("{:032x}", fastrand::u128(..));
-    let exchange = exchange(&mapping, &class, &head.headers, &name, key, out);
-    let mut exchange = exchange.ok_or_else(|| wrong("its path or a header can't be written"))?;
-    exchange.request._portion = Some(portion);
-    exchange.request.client = Some(seat.view().clone());
-    exchange.request.old = old.map(Box::new);
-    exchange.dialects = dialect::dialects(sides);
-    Ok(Translated { exchange, class, notices })
+    let new_request = new_request(&mapping, &class, &head.headers, &name, key, out);
+    let mut new_request = new_request.ok_or_else(|| wrong("its path or a header can't be written"))?;
+    new_request.request._reservation = Some(reservation);
+    new_request.request.client = Some(seat.view().clone());
+    new_request.request.old = old.map(Box::new);
+    new_request.dialects = dialect::dialects(sides);
+    Ok(Translated { new_request, class, notices })
 }
 
 /// An old request for old servers: nothing of it is changed.
@@ -198,7 +198,7 @@
 }
 
 /// The request as the servers' protocol has it.
-fn exchange(
+fn new_request(
     mapping: &Mapping,
     class: &Rc<Class>,
     old: &HeaderMap,
@@ -222,7 +222,7 @@
         budget,
         counters: Some(Rc::clone(&class.counters)),
         client: None,
-        _portion: None,
+        _reservation: None,
     };
     Some(NewRequest {
         correlation_id: Some(name.as_bytes().into()),
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -367,10 +367,10 @@
     ) -> Result<Response<Reply>, Fault> {
         let class = Rc::clone(&checked.class);
         let times = lane.times(&self.metrics, &class.name);
-        let mut exchange = serving.catalogue.read(seat, &lane.bodies, checked).await?;
-        dialect::also_old(&serving.mappings, &mut exchange, lane.pool.serving_dialects());
-        let upload = exchange.request.body.upload().map(Rc::clone);
-        let answer = self.pass_on(seat, lane, (&class.name, &times), exchange).await;
+        let mut new_request = serving.catalogue.read(seat, &lane.bodies, checked).await?;
+        dialect::also_old(&serving.mappings, &mut new_request, lane.pool.serving_dialects());
+        let upload = new_request.request.body.upload().map(Rc::clone);
+        let answer = self.pass_on(seat, lane, (&class.name, &times), new_request).await;
         if let Some(rest) = upload.and_then(|upload| upload.give_up()) {
             seat.discard(true);
             let seat = Rc::clone(seat);
@@ -413,9 +413,9 @@
                 return closing(answer);
             }
         };
-        let Translated { exchange, class, mut notices } = translated;
+        let Translated { new_request, class, mut notices } = translated;
         let times = lane.times(&self.metrics, &class.name);
-        let carried = self.carry(seat, &lane, (&class.name, &times), exchange).await;
+        let carried = self.carry(seat, &lane, (&class.name, &times), new_request).await;
         let answer = match carried {
             Err(declined) => Err(Trouble::Refused(lane.advice(declined).map(Into::into))),
             // An old server's answer is the client's own.
@@ -455,8 +455,9 @@
     ) -> Result<(Response<Reply>, Vec<Notice>), String> {
         let done = dialect::answer(mapping, from, served);
         let done = done.inspect_err(|_| self.metrics.untranslated(&mapping.name));
-        let (body, portion, notices) = done.map_err(|why| format!("Its answer has no counterpart: {why}"))?;
-        let mut answer = Response::new(Reply::Held(Full::new(body), Some(portion)));
+        let (body, reservation, notices) =
+            done.map_err(|why| format!("Its answer has no counterpart: {why}"))?;
+        let mut answer = Response::new(Reply::Held(Full::new(body), Some(reservation)));
         let to = mapping.dialect(from.other());
         let kind = HeaderValue::try_from(to.answers.content_type(to.charset));
         answer.headers_mut().extend(kind.ok().map(|kind| (CONTENT_TYPE, kind)));
@@ -476,7 +477,7 @@
         seat: &Rc<Seat>,
         lane: &Lane,
         (class, times): (&str, &Times),
-        exchange: NewRequest<Call>,
+        new_request: NewRequest<Call>,
     ) -> Result<(FinalResponse<Served>, Option<Ticket>), Rejection> {
         let mut in_flight = None;
         let since = Cell::new(None);
@@ -495,11 +496,11 @@
             FinalResponse::DeadlineExceeded
         };
         // Dropped by hyper with this future when the client closes its connection.
-        let owed = lane.pool.submit(exchange)?;
-        let id = owed.id();
+        let pending = lane.pool.submit(new_request)?;
+        let id = pending.id();
         let answer = tokio::select! {
             biased;
-            answer = owed.wait(whole) => answer,
+            answer = pending.wait(whole) => answer,
             answer = finished => answer,
         };
         if let Some(since) = since.get() {
@@ -530,12 +531,12 @@
         seat: &Rc<Seat>,
         lane: &Lane,
         of: (&str, &Times),
-        exchange: NewRequest<Call>,
+        new_request: NewRequest<Call>,
     ) -> Result<Response<Reply>, Fault> {
-        let upload = exchange.request.body.upload().map(Rc::clone);
+        let upload = new_request.request.body.upload().map(Rc::clone);
         // Only what could go to an old server can come back from one.
-        let mapping = exchange.request.old.as_ref().and_then(|old| old.by.clone());
-        let (answer, in_flight) = match self.carry(seat, lane, of, exchange).await {
+        let mapping = new_request.request.old.as_ref().and_then(|old| old.by.clone());
+        let (answer, in_flight) = match self.carry(seat, lane, of, new_request).await {
             Ok(carried) => carried,
             Err(Rejection::CorrelationIdInUse) => return Err((StatusCode::CONFLICT, "X-Call-Id is in use")),
             Err(declined) => return Ok(refused(lane.advice(declined))),
@@ -576,7 +577,7 @@
 /// A server's answer as it came.
 fn reply(seat: &Rc<Seat>, served: Served, in_flight: Option<Ticket>) -> Response<Reply> {
     let body = match served.body {
-        Content::Held(bytes, portion) => Reply::Held(Full::new(bytes), Some(portion)),
+        Content::Held(bytes, reservation) => Reply::Held(Full::new(bytes), Some(reservation)),
         Content::Coming(download) => {
             let (seat, counters) = (Rc::clone(seat), None);
             seat.pass_on();
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -294,7 +294,7 @@
 }
 
 impl EndpointSource<usize> for Told {
-    fn run(mut self: Box<Self>, feed: EndpointSink<usize>) -> Pin<Box<dyn Future<Output = ()>>> {
+    fn run(mut self: Box<Self>, sink: EndpointSink<usize>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
             let mut owed = true;
             loop {
@@ -302,7 +302,7 @@
                     tokio::select! {
                         biased;
                         _ = self.world.changed.wait_for(|n| n != self.seen) => {}
-                        () = feed.fetch_requested() => owed = true,
+                        () = sink.fetch_requested() => owed = true,
                     }
                 }
                 self.seen = self.world.changed.get();
@@ -312,31 +312,31 @@
                 };
                 if down {
                     if std::mem::take(&mut owed) {
-                        feed.report_failure();
+                        sink.report_failure();
                     }
                     continue;
                 }
-                if !owed && feed.version() == Some(newest) {
+                if !owed && sink.version() == Some(newest) {
                     continue;
                 }
                 sleep(self.world.lateness()).await;
-                let whole = feed.version().is_none() || owed;
+                let whole = sink.version().is_none() || owed;
                 let now = self.world.now();
                 let (version, lines, written) = {
                     let mut registry = self.world.registry.borrow_mut();
-                    let lines = registry.since(if whole { None } else { feed.version() });
+                    let lines = registry.since(if whole { None } else { sink.version() });
                     let written = registry.answer(now, lines.len());
                     (registry.version(), lines, written)
                 };
                 let Some(written) = written else {
-                    feed.report_failure();
+                    sink.report_failure();
                     sleep(ASK_AGAIN.mul_f64(0.5 + self.world.draw())).await;
                     continue;
                 };
                 sleep_until(self.world.at(written)).await;
                 owed = false;
                 self.world.told(self.agent, version);
-                feed.publish(EndpointList {
+                sink.publish(EndpointList {
                     version,
                     is_complete: whole,
                     endpoints: lines.iter().map(member).collect(),
@@ -487,7 +487,7 @@
             [(new, DialectId(0)), (old, OLD)].into_iter().fold(Dialects::NONE, with)
         });
         let side = said.as_ref().map(|asked| asked.side);
-        let exchange = NewRequest {
+        let request = NewRequest {
             correlation_id: None,
             dialects,
             tenant: (!self.world.scenario.tenants.is_empty()).then_some(TenantId(ask.tenant)),
@@ -496,16 +496,16 @@
             is_retry: ask.again,
             ..NewRequest::new(Held { ask, said }, ClassId(ask.class), ask.budget)
         };
-        let owed = match life.pool.submit(exchange) {
+        let pending = match life.pool.submit(request) {
             Err(declined) => {
                 return Reply::Answer(Answer::Refused(declined.retry_after().map(|wait| wait.0)));
             }
-            Ok(owed) => owed,
+            Ok(pending) => pending,
         };
         tokio::select! {
             biased;
             _ = life.dead.wait_for(|dead| dead) => Reply::Broken,
-            answer = owed.wait(|deadline| deadline) => Reply::Answer(match answer {
+            answer = pending.wait(|deadline| deadline) => Reply::Answer(match answer {
                 FinalResponse::Success(answered) => self.pass_on(&ask, side, answered),
                 FinalResponse::Rejected(wait) => Answer::Refused(wait.map(|wait| wait.0)),
                 FinalResponse::Failed | FinalResponse::DeadlineExceeded | FinalResponse::IncompleteRequest => Answer::Failed,
