--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -34,7 +34,7 @@
 
 use config::Config;
 use fleet::member::{Drains, Member};
-use handover::Sharers;
+use handover::{ProcessPeers, Takeover};
 use heronhoist_engine::timing::{sleep_until_settled, timeout};
 use lanes::Lanes;
 use metrics::Metrics;
@@ -107,13 +107,14 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot wait for SIGTERM: {e}"))?;
     let metrics = Rc::new(Metrics::default());
     let mut classes = Classes::new(Rc::clone(&metrics));
-    let sharers = Rc::new(Sharers::default());
+    let peers = Rc::new(ProcessPeers::default());
     let fronts = config.fronts.clone();
-    let places: Vec<_> = fronts.iter().filter_map(|front| handover::meeting_place(front.listen)).collect();
-    let mut inherited = None;
-    for place in &places {
-        if inherited.is_none() {
-            inherited = handover::take_over(place, &sharers).await;
+    let socket_paths: Vec<_> =
+        fronts.iter().filter_map(|front| handover::socket_path(front.listen)).collect();
+    let mut takeover = None;
+    for path in &socket_paths {
+        if takeover.is_none() {
+            takeover = handover::take_over(path, &peers).await;
         }
     }
     // Only a file with [fleet] makes a member; without one nothing of it is there.
@@ -128,7 +129,7 @@
     if let Some((_, drained)) = &drained {
         lanes.follow_drains(drained.clone());
     }
-    let known = config.known.take().map(|list| (list, inherited.is_none()));
+    let known = config.known.take().map(|list| (list, takeover.is_none()));
     let serving = serve(&config.plan, &mut classes, &lanes, known);
     let server = Server::new(serving, Rc::clone(&lanes), Rc::clone(&metrics), budget.clients);
     spawn_local(Rc::clone(&server).sweep());
@@ -147,30 +148,30 @@
         spawn_local(ops::run(listener, Rc::new(page)));
         tracing::info!("operators may call at {place}");
     }
-    let (mut passed, predecessor) = match inherited {
-        Some((passed, predecessor)) => (passed, Some(predecessor)),
+    let (mut inherited, predecessor) = match takeover {
+        Some(Takeover { listeners, predecessor }) => (listeners, Some(predecessor)),
         None => (Vec::new(), None),
     };
     let mut listeners = Vec::new();
     for front in &fronts {
         // What the process before this one does not listen on is a front that has been added.
-        let listener = match handover::pick(&mut passed, front.listen) {
+        let listener = match handover::take_listener(&mut inherited, front.listen) {
             Some(listener) => TcpListener::from_std(listener),
             None => bind(front.listen),
         };
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", front.listen))?;
         listeners.push(Rc::new(listener));
     }
-    drop(passed);
+    drop(inherited);
     let allot = {
         let (limits, server, lanes) = (config.limits(), Rc::clone(&server), Rc::clone(&lanes));
-        move |sharers| {
-            let budget = limits.of(sharers);
+        move |processes| {
+            let budget = limits.of(processes);
             server.limit(budget.clients);
             lanes.limit(budget.room);
         }
     };
-    sharers.on_change(allot);
+    peers.on_change(allot);
     let served = lanes.all();
     let reload = Reload { config, classes, metrics, server: Rc::clone(&server), lanes };
     spawn_local(reload.run(hangup));
@@ -183,10 +184,11 @@
         let _ = timeout(LIST_WAIT, heard).await;
     }
     // From here on a successor finds the way to this process.
-    let offers: Vec<_> = places
+    let successor_tasks: Vec<_> = socket_paths
         .iter()
-        .filter_map(|place| handover::meet(place))
-        .map(|meeting| spawn_local(handover::offer(meeting, listeners.clone(), Rc::clone(&sharers))))
+        .filter_map(|path| handover::listen_for_successors(path))
+        .map(|socket| handover::serve_successors(socket, listeners.clone(), Rc::clone(&peers)))
+        .map(spawn_local)
         .collect();
     let mut accepting = Vec::new();
     for (front, listener) in fronts.iter().zip(listeners) {
@@ -206,7 +208,7 @@
         accepting.push((closing, spawn_local(accept)));
     }
     if let Some(predecessor) = predecessor {
-        spawn_local(predecessor.relieve());
+        spawn_local(predecessor.complete_takeover());
     }
     term.recv().await;
 
@@ -215,8 +217,8 @@
     let longest = server.longest_deadline();
     let answer_by = stop + longest.min(KILL_AFTER) + KILL_SLACK - KILL_RESERVE;
     server.begin_stop(answer_by);
-    end(offers).await;
-    if sharers.has_successor() {
+    end(successor_tasks).await;
+    if peers.has_ready_successor() {
         // New connections are the successor's from now on; those that are open may still be used for a while.
         end(accepting.into_iter().map(|(_, task)| task).collect()).await;
         sleep_until_settled(stop + ACCEPT_ON).await;
