--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::HttpTerms;
 use crate::dialect::{NEW, OLD};
-use crate::discovery::ListReply;
+use crate::discovery::EndpointListReply;
 use crate::lanes::Room;
 use crate::log;
 use crate::plan::{Members, Plan, PoolPlan};
@@ -52,7 +52,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Option<ListReply>,
+    known: Option<EndpointListReply>,
     settings: SettingsFile,
 }
 
--- /dev/null
+++ b/crates/agent/src/discovery/reply.rs
@@ -0,0 +1,124 @@
+//! The wire form of discovery's replies, which is also the form of the list in the platform's file.
+//!
+//! Fields keep discovery's keys through serde `rename`.
+
+use crate::dialect::NEW;
+use heronhoist_decision::Time;
+use heronhoist_engine::{List, Member, State};
+use serde::de::IgnoredAny;
+use serde::{Deserialize, Deserializer};
+use std::net::SocketAddr;
+
+/// The complete list of endpoints, or what has changed of it.
+#[derive(Debug, Clone, Deserialize)]
+// Users see this in the message on a malformed list in the platform's file, where it stays as it was.
+#[serde(expecting = "struct ListReply")]
+pub struct EndpointListReply {
+    /// The version of the list; it grows with each change.
+    #[serde(rename = "rev")]
+    pub version: i64,
+    /// Whether this is the complete list: an endpoint that it omits has been removed.
+    #[serde(rename = "all", default)]
+    pub is_complete: bool,
+    /// The endpoints that can be parsed.
+    #[serde(rename = "targets", deserialize_with = "parsable_endpoints")]
+    pub endpoints: Vec<ReplyEndpoint>,
+}
+
+/// Reads an array of endpoints and leaves out those that cannot be parsed: one malformed element must not hide all others.
+fn parsable_endpoints<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<ReplyEndpoint>, D::Error> {
+    #[derive(Deserialize)]
+    #[serde(untagged)]
+    enum Element {
+        Parsed(ReplyEndpoint),
+        Malformed(IgnoredAny),
+    }
+    let elements = Vec::<Element>::deserialize(input)?;
+    let endpoints = elements.into_iter().filter_map(|element| match element {
+        Element::Parsed(endpoint) => Some(endpoint),
+        Element::Malformed(_) => None,
+    });
+    Ok(endpoints.collect())
+}
+
+/// One endpoint of the list.
+#[derive(Debug, Clone, Deserialize)]
+pub struct ReplyEndpoint {
+    /// The server's name, the same for all agents.
+    #[serde(rename = "uid")]
+    pub name: String,
+    /// Where this agent reaches it.
+    #[serde(rename = "endpoint")]
+    pub address: SocketAddr,
+    /// The name of its zone.
+    #[serde(rename = "az", default)]
+    pub zone: String,
+    /// The name of its machine type.
+    #[serde(rename = "model", default)]
+    pub machine_type: String,
+    /// The group of servers that deduplicate each other's retries.
+    #[serde(rename = "pod_group", default)]
+    pub deduplication_group: u32,
+    /// Whether it takes requests.
+    pub state: EndpointState,
+    /// Its capacity relative to the others.
+    #[serde(rename = "capacity_hint", default)]
+    pub weight: Option<f64>,
+    /// When it last started, in Unix milliseconds; 0 if that is long ago.
+    #[serde(rename = "boot_ms", default)]
+    pub started_at_ms: f64,
+}
+
+/// The states of an endpoint.
+///
+/// | state | on the wire | meaning |
+/// | --- | --- | --- |
+/// | `Serving` | `SERVING` | takes requests |
+/// | `Draining` | `DRAINING` | finishes its requests and takes no new ones |
+/// | `Removed` | `DELETED` | exists no more |
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+pub enum EndpointState {
+    /// Takes requests.
+    #[serde(rename = "SERVING")]
+    Serving,
+    /// Finishes its requests and takes no new ones.
+    #[serde(rename = "DRAINING")]
+    Draining,
+    /// Exists no more.
+    #[serde(rename = "DELETED")]
+    Removed,
+}
+
+impl From<EndpointListReply> for List<SocketAddr> {
+    fn from(reply: EndpointListReply) -> Self {
+        let members = reply.endpoints.into_iter().map(Member::from).collect();
+        List { version: reply.version, whole: reply.is_complete, members }
+    }
+}
+
+impl From<ReplyEndpoint> for Member<SocketAddr> {
+    fn from(endpoint: ReplyEndpoint) -> Self {
+        let has_start_time = endpoint.started_at_ms > 0.0;
+        Member {
+            name: endpoint.name,
+            address: endpoint.address,
+            zone: endpoint.zone,
+            kind: endpoint.machine_type,
+            cell: endpoint.deduplication_group,
+            dialect: NEW,
+            state: endpoint.state.into(),
+            weight: endpoint.weight,
+            started: has_start_time.then(|| Time::from_ms(endpoint.started_at_ms)),
+        }
+    }
+}
+
+impl From<EndpointState> for State {
+    fn from(state: EndpointState) -> Self {
+        match state {
+            EndpointState::Serving => State::Serving,
+            EndpointState::Draining => State::Draining,
+            EndpointState::Removed => State::Gone,
+        }
+    }
+}
--- a/crates/agent/src/discovery/tests/local_errors.rs
+++ b/crates/agent/src/discovery/tests/local_errors.rs
@@ -1,13 +1,23 @@
-//! Calls that this machine can't begin.
+//! Connections that this machine cannot begin.
 
-use super::*;
+use super::super::watch::RETRY_INTERVAL;
+use super::super::Discovery;
+use super::scripted::{run_with, KnownList, Step, BOTH_MODES};
+use crate::connect::Connector;
+use heronhoist_engine::{Feed, Membership};
 use rustix::io::Errno;
 use std::cell::RefCell;
+use std::future::Future;
 use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpStream;
+use tokio::time::Instant;
 
-/// What no discovery can have caused.
-const LOCAL: [Errno; 7] = [
+/// Errors that no discovery can have caused.
+const LOCAL_ERRORS: [Errno; 7] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -17,51 +27,53 @@
     Errno::NETUNREACH,
 ];
 
-type Calls = Rc<RefCell<Vec<Instant>>>;
+type Attempts = Rc<RefCell<Vec<Instant>>>;
 
-/// Fails so often with an error, and then makes real connections; tells when it was called.
-struct Failing {
+/// Fails a number of times with an error, and then makes real connections; records when it was called.
+struct FailingConnector {
     errno: Errno,
-    times: usize,
-    calls: Calls,
+    failures: usize,
+    attempts: Attempts,
 }
 
-impl Connector for Failing {
+impl Connector for FailingConnector {
     async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
-        self.calls.borrow_mut().push(Instant::now());
-        if self.calls.borrow().len() <= self.times {
+        self.attempts.borrow_mut().push(Instant::now());
+        if self.attempts.borrow().len() <= self.failures {
             return Err(io::Error::from_raw_os_error(self.errno.raw_os_error()));
         }
         TcpStream::connect(address).await
     }
 }
 
-struct Over(Discovery, Failing);
+/// Discovery over the connections of such a connector.
+struct FailingDiscovery(Discovery, FailingConnector);
 
-impl EndpointSource<SocketAddr> for Over {
-    fn run(self: Box<Self>, sink: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(self.0.follow(self.1, sink))
+impl Membership<SocketAddr> for FailingDiscovery {
+    fn run(self: Box<Self>, feed: Feed<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+        Box::pin(self.0.run_with(self.1, feed))
     }
 }
 
-/// However long this machine had no descriptor, port or route, discovery is called right after; it has not been down, and nothing
-/// waits for longer and longer as for one that is.
+/// However long this machine has had no descriptor, port or route, discovery is called right after: it has not been down, and
+/// nothing backs off as from a discovery that is.
 #[test]
-fn what_this_machine_could_not_begin_is_tried_again_soon() {
-    for (way, errno) in [Way::Pushed, Way::OnRequest].iter().flat_map(|way| LOCAL.map(|errno| (*way, errno)))
-    {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-        let calls = Calls::default();
-        let connector = Failing { errno, times: 40, calls: Rc::clone(&calls) };
-        let over = |discovery| Box::new(Over(discovery, connector)) as Box<dyn EndpointSource<SocketAddr>>;
-        let (_, asked) =
-            LocalSet::new().block_on(&runtime.unwrap(), drained_over(way, &[Act::List], false, over));
-        assert!(!asked.is_empty());
-        let calls = calls.borrow();
-        assert!(calls.len() > 40, "{errno:?}: {}", calls.len());
-        for pair in calls[..=40].windows(2) {
-            let apart = pair[1] - pair[0];
-            assert!(apart <= AGAIN_PAUSE + Duration::from_millis(2), "{way:?}, {errno:?}: {apart:?}");
+fn a_connection_that_this_machine_cannot_begin_is_retried_soon() {
+    for (mode, errno) in BOTH_MODES.iter().flat_map(|mode| LOCAL_ERRORS.map(|errno| (*mode, errno))) {
+        let attempts = Attempts::default();
+        let connector = FailingConnector { errno, failures: 40, attempts: Rc::clone(&attempts) };
+        let run = run_with(mode, &[Step::List], KnownList::SameSource, |discovery| {
+            Box::new(FailingDiscovery(discovery, connector))
+        });
+        assert!(!run.calls.is_empty());
+        let attempts = attempts.borrow();
+        assert!(attempts.len() > 40, "{errno:?}: {}", attempts.len());
+        for pair in attempts[..=40].windows(2) {
+            let interval = pair[1] - pair[0];
+            assert!(
+                interval <= RETRY_INTERVAL + Duration::from_millis(2),
+                "{mode:?}, {errno:?}: {interval:?}"
+            );
         }
     }
 }
--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/lanes.rs
@@ -222,12 +222,10 @@
             Http::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
         let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.members {
             Members::Discovery(address) => {
-                let (tell, source) = watch::channel(*address);
-                let pushed = plan.settings.discovery == Heard::Pushed;
-                (
-                    Source::Discovery(tell),
-                    Box::new(Discovery { source, pushed, old_kinds: plan.old_kinds.clone() }),
-                )
+                let (sender, address) = watch::channel(*address);
+                let is_pushed = plan.settings.discovery == Heard::Pushed;
+                let legacy_machine_types = plan.old_kinds.clone();
+                (Source::Discovery(sender), Box::new(Discovery { address, is_pushed, legacy_machine_types }))
             }
             Members::Fixed(members) => {
                 let (tell, told) = watch::channel(members.clone());
