--- a/crates/agent/src/config/tests.rs
+++ b/crates/agent/src/config/tests.rs
@@ -94,7 +94,7 @@
     assert_eq!(config.seed, 0x1f);
     assert_eq!((config.limits.sockets, config.limits.memory_mb), (Some(777), Some(33.5)));
     let known = config.known.expect("a list");
-    assert_eq!((known.version, known.whole, known.members[0].name.as_str()), (5, true, "s1"));
+    assert_eq!((known.version, known.is_complete, known.endpoints[0].name.as_str()), (5, true, "s1"));
     let config = parse(&text).expect("usable");
     let entries: Vec<String> = config.entries().into_iter().map(|(key, _, _)| key).collect();
     for key in ["listen", "discovery", "ops", "seed", "limits.sockets", "limits.memory_mb", "known.rev"] {
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -18,7 +18,7 @@
 pub use reply::EndpointListReply;
 
 use crate::connect::{Connector, Tcp};
-use heronhoist_engine::{Feed, Membership};
+use heronhoist_engine::{EndpointSink, EndpointSource};
 use session::Session;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -36,23 +36,23 @@
     pub legacy_machine_types: Vec<String>,
 }
 
-impl Membership<SocketAddr> for Discovery {
-    fn run(self: Box<Self>, feed: Feed<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(self.run_with(Tcp, feed))
+impl EndpointSource<SocketAddr> for Discovery {
+    fn run(self: Box<Self>, sink: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+        Box::pin(self.run_with(Tcp, sink))
     }
 }
 
 impl Discovery {
     /// Feeds the pool from discovery, over connections that `connector` makes, until the owner of the address is dropped.
-    async fn run_with(mut self, connector: impl Connector + 'static, feed: Feed<SocketAddr>) {
+    async fn run_with(mut self, connector: impl Connector + 'static, sink: EndpointSink<SocketAddr>) {
         let connector = Rc::new(connector);
         if self.is_pushed {
-            feed.follow();
+            sink.subscribe();
         }
         loop {
             let session = Session {
                 connector: Rc::clone(&connector),
-                feed: &feed,
+                sink: &sink,
                 address: *self.address.borrow_and_update(),
                 is_pushed: self.is_pushed,
                 legacy_machine_types: &self.legacy_machine_types,
@@ -64,7 +64,7 @@
                 // the new one.
                 changed = self.address.changed() => if changed.is_err() { return },
             }
-            feed.new_source();
+            sink.reset_source();
         }
     }
 }
--- a/crates/agent/src/discovery/client.rs
+++ b/crates/agent/src/discovery/client.rs
@@ -5,7 +5,7 @@
 use crate::connect::Connector;
 use bytes::Bytes;
 use heronhoist_engine::timing::timeout;
-use heronhoist_engine::SERVERS_MOST;
+use heronhoist_engine::MAX_SERVERS;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
 use hyper::header::HOST;
@@ -30,7 +30,7 @@
 /// What is reckoned for each endpoint of a list, in bytes.
 const ENDPOINT_BYTES: usize = 512;
 /// The largest response body that is read, in bytes. Parsing takes about four times as much memory.
-const MAX_BODY_BYTES: usize = SERVERS_MOST * ENDPOINT_BYTES;
+const MAX_BODY_BYTES: usize = MAX_SERVERS * ENDPOINT_BYTES;
 
 /// Why a call brings no list.
 #[derive(Debug, thiserror::Error)]
--- a/crates/agent/src/discovery/reply.rs
+++ b/crates/agent/src/discovery/reply.rs
@@ -4,7 +4,7 @@
 
 use crate::dialect::NEW;
 use heronhoist_decision::Time;
-use heronhoist_engine::{List, Member, State};
+use heronhoist_engine::{EndpointInfo, EndpointList};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
@@ -89,36 +89,36 @@
     Removed,
 }
 
-impl From<EndpointListReply> for List<SocketAddr> {
+impl From<EndpointListReply> for EndpointList<SocketAddr> {
     fn from(reply: EndpointListReply) -> Self {
-        let members = reply.endpoints.into_iter().map(Member::from).collect();
-        List { version: reply.version, whole: reply.is_complete, members }
+        let endpoints = reply.endpoints.into_iter().map(EndpointInfo::from).collect();
+        EndpointList { version: reply.version, is_complete: reply.is_complete, endpoints }
     }
 }
 
-impl From<ReplyEndpoint> for Member<SocketAddr> {
+impl From<ReplyEndpoint> for EndpointInfo<SocketAddr> {
     fn from(endpoint: ReplyEndpoint) -> Self {
         let has_start_time = endpoint.started_at_ms > 0.0;
-        Member {
+        EndpointInfo {
             name: endpoint.name,
             address: endpoint.address,
             zone: endpoint.zone,
-            kind: endpoint.machine_type,
+            machine_type: endpoint.machine_type,
             cell: endpoint.deduplication_group,
             dialect: NEW,
             state: endpoint.state.into(),
             weight: endpoint.weight,
-            started: has_start_time.then(|| Time::from_ms(endpoint.started_at_ms)),
+            started_at: has_start_time.then(|| Time::from_ms(endpoint.started_at_ms)),
         }
     }
 }
 
-impl From<EndpointState> for State {
+impl From<EndpointState> for heronhoist_engine::EndpointState {
     fn from(state: EndpointState) -> Self {
         match state {
-            EndpointState::Serving => State::Serving,
-            EndpointState::Draining => State::Draining,
-            EndpointState::Removed => State::Gone,
+            EndpointState::Serving => heronhoist_engine::EndpointState::Serving,
+            EndpointState::Draining => heronhoist_engine::EndpointState::Draining,
+            EndpointState::Removed => heronhoist_engine::EndpointState::Removed,
         }
     }
 }
--- a/crates/agent/src/discovery/session.rs
+++ b/crates/agent/src/discovery/session.rs
@@ -4,7 +4,7 @@
 use super::reply::EndpointListReply;
 use crate::connect::Connector;
 use crate::dialect::OLD;
-use heronhoist_engine::{Feed, List};
+use heronhoist_engine::{EndpointList, EndpointSink};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
     /// Makes the connections.
     pub connector: Rc<C>,
     /// Where the lists go.
-    pub feed: &'a Feed<SocketAddr>,
+    pub sink: &'a EndpointSink<SocketAddr>,
     /// Discovery's address.
     pub address: SocketAddr,
     /// Whether the watch runs at all times, and not only while the decision module subscribes.
@@ -30,12 +30,12 @@
 
     /// Delivers a list to the pool; false if it is older than the current one and was left out.
     pub fn deliver(&self, reply: EndpointListReply) -> bool {
-        let mut list = List::from(reply);
-        for endpoint in &mut list.members {
-            if self.legacy_machine_types.contains(&endpoint.kind) {
+        let mut list = EndpointList::from(reply);
+        for endpoint in &mut list.endpoints {
+            if self.legacy_machine_types.contains(&endpoint.machine_type) {
                 endpoint.dialect = OLD;
             }
         }
-        self.feed.listed(list)
+        self.sink.publish(list)
     }
 }
--- a/crates/agent/src/discovery/tests/local_errors.rs
+++ b/crates/agent/src/discovery/tests/local_errors.rs
@@ -4,7 +4,7 @@
 use super::super::Discovery;
 use super::scripted::{run_with, KnownList, Step, BOTH_MODES};
 use crate::connect::Connector;
-use heronhoist_engine::{Feed, Membership};
+use heronhoist_engine::{EndpointSink, EndpointSource};
 use rustix::io::Errno;
 use std::cell::RefCell;
 use std::future::Future;
@@ -49,9 +49,9 @@
 /// Discovery over the connections of such a connector.
 struct FailingDiscovery(Discovery, FailingConnector);
 
-impl Membership<SocketAddr> for FailingDiscovery {
-    fn run(self: Box<Self>, feed: Feed<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(self.0.run_with(self.1, feed))
+impl EndpointSource<SocketAddr> for FailingDiscovery {
+    fn run(self: Box<Self>, sink: EndpointSink<SocketAddr>) -> Pin<Box<dyn Future<Output = ()>>> {
+        Box::pin(self.0.run_with(self.1, sink))
     }
 }
 
--- a/crates/agent/src/discovery/tests/scripted.rs
+++ b/crates/agent/src/discovery/tests/scripted.rs
@@ -4,8 +4,10 @@
 
 use super::super::Discovery;
 use heronhoist_decision::{Discovery as DiscoveryMode, Outcome, ServerId, Settings};
-use heronhoist_engine::{Ended, Gate, List, Member, Membership, Payload, Place, Pool};
-use heronhoist_engine::{Quota, ServerNames, Setup, Upstream};
+use heronhoist_engine::{
+    AttemptResult, EndpointAddress, EndpointInfo, EndpointList, EndpointSource, Gate, Incarnation, Pool,
+    PoolOptions, Quota, RequestPayload, ServerNames, Upstream,
+};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,20 +26,25 @@
 /// An upstream to which nothing is sent.
 struct UnusedUpstream;
 struct UnusedRequest;
-impl Payload for UnusedRequest {}
+impl RequestPayload for UnusedRequest {}
 
 impl Upstream for UnusedUpstream {
     type Address = SocketAddr;
-    type Call = UnusedRequest;
-    type Answer = ();
-    async fn attempt(&self, _: Place<SocketAddr>, _: &UnusedRequest, _: Gate<'_>) -> Ended<()> {
+    type Request = UnusedRequest;
+    type Response = ();
+    async fn attempt(
+        &self,
+        _: EndpointAddress<SocketAddr>,
+        _: &UnusedRequest,
+        _: Gate<'_>,
+    ) -> AttemptResult<()> {
         Outcome::NotSent.into()
     }
-    async fn probe(&self, _: Place<SocketAddr>) -> Ended<()> {
+    async fn health_check(&self, _: EndpointAddress<SocketAddr>) -> AttemptResult<()> {
         Outcome::TimedOut.into()
     }
     fn close_idle(&self, _: ServerId) {}
-    fn retire(&self, _: &dyn Fn(ServerId, u64) -> bool) {}
+    fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
 /// How discovery answers a call.
@@ -197,7 +204,7 @@
     mode: DiscoveryMode,
     steps: &'static [Step],
     known: KnownList,
-    wrap: impl FnOnce(Discovery) -> Box<dyn Membership<SocketAddr>>,
+    wrap: impl FnOnce(Discovery) -> Box<dyn EndpointSource<SocketAddr>>,
 ) -> Run {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.unwrap(), run_until_drained(mode, steps, known, wrap))
@@ -207,7 +214,7 @@
     mode: DiscoveryMode,
     steps: &'static [Step],
     known: KnownList,
-    wrap: impl FnOnce(Discovery) -> Box<dyn Membership<SocketAddr>>,
+    wrap: impl FnOnce(Discovery) -> Box<dyn EndpointSource<SocketAddr>>,
 ) -> Run {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let discovery_address = listener.local_addr().unwrap();
@@ -219,7 +226,7 @@
     let started = Instant::now();
     spawn_local(serve(listener, Rc::clone(&script)));
     spawn_local(pool.clone().run(wrap(discovery)));
-    while pool.can_decide() {
+    while pool.has_serving_server() {
         assert!(started.elapsed() < MAX_RUN_TIME, "the drain is never heard of");
         sleep(Duration::from_millis(50)).await;
     }
@@ -228,17 +235,18 @@
 }
 
 fn pool_with_one_server(mode: DiscoveryMode, address: SocketAddr, known: KnownList) -> Pool<UnusedUpstream> {
-    let list = List { version: 1, whole: true, members: vec![Member::serving("s", address)] };
-    let pool = Pool::new(Setup {
+    let list =
+        EndpointList { version: 1, is_complete: true, endpoints: vec![EndpointInfo::serving("s", address)] };
+    let pool = Pool::new(PoolOptions {
         name: "main".into(),
         settings: Settings { discovery: mode, ..Settings::default() },
         seed: 7,
-        names: ServerNames::default(),
-        known: Some(list),
-        known_stands: known == KnownList::SameSource,
+        server_names: ServerNames::default(),
+        initial_list: Some(list),
+        continues_versions: known == KnownList::SameSource,
         epoch: None,
         upstream: UnusedUpstream,
-        requests: Quota::alone(9),
+        request_quota: Quota::single_share(9),
     });
     pool.expect("usable settings")
 }
--- a/crates/agent/src/discovery/tests/wire_form.rs
+++ b/crates/agent/src/discovery/tests/wire_form.rs
@@ -3,7 +3,7 @@
 use super::super::reply::{EndpointListReply, EndpointState, ReplyEndpoint};
 use crate::dialect::NEW;
 use heronhoist_decision::Time;
-use heronhoist_engine::{List, State};
+use heronhoist_engine::EndpointList;
 use std::net::SocketAddr;
 
 const REPLY: &str = r#"{"rev":41,"all":true,"targets":[
@@ -40,13 +40,23 @@
 
 #[test]
 fn a_reply_becomes_the_list_of_the_engine() {
-    let list: List<SocketAddr> = parse(REPLY).into();
-    assert_eq!((list.version, list.whole), (41, true));
-    let first = &list.members[0];
+    let list: EndpointList<SocketAddr> = parse(REPLY).into();
+    assert_eq!((list.version, list.is_complete), (41, true));
+    let first = &list.endpoints[0];
     assert_eq!((first.name.as_str(), first.address), ("s1", SocketAddr::from(([127, 0, 0, 1], 81))));
-    assert_eq!((first.zone.as_str(), first.kind.as_str(), first.cell), ("north", "large", 7));
-    assert_eq!((first.weight, first.started, first.dialect), (Some(2.5), Some(Time::from_ms(1500.0)), NEW));
-    let states: Vec<_> = list.members.iter().map(|member| member.state).collect();
-    assert_eq!(states, [State::Serving, State::Draining, State::Gone]);
-    assert_eq!(list.members[1].started, None);
+    assert_eq!((first.zone.as_str(), first.machine_type.as_str(), first.cell), ("north", "large", 7));
+    assert_eq!(
+        (first.weight, first.started_at, first.dialect),
+        (Some(2.5), Some(Time::from_ms(1500.0)), NEW)
+    );
+    let states: Vec<_> = list.endpoints.iter().map(|member| member.state).collect();
+    assert_eq!(
+        states,
+        [
+            heronhoist_engine::EndpointState::Serving,
+            heronhoist_engine::EndpointState::Draining,
+            heronhoist_engine::EndpointState::Removed
+        ]
+    );
+    assert_eq!(list.endpoints[1].started_at, None);
 }
--- a/crates/agent/src/discovery/watch.rs
+++ b/crates/agent/src/discovery/watch.rs
@@ -31,29 +31,29 @@
     /// Where lists are pushed, the subscription never ends, and failures are not reported: the decision module has asked
     /// for nothing.
     pub async fn watch(&self) {
-        let mut client = match self.feed.version() {
+        let mut client = match self.sink.version() {
             Some(_) => self.new_client(),
             None => self.fetch_initial_list().await,
         };
         loop {
-            self.feed.followed(true).await;
-            let path = watch_path(self.feed.version());
+            self.sink.wait_for_subscription(true).await;
+            let path = watch_path(self.sink.version());
             let started = Instant::now();
             let result = tokio::select! {
                 result = client.get_list(&path) => result,
-                () = self.feed.followed(false) => continue,
+                () = self.sink.wait_for_subscription(false) => continue,
             };
             match result {
                 Ok(reply) => self.deliver_update(reply, started.elapsed()).await,
                 Err(_) if self.is_pushed => sleep(RETRY_INTERVAL).await,
-                Err(_) => self.feed.lost(),
+                Err(_) => self.sink.report_subscription_lost(),
             }
         }
     }
 
     /// Delivers a reply that took `elapsed`, and pauses if it was of no use.
     async fn deliver_update(&self, reply: EndpointListReply, elapsed: Duration) {
-        let is_known = Some(reply.version) == self.feed.version();
+        let is_known = Some(reply.version) == self.sink.version();
         let is_immediate = elapsed < EMPTY_REPLY_INTERVAL;
         let is_delivered = self.deliver(reply);
         if is_known && is_immediate || !is_delivered {
--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/lanes.rs
@@ -4,7 +4,7 @@
 use crate::connections::{Connections, Siblings};
 use crate::discovery::Discovery;
 use crate::metrics::{Metrics, Times};
-use crate::plan::{Members, PoolPlan};
+use crate::plan::{KnownEndpoints, Members, PoolPlan};
 use heronhoist_decision::{ClassId, Discovery as Heard, Settings, Span};
 use heronhoist_engine::{
     DrainableSource, EndpointInfo, EndpointList, EndpointSource, Pool, PoolOptions, PoolStats, Quota,
@@ -185,13 +185,8 @@
 
     /// Takes over the pools of a plan, whose settings have been validated. A pool goes on under its name unless its list
     /// comes from elsewhere now; one that the plan lacks takes nothing new, and what is under way in it ends as it began.
-    /// `known` is the first pool's list as it was last known, and whether the source's versions go on from there.
-    pub fn revise(
-        &self,
-        plans: &[PoolPlan],
-        ids: &[ClassId],
-        mut known: Option<(EndpointList<SocketAddr>, bool)>,
-    ) {
+    /// `known` is the first pool's list as it was last known.
+    pub fn revise(&self, plans: &[PoolPlan], ids: &[ClassId], mut known: Option<KnownEndpoints>) {
         self.forget_closed();
         let old = self.lanes.take();
         let lanes = plans.iter().map(|plan| {
@@ -208,12 +203,7 @@
         self.lanes.replace(lanes);
     }
 
-    fn open(
-        &self,
-        plan: &PoolPlan,
-        ids: &[ClassId],
-        known: Option<(EndpointList<SocketAddr>, bool)>,
-    ) -> Rc<Lane> {
+    fn open(&self, plan: &PoolPlan, ids: &[ClassId], known: Option<KnownEndpoints>) -> Rc<Lane> {
         let http = &plan.http;
         let open = self.connections.share();
         let connections = Connections::new(open, &self.siblings, http.connect_timeout, http.keepalive);
@@ -235,19 +225,21 @@
         // A list that stands in the file is known from the start.
         let fixed = || match &plan.members {
             Members::Fixed(members) => {
-                Some((EndpointList { version: 0, is_complete: true, endpoints: members.clone() }, true))
+                let list = EndpointList { version: 0, is_complete: true, endpoints: members.clone() };
+                Some(KnownEndpoints { list, is_version_valid: true })
             }
             Members::Discovery(_) => None,
         };
         let known = known.or_else(fixed);
         let membership = match &*self.drained.borrow() {
             Some(drained) => {
-                let members = known.as_ref().map_or(&[][..], |(list, _)| &list.endpoints);
+                let members = known.as_ref().map_or(&[][..], |known| &known.list.endpoints);
                 Box::new(DrainableSource::new(membership, drained.clone(), members))
             }
             None => membership,
         };
-        let (known, known_stands) = known.map_or((None, false), |(l, s)| (Some(l), s));
+        let known_stands = known.as_ref().is_some_and(|known| known.is_version_valid);
+        let known = known.map(|known| known.list);
         // Each pool draws for itself.
         let seed = self.seed.replace(self.seed.get().wrapping_add(0x9e37_79b9_7f4a_7c15));
         let setup = PoolOptions {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -39,7 +39,8 @@
 use lanes::Lanes;
 use metrics::Metrics;
 use ops::Shown;
-use reload::{serve, Classes, Reload};
+use plan::KnownEndpoints;
+use reload::{apply_plan, ClassRegistry, Reloader};
 use server::Server;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -106,7 +107,7 @@
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("cannot wait for SIGHUP: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot wait for SIGTERM: {e}"))?;
     let metrics = Rc::new(Metrics::default());
-    let mut classes = Classes::new(Rc::clone(&metrics));
+    let mut classes = ClassRegistry::new(Rc::clone(&metrics));
     let peers = Rc::new(ProcessPeers::default());
     let fronts = config.fronts.clone();
     let socket_paths: Vec<_> =
@@ -129,8 +130,9 @@
     if let Some((_, drained)) = &drained {
         lanes.follow_drains(drained.clone());
     }
-    let known = config.known.take().map(|list| (list, takeover.is_none()));
-    let serving = serve(&config.plan, &mut classes, &lanes, known);
+    let is_version_valid = takeover.is_none();
+    let known = config.known.take().map(|list| KnownEndpoints { list, is_version_valid });
+    let serving = apply_plan(&config.plan, &mut classes, &lanes, known);
     let server = Server::new(serving, Rc::clone(&lanes), Rc::clone(&metrics), budget.clients);
     spawn_local(Rc::clone(&server).sweep());
     let member = config.fleet.as_ref().zip(drained).map(|(fleet, (drained, _))| {
@@ -173,8 +175,8 @@
     };
     peers.on_change(allot);
     let served = lanes.all();
-    let reload = Reload { config, classes, metrics, server: Rc::clone(&server), lanes };
-    spawn_local(reload.run(hangup));
+    let reloader = Reloader { config, classes, metrics, server: Rc::clone(&server), pools: lanes };
+    spawn_local(reloader.run(hangup));
     if predecessor.is_some() {
         let heard = async {
             for lane in served {
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::HttpTerms;
 use heronhoist_decision::Settings;
-use heronhoist_engine::{EndpointInfo, ServerNames};
+use heronhoist_engine::{EndpointInfo, EndpointList, ServerNames};
 use heronhoist_routes::Table;
 use heronhoist_translate::Mappings;
 use std::net::SocketAddr;
@@ -48,3 +48,12 @@
     /// The file itself.
     Fixed(Vec<EndpointInfo<SocketAddr>>),
 }
+
+/// The endpoints of a pool as they are known at the start of the agent, before its source has reported any.
+#[derive(Debug, Clone)]
+pub struct KnownEndpoints {
+    /// The endpoints.
+    pub list: EndpointList<SocketAddr>,
+    /// Whether the versions of the source continue from the list's version. If not, the complete list is fetched first.
+    pub is_version_valid: bool,
+}
--- /dev/null
+++ b/crates/agent/src/reload/class_registry.rs
@@ -0,0 +1,53 @@
+//! The numbers of the request classes, which the decision module knows them by.
+
+use crate::intake::Class;
+use crate::metrics::Metrics;
+use crate::plan::Plan;
+use heronhoist_decision::ClassId;
+use std::rc::Rc;
+
+/// The request classes of the settings in force, and the next number.
+///
+/// A number is never given to another class: a request in flight would be treated by the other's terms.
+pub struct ClassRegistry {
+    pub(super) current: Vec<Rc<Class>>,
+    next_number: usize,
+    metrics: Rc<Metrics>,
+}
+
+impl ClassRegistry {
+    /// A registry without classes.
+    pub fn new(metrics: Rc<Metrics>) -> Self {
+        ClassRegistry { current: Vec::new(), next_number: 0, metrics }
+    }
+
+    /// Replaces the classes by those of a plan, and returns them in its order.
+    ///
+    /// An unchanged class keeps its number. One with other terms gets a new number, so that requests in flight keep the old
+    /// terms, and the counters of its name.
+    pub fn update(&mut self, plan: &Plan) -> Vec<Rc<Class>> {
+        // All pools have the same classes.
+        let terms = plan.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
+        let mut updated = Vec::new();
+        for (name, terms) in plan.classes.iter().zip(terms) {
+            let class = self.find(name, terms).unwrap_or_else(|| self.register(name, terms));
+            updated.push(class);
+        }
+        self.current.clone_from(&updated);
+        updated
+    }
+
+    /// The current class of this name, if it has these terms.
+    fn find(&self, name: &str, terms: &heronhoist_decision::Class) -> Option<Rc<Class>> {
+        let found = self.current.iter().find(|class| class.name == name && class.terms == *terms);
+        found.map(Rc::clone)
+    }
+
+    /// A class under a new number.
+    fn register(&mut self, name: &str, terms: &heronhoist_decision::Class) -> Rc<Class> {
+        let id = ClassId(self.next_number);
+        self.next_number += 1;
+        let counters = self.metrics.class(name);
+        Rc::new(Class { id, counters, name: name.to_string(), terms: terms.clone() })
+    }
+}
--- a/crates/agent/src/reload/tests.rs
+++ b/crates/agent/src/reload/tests.rs
@@ -1,29 +1,34 @@
+//! The numbers of request classes over several reloads.
+
 use super::*;
+use std::net::SocketAddr;
 
-fn plan(classes: &[(&str, u32)]) -> Plan {
-    let class = |(name, ms): &(&str, u32)| {
-        format!(r#"{{"name":"{name}","effect":"idempotent","aimMs":10,"deadlineMs":{ms},"points":1}}"#)
+/// A plan with these classes, each given by its name and its deadline in milliseconds.
+fn plan_with_classes(classes: &[(&str, u32)]) -> Plan {
+    let class = |(name, deadline_ms): &(&str, u32)| {
+        format!(
+            r#"{{"name":"{name}","effect":"idempotent","aimMs":10,"deadlineMs":{deadline_ms},"points":1}}"#
+        )
     };
     let classes: Vec<String> = classes.iter().map(class).collect();
     let file = serde_json::from_str(&format!(r#"{{"classes":[{}]}}"#, classes.join(","))).unwrap();
-    crate::config::plan(&file, ([127, 0, 0, 1], 1).into())
+    let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
+    crate::config::plan(&file, discovery)
 }
 
-/// A number must never come to mean another class: a request under way would be given its terms.
+/// A number must never be given to another class: a request in flight would be treated by its terms.
 #[test]
 fn a_number_is_given_to_one_class_only() {
     let metrics = Rc::new(Metrics::default());
-    let mut classes = Classes::new(Rc::clone(&metrics));
-    let mut numbers = |list: &[(&str, u32)]| {
-        let classes = classes.revise(&plan(list));
-        classes.iter().map(|c| c.id.0).collect::<Vec<_>>()
+    let mut registry = ClassRegistry::new(Rc::clone(&metrics));
+    let mut numbers_after = |classes: &[(&str, u32)]| {
+        let classes = registry.update(&plan_with_classes(classes));
+        classes.iter().map(|class| class.id.0).collect::<Vec<_>>()
     };
-    assert_eq!(numbers(&[("a", 100), ("b", 100)]), [0, 1]);
-    assert_eq!(numbers(&[("b", 100), ("a", 200)]), [1, 2], "b is as it was, a has new terms");
-    assert_eq!(numbers(&[("b", 100)]), [1]);
-    assert_eq!(numbers(&[("a", 100), ("b", 100)]), [3, 1], "a is back and its old number is not");
-    assert!(
-        Rc::ptr_eq(&metrics.class("a"), &classes.present[0].counters),
-        "under its name it goes on counting"
-    );
+    assert_eq!(numbers_after(&[("a", 100), ("b", 100)]), [0, 1]);
+    assert_eq!(numbers_after(&[("b", 100), ("a", 200)]), [1, 2], "b is unchanged, a has new terms");
+    assert_eq!(numbers_after(&[("b", 100)]), [1]);
+    assert_eq!(numbers_after(&[("a", 100), ("b", 100)]), [3, 1], "a is back and its old number is not");
+    let counters = &registry.current[0].counters;
+    assert!(Rc::ptr_eq(&metrics.class("a"), counters), "a class of the same name goes on counting");
 }
--- a/crates/agent/src/server/tests/panics.rs
+++ b/crates/agent/src/server/tests/panics.rs
@@ -2,7 +2,7 @@
 
 use super::super::*;
 use crate::lanes::Room;
-use crate::reload::{serve, Classes};
+use crate::reload::{apply_plan, ClassRegistry};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -15,7 +15,7 @@
     let plan = crate::config::plan(&file, nowhere);
     let metrics = Rc::new(Metrics::default());
     let lanes = Lanes::new(Room { connections: 4, body_bytes: 1 << 20 }, 4, 7);
-    let serving = serve(&plan, &mut Classes::new(Rc::clone(&metrics)), &lanes, None);
+    let serving = apply_plan(&plan, &mut ClassRegistry::new(Rc::clone(&metrics)), &lanes, None);
     let limits = Limits { open_most: 4, rest_most: 4, keep_most: 4 };
     let front = Front { name: "main".into(), listen: nowhere, protocol: Protocol::Http };
     (Server::new(serving, lanes, metrics, limits), Rc::new(front))
