--- a/crates/decision/src/api/settings.rs
+++ b/crates/decision/src/api/settings.rs
@@ -117,7 +117,7 @@
     pub overload_factor: f64,
     /// How long a server that is warming up withstands an overload before it fails.
     pub overload_tolerance: Span,
-    /// The least time between two deliveries of events; two spans that differ by less count as equal.
+    /// The least time between two deliveries of events; timeouts that differ by no more count as equal.
     pub event_interval: Span,
 }
 
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,23 +1,28 @@
 //! Client-side load-balancing decisions, without I/O.
 //!
-//! Each client process owns one [`Balancer`]. It is told what happens ([`Event`]) and when ([`Time`]), and
-//! answers with what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. Per request
-//! it compares the lightest server it remembers with fresh uniform draws, by its own requests in flight.
+//! Each client process owns one [`Balancer`]. It is notified of what happens ([`Event`]) and when ([`Time`]),
+//! and answers with what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. For
+//! each request it compares the least loaded server that it remembers with fresh uniform draws, by its own
+//! requests in flight.
 //!
 //! ```
 //! use heronhoist_decision::*;
 //!
-//! let class = Class { latency_objective: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
+//! let class = Class {
+//!     latency_objective: Span::from_ms(100.0),
+//!     deadline: Span::from_ms(400.0),
+//!     ..Class::default()
+//! };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 7).expect("usable settings");
 //! let mut actions = Vec::new();
 //!
-//! // The agent hears which servers there are ...
+//! // The endpoint list arrives ...
 //! let now = Time::from_ms(1000.0);
 //! let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(servers)), &mut actions);
 //!
-//! // ... and passes on a request: the balancer says where to send it.
+//! // ... and then a request: the balancer says where to send it.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
--- a/crates/decision/src/policy/candidates.rs
+++ b/crates/decision/src/policy/candidates.rs
@@ -133,8 +133,8 @@
 
     /// Whether the candidates are all warming up, and this request is not among the part that they may get.
     ///
-    /// They stand in for ejected warm servers, each with its chance. For full ones, each of few balancers
-    /// gives them their part of what is answered; of what is asked for, the crowd would be too much for them.
+    /// They stand in for ejected warm servers, each with its chance. Beside full ones, few balancers give
+    /// them their part of what is answered; their part of all requests would overload them.
     fn would_overload_warming(&mut self, now: Time, candidates: &[ServerSlot]) -> bool {
         let is_warming_up = |&server: &ServerSlot| self.is_warming_up(now, server);
         let is_warm = |&server: &ServerSlot| !self.endpoints[server].is_ejected() && !is_warming_up(&server);
