--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -6,8 +6,8 @@
 use heronhoist_config::reader::{one_of, tables, text, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_council::wire::View;
-use heronhoist_release::budget::{self, By, Count, Group, Most, Rule, Rules, Senseless, Server, Sort};
-use heronhoist_release::drain::{self, Barrier, Drain};
+use heronhoist_disruption::budget::{self, By, Count, Group, Most, Rule, Rules, Senseless, Server, Sort};
+use heronhoist_disruption::drain::{self, Barrier, Drain};
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::path::Path;
@@ -164,7 +164,7 @@
     Ok(format!("{name} drains no more; agents send to it as to a cold server\n"))
 }
 
-fn page(view: &View) -> Result<String, heronhoist_release::Unreadable> {
+fn page(view: &View) -> Result<String, heronhoist_disruption::Unreadable> {
     let mut page = String::new();
     let drains = drain::all(view)?;
     if drains.is_empty() {
@@ -197,7 +197,7 @@
     page
 }
 
-fn as_json(view: &View) -> Result<String, heronhoist_release::Unreadable> {
+fn as_json(view: &View) -> Result<String, heronhoist_disruption::Unreadable> {
     let mut drains = serde_json::Map::new();
     for name in drain::all(view)?.keys() {
         if let Some(barrier) = drain::barrier(view, name)? {
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -7,7 +7,7 @@
 use heronhoist_council::permit::{self, Denied};
 use heronhoist_council::wire::View;
 use heronhoist_council::Time;
-use heronhoist_release::budget;
+use heronhoist_disruption::budget;
 use std::cell::RefCell;
 use std::io::Write;
 use std::rc::Rc;
--- a/crates/release/tests/release.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -4,9 +4,9 @@
 use heronhoist_council::state::{Call, Command, Peer, Reply, State, Txn};
 use heronhoist_council::wire::{Response, View};
 use heronhoist_council::Bounds;
-use heronhoist_release::budget::{By, Count, Denied, Most, Rule, Rules, Senseless, Server, Sort};
-use heronhoist_release::drain::{self, Drain, Listener};
-use heronhoist_release::seen::{self, Seen};
+use heronhoist_disruption::budget::{By, Count, Denied, Most, Rule, Rules, Senseless, Server, Sort};
+use heronhoist_disruption::drain::{self, Drain, Listener};
+use heronhoist_disruption::seen::{self, Seen};
 use std::collections::BTreeMap;
 
 struct Council(State);
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::processes::judge::{Opened, Sent};
-use heronhoist_release::budget::{self, By, Most, Rule, Rules, Server, Sort};
-use heronhoist_release::drain::{self, Drain, Listener, Quiet};
+use heronhoist_disruption::budget::{self, By, Most, Rule, Rules, Server, Sort};
+use heronhoist_disruption::drain::{self, Drain, Listener, Quiet};
 
 /// An agent may still send so long after it has heard of a drain, and is not quiet before.
 const GRACE: Micros = 500_000;
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -1,7 +1,7 @@
 //! Operators, and what agents do about permits.
 
 use super::*;
-use heronhoist_release::budget;
+use heronhoist_disruption::budget;
 
 impl World<'_> {
     pub(super) fn agent_told(&mut self, at: usize, response: Option<Response>) {
