--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -6,8 +6,10 @@
 use heronhoist_config::reader::{one_of, tables, text, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_council::wire::View;
-use heronhoist_disruption::budget::{self, By, Count, Group, Most, Rule, Rules, Senseless, Server, Sort};
-use heronhoist_disruption::drain::{self, Barrier, Drain};
+use heronhoist_disruption::drain::{self, Barrier};
+use heronhoist_disruption::records::{self, Drain, Unreadable};
+use heronhoist_disruption::rules::{self, By, Most, Rule, Rules, Senseless, Server, Sort};
+use heronhoist_disruption::unavailable::{Count, Group};
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::path::Path;
@@ -159,14 +161,15 @@
 /// Takes a drain back.
 pub async fn undo(UndrainTool::Server { name, at }: UndrainTool) -> Result<String, Failed> {
     let mut client = Client::new(&at, "operator").map_err(|why| (2, why))?;
-    let ended = client.change(drain::PREFIX, |view| drain::end(view, &name)).await.map_err(no_council)?;
+    let ended =
+        client.change(records::DRAIN_PREFIX, |view| drain::end(view, &name)).await.map_err(no_council)?;
     ended.map_err(denied)?;
     Ok(format!("{name} drains no more; agents send to it as to a cold server\n"))
 }
 
-fn page(view: &View) -> Result<String, heronhoist_disruption::Unreadable> {
+fn page(view: &View) -> Result<String, Unreadable> {
     let mut page = String::new();
-    let drains = drain::all(view)?;
+    let drains = records::drains(view)?;
     if drains.is_empty() {
         page += "nothing drains\n";
     }
@@ -197,9 +200,9 @@
     page
 }
 
-fn as_json(view: &View) -> Result<String, heronhoist_disruption::Unreadable> {
+fn as_json(view: &View) -> Result<String, Unreadable> {
     let mut drains = serde_json::Map::new();
-    for name in drain::all(view)?.keys() {
+    for name in records::drains(view)?.keys() {
         if let Some(barrier) = drain::barrier(view, name)? {
             let is = serde_json::json!({
                 "drain": barrier.drain, "open": barrier.is_open(), "waits_for": barrier.waits_for,
@@ -227,7 +230,7 @@
         let faults: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", path.display())).collect();
         faults.join("\n")
     })?;
-    let stated = client.change(budget::KEY, |view| rules.state(view)).await?;
+    let stated = client.change(records::RULES_KEY, |view| rules.state(view)).await?;
     stated.map_err(|why| why.to_string())?;
     let count = Count::new(&client.read("").await?).map_err(|why| why.to_string())?;
     Ok(groups(&count.groups()))
@@ -279,7 +282,7 @@
     let senseless = if reader.faults.is_empty() { rules.check() } else { Vec::new() };
     for fault in senseless {
         let (at, key) = match &fault {
-            Senseless::TooMany => (budget::RULES_MOST, "of"),
+            Senseless::TooMany => (rules::RULES_MOST, "of"),
             Senseless::Agents(at) => (*at, "by"),
             Senseless::Only(at) | Senseless::Nowhere(at, _) => (*at, "only"),
             Senseless::Share(at) | Senseless::Contradiction(_, at) | Senseless::Nothing(at, _) => {
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -7,7 +7,7 @@
 use heronhoist_council::permit::{self, Denied};
 use heronhoist_council::wire::View;
 use heronhoist_council::Time;
-use heronhoist_disruption::budget;
+use heronhoist_disruption::{denial, permits};
 use std::cell::RefCell;
 use std::io::Write;
 use std::rc::Rc;
@@ -146,16 +146,16 @@
     let key = permit::agents_of(&site);
     let mut told = String::new();
     loop {
-        let take = |view: &View| budget::take_agent(view, &key, &agent, me, &hold.why);
+        let take = |view: &View| permits::take_agent(view, &key, &agent, me, &hold.why);
         match council.change("", take).await.map_err(no_council)? {
             Ok(()) => break,
-            Err(budget::Denied::Permits(Denied::NoBudget(_))) => {
+            Err(denial::Denied::Permits(Denied::NoBudget(_))) => {
                 let why = format!("nobody has stated how many agents of {site} may be out; `heronhoist fleet permits --site {site} --most N` does");
                 return Err((NOT_GIVEN, why));
             }
             Err(
-                denied @ (budget::Denied::Spent { .. }
-                | budget::Denied::Permits(Denied::AllOut { .. } | Denied::OutAlready { .. })),
+                denied @ (denial::Denied::Spent { .. }
+                | denial::Denied::Permits(Denied::AllOut { .. } | Denied::OutAlready { .. })),
             ) if hold.wait => {
                 let why = denied.to_string();
                 if why != told {
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -10,7 +10,7 @@
 use heronhoist_council::state::{Call, Command, Reply};
 use heronhoist_council::wire::{Envelope, Request, Response, PROTOCOL};
 use heronhoist_council::Time;
-use heronhoist_disruption::drain::Listener;
+use heronhoist_disruption::drain_observer::Listener;
 use heronhoist_disruption::seen::Seen;
 use heronhoist_engine::timing::timeout;
 use std::cell::{Cell, RefCell};
--- a/crates/disruption/src/seen.rs
+++ b/crates/disruption/src/seen.rs
@@ -2,14 +2,12 @@
 //! changed by a step; what the fleet goes by is the middle of what its living agents say, so that one agent with a bad link
 //! takes no server out of the count, nor back into it.
 
-use crate::{below, Unreadable};
+use crate::records::{below, Unreadable, OBSERVED_PREFIX};
 use heronhoist_council::state::{Check, Standing, Txn, Write};
 use heronhoist_council::wire::View;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Below this stands what agents find.
-pub const PREFIX: &str = "site/seen/";
 /// Parts that a server's lack is told in: a record changes that seldom while a server warms up.
 const STEPS: f64 = 4.0;
 /// Servers that one agent tells of at most; those that lack most come first.
@@ -43,7 +41,7 @@
         let value = serde_json::to_string(self).unwrap_or_default();
         Txn {
             checks: vec![Check::Living(agent.into(), self.incarnation)],
-            writes: vec![Write::Put(format!("{PREFIX}{agent}"), value)],
+            writes: vec![Write::Put(format!("{OBSERVED_PREFIX}{agent}"), value)],
         }
     }
 }
@@ -53,7 +51,7 @@
 pub fn lacks(view: &View) -> Result<BTreeMap<String, f64>, Unreadable> {
     let mut said: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let mut agents = 0;
-    for (agent, seen) in below::<Seen>(view, PREFIX) {
+    for (agent, seen) in below::<Seen>(view, OBSERVED_PREFIX) {
         let seen = seen?;
         let member = view.members.get(agent);
         if !member.is_some_and(|m| m.incarnation == seen.incarnation && m.standing == Standing::Living) {
--- a/crates/disruption/tests/disruption.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -4,9 +4,13 @@
 use heronhoist_council::state::{Call, Command, Peer, Reply, State, Txn};
 use heronhoist_council::wire::{Response, View};
 use heronhoist_council::Bounds;
-use heronhoist_disruption::budget::{By, Count, Denied, Most, Rule, Rules, Senseless, Server, Sort};
-use heronhoist_disruption::drain::{self, Drain, Listener};
+use heronhoist_disruption::denial::Denied;
+use heronhoist_disruption::drain;
+use heronhoist_disruption::drain_observer::Listener;
+use heronhoist_disruption::records::Drain;
+use heronhoist_disruption::rules::{By, Most, Rule, Rules, Senseless, Server, Sort};
 use heronhoist_disruption::seen::{self, Seen};
+use heronhoist_disruption::unavailable::Count;
 use std::collections::BTreeMap;
 
 struct Council(State);
--- a/crates/disruption/tests/golden.rs
+++ b/crates/disruption/tests/golden.rs
@@ -6,9 +6,13 @@
 use heronhoist_council::state::{Call, Command, Peer, Record, Reply, State, Txn};
 use heronhoist_council::wire::{Request, Response, View};
 use heronhoist_council::Bounds;
-use heronhoist_disruption::budget::{self, By, Most, Rule, Rules, Server, Sort};
-use heronhoist_disruption::drain::{self, Drain, Listener, Quiet};
+use heronhoist_disruption::drain::{self, Quiet};
+use heronhoist_disruption::drain_observer::Listener;
+use heronhoist_disruption::permits;
+use heronhoist_disruption::records::{self, Drain};
+use heronhoist_disruption::rules::{By, Most, Rule, Rules, Server, Sort};
 use heronhoist_disruption::seen::{self, Seen};
+use heronhoist_disruption::unavailable::Count;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -146,10 +150,10 @@
 
 #[test]
 fn keys() {
-    assert_eq!(budget::KEY, "budget/rules");
-    assert_eq!(drain::PREFIX, "drain/");
-    assert_eq!(drain::QUIET, "note/quiet/");
-    assert_eq!(seen::PREFIX, "site/seen/");
+    assert_eq!(records::RULES_KEY, "budget/rules");
+    assert_eq!(records::DRAIN_PREFIX, "drain/");
+    assert_eq!(records::ACKNOWLEDGEMENT_PREFIX, "note/quiet/");
+    assert_eq!(records::OBSERVED_PREFIX, "site/seen/");
 }
 
 struct Council {
@@ -193,7 +197,7 @@
     let key = permit::agents_of("east");
     council.write(|view| permit::state_number(view, &key, 1).expect("stated"));
     let take =
-        |view: &View| budget::take_agent(view, &key, "n1", ("tool:r1", tool), "roll").expect("allowed");
+        |view: &View| permits::take_agent(view, &key, "n1", ("tool:r1", tool), "roll").expect("allowed");
     council.txns.push(take(&council.view()));
     council.write(|view| rules().state(view).expect("stated"));
     council.write(|view| rules().state(view).expect("stated again"));
@@ -223,12 +227,12 @@
         council.state.records.insert(key, record);
     }
     let view = council.view();
-    assert_eq!(drain::all(&view).expect("read"), BTreeMap::from([("s1".into(), drain())]));
+    assert_eq!(records::drains(&view).expect("read"), BTreeMap::from([("s1".into(), drain())]));
     let barrier = drain::barrier(&view, "s1").expect("read").expect("it drains");
     assert_eq!((barrier.quiet, barrier.waits_for), (vec!["n1".to_string()], vec!["n2".to_string()]));
     let lacks = seen::lacks(&view).expect("read");
     assert_eq!(lacks, BTreeMap::from([("s3".into(), 0.5)]));
-    let count = budget::Count::new(&view).expect("read");
+    let count = Count::new(&view).expect("read");
     let groups: Vec<String> = count
         .groups()
         .into_iter()
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -2,8 +2,11 @@
 
 use super::*;
 use crate::processes::judge::{Opened, Sent};
-use heronhoist_disruption::budget::{self, By, Most, Rule, Rules, Server, Sort};
-use heronhoist_disruption::drain::{self, Drain, Listener, Quiet};
+use heronhoist_disruption::denial;
+use heronhoist_disruption::drain::{self, Quiet};
+use heronhoist_disruption::drain_observer::Listener;
+use heronhoist_disruption::records::{self, Drain};
+use heronhoist_disruption::rules::{By, Most, Rule, Rules, Server, Sort};
 
 /// An agent may still send so long after it has heard of a drain, and is not quiet before.
 const GRACE: Micros = 500_000;
@@ -191,7 +194,7 @@
         let (server, number) =
             (format!("s{}", self.rng.random_range(0..self.plan.servers)), self.rng.random());
         let name = self.processes[at].name.clone();
-        let drains = drain::all(view).unwrap_or_default();
+        let drains = records::drains(view).unwrap_or_default();
         let is_there =
             |server: &str, number: u64| drains.get(server).is_some_and(|drain| drain.number == number);
         let Role::Drainer(drainer) = &self.processes[at].role else { return };
@@ -211,7 +214,7 @@
                             txn = Some(entering);
                             doing = Draining::Entering;
                         }
-                        Err(drain::Denied::Budget(budget::Denied::NoRules)) => {
+                        Err(drain::Denied::Budget(denial::Denied::NoRules)) => {
                             txn = self.rules().state(view).ok();
                         }
                         Err(_) => {}
@@ -226,8 +229,9 @@
             Draining::Waiting(server, number) => {
                 let open = match drain::barrier(view, &server) {
                     Ok(Some(barrier)) if self.plan.planted == Planted::BarrierForgets => {
-                        let spoke =
-                            |agent: &String| view.records.contains_key(&format!("{}{agent}", drain::QUIET));
+                        let spoke = |agent: &String| {
+                            view.records.contains_key(&format!("{}{agent}", records::ACKNOWLEDGEMENT_PREFIX))
+                        };
                         !barrier.waits_for.iter().any(spoke)
                     }
                     Ok(Some(barrier)) => barrier.is_open(),
@@ -279,7 +283,7 @@
     /// A drain that was taken back, by whoever it was.
     pub(super) fn note_undrained(&mut self, change: &Change) {
         if let heronhoist_council::state::Changed::Record(key, None) = &change.what {
-            if let Some(server) = key.strip_prefix(drain::PREFIX) {
+            if let Some(server) = key.strip_prefix(records::DRAIN_PREFIX) {
                 self.close(server);
             }
         }
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -1,7 +1,7 @@
 //! Operators, and what agents do about permits.
 
 use super::*;
-use heronhoist_disruption::budget;
+use heronhoist_disruption::{denial, permits, records};
 
 impl World<'_> {
     pub(super) fn agent_told(&mut self, at: usize, response: Option<Response>) {
@@ -107,18 +107,18 @@
         let counted = self.plan.servers > 0 && !alone;
         let permits = if alone { u32::MAX } else { self.plan.permits };
         let take = || match counted {
-            true => budget::take_agent(view, &key, &about, taker, "kernel"),
+            true => permits::take_agent(view, &key, &about, taker, "kernel"),
             false => Ok(permit::take(view, &key, &about, taker, "kernel")?),
         };
         let txn = match (&doing, mine) {
             // Nothing is taken before the rules are there that count the dead.
-            (Doing::Idle, _) if counted && !view.records.contains_key(budget::KEY) => None,
+            (Doing::Idle, _) if counted && !view.records.contains_key(records::RULES_KEY) => None,
             (Doing::Idle, _) => match take() {
                 Ok(txn) => {
                     operator.doing = Doing::Taking(about);
                     Some(txn)
                 }
-                Err(budget::Denied::Permits(Denied::NoBudget(_))) => {
+                Err(denial::Denied::Permits(Denied::NoBudget(_))) => {
                     permit::state_number(view, &key, permits).ok()
                 }
                 Err(_) if self.plan.planted == Planted::FreedBySilence => freed_by_silence(view, &key),
