--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -6,10 +6,10 @@
 use heronhoist_config::reader::{one_of, tables, text, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_council::wire::View;
-use heronhoist_disruption::drain::{self, Barrier};
+use heronhoist_disruption::drain::{self, Barrier, DrainDenial};
 use heronhoist_disruption::records::{self, Drain, Unreadable};
-use heronhoist_disruption::rules::{self, By, Most, Rule, Rules, Senseless, Server, Sort};
-use heronhoist_disruption::unavailable::{Count, Group};
+use heronhoist_disruption::rules::{self, InvalidRule, Limit, Rule, Rules, Scope, Server, UnitKind};
+use heronhoist_disruption::unavailable::{GroupStatus, Unavailable};
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::path::Path;
@@ -76,8 +76,8 @@
     (NO_COUNCIL, why)
 }
 
-fn denied(why: drain::Denied) -> Failed {
-    let unreadable = matches!(why, drain::Denied::Unreadable(_));
+fn denied(why: DrainDenial) -> Failed {
+    let unreadable = matches!(why, DrainDenial::Unreadable(_));
     (if unreadable { 1 } else { DENIED }, why.to_string())
 }
 
@@ -184,16 +184,16 @@
             }
         }
     }
-    match Count::new(view) {
+    match Unavailable::count(view) {
         Ok(count) => page += &groups(&count.groups()),
         Err(why) => drop(writeln!(page, "\n{why}")),
     }
     Ok(page)
 }
 
-fn groups(groups: &[Group]) -> String {
+fn groups(groups: &[GroupStatus]) -> String {
     let mut page = format!("\n{:<28} {:>5} {:>9} {:>6}  who\n", "budget", "all", "may be", "out");
-    for Group { name, all, most, out, who } in groups {
+    for GroupStatus { name, all, most, out, who } in groups {
         let over = if *out > f64::from(*most) { "  OVERDRAWN" } else { "" };
         let _ = writeln!(page, "{name:<28} {all:>5} {most:>9} {out:>6.2}  {}{over}", who.join(", "));
     }
@@ -211,8 +211,8 @@
             drains.insert(name.clone(), is);
         }
     }
-    let groups = Count::new(view).map(|count| count.groups()).unwrap_or_default();
-    let group = |g: &Group| serde_json::json!({ "group": g.name, "all": g.all, "most": g.most, "out": g.out, "who": g.who });
+    let groups = Unavailable::count(view).map(|count| count.groups()).unwrap_or_default();
+    let group = |g: &GroupStatus| serde_json::json!({ "group": g.name, "all": g.all, "most": g.most, "out": g.out, "who": g.who });
     let groups: Vec<_> = groups.iter().map(group).collect();
     Ok(format!("{}\n", serde_json::json!({ "revision": view.revision, "drains": drains, "budgets": groups })))
 }
@@ -221,7 +221,7 @@
 pub async fn budgets(file: Option<&Path>, at: &Where) -> Result<String, String> {
     let mut client = Client::new(at, "operator")?;
     let Some(path) = file else {
-        let count = Count::new(&client.read("").await?).map_err(|why| why.to_string())?;
+        let count = Unavailable::count(&client.read("").await?).map_err(|why| why.to_string())?;
         return Ok(groups(&count.groups()));
     };
     let content =
@@ -230,21 +230,22 @@
         let faults: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", path.display())).collect();
         faults.join("\n")
     })?;
-    let stated = client.change(records::RULES_KEY, |view| rules.state(view)).await?;
+    let stated = client.change(records::RULES_KEY, |view| rules.to_transaction(view)).await?;
     stated.map_err(|why| why.to_string())?;
-    let count = Count::new(&client.read("").await?).map_err(|why| why.to_string())?;
+    let count = Unavailable::count(&client.read("").await?).map_err(|why| why.to_string())?;
     Ok(groups(&count.groups()))
 }
 
-const SORTS: [(&str, Sort); 2] = [("agents", Sort::Agents), ("servers", Sort::Servers)];
-const BYS: [(&str, By); 4] = [("all", By::All), ("site", By::Site), ("kind", By::Kind), ("cell", By::Cell)];
+const SORTS: [(&str, UnitKind); 2] = [("agents", UnitKind::Agents), ("servers", UnitKind::Servers)];
+const BYS: [(&str, Scope); 4] =
+    [("all", Scope::All), ("site", Scope::Site), ("kind", Scope::Kind), ("cell", Scope::Cell)];
 
-fn most(value: &DeValue<'_>) -> Option<Most> {
+fn most(value: &DeValue<'_>) -> Option<Limit> {
     if let Some(number) = whole(value) {
-        return u32::try_from(number).ok().map(Most::Number);
+        return u32::try_from(number).ok().map(Limit::Number);
     }
     let share: f64 = text(value)?.strip_suffix('%')?.trim().parse().ok()?;
-    (0.0..=100.0).contains(&share).then_some(Most::Share(share / 100.0))
+    (0.0..=100.0).contains(&share).then_some(Limit::Share(share / 100.0))
 }
 
 /// Reads the file of the budgets. Every fault is told with its place.
@@ -261,7 +262,7 @@
         let most = reader.get(&mut section, "most", Absent::Fault, wanted, most);
         // Each keeps its place, so that what is said of it later finds its line.
         let (of, by, most) =
-            (of.unwrap_or(Sort::Servers), by.unwrap_or(By::All), most.unwrap_or(Most::Number(0)));
+            (of.unwrap_or(UnitKind::Servers), by.unwrap_or(Scope::All), most.unwrap_or(Limit::Number(0)));
         rules.rules.push(Rule { of, by, only, most });
         sections.push(section);
     }
@@ -279,15 +280,15 @@
     }
     reader.end(root);
     // What the rules mean is looked at once each of them can be read.
-    let senseless = if reader.faults.is_empty() { rules.check() } else { Vec::new() };
+    let senseless = if reader.faults.is_empty() { rules.validate() } else { Vec::new() };
     for fault in senseless {
         let (at, key) = match &fault {
-            Senseless::TooMany => (rules::RULES_MOST, "of"),
-            Senseless::Agents(at) => (*at, "by"),
-            Senseless::Only(at) | Senseless::Nowhere(at, _) => (*at, "only"),
-            Senseless::Share(at) | Senseless::Contradiction(_, at) | Senseless::Nothing(at, _) => {
-                (*at, "most")
-            }
+            InvalidRule::TooMany => (rules::MAX_RULES, "of"),
+            InvalidRule::UnsupportedAgentScope(at) => (*at, "by"),
+            InvalidRule::OnlyWithoutGroups(at) | InvalidRule::UnknownGroup(at, _) => (*at, "only"),
+            InvalidRule::ShareOutOfRange(at)
+            | InvalidRule::Contradiction(_, at)
+            | InvalidRule::NeverAllows(at, _) => (*at, "most"),
         };
         if let Some(section) = sections.get(at) {
             reader.fault(section, key, fault.to_string());
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -7,7 +7,8 @@
 use heronhoist_council::permit::{self, Denied};
 use heronhoist_council::wire::View;
 use heronhoist_council::Time;
-use heronhoist_disruption::{denial, permits};
+use heronhoist_disruption::denial::BudgetDenial;
+use heronhoist_disruption::permits;
 use std::cell::RefCell;
 use std::io::Write;
 use std::rc::Rc;
@@ -149,13 +150,13 @@
         let take = |view: &View| permits::take_agent(view, &key, &agent, me, &hold.why);
         match council.change("", take).await.map_err(no_council)? {
             Ok(()) => break,
-            Err(denial::Denied::Permits(Denied::NoBudget(_))) => {
+            Err(BudgetDenial::Permits(Denied::NoBudget(_))) => {
                 let why = format!("nobody has stated how many agents of {site} may be out; `heronhoist fleet permits --site {site} --most N` does");
                 return Err((NOT_GIVEN, why));
             }
             Err(
-                denied @ (denial::Denied::Spent { .. }
-                | denial::Denied::Permits(Denied::AllOut { .. } | Denied::OutAlready { .. })),
+                denied @ (BudgetDenial::LimitReached { .. }
+                | BudgetDenial::Permits(Denied::AllOut { .. } | Denied::OutAlready { .. })),
             ) if hold.wait => {
                 let why = denied.to_string();
                 if why != told {
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -10,8 +10,8 @@
 use heronhoist_council::state::{Call, Command, Reply};
 use heronhoist_council::wire::{Envelope, Request, Response, PROTOCOL};
 use heronhoist_council::Time;
-use heronhoist_disruption::drain_observer::Listener;
-use heronhoist_disruption::seen::Seen;
+use heronhoist_disruption::drain_observer::DrainObserver;
+use heronhoist_disruption::observed::ObservedServers;
 use heronhoist_engine::timing::timeout;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -220,26 +220,30 @@
     /// Hears which servers the fleet has agreed to drain, and says for which of them this agent has become quiet. What was heard last
     /// stands while the council is silent, whether or not the lease is held.
     async fn keep_drains(self: Rc<Self>, drains: Drains) {
-        let listener = RefCell::new(Listener::default());
-        let said = self.say(&listener, &drains);
-        let heard = self.hear_drains(&listener, &drains.drained);
+        let observer = RefCell::new(DrainObserver::default());
+        let said = self.say(&observer, &drains);
+        let heard = self.hear_drains(&observer, &drains.drained);
         tokio::join!(said, heard);
     }
 
-    async fn hear_drains(&self, listener: &RefCell<Listener>, drained: &watch::Sender<BTreeSet<String>>) {
+    async fn hear_drains(
+        &self,
+        observer: &RefCell<DrainObserver>,
+        drained: &watch::Sender<BTreeSet<String>>,
+    ) {
         let mut asker = Asker::new(&self.fleet.council);
         loop {
             let envelope = self.envelope();
-            let request = listener.borrow().asks();
+            let request = observer.borrow().next_request();
             let watches = matches!(request, Request::Watch { .. });
             let within = if watches { WATCH_WAIT + DEADLINE } else { DEADLINE };
             let (response, pause) = match asker.ask(&envelope, &request, within).await {
                 Asking::Settled(response) => (Some(*response), 0),
                 Asking::Again(pause, _) => (None, pause),
             };
-            let heard = listener.borrow_mut().hears(response.as_ref());
+            let heard = observer.borrow_mut().on_response(response.as_ref());
             match heard {
-                Ok(true) => self.told_of_drains(listener.borrow().drained(), drained),
+                Ok(true) => self.told_of_drains(observer.borrow().draining_servers(), drained),
                 Ok(false) => {}
                 Err(why) => tracing::error!("the drains stay as they were: {why}"),
             }
@@ -261,24 +265,26 @@
     }
 
     /// Has written down for which drains this agent is quiet, and what it finds of servers, whenever that has changed.
-    async fn say(&self, listener: &RefCell<Listener>, drains: &Drains) {
+    async fn say(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
         let mut asker = Asker::new(&self.fleet.council);
         let mut session = (0, 0);
-        let mut seen: Option<Seen> = None;
+        let mut seen: Option<ObservedServers> = None;
         let mut look_at = Instant::now();
         loop {
             sleep(QUIET_LOOK).await;
             let Some(incarnation) = self.holds() else { continue };
-            let quiet = listener.borrow().to_say(incarnation, &drains.is_quiet);
+            let quiet = observer.borrow().pending_acknowledgement(incarnation, &drains.is_quiet);
             let mut news = None;
             if quiet.is_none() && Instant::now() >= look_at {
                 look_at = Instant::now() + SEEN_LOOK.mul_f64(0.5 + fastrand::f64());
-                news =
-                    Some(Seen::new(incarnation, (drains.lacks)())).filter(|news| seen.as_ref() != Some(news));
+                news = Some(ObservedServers::new(incarnation, (drains.lacks)()))
+                    .filter(|news| seen.as_ref() != Some(news));
             }
             let member = &self.fleet.member;
-            let told = quiet.as_ref().map(|quiet| quiet.told(member));
-            let Some(txn) = told.or_else(|| news.as_ref().map(|news| news.told(member))) else { continue };
+            let told = quiet.as_ref().map(|quiet| quiet.to_transaction(member));
+            let Some(txn) = told.or_else(|| news.as_ref().map(|news| news.to_transaction(member))) else {
+                continue;
+            };
             // Under the member's own session: what is late from before can't undo what was said after it.
             if session.0 != incarnation {
                 session = (incarnation, 0);
@@ -292,7 +298,7 @@
                         if matches!(*response, Response::Reply(Reply::Done(_), _)) {
                             if let Some(quiet) = quiet {
                                 self.draining.set((self.draining.get().0, quiet.servers.len()));
-                                listener.borrow_mut().said(quiet);
+                                observer.borrow_mut().on_acknowledged(quiet);
                             }
                             seen = news.or(seen);
                         }
--- a/crates/disruption/src/denial.rs
+++ b/crates/disruption/src/denial.rs
@@ -1,12 +1,12 @@
 //! Why nothing is given.
 
 use crate::records::Unreadable;
-use crate::rules::ROUNDING;
+use crate::rules::ROUNDING_TOLERANCE;
 use heronhoist_council::permit;
 
 /// Why nothing is given.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Denied {
+pub enum BudgetDenial {
     /// A record can't be read.
     #[error(transparent)]
     Unreadable(#[from] Unreadable),
@@ -18,10 +18,10 @@
     NoRules,
     /// The rules know no such server.
     #[error("the budgets know no server {0}")]
-    Unknown(String),
+    UnknownUnit(String),
     /// It would be too many.
     #[error("{group}: {most} may be out, and {} already: {}", Amount(*.out), .who.join(", "))]
-    Spent {
+    LimitReached {
         /// Of which group.
         group: String,
         /// So many may be.
@@ -37,7 +37,7 @@
 
 impl std::fmt::Display for Amount {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        if self.0.fract().abs() < ROUNDING {
+        if self.0.fract().abs() < ROUNDING_TOLERANCE {
             write!(f, "{:.0} are", self.0)
         } else {
             write!(f, "{:.2} are", self.0)
--- a/crates/disruption/src/drain_observer.rs
+++ b/crates/disruption/src/drain_observer.rs
@@ -1,6 +1,6 @@
 //! An agent's side of drains.
 
-use crate::drain::Quiet;
+use crate::drain::DrainAcknowledgement;
 use crate::records::{self, Unreadable, DRAIN_PREFIX};
 use heronhoist_council::state::Revision;
 use heronhoist_council::wire::{Request, Response};
@@ -8,16 +8,16 @@
 
 /// An agent's side: what it has heard, and what it has said.
 #[derive(Debug, Clone, Default)]
-pub struct Listener {
+pub struct DrainObserver {
     drains: BTreeMap<String, u64>,
-    said: Option<Quiet>,
+    said: Option<DrainAcknowledgement>,
     /// Where it goes on watching: the history and revision of what was read.
     stands: Option<(u64, Revision)>,
 }
 
-impl Listener {
+impl DrainObserver {
     /// What to ask next: all drains, or what has changed since they were read.
-    pub fn asks(&self) -> Request {
+    pub fn next_request(&self) -> Request {
         let prefix = DRAIN_PREFIX.to_string();
         match self.stands {
             Some((history, after)) => Request::Watch { history, after, prefix },
@@ -27,7 +27,7 @@
 
     /// The answer to that, or none; whether it was the drains as they are now. Nothing that was heard is taken back but by them: what
     /// can't be read changes nothing.
-    pub fn hears(&mut self, response: Option<&Response>) -> Result<bool, Unreadable> {
+    pub fn on_response(&mut self, response: Option<&Response>) -> Result<bool, Unreadable> {
         self.stands = match response {
             Some(Response::Read(view)) => Some((view.history, view.revision)),
             Some(Response::Changes { changes, upto }) if changes.is_empty() => {
@@ -44,22 +44,26 @@
     }
 
     /// The servers that drain, as far as it has heard.
-    pub fn drained(&self) -> BTreeSet<String> {
+    pub fn draining_servers(&self) -> BTreeSet<String> {
         self.drains.keys().cloned().collect()
     }
 
     /// What the agent of this name and incarnation has to say now, if that is not what it has said; `is_quiet` says of a server
     /// whether nothing is out to it and nothing will be sent.
-    pub fn to_say(&self, incarnation: u64, is_quiet: impl Fn(&str) -> bool) -> Option<Quiet> {
+    pub fn pending_acknowledgement(
+        &self,
+        incarnation: u64,
+        is_quiet: impl Fn(&str) -> bool,
+    ) -> Option<DrainAcknowledgement> {
         let quiet = self.drains.iter().filter(|(server, _)| is_quiet(server));
         let servers = quiet.map(|(server, number)| (server.clone(), *number)).collect();
-        let quiet = Quiet { incarnation, servers };
-        let silent = Quiet { incarnation, ..Quiet::default() };
+        let quiet = DrainAcknowledgement { incarnation, servers };
+        let silent = DrainAcknowledgement { incarnation, ..DrainAcknowledgement::default() };
         (self.said.as_ref().unwrap_or(&silent) != &quiet).then_some(quiet)
     }
 
     /// It was written down.
-    pub fn said(&mut self, quiet: Quiet) {
+    pub fn on_acknowledged(&mut self, quiet: DrainAcknowledgement) {
         self.said = Some(quiet);
     }
 }
--- a/crates/disruption/src/lib.rs
+++ b/crates/disruption/src/lib.rs
@@ -6,13 +6,13 @@
 //! - [`unavailable`]: what is out, and why.
 //! - [`permits`]: a permit or a drain counts against the budgets in the step that takes it; [`denial`]: why nothing is given.
 //! - [`drain`]: drains of record servers, who has become quiet, and when a server may stop; [`drain_observer`]: an agent's side.
-//! - [`seen`]: what each agent finds of the servers, so that one that is down or cold counts as out.
+//! - [`observed`]: what each agent finds of the servers, so that one that is down or cold counts as out.
 
 pub mod denial;
 pub mod drain;
 pub mod drain_observer;
+pub mod observed;
 pub mod permits;
 pub mod records;
 pub mod rules;
-pub mod seen;
 pub mod unavailable;
--- a/crates/disruption/src/seen.rs
+++ b/crates/disruption/src/observed.rs
@@ -11,33 +11,33 @@
 /// Parts that a server's lack is told in: a record changes that seldom while a server warms up.
 const STEPS: f64 = 4.0;
 /// Servers that one agent tells of at most; those that lack most come first.
-pub const TOLD_MOST: usize = 512;
+pub const MAX_OBSERVED_SERVERS: usize = 512;
 
 /// What an agent finds: what each server lacks of what it can do, from 0 (nothing) to 1 (it can't be reached). Servers that
 /// lack nothing are left out.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seen {
+pub struct ObservedServers {
     /// The agent's incarnation.
     pub incarnation: u64,
     /// What servers lack, by their names.
     pub lacks: BTreeMap<String, f64>,
 }
 
-impl Seen {
+impl ObservedServers {
     /// In the steps that are told.
-    pub fn new(incarnation: u64, lacks: impl IntoIterator<Item = (String, f64)>) -> Seen {
+    pub fn new(incarnation: u64, lacks: impl IntoIterator<Item = (String, f64)>) -> ObservedServers {
         let stepped = |lack: f64| (lack.clamp(0.0, 1.0) * STEPS).ceil() / STEPS;
         let mut lacks: Vec<(String, f64)> =
             lacks.into_iter().map(|(name, lack)| (name, stepped(lack))).collect();
         lacks.retain(|(_, lack)| *lack > 0.0);
         lacks.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-        lacks.truncate(TOLD_MOST);
-        Seen { incarnation, lacks: lacks.into_iter().collect() }
+        lacks.truncate(MAX_OBSERVED_SERVERS);
+        ObservedServers { incarnation, lacks: lacks.into_iter().collect() }
     }
 
     /// What an agent writes down of this.
-    pub fn told(&self, agent: &str) -> Txn {
+    pub fn to_transaction(&self, agent: &str) -> Txn {
         let value = serde_json::to_string(self).unwrap_or_default();
         Txn {
             checks: vec![Check::Living(agent.into(), self.incarnation)],
@@ -48,10 +48,10 @@
 
 /// What each server lacks by the fleet's count: the upper median of what the living agents say. Servers that lack nothing are
 /// left out.
-pub fn lacks(view: &View) -> Result<BTreeMap<String, f64>, Unreadable> {
+pub fn missing_capacity(view: &View) -> Result<BTreeMap<String, f64>, Unreadable> {
     let mut said: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let mut agents = 0;
-    for (agent, seen) in below::<Seen>(view, OBSERVED_PREFIX) {
+    for (agent, seen) in below::<ObservedServers>(view, OBSERVED_PREFIX) {
         let seen = seen?;
         let member = view.members.get(agent);
         if !member.is_some_and(|m| m.incarnation == seen.incarnation && m.standing == Standing::Living) {
--- a/crates/disruption/src/rules.rs
+++ b/crates/disruption/src/rules.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 
 /// Rules at most.
-pub const RULES_MOST: usize = 64;
+pub const MAX_RULES: usize = 64;
 /// Sums of what servers lack are compared with this much room for rounding.
-pub(crate) const ROUNDING: f64 = 1e-6;
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// What is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sort {
+pub enum UnitKind {
     /// Agents.
     Agents,
     /// Record servers.
@@ -24,7 +24,7 @@
 /// What is counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum Scope {
     /// All of them.
     All,
     /// Those of a site.
@@ -38,7 +38,7 @@
 /// How much may be out.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Most {
+pub enum Limit {
     /// So many.
     Number(u32),
     /// This share of all that there are of the group, 0 to 1, rounded down.
@@ -50,14 +50,14 @@
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Of what.
-    pub of: Sort,
+    pub of: UnitKind,
     /// Counted together.
-    pub by: By,
+    pub by: Scope,
     /// Only for this site, kind or cell; none for each of them by itself.
     #[serde(default)]
     pub only: Option<String>,
     /// At most.
-    pub most: Most,
+    pub most: Limit,
 }
 
 /// Where a server stands, and what it is.
@@ -87,22 +87,22 @@
 
 /// What is wrong with rules; with the place of the rule, counted from 0.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Senseless {
+pub enum InvalidRule {
     /// There are too many.
-    #[error("rule {RULES_MOST}: there may be {RULES_MOST} rules at most")]
+    #[error("rule {MAX_RULES}: there may be {MAX_RULES} rules at most")]
     TooMany,
     /// A share that is none.
     #[error("rule {0}: most: wanted a share from 0 to 1")]
-    Share(usize),
+    ShareOutOfRange(usize),
     /// Of agents, only their sites are known.
     #[error("rule {0}: by: agents are counted by all or by site")]
-    Agents(usize),
+    UnsupportedAgentScope(usize),
     /// `only` goes with a site, a kind or a cell.
     #[error("rule {0}: only: goes with by = \"site\", \"kind\" or \"cell\"")]
-    Only(usize),
+    OnlyWithoutGroups(usize),
     /// There is no such site, kind or cell among the servers.
     #[error("rule {0}: only: no server is of {1:?}")]
-    Nowhere(usize, String),
+    UnknownGroup(usize, String),
     /// Two rules say different things of the same group.
     #[error("rules {0} and {1} are of the same group and say different numbers")]
     Contradiction(usize, usize),
@@ -110,38 +110,38 @@
     #[error(
         "rule {0}: its share of {1} is less than one: it never gives anything; say number 0 if that is meant"
     )]
-    Nothing(usize, usize),
+    NeverAllows(usize, usize),
 }
 
 impl Rules {
     /// What is wrong with them, or would never give anything.
-    pub fn check(&self) -> Vec<Senseless> {
+    pub fn validate(&self) -> Vec<InvalidRule> {
         let mut faults = Vec::new();
-        if self.rules.len() > RULES_MOST {
-            faults.push(Senseless::TooMany);
+        if self.rules.len() > MAX_RULES {
+            faults.push(InvalidRule::TooMany);
         }
         for (at, rule) in self.rules.iter().enumerate() {
-            if let Most::Share(share) = rule.most {
+            if let Limit::Share(share) = rule.most {
                 if !(0.0..=1.0).contains(&share) {
-                    faults.push(Senseless::Share(at));
+                    faults.push(InvalidRule::ShareOutOfRange(at));
                 }
             }
-            if rule.of == Sort::Agents && !matches!(rule.by, By::All | By::Site) {
-                faults.push(Senseless::Agents(at));
+            if rule.of == UnitKind::Agents && !matches!(rule.by, Scope::All | Scope::Site) {
+                faults.push(InvalidRule::UnsupportedAgentScope(at));
             }
-            if rule.by == By::All && rule.only.is_some() {
-                faults.push(Senseless::Only(at));
+            if rule.by == Scope::All && rule.only.is_some() {
+                faults.push(InvalidRule::OnlyWithoutGroups(at));
             }
-            if let (Sort::Servers, Some(only)) = (rule.of, &rule.only) {
+            if let (UnitKind::Servers, Some(only)) = (rule.of, &rule.only) {
                 let known = self.servers.values().any(|server| group(rule.by, server) == only);
-                if rule.by != By::All && !known {
-                    faults.push(Senseless::Nowhere(at, only.clone()));
+                if rule.by != Scope::All && !known {
+                    faults.push(InvalidRule::UnknownGroup(at, only.clone()));
                 }
             }
             let same = |other: &Rule| (other.of, other.by, &other.only) == (rule.of, rule.by, &rule.only);
             let other = self.rules[..at].iter().position(|other| same(other) && other.most != rule.most);
-            faults.extend(other.map(|other| Senseless::Contradiction(other, at)));
-            if let (Sort::Servers, Most::Share(share)) = (rule.of, rule.most) {
+            faults.extend(other.map(|other| InvalidRule::Contradiction(other, at)));
+            if let (UnitKind::Servers, Limit::Share(share)) = (rule.of, rule.most) {
                 let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
                 for server in self.servers.values() {
                     *sizes.entry(group(rule.by, server)).or_default() += 1;
@@ -151,7 +151,7 @@
                     .filter(|(name, _)| rule.only.as_deref().is_none_or(|only| only == *name));
                 let least = sizes.map(|(_, size)| size).min().unwrap_or(0);
                 if least > 0 && (0.0..=1.0).contains(&share) && share > 0.0 && (share * least as f64) < 1.0 {
-                    faults.push(Senseless::Nothing(at, least));
+                    faults.push(InvalidRule::NeverAllows(at, least));
                 }
             }
         }
@@ -159,7 +159,7 @@
     }
 
     /// What states them; permits and drains that are out stay out.
-    pub fn state(&self, view: &View) -> Result<Txn, Unreadable> {
+    pub fn to_transaction(&self, view: &View) -> Result<Txn, Unreadable> {
         let check = match view.records.get(RULES_KEY) {
             Some(record) => Check::At(RULES_KEY.into(), record.revision),
             None => Check::Absent(RULES_KEY.into()),
@@ -169,11 +169,11 @@
     }
 }
 
-pub(crate) fn group(by: By, server: &Server) -> &str {
+pub(crate) fn group(by: Scope, server: &Server) -> &str {
     match by {
-        By::All => "",
-        By::Site => &server.site,
-        By::Kind => &server.kind,
-        By::Cell => &server.cell,
+        Scope::All => "",
+        Scope::Site => &server.site,
+        Scope::Kind => &server.kind,
+        Scope::Cell => &server.cell,
     }
 }
--- a/crates/disruption/src/unavailable.rs
+++ b/crates/disruption/src/unavailable.rs
@@ -1,9 +1,9 @@
 //! What is out, and why, counted over many records and all agents.
 
-use crate::denial::Denied;
+use crate::denial::BudgetDenial;
+use crate::observed;
 use crate::records::{self, read, RULES_KEY};
-use crate::rules::{group, By, Most, Rule, Rules, Server, Sort, ROUNDING};
-use crate::seen;
+use crate::rules::{group, Limit, Rule, Rules, Scope, Server, UnitKind, ROUNDING_TOLERANCE};
 use heronhoist_council::permit;
 use heronhoist_council::state::{is_agent, Revision, Standing};
 use heronhoist_council::wire::View;
@@ -20,15 +20,15 @@
 
 /// What is out, as of one revision.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Count {
+pub struct Unavailable {
     pub(crate) rules: Rules,
-    pub(crate) units: BTreeMap<(Sort, String), Unit>,
+    pub(crate) units: BTreeMap<(UnitKind, String), Unit>,
     pub(crate) revision: Revision,
 }
 
 /// One group of one rule, for people.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Group {
+pub struct GroupStatus {
     /// As `servers of site east`.
     pub name: String,
     /// All that there are.
@@ -41,10 +41,10 @@
     pub who: Vec<String>,
 }
 
-impl Count {
+impl Unavailable {
     /// Counts what is out. The view must hold all members and all records, as of one linearizable read.
-    pub fn new(view: &View) -> Result<Count, Denied> {
-        let (rules, _) = read::<Rules>(view, RULES_KEY)?.ok_or(Denied::NoRules)?;
+    pub fn count(view: &View) -> Result<Unavailable, BudgetDenial> {
+        let (rules, _) = read::<Rules>(view, RULES_KEY)?.ok_or(BudgetDenial::NoRules)?;
         let mut units = BTreeMap::new();
         let permits: BTreeSet<String> = permit::all_out(view)?;
         for (name, member) in view.members.iter().filter(|(name, _)| is_agent(name)) {
@@ -57,9 +57,9 @@
                 Standing::Left => (1.0, "left"),
                 Standing::Expired => (1.0, "its lease ended"),
             };
-            units.insert((Sort::Agents, name.clone()), Unit { place, out, why });
+            units.insert((UnitKind::Agents, name.clone()), Unit { place, out, why });
         }
-        let lacks = seen::lacks(view)?;
+        let lacks = observed::missing_capacity(view)?;
         let drains = records::drains(view)?;
         for (name, place) in &rules.servers {
             let (out, why) = match (drains.contains_key(name), lacks.get(name)) {
@@ -68,13 +68,13 @@
                 (_, Some(lack)) => (*lack, "cold"),
                 (false, None) => (0.0, ""),
             };
-            units.insert((Sort::Servers, name.clone()), Unit { place: place.clone(), out, why });
+            units.insert((UnitKind::Servers, name.clone()), Unit { place: place.clone(), out, why });
         }
-        Ok(Count { rules, units, revision: view.revision })
+        Ok(Unavailable { rules, units, revision: view.revision })
     }
 
-    pub(crate) fn group(&self, rule: &Rule, name: &str) -> Group {
-        let of = |(sort, _): &&(Sort, String)| *sort == rule.of;
+    pub(crate) fn group(&self, rule: &Rule, name: &str) -> GroupStatus {
+        let of = |(sort, _): &&(UnitKind, String)| *sort == rule.of;
         let units = self.units.iter().filter(|(key, unit)| of(key) && group(rule.by, &unit.place) == name);
         let (mut all, mut out, mut who) = (0, 0.0, Vec::new());
         for ((_, unit_name), unit) in units {
@@ -85,21 +85,21 @@
             }
         }
         let most = match rule.most {
-            Most::Number(most) => most,
-            Most::Share(share) => (share * all as f64 + ROUNDING) as u32,
+            Limit::Number(most) => most,
+            Limit::Share(share) => (share * all as f64 + ROUNDING_TOLERANCE) as u32,
         };
-        let sort = if rule.of == Sort::Agents { "agents" } else { "servers" };
+        let sort = if rule.of == UnitKind::Agents { "agents" } else { "servers" };
         let name = match rule.by {
-            By::All => format!("all {sort}"),
-            By::Site => format!("{sort} of site {name}"),
-            By::Kind => format!("{sort} of kind {name}"),
-            By::Cell => format!("{sort} of cell {name}"),
+            Scope::All => format!("all {sort}"),
+            Scope::Site => format!("{sort} of site {name}"),
+            Scope::Kind => format!("{sort} of kind {name}"),
+            Scope::Cell => format!("{sort} of cell {name}"),
         };
-        Group { name, all, most, out, who }
+        GroupStatus { name, all, most, out, who }
     }
 
     /// Every group of every rule.
-    pub fn groups(&self) -> Vec<Group> {
+    pub fn groups(&self) -> Vec<GroupStatus> {
         let mut groups = Vec::new();
         for rule in &self.rules.rules {
             let units = self.units.iter().filter(|((sort, _), _)| *sort == rule.of);
--- a/crates/disruption/tests/disruption.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -4,13 +4,13 @@
 use heronhoist_council::state::{Call, Command, Peer, Reply, State, Txn};
 use heronhoist_council::wire::{Response, View};
 use heronhoist_council::Bounds;
-use heronhoist_disruption::denial::Denied;
-use heronhoist_disruption::drain;
-use heronhoist_disruption::drain_observer::Listener;
+use heronhoist_disruption::denial::BudgetDenial;
+use heronhoist_disruption::drain::{self, DrainDenial};
+use heronhoist_disruption::drain_observer::DrainObserver;
+use heronhoist_disruption::observed::{self, ObservedServers};
 use heronhoist_disruption::records::Drain;
-use heronhoist_disruption::rules::{By, Most, Rule, Rules, Senseless, Server, Sort};
-use heronhoist_disruption::seen::{self, Seen};
-use heronhoist_disruption::unavailable::Count;
+use heronhoist_disruption::rules::{InvalidRule, Limit, Rule, Rules, Scope, Server, UnitKind};
+use heronhoist_disruption::unavailable::Unavailable;
 use std::collections::BTreeMap;
 
 struct Council(State);
@@ -57,7 +57,7 @@
     }
 }
 
-fn rule(of: Sort, by: By, most: Most) -> Rule {
+fn rule(of: UnitKind, by: Scope, most: Limit) -> Rule {
     Rule { of, by, only: None, most }
 }
 
@@ -69,9 +69,9 @@
     };
     Rules {
         rules: vec![
-            rule(Sort::Servers, By::Site, Most::Number(1)),
-            rule(Sort::Servers, By::All, Most::Share(0.34)),
-            rule(Sort::Agents, By::Site, Most::Number(2)),
+            rule(UnitKind::Servers, Scope::Site, Limit::Number(1)),
+            rule(UnitKind::Servers, Scope::All, Limit::Share(0.34)),
+            rule(UnitKind::Agents, Scope::Site, Limit::Number(2)),
         ],
         servers: (0..6).map(server).collect(),
     }
@@ -81,7 +81,7 @@
     Drain { number, by: "op".into(), why: "disk".into() }
 }
 
-fn denied(result: Result<Txn, drain::Denied>) -> String {
+fn denied(result: Result<Txn, DrainDenial>) -> String {
     result.expect_err("denied").to_string()
 }
 
@@ -90,18 +90,19 @@
     let mut council = Council::new();
     let agents = ["n1", "n2", "n3", "n4"].map(|name| council.join(name, "east"));
     council.join("hold:n1:7", "");
-    council.done(rules().state(&council.view()).expect("readable"));
+    council.done(rules().to_transaction(&council.view()).expect("readable"));
     council.done(drain::enter(&council.view(), "s1", drain(7), false).expect("allowed"));
     assert!(denied(drain::enter(&council.view(), "s1", drain(8), false)).contains("for op: disk"));
-    let mut listeners = [(); 4].map(|()| Listener::default());
-    for (at, listener) in listeners.iter_mut().enumerate().take(2) {
-        listener.hears(Some(&Response::Read(council.view()))).expect("readable");
-        assert_eq!(listener.drained().into_iter().collect::<Vec<_>>(), ["s1"]);
-        assert_eq!(listener.to_say(agents[at], |_| false), None, "something is still out");
-        let quiet = listener.to_say(agents[at], |server| server == "s1").expect("to be said");
-        council.done(quiet.told(&format!("n{}", at + 1)));
-        listener.said(quiet);
-        assert_eq!(listener.to_say(agents[at], |_| true), None, "it is said already");
+    let mut observers = [(); 4].map(|()| DrainObserver::default());
+    for (at, observer) in observers.iter_mut().enumerate().take(2) {
+        observer.on_response(Some(&Response::Read(council.view()))).expect("readable");
+        assert_eq!(observer.draining_servers().into_iter().collect::<Vec<_>>(), ["s1"]);
+        assert_eq!(observer.pending_acknowledgement(agents[at], |_| false), None, "something is still out");
+        let quiet =
+            observer.pending_acknowledgement(agents[at], |server| server == "s1").expect("to be said");
+        council.done(quiet.to_transaction(&format!("n{}", at + 1)));
+        observer.on_acknowledged(quiet);
+        assert_eq!(observer.pending_acknowledgement(agents[at], |_| true), None, "it is said already");
     }
     let barrier =
         |council: &Council| drain::barrier(&council.view(), "s1").expect("readable").expect("it drains");
@@ -126,8 +127,8 @@
     council.expire("n2", agents[1]);
     let again = council.join("n2", "east");
     assert_eq!(barrier(&council).waits_for, ["n2", "n4"]);
-    listeners[1].hears(Some(&Response::Read(council.view()))).expect("readable");
-    council.done(listeners[1].to_say(again, |_| true).expect("again").told("n2"));
+    observers[1].on_response(Some(&Response::Read(council.view()))).expect("readable");
+    council.done(observers[1].pending_acknowledgement(again, |_| true).expect("again").to_transaction("n2"));
     council.run(Command::Leave { name: "n4".into(), incarnation: agents[3] });
     assert!(barrier(&council).is_open());
     assert_eq!(
@@ -148,15 +149,15 @@
     let mut council = Council::new();
     let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| council.join(name, "east"));
     let servers = |council: &Council| {
-        let count = Count::new(&council.view()).expect("counted");
-        (0..6).map(|n| count.allow(Sort::Servers, &format!("s{n}")).is_ok()).collect::<Vec<_>>()
+        let count = Unavailable::count(&council.view()).expect("counted");
+        (0..6).map(|n| count.allow(UnitKind::Servers, &format!("s{n}")).is_ok()).collect::<Vec<_>>()
     };
-    assert_eq!(Count::new(&council.view()).expect_err("no rules"), Denied::NoRules);
-    council.done(rules().state(&council.view()).expect("readable"));
+    assert_eq!(Unavailable::count(&council.view()).expect_err("no rules"), BudgetDenial::NoRules);
+    council.done(rules().to_transaction(&council.view()).expect("readable"));
     assert_eq!(servers(&council), [true; 6]);
     assert!(matches!(
-        Count::new(&council.view()).expect("counted").allow(Sort::Servers, "s9"),
-        Err(Denied::Unknown(_))
+        Unavailable::count(&council.view()).expect("counted").allow(UnitKind::Servers, "s9"),
+        Err(BudgetDenial::UnknownUnit(_))
     ));
     council.done(drain::enter(&council.view(), "s0", drain(1), false).expect("allowed"));
     assert_eq!(
@@ -165,33 +166,39 @@
         "one of a site, and itself takes nothing more"
     );
     // One agent that can't reach a server says nothing; two of three do, and it counts.
-    council.done(Seen::new(n1, [("s3".to_string(), 1.0)]).told("n1"));
-    council.done(Seen::new(n2, []).told("n2"));
-    council.done(Seen::new(n3, []).told("n3"));
+    council.done(ObservedServers::new(n1, [("s3".to_string(), 1.0)]).to_transaction("n1"));
+    council.done(ObservedServers::new(n2, []).to_transaction("n2"));
+    council.done(ObservedServers::new(n3, []).to_transaction("n3"));
     assert_eq!(servers(&council), [true, false, false, true, true, true]);
-    council.done(Seen::new(n2, [("s3".to_string(), 1.0)]).told("n2"));
+    council.done(ObservedServers::new(n2, [("s3".to_string(), 1.0)]).to_transaction("n2"));
     assert_eq!(servers(&council), [true, false, false, true, false, false]);
     let said = denied(drain::enter(&council.view(), "s4", drain(2), false));
     assert_eq!(said, "servers of site west: 1 may be out, and 1 are already: s3 (can't be reached)");
     // It is back, and cold: what it lacks is not to be had.
-    council.done(Seen::new(n1, [("s3".to_string(), 0.2)]).told("n1"));
-    council.done(Seen::new(n2, [("s3".to_string(), 0.2)]).told("n2"));
-    assert_eq!(seen::lacks(&council.view()).expect("readable"), BTreeMap::from([("s3".to_string(), 0.25)]));
+    council.done(ObservedServers::new(n1, [("s3".to_string(), 0.2)]).to_transaction("n1"));
+    council.done(ObservedServers::new(n2, [("s3".to_string(), 0.2)]).to_transaction("n2"));
+    assert_eq!(
+        observed::missing_capacity(&council.view()).expect("readable"),
+        BTreeMap::from([("s3".to_string(), 0.25)])
+    );
     let said = denied(drain::enter(&council.view(), "s4", drain(2), false));
     assert_eq!(said, "servers of site west: 1 may be out, and 0.25 are already: s3 (cold)");
     // A person's word is over it, and what is overdrawn then gives nothing more.
     council.done(drain::enter(&council.view(), "s4", drain(2), true).expect("a person's word"));
-    let overdrawn = Count::new(&council.view()).expect("counted");
-    let Err(Denied::Spent { out, most, .. }) = overdrawn.allow(Sort::Servers, "s1") else { panic!("given") };
+    let overdrawn = Unavailable::count(&council.view()).expect("counted");
+    let Err(BudgetDenial::LimitReached { out, most, .. }) = overdrawn.allow(UnitKind::Servers, "s1") else {
+        panic!("given")
+    };
     assert!(out > f64::from(most) - 1.0);
     // Agents: crashed, not ready, left and taken out by a permit.
-    let agents =
-        |council: &Council, name| Count::new(&council.view()).expect("counted").allow(Sort::Agents, name);
+    let agents = |council: &Council, name| {
+        Unavailable::count(&council.view()).expect("counted").allow(UnitKind::Agents, name)
+    };
     assert!(agents(&council, "n1").is_ok());
     council.expire("n2", n2);
     assert!(agents(&council, "n1").is_ok());
     council.run(Command::Report { name: "n3".into(), incarnation: n3, number: 2, ready: false });
-    let Err(Denied::Spent { who, .. }) = agents(&council, "n1") else { panic!("given") };
+    let Err(BudgetDenial::LimitReached { who, .. }) = agents(&council, "n1") else { panic!("given") };
     assert_eq!(who, ["n2 (its lease ended)", "n3 (not ready)"]);
     assert!(agents(&council, "n2").is_ok(), "it is out already");
     council.run(Command::Forget { name: "n2".into() });
@@ -200,7 +207,7 @@
     let taker = council.join("hold:x", "");
     council.done(permit::state_number(&council.view(), &key, 9).expect("stated"));
     council.done(permit::take(&council.view(), &key, "n1", ("hold:x", taker), "kernel").expect("taken"));
-    let groups = Count::new(&council.view()).expect("counted").groups();
+    let groups = Unavailable::count(&council.view()).expect("counted").groups();
     let east = groups.iter().find(|group| group.name == "agents of site east").expect("counted");
     assert_eq!((east.out, east.most, east.all), (2.0, 2, 2));
     assert_eq!(east.who, ["n1 (taken out)", "n3 (not ready)"]);
@@ -219,18 +226,18 @@
             council.done(drain::enter(&council.view(), "s2", drain(5), false).expect("allowed"));
         }),
         ("a server is found down", |council, n1| {
-            council.done(Seen::new(n1, [("s2".to_string(), 1.0)]).told("n1"));
+            council.done(ObservedServers::new(n1, [("s2".to_string(), 1.0)]).to_transaction("n1"));
         }),
         ("the budget is made smaller", |council, _| {
             let mut fewer = rules();
-            fewer.rules[0].most = Most::Number(0);
-            council.done(fewer.state(&council.view()).expect("readable"));
+            fewer.rules[0].most = Limit::Number(0);
+            council.done(fewer.to_transaction(&council.view()).expect("readable"));
         }),
     ];
     for (what, happens) in happenings {
         let mut council = Council::new();
         let n1 = council.join("n1", "east");
-        council.done(rules().state(&council.view()).expect("readable"));
+        council.done(rules().to_transaction(&council.view()).expect("readable"));
         let txn = drain::enter(&council.view(), "s1", drain(1), false).expect("allowed");
         let mut still = Council(council.0.clone());
         still.done(txn.clone());
@@ -243,32 +250,32 @@
 #[test]
 fn rules_that_contradict_each_other_or_give_nothing_are_told_with_their_places() {
     let mut rules = rules();
-    assert_eq!(rules.check(), []);
+    assert_eq!(rules.validate(), []);
     rules.rules = vec![
-        rule(Sort::Servers, By::Site, Most::Number(1)),
-        rule(Sort::Servers, By::Site, Most::Number(2)),
-        rule(Sort::Servers, By::All, Most::Share(1.5)),
-        rule(Sort::Agents, By::Cell, Most::Number(1)),
-        Rule { only: Some("north".into()), ..rule(Sort::Servers, By::Kind, Most::Number(1)) },
-        Rule { only: Some("east".into()), ..rule(Sort::Agents, By::All, Most::Number(1)) },
-        rule(Sort::Servers, By::Cell, Most::Share(0.2)),
+        rule(UnitKind::Servers, Scope::Site, Limit::Number(1)),
+        rule(UnitKind::Servers, Scope::Site, Limit::Number(2)),
+        rule(UnitKind::Servers, Scope::All, Limit::Share(1.5)),
+        rule(UnitKind::Agents, Scope::Cell, Limit::Number(1)),
+        Rule { only: Some("north".into()), ..rule(UnitKind::Servers, Scope::Kind, Limit::Number(1)) },
+        Rule { only: Some("east".into()), ..rule(UnitKind::Agents, Scope::All, Limit::Number(1)) },
+        rule(UnitKind::Servers, Scope::Cell, Limit::Share(0.2)),
     ];
     let wanted = [
-        Senseless::Contradiction(0, 1),
-        Senseless::Share(2),
-        Senseless::Agents(3),
-        Senseless::Nowhere(4, "north".into()),
-        Senseless::Only(5),
-        Senseless::Nothing(6, 3),
+        InvalidRule::Contradiction(0, 1),
+        InvalidRule::ShareOutOfRange(2),
+        InvalidRule::UnsupportedAgentScope(3),
+        InvalidRule::UnknownGroup(4, "north".into()),
+        InvalidRule::OnlyWithoutGroups(5),
+        InvalidRule::NeverAllows(6, 3),
     ];
-    assert_eq!(rules.check(), wanted);
+    assert_eq!(rules.validate(), wanted);
 }
 
 #[test]
 fn what_agents_tell_is_bounded_and_comes_in_steps() {
     let many = (0..2000).map(|n| (format!("s{n}"), f64::from(n) / 2000.0));
-    let seen = Seen::new(1, many);
-    assert_eq!(seen.lacks.len(), seen::TOLD_MOST);
+    let seen = ObservedServers::new(1, many);
+    assert_eq!(seen.lacks.len(), observed::MAX_OBSERVED_SERVERS);
     assert!(seen.lacks.values().all(|lack| *lack >= 0.75), "those that lack most");
-    assert_eq!(Seen::new(1, [("a".into(), 0.01)]), Seen::new(1, [("a".into(), 0.24)]));
+    assert_eq!(ObservedServers::new(1, [("a".into(), 0.01)]), ObservedServers::new(1, [("a".into(), 0.24)]));
 }
--- a/crates/disruption/tests/golden.rs
+++ b/crates/disruption/tests/golden.rs
@@ -6,13 +6,13 @@
 use heronhoist_council::state::{Call, Command, Peer, Record, Reply, State, Txn};
 use heronhoist_council::wire::{Request, Response, View};
 use heronhoist_council::Bounds;
-use heronhoist_disruption::drain::{self, Quiet};
-use heronhoist_disruption::drain_observer::Listener;
+use heronhoist_disruption::drain::{self, DrainAcknowledgement};
+use heronhoist_disruption::drain_observer::DrainObserver;
+use heronhoist_disruption::observed::{self, ObservedServers};
 use heronhoist_disruption::permits;
 use heronhoist_disruption::records::{self, Drain};
-use heronhoist_disruption::rules::{By, Most, Rule, Rules, Server, Sort};
-use heronhoist_disruption::seen::{self, Seen};
-use heronhoist_disruption::unavailable::Count;
+use heronhoist_disruption::rules::{Limit, Rule, Rules, Scope, Server, UnitKind};
+use heronhoist_disruption::unavailable::Unavailable;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -67,16 +67,16 @@
     assert!(fault.to_string().contains("unknown field `x`"), "{fault}");
 }
 
-fn sorts() -> [Sort; 2] {
-    [Sort::Agents, Sort::Servers]
+fn sorts() -> [UnitKind; 2] {
+    [UnitKind::Agents, UnitKind::Servers]
 }
 
-fn groupings() -> [By; 4] {
-    [By::All, By::Site, By::Kind, By::Cell]
+fn groupings() -> [Scope; 4] {
+    [Scope::All, Scope::Site, Scope::Kind, Scope::Cell]
 }
 
-fn limits() -> [Most; 4] {
-    [Most::Number(0), Most::Number(3), Most::Share(0.25), Most::Share(1.0)]
+fn limits() -> [Limit; 4] {
+    [Limit::Number(0), Limit::Number(3), Limit::Share(0.25), Limit::Share(1.0)]
 }
 
 fn server() -> Server {
@@ -87,12 +87,12 @@
     let rule = |of, by, only: Option<&str>, most| Rule { of, by, only: only.map(String::from), most };
     Rules {
         rules: vec![
-            rule(Sort::Agents, By::Site, None, Most::Number(2)),
-            rule(Sort::Agents, By::All, None, Most::Share(0.5)),
-            rule(Sort::Servers, By::All, None, Most::Share(0.5)),
-            rule(Sort::Servers, By::Site, Some("east"), Most::Number(2)),
-            rule(Sort::Servers, By::Kind, Some("m1"), Most::Number(2)),
-            rule(Sort::Servers, By::Cell, None, Most::Number(1)),
+            rule(UnitKind::Agents, Scope::Site, None, Limit::Number(2)),
+            rule(UnitKind::Agents, Scope::All, None, Limit::Share(0.5)),
+            rule(UnitKind::Servers, Scope::All, None, Limit::Share(0.5)),
+            rule(UnitKind::Servers, Scope::Site, Some("east"), Limit::Number(2)),
+            rule(UnitKind::Servers, Scope::Kind, Some("m1"), Limit::Number(2)),
+            rule(UnitKind::Servers, Scope::Cell, None, Limit::Number(1)),
         ],
         servers: BTreeMap::from([
             ("s1".into(), server()),
@@ -108,9 +108,9 @@
 
 #[test]
 fn kinds_groupings_and_limits() {
-    has_every_variant!(sorts(), Sort, Sort::Agents, Sort::Servers);
-    has_every_variant!(groupings(), By, By::All, By::Site, By::Kind, By::Cell);
-    has_every_variant!(limits(), Most, Most::Number(_), Most::Share(_));
+    has_every_variant!(sorts(), UnitKind, UnitKind::Agents, UnitKind::Servers);
+    has_every_variant!(groupings(), Scope, Scope::All, Scope::Site, Scope::Kind, Scope::Cell);
+    has_every_variant!(limits(), Limit, Limit::Number(_), Limit::Share(_));
     assert_golden("sort.jsonl", &sorts());
     assert_golden("by.jsonl", &groupings());
     assert_golden("most.jsonl", &limits());
@@ -125,7 +125,7 @@
     assert_refuses_unknown_field(&rules.rules[0]);
     assert_refuses_unknown_field(&server());
     assert_refuses_unknown_field(&rules);
-    let short = Rule { of: Sort::Agents, by: By::Site, only: None, most: Most::Number(2) };
+    let short = Rule { of: UnitKind::Agents, by: Scope::Site, only: None, most: Limit::Number(2) };
     assert_reads("{\"of\":\"agents\",\"by\":\"site\",\"most\":{\"number\":2}}", &short);
     assert_reads("{\"site\":\"west\"}", &Server { site: "west".into(), ..Server::default() });
     assert_reads("{\"rules\":[]}", &Rules::default());
@@ -133,9 +133,12 @@
 
 #[test]
 fn drain_and_quiet() {
-    let quiet = Quiet { incarnation: 3, servers: BTreeMap::from([("s1".into(), 44), ("s2".into(), 45)]) };
+    let quiet = DrainAcknowledgement {
+        incarnation: 3,
+        servers: BTreeMap::from([("s1".into(), 44), ("s2".into(), 45)]),
+    };
     assert_golden("drain.jsonl", &[drain()]);
-    assert_golden("quiet.jsonl", &[Quiet::default(), quiet.clone()]);
+    assert_golden("quiet.jsonl", &[DrainAcknowledgement::default(), quiet.clone()]);
     assert_refuses_unknown_field(&drain());
     assert_refuses_unknown_field(&quiet);
 }
@@ -143,8 +146,8 @@
 #[test]
 fn seen_servers() {
     let lacks = [("s1", 0.1), ("s2", 1.0), ("s3", 0.0), ("s4", 0.6)];
-    let seen = Seen::new(3, lacks.map(|(name, lack)| (name.into(), lack)));
-    assert_golden("seen.jsonl", &[Seen::default(), seen.clone()]);
+    let seen = ObservedServers::new(3, lacks.map(|(name, lack)| (name.into(), lack)));
+    assert_golden("seen.jsonl", &[ObservedServers::default(), seen.clone()]);
     assert_refuses_unknown_field(&seen);
 }
 
@@ -199,16 +202,16 @@
     let take =
         |view: &View| permits::take_agent(view, &key, "n1", ("tool:r1", tool), "roll").expect("allowed");
     council.txns.push(take(&council.view()));
-    council.write(|view| rules().state(view).expect("stated"));
-    council.write(|view| rules().state(view).expect("stated again"));
+    council.write(|view| rules().to_transaction(view).expect("stated"));
+    council.write(|view| rules().to_transaction(view).expect("stated again"));
     council.write(take);
     council.write(|view| drain::enter(view, "s1", drain(), false).expect("allowed"));
     council.write(|view| drain::enter(view, "s2", Drain { number: 45, ..drain() }, true).expect("forced"));
-    let mut listener = Listener::default();
-    listener.hears(Some(&Response::Read(council.view()))).expect("read");
-    let quiet = listener.to_say(n1, |server| server == "s1").expect("something new");
-    council.write(|_| quiet.told("n1"));
-    council.write(|_| Seen::new(n1, [("s3".into(), 0.3)]).told("n1"));
+    let mut observer = DrainObserver::default();
+    observer.on_response(Some(&Response::Read(council.view()))).expect("read");
+    let quiet = observer.pending_acknowledgement(n1, |server| server == "s1").expect("something new");
+    council.write(|_| quiet.to_transaction("n1"));
+    council.write(|_| ObservedServers::new(n1, [("s3".into(), 0.3)]).to_transaction("n1"));
     council.write(|view| drain::end(view, "s2").expect("it drains"));
     assert_golden("txn.jsonl", &council.txns);
     let records: Vec<(String, Record)> = council.state.records.into_iter().collect();
@@ -230,9 +233,9 @@
     assert_eq!(records::drains(&view).expect("read"), BTreeMap::from([("s1".into(), drain())]));
     let barrier = drain::barrier(&view, "s1").expect("read").expect("it drains");
     assert_eq!((barrier.quiet, barrier.waits_for), (vec!["n1".to_string()], vec!["n2".to_string()]));
-    let lacks = seen::lacks(&view).expect("read");
+    let lacks = observed::missing_capacity(&view).expect("read");
     assert_eq!(lacks, BTreeMap::from([("s3".into(), 0.5)]));
-    let count = Count::new(&view).expect("read");
+    let count = Unavailable::count(&view).expect("read");
     let groups: Vec<String> = count
         .groups()
         .into_iter()
@@ -253,10 +256,10 @@
 /// What an agent asks for to hear of drains.
 #[test]
 fn questions_of_a_listener() {
-    let mut listener = Listener::default();
-    let first = listener.asks();
+    let mut observer = DrainObserver::default();
+    let first = observer.next_request();
     let council = Council { state: State::new(1, BTreeMap::<u64, Peer>::new()), txns: Vec::new() };
-    listener.hears(Some(&Response::Read(council.view()))).expect("read");
-    let questions: [Request; 2] = [first, listener.asks()];
+    observer.on_response(Some(&Response::Read(council.view()))).expect("read");
+    let questions: [Request; 2] = [first, observer.next_request()];
     assert_golden("listener_request.jsonl", &questions);
 }
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 use crate::processes::judge::{Opened, Sent};
-use heronhoist_disruption::denial;
-use heronhoist_disruption::drain::{self, Quiet};
-use heronhoist_disruption::drain_observer::Listener;
+use heronhoist_disruption::denial::BudgetDenial;
+use heronhoist_disruption::drain::{self, DrainAcknowledgement, DrainDenial};
+use heronhoist_disruption::drain_observer::DrainObserver;
 use heronhoist_disruption::records::{self, Drain};
-use heronhoist_disruption::rules::{By, Most, Rule, Rules, Server, Sort};
+use heronhoist_disruption::rules::{Limit, Rule, Rules, Scope, Server, UnitKind};
 
 /// An agent may still send so long after it has heard of a drain, and is not quiet before.
 const GRACE: Micros = 500_000;
@@ -15,14 +15,14 @@
 /// What an agent has to do with record servers.
 #[derive(Default)]
 pub(super) struct Sends {
-    listener: Listener,
+    observer: DrainObserver,
     /// When it heard of each drain.
     heard: BTreeMap<String, Micros>,
     /// Requests that are under way: to whom, and when they end.
     out: Vec<(String, Micros)>,
     next_at: Micros,
     /// What it is about to have written down, for which incarnation, and how it asks that.
-    saying: Option<(Quiet, Request)>,
+    saying: Option<(DrainAcknowledgement, Request)>,
     session: (u64, u64),
 }
 
@@ -92,15 +92,16 @@
         }
         let mut asks = Vec::new();
         if hears {
-            asks.push((2, sends.listener.asks()));
+            asks.push((2, sends.observer.next_request()));
         }
         if let Some(held) = held.filter(|_| says) {
             if sends.saying.as_ref().is_none_or(|(quiet, _)| quiet.incarnation != held) {
-                let quiet = sends.listener.to_say(held, |server| sends.is_quiet(server, now));
+                let quiet =
+                    sends.observer.pending_acknowledgement(held, |server| sends.is_quiet(server, now));
                 sends.saying = quiet.map(|quiet| {
                     sends.session =
                         if sends.session.0 == held { (held, sends.session.1 + 1) } else { (held, 1) };
-                    let command = Command::Write(quiet.told(&name));
+                    let command = Command::Write(quiet.to_transaction(&name));
                     (quiet, Request::Command(Call { session: Some(sends.session), command }))
                 });
             }
@@ -114,10 +115,10 @@
         let now = self.now;
         let Role::Agent(agent) = &mut self.processes[at].role else { return };
         let sends = &mut agent.sends;
-        if let Err(why) = sends.listener.hears(response.as_ref()) {
+        if let Err(why) = sends.observer.on_response(response.as_ref()) {
             self.outcome.seen.wrongs.push(why.to_string());
         }
-        let drained = sends.listener.drained();
+        let drained = sends.observer.draining_servers();
         sends.heard.retain(|server, _| drained.contains(server));
         for server in drained {
             sends.heard.entry(server).or_insert(now);
@@ -130,15 +131,15 @@
         let Some(response) = response else { return };
         let said = agent.sends.saying.take();
         if let (Some((quiet, _)), Response::Reply(Reply::Done(_), _)) = (said, response) {
-            agent.sends.listener.said(quiet);
+            agent.sends.observer.on_acknowledged(quiet);
         }
     }
 
     fn rules(&self) -> Rules {
-        let rule = |of, by, most| Rule { of, by, only: None, most: Most::Number(most) };
+        let rule = |of, by, most| Rule { of, by, only: None, most: Limit::Number(most) };
         let rules = vec![
-            rule(Sort::Servers, By::All, self.plan.servers_out),
-            rule(Sort::Agents, By::Site, self.plan.permits),
+            rule(UnitKind::Servers, Scope::All, self.plan.servers_out),
+            rule(UnitKind::Agents, Scope::Site, self.plan.permits),
         ];
         let server = |n| (format!("s{n}"), Server { site: format!("site{n}"), ..Server::default() });
         Rules { rules, servers: (0..self.plan.servers).map(server).collect() }
@@ -214,8 +215,8 @@
                             txn = Some(entering);
                             doing = Draining::Entering;
                         }
-                        Err(drain::Denied::Budget(denial::Denied::NoRules)) => {
-                            txn = self.rules().state(view).ok();
+                        Err(DrainDenial::Budget(BudgetDenial::NoRules)) => {
+                            txn = self.rules().to_transaction(view).ok();
                         }
                         Err(_) => {}
                     }
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -1,7 +1,8 @@
 //! Operators, and what agents do about permits.
 
 use super::*;
-use heronhoist_disruption::{denial, permits, records};
+use heronhoist_disruption::denial::BudgetDenial;
+use heronhoist_disruption::{permits, records};
 
 impl World<'_> {
     pub(super) fn agent_told(&mut self, at: usize, response: Option<Response>) {
@@ -118,7 +119,7 @@
                     operator.doing = Doing::Taking(about);
                     Some(txn)
                 }
-                Err(denial::Denied::Permits(Denied::NoBudget(_))) => {
+                Err(BudgetDenial::Permits(Denied::NoBudget(_))) => {
                     permit::state_number(view, &key, permits).ok()
                 }
                 Err(_) if self.plan.planted == Planted::FreedBySilence => freed_by_silence(view, &key),
