--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -7,7 +7,7 @@
 use heronhoist_config::Fault;
 use heronhoist_council::wire::View;
 use heronhoist_disruption::drain::{self, Barrier, DrainDenial};
-use heronhoist_disruption::records::{self, Drain, Unreadable};
+use heronhoist_disruption::records::{self, Drain, RecordError};
 use heronhoist_disruption::rules::{self, InvalidRule, Limit, Rule, Rules, Scope, Server, UnitKind};
 use heronhoist_disruption::unavailable::{GroupStatus, Unavailable};
 use std::fmt::Write as _;
@@ -77,7 +77,7 @@
 }
 
 fn denied(why: DrainDenial) -> Failed {
-    let unreadable = matches!(why, DrainDenial::Unreadable(_));
+    let unreadable = matches!(why, DrainDenial::Record(_));
     (if unreadable { 1 } else { DENIED }, why.to_string())
 }
 
@@ -90,9 +90,9 @@
     match tool {
         DrainTool::Server { name, why, wait, over_budget, at } => {
             let mut client = Client::new(&at, "operator").map_err(|why| (2, why))?;
-            let number = fastrand::u64(1..);
-            let by = std::env::var("USER").unwrap_or_else(|_| "operator".into());
-            let new = Drain { number, by, why };
+            let id = fastrand::u64(1..);
+            let requested_by = std::env::var("USER").unwrap_or_else(|_| "operator".into());
+            let new = Drain { id, requested_by, reason: why };
             let entered = client
                 .change("", |view| drain::enter(view, &name, new.clone(), over_budget))
                 .await
@@ -101,7 +101,7 @@
             if !wait {
                 return Ok(format!("{name} drains; `heronhoist drain status` shows when it may stop\n"));
             }
-            wait_for(&mut client, &name, number).await
+            wait_for(&mut client, &name, id).await
         }
         DrainTool::Status { watch, json, at } => {
             let mut client = Client::new(&at, "operator").map_err(|why| (2, why))?;
@@ -122,7 +122,7 @@
 }
 
 /// Comes back once the server may stop.
-async fn wait_for(client: &mut Client, name: &str, number: u64) -> Result<String, Failed> {
+async fn wait_for(client: &mut Client, name: &str, drain_id: u64) -> Result<String, Failed> {
     let mut told = String::new();
     loop {
         // A council that is silent for a while opens nothing: it is asked on.
@@ -131,13 +131,13 @@
             continue;
         };
         let barrier = drain::barrier(&view, name).map_err(unreadable)?;
-        let Some(barrier) = barrier.filter(|barrier| barrier.drain.number == number) else {
+        let Some(barrier) = barrier.filter(|barrier| barrier.drain.id == drain_id) else {
             return Err((DENIED, format!("the drain of {name} was taken back by another")));
         };
         if barrier.is_open() {
             return Ok(opened(name, &barrier));
         }
-        let waits = format!("{name} may not stop yet: waits for {}", barrier.waits_for.join(", "));
+        let waits = format!("{name} may not stop yet: waits for {}", barrier.waiting_for.join(", "));
         if waits != told {
             let _ = writeln!(std::io::stderr(), "heronhoist drain: {waits}");
             told = waits;
@@ -147,12 +147,12 @@
 }
 
 fn opened(name: &str, barrier: &Barrier) -> String {
-    let mut text = format!("{name} may stop: {} agents send it nothing\n", barrier.quiet.len());
-    if !barrier.not_known.is_empty() {
+    let mut text = format!("{name} may stop: {} agents send it nothing\n", barrier.acknowledged.len());
+    if !barrier.unconfirmed.is_empty() {
         let _ = writeln!(
             text,
             "not confirmed, since their leases have ended: {}; if they run cut off, they may still send to it",
-            barrier.not_known.join(", ")
+            barrier.unconfirmed.join(", ")
         );
     }
     text
@@ -167,7 +167,7 @@
     Ok(format!("{name} drains no more; agents send to it as to a cold server\n"))
 }
 
-fn page(view: &View) -> Result<String, Unreadable> {
+fn page(view: &View) -> Result<String, RecordError> {
     let mut page = String::new();
     let drains = records::drains(view)?;
     if drains.is_empty() {
@@ -176,9 +176,13 @@
     for name in drains.keys() {
         let Some(barrier) = drain::barrier(view, name)? else { continue };
         let state = if barrier.is_open() { "may stop" } else { "drains" };
-        let Drain { by, why, .. } = &barrier.drain;
-        let _ = writeln!(page, "{name:<16} {state:<9} {} quiet, for {by}: {why}", barrier.quiet.len());
-        for (what, who) in [("waits for", &barrier.waits_for), ("not confirmed", &barrier.not_known)] {
+        let Drain { requested_by, reason, .. } = &barrier.drain;
+        let _ = writeln!(
+            page,
+            "{name:<16} {state:<9} {} quiet, for {requested_by}: {reason}",
+            barrier.acknowledged.len()
+        );
+        for (what, who) in [("waits for", &barrier.waiting_for), ("not confirmed", &barrier.unconfirmed)] {
             if !who.is_empty() {
                 let _ = writeln!(page, "  {what}: {}", who.join(", "));
             }
@@ -193,26 +197,30 @@
 
 fn groups(groups: &[GroupStatus]) -> String {
     let mut page = format!("\n{:<28} {:>5} {:>9} {:>6}  who\n", "budget", "all", "may be", "out");
-    for GroupStatus { name, all, most, out, who } in groups {
-        let over = if *out > f64::from(*most) { "  OVERDRAWN" } else { "" };
-        let _ = writeln!(page, "{name:<28} {all:>5} {most:>9} {out:>6.2}  {}{over}", who.join(", "));
+    for GroupStatus { name, total, limit, unavailable, causes } in groups {
+        let over = if *unavailable > f64::from(*limit) { "  OVERDRAWN" } else { "" };
+        let _ = writeln!(
+            page,
+            "{name:<28} {total:>5} {limit:>9} {unavailable:>6.2}  {}{over}",
+            causes.join(", ")
+        );
     }
     page
 }
 
-fn as_json(view: &View) -> Result<String, Unreadable> {
+fn as_json(view: &View) -> Result<String, RecordError> {
     let mut drains = serde_json::Map::new();
     for name in records::drains(view)?.keys() {
         if let Some(barrier) = drain::barrier(view, name)? {
             let is = serde_json::json!({
-                "drain": barrier.drain, "open": barrier.is_open(), "waits_for": barrier.waits_for,
-                "quiet": barrier.quiet, "not_known": barrier.not_known,
+                "drain": barrier.drain, "open": barrier.is_open(), "waits_for": barrier.waiting_for,
+                "quiet": barrier.acknowledged, "not_known": barrier.unconfirmed,
             });
             drains.insert(name.clone(), is);
         }
     }
     let groups = Unavailable::count(view).map(|count| count.groups()).unwrap_or_default();
-    let group = |g: &GroupStatus| serde_json::json!({ "group": g.name, "all": g.all, "most": g.most, "out": g.out, "who": g.who });
+    let group = |g: &GroupStatus| serde_json::json!({ "group": g.name, "all": g.total, "most": g.limit, "out": g.unavailable, "who": g.causes });
     let groups: Vec<_> = groups.iter().map(group).collect();
     Ok(format!("{}\n", serde_json::json!({ "revision": view.revision, "drains": drains, "budgets": groups })))
 }
@@ -236,11 +244,11 @@
     Ok(groups(&count.groups()))
 }
 
-const SORTS: [(&str, UnitKind); 2] = [("agents", UnitKind::Agents), ("servers", UnitKind::Servers)];
-const BYS: [(&str, Scope); 4] =
-    [("all", Scope::All), ("site", Scope::Site), ("kind", Scope::Kind), ("cell", Scope::Cell)];
+const UNIT_KINDS: [(&str, UnitKind); 2] = [("agents", UnitKind::Agents), ("servers", UnitKind::Servers)];
+const SCOPES: [(&str, Scope); 4] =
+    [("all", Scope::All), ("site", Scope::Site), ("kind", Scope::MachineType), ("cell", Scope::Cell)];
 
-fn most(value: &DeValue<'_>) -> Option<Limit> {
+fn limit(value: &DeValue<'_>) -> Option<Limit> {
     if let Some(number) = whole(value) {
         return u32::try_from(number).ok().map(Limit::Number);
     }
@@ -255,40 +263,45 @@
     let mut rules = Rules::default();
     let mut sections: Vec<Section<'_>> = Vec::new();
     for mut section in reader.sections(&mut root, "budget") {
-        let of = reader.get(&mut section, "of", Absent::Fault, "agents or servers", one_of(&SORTS));
-        let by = reader.get(&mut section, "by", Absent::Fault, "all, site, kind or cell", one_of(&BYS));
+        let unit_kind =
+            reader.get(&mut section, "of", Absent::Fault, "agents or servers", one_of(&UNIT_KINDS));
+        let scope = reader.get(&mut section, "by", Absent::Fault, "all, site, kind or cell", one_of(&SCOPES));
         let only = reader.get(&mut section, "only", Absent::Nothing, "a site, kind or cell", text);
         let wanted = "a number as 2, or a share as \"25%\"";
-        let most = reader.get(&mut section, "most", Absent::Fault, wanted, most);
+        let limit = reader.get(&mut section, "most", Absent::Fault, wanted, limit);
         // Each keeps its place, so that what is said of it later finds its line.
-        let (of, by, most) =
-            (of.unwrap_or(UnitKind::Servers), by.unwrap_or(Scope::All), most.unwrap_or(Limit::Number(0)));
-        rules.rules.push(Rule { of, by, only, most });
+        rules.rules.push(Rule {
+            unit_kind: unit_kind.unwrap_or(UnitKind::Servers),
+            scope: scope.unwrap_or(Scope::All),
+            only,
+            limit: limit.unwrap_or(Limit::Number(0)),
+        });
         sections.push(section);
     }
     for mut section in reader.sections(&mut root, "server") {
         let name = reader.get(&mut section, "name", Absent::Fault, "a server's name", text);
         let mut place = |key| reader.get(&mut section, key, Absent::Default(String::new()), "a name", text);
-        let [site, kind, cell] = ["site", "kind", "cell"].map(&mut place).map(Option::unwrap_or_default);
+        let [site, machine_type, cell] =
+            ["site", "kind", "cell"].map(&mut place).map(Option::unwrap_or_default);
         if let Some(name) = name {
             if rules.servers.contains_key(&name) {
                 reader.fault(&section, "name", "found a second time; wanted a name of its own".into());
             }
-            rules.servers.insert(name, Server { site, kind, cell });
+            rules.servers.insert(name, Server { site, machine_type, cell });
         }
         reader.end(section);
     }
     reader.end(root);
     // What the rules mean is looked at once each of them can be read.
-    let senseless = if reader.faults.is_empty() { rules.validate() } else { Vec::new() };
-    for fault in senseless {
+    let invalid_rules = if reader.faults.is_empty() { rules.validate() } else { Vec::new() };
+    for fault in invalid_rules {
         let (at, key) = match &fault {
             InvalidRule::TooMany => (rules::MAX_RULES, "of"),
             InvalidRule::UnsupportedAgentScope(at) => (*at, "by"),
-            InvalidRule::OnlyWithoutGroups(at) | InvalidRule::UnknownGroup(at, _) => (*at, "only"),
+            InvalidRule::OnlyWithoutGroups(at) | InvalidRule::UnknownGroup { rule: at, .. } => (*at, "only"),
             InvalidRule::ShareOutOfRange(at)
-            | InvalidRule::Contradiction(_, at)
-            | InvalidRule::NeverAllows(at, _) => (*at, "most"),
+            | InvalidRule::Contradiction { second: at, .. }
+            | InvalidRule::NeverAllows { rule: at, .. } => (*at, "most"),
         };
         if let Some(section) = sections.get(at) {
             reader.fault(section, key, fault.to_string());
--- a/crates/agent/src/fleet/drain/tests.rs
+++ b/crates/agent/src/fleet/drain/tests.rs
@@ -11,7 +11,7 @@
     );
     let rules = parse(SOUND).expect("sound");
     assert_eq!((rules.rules.len(), rules.servers["s2"].cell.as_str()), (2, "4"));
-    assert_eq!(rules.rules[1].most, Limit::Share(0.25));
+    assert_eq!(rules.rules[1].limit, Limit::Share(0.25));
     let faulty = SOUND.replace("most = 1", "most = \"many\"").replace("by = \"all\"", "by = \"cell\"");
     let lines =
         |text: &str| parse(text).expect_err("faults").iter().map(ToString::to_string).collect::<Vec<_>>();
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -29,10 +29,10 @@
 const LEAVE_WAIT: Duration = Duration::from_millis(500);
 /// How often the agent looks at a permit that is out for itself.
 const OUT_LOOK: Duration = Duration::from_millis(500);
-/// How often it is looked whether the agent has become quiet for a server that drains.
-const QUIET_LOOK: Duration = Duration::from_millis(50);
-/// How often it is looked what the agent finds of servers, about.
-const SEEN_LOOK: Duration = Duration::from_secs(1);
+/// How often the agent checks whether it has an acknowledgement of drains to write.
+const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_millis(50);
+/// How often the agent checks what it observes of servers; jittered by half of it.
+const OBSERVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause before permits are looked at again after something went wrong.
 const PERMIT_PAUSE: Duration = Duration::from_secs(2);
 
@@ -40,10 +40,10 @@
 pub struct Drains {
     /// The servers that drain, by name, are told here.
     pub drained: watch::Sender<BTreeSet<String>>,
-    /// Whether nothing is out to a server, and nothing will be sent to it while it drains.
-    pub is_quiet: Box<dyn Fn(&str) -> bool>,
-    /// What servers lack of what they can do, by name.
-    pub lacks: Box<dyn Fn() -> BTreeMap<String, f64>>,
+    /// Whether nothing is in flight to a server, and nothing will be sent to it while it drains.
+    pub has_stopped_sending: Box<dyn Fn(&str) -> bool>,
+    /// The fraction of its capacity that each server is missing, by name.
+    pub missing_capacity: Box<dyn Fn() -> BTreeMap<String, f64>>,
 }
 
 /// The agent's part in its fleet.
@@ -217,16 +217,16 @@
         }
     }
 
-    /// Hears which servers the fleet has agreed to drain, and says for which of them this agent has become quiet. What was heard last
-    /// stands while the council is silent, whether or not the lease is held.
+    /// Follows which servers the fleet has agreed to drain, and acknowledges those that this agent sends nothing to any more. The
+    /// drains that were observed last stay in force while the council is silent, whether or not the lease is held.
     async fn keep_drains(self: Rc<Self>, drains: Drains) {
         let observer = RefCell::new(DrainObserver::default());
-        let said = self.say(&observer, &drains);
-        let heard = self.hear_drains(&observer, &drains.drained);
-        tokio::join!(said, heard);
+        let records = self.keep_records(&observer, &drains);
+        let follow = self.follow_drains(&observer, &drains.drained);
+        tokio::join!(records, follow);
     }
 
-    async fn hear_drains(
+    async fn follow_drains(
         &self,
         observer: &RefCell<DrainObserver>,
         drained: &watch::Sender<BTreeSet<String>>,
@@ -241,9 +241,9 @@
                 Asking::Settled(response) => (Some(*response), 0),
                 Asking::Again(pause, _) => (None, pause),
             };
-            let heard = observer.borrow_mut().on_response(response.as_ref());
-            match heard {
-                Ok(true) => self.told_of_drains(observer.borrow().draining_servers(), drained),
+            let updated = observer.borrow_mut().on_response(response.as_ref());
+            match updated {
+                Ok(true) => self.apply_drains(observer.borrow().draining_servers(), drained),
                 Ok(false) => {}
                 Err(why) => tracing::error!("the drains stay as they were: {why}"),
             }
@@ -251,7 +251,7 @@
         }
     }
 
-    fn told_of_drains(&self, servers: BTreeSet<String>, drained: &watch::Sender<BTreeSet<String>>) {
+    fn apply_drains(&self, servers: BTreeSet<String>, drained: &watch::Sender<BTreeSet<String>>) {
         self.draining.set((servers.len(), self.draining.get().1));
         drained.send_if_modified(|old| {
             let changed = *old != servers;
@@ -264,26 +264,35 @@
         });
     }
 
-    /// Has written down for which drains this agent is quiet, and what it finds of servers, whenever that has changed.
-    async fn say(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
+    /// Records which drains this agent acknowledges, and what it observes of servers, whenever that has changed.
+    async fn keep_records(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
         let mut asker = Asker::new(&self.fleet.council);
         let mut session = (0, 0);
-        let mut seen: Option<ObservedServers> = None;
-        let mut look_at = Instant::now();
+        let mut recorded: Option<ObservedServers> = None;
+        let mut observe_at = Instant::now();
         loop {
-            sleep(QUIET_LOOK).await;
+            sleep(ACKNOWLEDGE_INTERVAL).await;
             let Some(incarnation) = self.holds() else { continue };
-            let quiet = observer.borrow().pending_acknowledgement(incarnation, &drains.is_quiet);
-            let mut news = None;
-            if quiet.is_none() && Instant::now() >= look_at {
-                look_at = Instant::now() + SEEN_LOOK.mul_f64(0.5 + fastrand::f64());
-                news = Some(ObservedServers::new(incarnation, (drains.lacks)()))
-                    .filter(|news| seen.as_ref() != Some(news));
+            let acknowledgement =
+                observer.borrow().pending_acknowledgement(incarnation, &drains.has_stopped_sending);
+            let mut observation = None;
+            if acknowledgement.is_none() && Instant::now() >= observe_at {
+                observe_at = Instant::now() + OBSERVE_INTERVAL.mul_f64(0.5 + fastrand::f64());
+                observation = Some(ObservedServers::new(incarnation, (drains.missing_capacity)()))
+                    .filter(|observation| recorded.as_ref() != Some(observation));
             }
             let member = &self.fleet.member;
-            let told = quiet.as_ref().map(|quiet| quiet.to_transaction(member));
-            let Some(txn) = told.or_else(|| news.as_ref().map(|news| news.to_transaction(member))) else {
-                continue;
+            let transaction =
+                acknowledgement.as_ref().map(|acknowledgement| acknowledgement.to_transaction(member));
+            let transaction =
+                transaction.or_else(|| observation.as_ref().map(|servers| servers.to_transaction(member)));
+            let txn = match transaction {
+                None => continue,
+                Some(Ok(txn)) => txn,
+                Some(Err(why)) => {
+                    tracing::error!("the acknowledgement or observation is not recorded: {why}");
+                    continue;
+                }
             };
             // Under the member's own session: what is late from before can't undo what was said after it.
             if session.0 != incarnation {
@@ -296,11 +305,11 @@
                 match asker.ask(&envelope, &request, DEADLINE).await {
                     Asking::Settled(response) => {
                         if matches!(*response, Response::Reply(Reply::Done(_), _)) {
-                            if let Some(quiet) = quiet {
-                                self.draining.set((self.draining.get().0, quiet.servers.len()));
-                                observer.borrow_mut().on_acknowledged(quiet);
+                            if let Some(acknowledgement) = acknowledgement {
+                                self.draining.set((self.draining.get().0, acknowledgement.drain_ids.len()));
+                                observer.borrow_mut().on_acknowledged(acknowledgement);
                             }
-                            seen = news.or(seen);
+                            recorded = observation.or(recorded);
                         }
                         break;
                     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -134,9 +134,9 @@
     spawn_local(Rc::clone(&server).sweep());
     let member = config.fleet.as_ref().zip(drained).map(|(fleet, (drained, _))| {
         let (server, quiet, seen) = (Rc::clone(&server), Rc::clone(&lanes), Rc::clone(&lanes));
-        let (is_quiet, lacks) =
+        let (has_stopped_sending, missing_capacity) =
             (Box::new(move |name: &str| quiet.is_quiet(name)), Box::new(move || seen.lacks()));
-        let drains = Drains { drained, is_quiet, lacks };
+        let drains = Drains { drained, has_stopped_sending, missing_capacity };
         Member::start(fleet, config.ops, move || server.is_ready(), drains)
     });
     if let Some(ops) = config.ops {
--- a/crates/disruption/src/denial.rs
+++ b/crates/disruption/src/denial.rs
@@ -1,42 +1,44 @@
-//! Why nothing is given.
+//! Why a disruption budget allows no further disruption.
 
-use crate::records::Unreadable;
+use crate::records::RecordError;
 use crate::rules::ROUNDING_TOLERANCE;
 use heronhoist_council::permit;
+use std::fmt;
 
-/// Why nothing is given.
+/// Why a permit or a drain is not granted.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum BudgetDenial {
-    /// A record can't be read.
+    /// A record cannot be read or written.
     #[error(transparent)]
-    Unreadable(#[from] Unreadable),
-    /// A site's permits can't be read.
+    Record(#[from] RecordError),
+    /// The permits of a site cannot be read, or do not allow it.
     #[error(transparent)]
     Permits(#[from] permit::Denied),
-    /// Nobody has stated any rule.
+    /// No rules have been written.
     #[error("no budget is stated; `heronhoist fleet budgets FILE` does")]
     NoRules,
-    /// The rules know no such server.
+    /// The rules do not name this server, or the fleet has no such agent.
     #[error("the budgets know no server {0}")]
     UnknownUnit(String),
-    /// It would be too many.
-    #[error("{group}: {most} may be out, and {} already: {}", Amount(*.out), .who.join(", "))]
+    /// More units of a group would be unavailable than its rule allows.
+    #[error("{group}: {limit} may be out, and {} already: {}", Amount(*.unavailable), .causes.join(", "))]
     LimitReached {
-        /// Of which group.
+        /// The group, such as `servers of site east`.
         group: String,
-        /// So many may be.
-        most: u32,
-        /// So many are.
-        out: f64,
-        /// Each, and why.
-        who: Vec<String>,
+        /// How many of its units may be unavailable.
+        limit: u32,
+        /// How many are, in units; a server that is warming up counts as a fraction.
+        unavailable: f64,
+        /// Each unavailable unit, with the cause in parentheses.
+        causes: Vec<String>,
     },
 }
 
+/// A number of units with its verb; with two decimals if it is not whole.
 struct Amount(f64);
 
-impl std::fmt::Display for Amount {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for Amount {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.fract().abs() < ROUNDING_TOLERANCE {
             write!(f, "{:.0} are", self.0)
         } else {
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -1,9 +1,11 @@
-//! Drains of record servers that all agents keep: one record a drain, one record an agent that says for which drains it has become
-//! quiet. A server may stop once every agent whose lease may still be held has said so. What agents do whose leases have
-//! ended nobody can vouch for: they are not waited for, and named.
+//! Draining of record servers by all agents together.
+//!
+//! There is one record per drain, and one record per agent that acknowledges the drains for which the agent sends nothing
+//! any more. A server may stop once every agent that may still hold its lease has acknowledged. An agent whose lease has
+//! expired can be anywhere, so it is not waited for but named.
 
 use crate::denial::BudgetDenial;
-use crate::records::{self, read, Drain, Unreadable, ACKNOWLEDGEMENT_PREFIX, DRAIN_PREFIX};
+use crate::records::{self, drain_key, read, Drain, RecordError, Versioned, ACKNOWLEDGEMENT_PREFIX};
 use crate::rules::UnitKind;
 use crate::unavailable::Unavailable;
 use heronhoist_council::state::{is_agent, Check, Standing, Txn, Write};
@@ -11,45 +13,70 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Drains at a time; each agent's record names them all.
+/// Maximum number of drains at a time, which bounds the size of the agents' acknowledgements: each names all of them.
 pub const MAX_DRAINS: usize = 256;
 
-/// For which drains an agent has become quiet.
+/// The drains that one agent has acknowledged.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainAcknowledgement {
-    /// The agent's incarnation.
+    /// The agent's incarnation; an acknowledgement of an earlier one does not count.
     pub incarnation: u64,
-    /// The numbers of the drains, by server: nothing is out to it from this agent, and nothing will be sent.
-    pub servers: BTreeMap<String, u64>,
+    /// The ids of the drains, by server: this agent has nothing in flight to it, and sends nothing new.
+    #[serde(rename = "servers")]
+    pub drain_ids: BTreeMap<String, u64>,
+}
+
+impl DrainAcknowledgement {
+    /// The transaction by which the agent of this name records its acknowledgement.
+    ///
+    /// # Errors
+    /// [`RecordError::Unwritable`] if the record cannot be expressed as JSON.
+    pub fn to_transaction(&self, agent: &str) -> Result<Txn, RecordError> {
+        Ok(Txn {
+            checks: vec![Check::Living(agent.into(), self.incarnation)],
+            writes: vec![records::put(acknowledgement_key(agent), self)?],
+        })
+    }
+
+    fn covers(&self, server: &str, drain: &Drain) -> bool {
+        self.drain_ids.get(server) == Some(&drain.id)
+    }
+}
+
+fn acknowledgement_key(agent: &str) -> String {
+    format!("{ACKNOWLEDGEMENT_PREFIX}{agent}")
 }
 
 /// Why a drain is not entered or ended.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DrainDenial {
-    /// A record can't be read.
+    /// A record cannot be read or written.
     #[error(transparent)]
-    Unreadable(#[from] Unreadable),
-    /// The budgets don't allow it.
+    Record(#[from] RecordError),
+    /// The budgets do not allow it.
     #[error(transparent)]
     Budget(#[from] BudgetDenial),
-    /// It drains already.
-    #[error("{server} drains already, for {}: {}", .drain.by, .drain.why)]
+    /// The server is draining already.
+    #[error("{server} drains already, for {}: {}", .drain.requested_by, .drain.reason)]
     AlreadyDraining {
         /// The server.
         server: String,
-        /// Its drain.
+        /// The drain in force.
         drain: Drain,
     },
-    /// It does not drain.
+    /// The server is not draining.
     #[error("{0} does not drain")]
     NotDraining(String),
-    /// There are too many.
+    /// [`MAX_DRAINS`] servers are draining.
     #[error("{MAX_DRAINS} servers drain already; there may be no more")]
     TooMany,
 }
 
-/// Enters a drain. `over_budget` is a person's word that it goes on whatever the budgets say.
+/// The transaction that enters a drain. `over_budget` enters it whatever the budgets say, on an operator's responsibility.
+///
+/// # Errors
+/// [`DrainDenial`], if the drain is not entered.
 pub fn enter(view: &View, server: &str, drain: Drain, over_budget: bool) -> Result<Txn, DrainDenial> {
     let drains = records::drains(view)?;
     if let Some(drain) = drains.get(server) {
@@ -58,73 +85,71 @@
     if drains.len() >= MAX_DRAINS {
         return Err(DrainDenial::TooMany);
     }
-    let key = format!("{DRAIN_PREFIX}{server}");
+    let key = drain_key(server);
     let mut checks = vec![Check::Absent(key.clone())];
     if !over_budget {
         checks.extend(Unavailable::count(view)?.allow(UnitKind::Servers, server)?);
     }
-    let value = serde_json::to_string(&drain).unwrap_or_default();
-    Ok(Txn { checks, writes: vec![Write::Put(key, value)] })
+    Ok(Txn { checks, writes: vec![records::put(key, &drain)?] })
 }
 
-/// Ends a drain: agents send again, as to a server that is cold.
+/// The transaction that ends a drain. Agents then send to the server again, with a slow start.
+///
+/// # Errors
+/// [`DrainDenial::NotDraining`] if there is no drain, [`DrainDenial::Record`] if it cannot be read.
 pub fn end(view: &View, server: &str) -> Result<Txn, DrainDenial> {
-    let key = format!("{DRAIN_PREFIX}{server}");
-    let Some((_, at)) = read::<Drain>(view, &key)? else {
+    let key = drain_key(server);
+    let Some(Versioned { revision, .. }) = read::<Drain>(view, &key)? else {
         return Err(DrainDenial::NotDraining(server.into()));
     };
-    Ok(Txn { checks: vec![Check::At(key.clone(), at)], writes: vec![Write::Delete(key)] })
+    Ok(Txn { checks: vec![Check::At(key.clone(), revision)], writes: vec![Write::Delete(key)] })
 }
 
-/// How far a drain has come.
+/// The progress of a drain: the server may stop once the barrier is open.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Barrier {
     /// The drain.
     pub drain: Drain,
-    /// Agents that may still send, or have something out.
-    pub waits_for: Vec<String>,
-    /// Agents that have said that they are quiet.
-    pub quiet: Vec<String>,
-    /// Agents whose leases have ended: what they do is not known.
-    pub not_known: Vec<String>,
+    /// Agents that may still send to the server, or have something in flight to it.
+    pub waiting_for: Vec<String>,
+    /// Agents that have acknowledged the drain.
+    pub acknowledged: Vec<String>,
+    /// Agents whose leases have expired: whether they still send is not known.
+    pub unconfirmed: Vec<String>,
 }
 
 impl Barrier {
-    /// The server may stop.
+    /// Whether the server may stop.
+    #[must_use]
     pub fn is_open(&self) -> bool {
-        self.waits_for.is_empty()
+        self.waiting_for.is_empty()
     }
 }
 
-/// How far the drain of a server has come; none if it does not drain. The view must be a linearizable read of all members
-/// and of the records below [`DRAIN_PREFIX`] and [`ACKNOWLEDGEMENT_PREFIX`].
-pub fn barrier(view: &View, server: &str) -> Result<Option<Barrier>, Unreadable> {
-    let Some((drain, _)) = read::<Drain>(view, &format!("{DRAIN_PREFIX}{server}"))? else { return Ok(None) };
-    let mut barrier = Barrier { drain, waits_for: Vec::new(), quiet: Vec::new(), not_known: Vec::new() };
-    for (name, member) in view.members.iter().filter(|(name, _)| is_agent(name)) {
-        let quiet = read::<DrainAcknowledgement>(view, &format!("{ACKNOWLEDGEMENT_PREFIX}{name}"))?;
-        let quiet = quiet.is_some_and(|(quiet, _)| {
-            quiet.incarnation == member.incarnation
-                && quiet.servers.get(server) == Some(&barrier.drain.number)
+/// The progress of a server's drain; `None` if the server is not draining. The view must be a linearizable read of all
+/// members and of the records below [`DRAIN_PREFIX`](crate::records::DRAIN_PREFIX) and [`ACKNOWLEDGEMENT_PREFIX`].
+///
+/// # Errors
+/// [`RecordError::Unreadable`] if the drain's or an acknowledgement's record is not of the expected form.
+pub fn barrier(view: &View, server: &str) -> Result<Option<Barrier>, RecordError> {
+    let Some(Versioned { value: drain, .. }) = read::<Drain>(view, &drain_key(server))? else {
+        return Ok(None);
+    };
+    let mut waiting_for = Vec::new();
+    let mut acknowledged = Vec::new();
+    let mut unconfirmed = Vec::new();
+    for (agent, member) in view.members.iter().filter(|(name, _)| is_agent(name)) {
+        let acknowledgement = read::<DrainAcknowledgement>(view, &acknowledgement_key(agent))?;
+        let has_acknowledged = acknowledgement.is_some_and(|Versioned { value, .. }| {
+            value.incarnation == member.incarnation && value.covers(server, &drain)
         });
-        let list = match member.standing {
-            Standing::Living | Standing::Superseded if quiet => &mut barrier.quiet,
-            Standing::Living | Standing::Superseded => &mut barrier.waits_for,
-            Standing::Expired => &mut barrier.not_known,
+        let agents = match member.standing {
+            Standing::Living | Standing::Superseded if has_acknowledged => &mut acknowledged,
+            Standing::Living | Standing::Superseded => &mut waiting_for,
+            Standing::Expired => &mut unconfirmed,
             Standing::Left => continue,
         };
-        list.push(name.clone());
-    }
-    Ok(Some(barrier))
-}
-
-impl DrainAcknowledgement {
-    /// What an agent writes down of this.
-    pub fn to_transaction(&self, agent: &str) -> Txn {
-        let value = serde_json::to_string(self).unwrap_or_default();
-        Txn {
-            checks: vec![Check::Living(agent.into(), self.incarnation)],
-            writes: vec![Write::Put(format!("{ACKNOWLEDGEMENT_PREFIX}{agent}"), value)],
-        }
+        agents.push(agent.clone());
     }
+    Ok(Some(Barrier { drain, waiting_for, acknowledged, unconfirmed }))
 }
--- a/crates/disruption/src/drain_observer.rs
+++ b/crates/disruption/src/drain_observer.rs
@@ -1,69 +1,98 @@
-//! An agent's side of drains.
+//! The agent's side of drains: it follows the drains' records, and acknowledges those for which it sends nothing any more.
 
 use crate::drain::DrainAcknowledgement;
-use crate::records::{self, Unreadable, DRAIN_PREFIX};
+use crate::records::{self, RecordError, DRAIN_PREFIX};
 use heronhoist_council::state::Revision;
-use heronhoist_council::wire::{Request, Response};
+use heronhoist_council::wire::{Request, Response, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An agent's side: what it has heard, and what it has said.
+/// What an agent has observed of the drains, and what it has acknowledged.
 #[derive(Debug, Clone, Default)]
 pub struct DrainObserver {
-    drains: BTreeMap<String, u64>,
-    said: Option<DrainAcknowledgement>,
-    /// Where it goes on watching: the history and revision of what was read.
-    stands: Option<(u64, Revision)>,
+    /// The ids of the drains in force, by server.
+    drain_ids: BTreeMap<String, u64>,
+    /// The acknowledgement that was written last.
+    acknowledged: Option<DrainAcknowledgement>,
+    /// Where the watch goes on; `None` if all drains are to be read.
+    position: Option<WatchPosition>,
+}
+
+/// The agreed state that a watch goes on from.
+#[derive(Debug, Clone, Copy)]
+struct WatchPosition {
+    /// The id of the cluster whose revisions are counted.
+    cluster_id: u64,
+    revision: Revision,
 }
 
 impl DrainObserver {
-    /// What to ask next: all drains, or what has changed since they were read.
+    /// The request to send next: a read of all drains, or a watch for changes since they were read.
+    #[must_use]
     pub fn next_request(&self) -> Request {
         let prefix = DRAIN_PREFIX.to_string();
-        match self.stands {
-            Some((history, after)) => Request::Watch { history, after, prefix },
+        match self.position {
+            Some(WatchPosition { cluster_id, revision }) => {
+                Request::Watch { history: cluster_id, after: revision, prefix }
+            }
             None => Request::Read { stale: false, prefix, members: false },
         }
     }
 
-    /// The answer to that, or none; whether it was the drains as they are now. Nothing that was heard is taken back but by them: what
-    /// can't be read changes nothing.
-    pub fn on_response(&mut self, response: Option<&Response>) -> Result<bool, Unreadable> {
-        self.stands = match response {
-            Some(Response::Read(view)) => Some((view.history, view.revision)),
+    /// Takes the response to that request, or `None` if there was none. Returns whether it held the drains as they are now.
+    /// The drains that are known stay in force until a read replaces them.
+    ///
+    /// # Errors
+    /// [`RecordError::Unreadable`] if a drain's record is not of the expected form; the drains that are known stay in force.
+    pub fn on_response(&mut self, response: Option<&Response>) -> Result<bool, RecordError> {
+        self.position = self.position_after(response);
+        let Some(Response::Read(view)) = response else { return Ok(false) };
+        self.drain_ids = drain_ids(view)?;
+        Ok(true)
+    }
+
+    fn position_after(&self, response: Option<&Response>) -> Option<WatchPosition> {
+        match response {
+            Some(Response::Read(view)) => {
+                Some(WatchPosition { cluster_id: view.history, revision: view.revision })
+            }
             Some(Response::Changes { changes, upto }) if changes.is_empty() => {
-                self.stands.map(|(history, _)| (history, *upto))
+                self.position.map(|position| WatchPosition { revision: *upto, ..position })
             }
-            // Something has changed, or the watch does not reach back far enough, or another process is asked next, which may not
-            // know what this one did: all is read again.
+            // Something has changed, or the watch does not reach back far enough, or the next request goes to another
+            // process, which may be behind the one that answered this one: all drains are read again.
             _ => None,
-        };
-        let Some(Response::Read(view)) = response else { return Ok(false) };
-        self.drains =
-            records::drains(view)?.into_iter().map(|(server, drain)| (server, drain.number)).collect();
-        Ok(true)
+        }
     }
 
-    /// The servers that drain, as far as it has heard.
+    /// The servers that are draining, as far as the agent has observed.
+    #[must_use]
     pub fn draining_servers(&self) -> BTreeSet<String> {
-        self.drains.keys().cloned().collect()
+        self.drain_ids.keys().cloned().collect()
     }
 
-    /// What the agent of this name and incarnation has to say now, if that is not what it has said; `is_quiet` says of a server
-    /// whether nothing is out to it and nothing will be sent.
+    /// The acknowledgement that the agent of this incarnation has to write now; `None` if it has written the same.
+    /// `has_stopped_sending` tells of a server whether nothing is in flight to it and nothing new will be sent.
+    #[must_use]
     pub fn pending_acknowledgement(
         &self,
         incarnation: u64,
-        is_quiet: impl Fn(&str) -> bool,
+        has_stopped_sending: impl Fn(&str) -> bool,
     ) -> Option<DrainAcknowledgement> {
-        let quiet = self.drains.iter().filter(|(server, _)| is_quiet(server));
-        let servers = quiet.map(|(server, number)| (server.clone(), *number)).collect();
-        let quiet = DrainAcknowledgement { incarnation, servers };
-        let silent = DrainAcknowledgement { incarnation, ..DrainAcknowledgement::default() };
-        (self.said.as_ref().unwrap_or(&silent) != &quiet).then_some(quiet)
+        let stopped = self.drain_ids.iter().filter(|(server, _)| has_stopped_sending(server));
+        let drain_ids = stopped.map(|(server, id)| (server.clone(), *id)).collect();
+        let pending = DrainAcknowledgement { incarnation, drain_ids };
+        let none_yet = DrainAcknowledgement { incarnation, ..DrainAcknowledgement::default() };
+        let acknowledged = self.acknowledged.as_ref().unwrap_or(&none_yet);
+        (*acknowledged != pending).then_some(pending)
     }
 
-    /// It was written down.
-    pub fn on_acknowledged(&mut self, quiet: DrainAcknowledgement) {
-        self.said = Some(quiet);
+    /// Notes that an acknowledgement was written.
+    pub fn on_acknowledged(&mut self, acknowledgement: DrainAcknowledgement) {
+        self.acknowledged = Some(acknowledgement);
     }
 }
+
+fn drain_ids(view: &View) -> Result<BTreeMap<String, u64>, RecordError> {
+    let drains = records::drains(view)?;
+    Ok(drains.into_iter().map(|(server, drain)| (server, drain.id)).collect())
+}
--- a/crates/disruption/src/lib.rs
+++ b/crates/disruption/src/lib.rs
@@ -1,12 +1,16 @@
-//! What may be out of a fleet at a time, and how a record server is taken out by all agents together. Free of I/O and of clocks:
-//! each function reads the council's records as they were read, and says what is to be written under which checks.
+//! Disruption budgets, and draining of record servers that all agents of a fleet carry out together.
 //!
-//! - [`records`]: the keys, and how records are read.
-//! - [`rules`]: how much may be out, and what is wrong with rules.
-//! - [`unavailable`]: what is out, and why.
-//! - [`permits`]: a permit or a drain counts against the budgets in the step that takes it; [`denial`]: why nothing is given.
-//! - [`drain`]: drains of record servers, who has become quiet, and when a server may stop; [`drain_observer`]: an agent's side.
-//! - [`observed`]: what each agent finds of the servers, so that one that is down or cold counts as out.
+//! Free of I/O and of clocks: each function takes a [`View`](heronhoist_council::wire::View) of the coordination records
+//! and returns the transaction to write, with the checks under which it still holds.
+//!
+//! - [`records`]: keys of the records, reading and writing them.
+//! - [`rules`]: the rules of the budgets and their validation.
+//! - [`observed`]: what each agent observes of the record servers, and the fleet's median of it.
+//! - [`unavailable`]: counting what is unavailable, for whatever cause.
+//! - [`denial`]: why a budget allows no further disruption.
+//! - [`permits`]: permits under the budgets.
+//! - [`drain`]: entering and ending drains, and when a draining server may stop.
+//! - [`drain_observer`]: the agent's side of drains.
 
 pub mod denial;
 pub mod drain;
--- a/crates/disruption/src/observed.rs
+++ b/crates/disruption/src/observed.rs
@@ -1,75 +1,97 @@
-//! What agents find of the record servers. Each agent keeps one record of its own, and changes it only when what it finds has
-//! changed by a step; what the fleet goes by is the middle of what its living agents say, so that one agent with a bad link
-//! takes no server out of the count, nor back into it.
+//! What agents observe of the record servers.
+//!
+//! Each agent keeps one record of its own, and writes it only when what it observes has changed by a step. The fleet goes by
+//! the upper median over its living agents, so that one agent with a bad link neither makes a server unavailable nor
+//! available again.
 
-use crate::records::{below, Unreadable, OBSERVED_PREFIX};
-use heronhoist_council::state::{Check, Standing, Txn, Write};
+use crate::records::{self, read_all, RecordError, OBSERVED_PREFIX};
+use heronhoist_council::state::{Check, Standing, Txn};
 use heronhoist_council::wire::View;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts that a server's lack is told in: a record changes that seldom while a server warms up.
+/// Missing capacity is rounded up to a multiple of 1 / this, so that a record changes seldom while a server warms up.
 const STEPS: f64 = 4.0;
-/// Servers that one agent tells of at most; those that lack most come first.
+/// Maximum number of servers in one agent's record, which bounds its size; those with the most missing capacity are kept.
 pub const MAX_OBSERVED_SERVERS: usize = 512;
 
-/// What an agent finds: what each server lacks of what it can do, from 0 (nothing) to 1 (it can't be reached). Servers that
-/// lack nothing are left out.
+/// What one agent observes of the record servers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObservedServers {
     /// The agent's incarnation.
     pub incarnation: u64,
-    /// What servers lack, by their names.
-    pub lacks: BTreeMap<String, f64>,
+    /// The fraction of its capacity that a server is missing, by the server's name: 1 if it cannot be reached, less while it
+    /// is warming up. Servers with their whole capacity are left out.
+    #[serde(rename = "lacks")]
+    pub missing_capacity: BTreeMap<String, f64>,
 }
 
 impl ObservedServers {
-    /// In the steps that are told.
-    pub fn new(incarnation: u64, lacks: impl IntoIterator<Item = (String, f64)>) -> ObservedServers {
-        let stepped = |lack: f64| (lack.clamp(0.0, 1.0) * STEPS).ceil() / STEPS;
-        let mut lacks: Vec<(String, f64)> =
-            lacks.into_iter().map(|(name, lack)| (name, stepped(lack))).collect();
-        lacks.retain(|(_, lack)| *lack > 0.0);
-        lacks.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-        lacks.truncate(MAX_OBSERVED_SERVERS);
-        ObservedServers { incarnation, lacks: lacks.into_iter().collect() }
+    /// What an agent of this incarnation observes, rounded up to steps and bounded by [`MAX_OBSERVED_SERVERS`].
+    #[must_use]
+    pub fn new(
+        incarnation: u64,
+        missing_capacity: impl IntoIterator<Item = (String, f64)>,
+    ) -> ObservedServers {
+        let mut servers: Vec<(String, f64)> = missing_capacity
+            .into_iter()
+            .map(|(server, missing)| (server, round_up_to_step(missing)))
+            .filter(|(_, missing)| *missing > 0.0)
+            .collect();
+        servers.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
+        servers.truncate(MAX_OBSERVED_SERVERS);
+        ObservedServers { incarnation, missing_capacity: servers.into_iter().collect() }
     }
 
-    /// What an agent writes down of this.
-    pub fn to_transaction(&self, agent: &str) -> Txn {
-        let value = serde_json::to_string(self).unwrap_or_default();
-        Txn {
+    /// The transaction by which the agent of this name records what it observes.
+    ///
+    /// # Errors
+    /// [`RecordError::Unwritable`] if the record cannot be expressed as JSON.
+    pub fn to_transaction(&self, agent: &str) -> Result<Txn, RecordError> {
+        Ok(Txn {
             checks: vec![Check::Living(agent.into(), self.incarnation)],
-            writes: vec![Write::Put(format!("{OBSERVED_PREFIX}{agent}"), value)],
-        }
+            writes: vec![records::put(format!("{OBSERVED_PREFIX}{agent}"), self)?],
+        })
     }
 }
 
-/// What each server lacks by the fleet's count: the upper median of what the living agents say. Servers that lack nothing are
-/// left out.
-pub fn missing_capacity(view: &View) -> Result<BTreeMap<String, f64>, Unreadable> {
-    let mut said: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-    let mut agents = 0;
-    for (agent, seen) in below::<ObservedServers>(view, OBSERVED_PREFIX) {
-        let seen = seen?;
-        let member = view.members.get(agent);
-        if !member.is_some_and(|m| m.incarnation == seen.incarnation && m.standing == Standing::Living) {
+fn round_up_to_step(missing: f64) -> f64 {
+    (missing.clamp(0.0, 1.0) * STEPS).ceil() / STEPS
+}
+
+/// The fraction of its capacity that each server is missing as the fleet sees it, by the server's name: the upper median
+/// over what the living agents observe. Servers with their whole capacity are left out.
+///
+/// # Errors
+/// [`RecordError::Unreadable`] if one of the agents' records is not of the expected form.
+pub fn missing_capacity(view: &View) -> Result<BTreeMap<String, f64>, RecordError> {
+    let mut observations: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+    let mut observers = 0;
+    for (agent, observed) in read_all::<ObservedServers>(view, OBSERVED_PREFIX) {
+        let observed = observed?;
+        if !is_of_living_agent(view, agent, observed.incarnation) {
             continue;
         }
-        agents += 1;
-        for (server, lack) in seen.lacks {
-            said.entry(server).or_default().push(lack);
+        observers += 1;
+        for (server, missing) in observed.missing_capacity {
+            observations.entry(server).or_default().push(missing);
         }
     }
-    let middle = |mut lacks: Vec<f64>| {
-        lacks.resize(agents, 0.0);
-        lacks.sort_by(f64::total_cmp);
-        lacks[agents / 2]
-    };
-    Ok(said
-        .into_iter()
-        .map(|(server, lacks)| (server, middle(lacks)))
-        .filter(|(_, lack)| *lack > 0.0)
-        .collect())
+    let medians =
+        observations.into_iter().map(|(server, missing)| (server, upper_median(missing, observers)));
+    Ok(medians.filter(|(_, missing)| *missing > 0.0).collect())
+}
+
+fn is_of_living_agent(view: &View, agent: &str, incarnation: u64) -> bool {
+    view.members
+        .get(agent)
+        .is_some_and(|member| member.incarnation == incarnation && member.standing == Standing::Living)
+}
+
+/// The upper median over all observers; those that left the server out observe its whole capacity.
+fn upper_median(mut missing: Vec<f64>, observers: usize) -> f64 {
+    missing.resize(observers, 0.0);
+    missing.sort_by(f64::total_cmp);
+    missing[observers / 2]
 }
--- a/crates/disruption/src/permits.rs
+++ b/crates/disruption/src/permits.rs
@@ -1,54 +1,80 @@
-//! Permits and drains under the budgets. The checks that [`Unavailable::allow`] hands out make the council look, in the step that takes,
-//! whether anything that was counted has changed since.
+//! Permits under the disruption budgets.
+//!
+//! The count goes over many records and all agents, and may be out of date when the permit is written. The checks that
+//! [`Unavailable::allow`] returns make the coordination service compare, in the step that grants the permit, whether
+//! anything that was counted has changed since. A budget that crashes have overdrawn allows nothing new.
 
 use crate::denial::BudgetDenial;
-use crate::rules::{group, UnitKind, ROUNDING_TOLERANCE};
-use crate::unavailable::{GroupStatus, Unavailable};
+use crate::rules::{UnitKind, ROUNDING_TOLERANCE};
+use crate::unavailable::Unavailable;
 use heronhoist_council::permit;
-use heronhoist_council::state::{Check, Of, Txn};
+use heronhoist_council::state::{Check, Of, Revision, Txn};
 use heronhoist_council::wire::View;
 
+/// The first part of the keys of permits and rules.
+const BUDGET_RECORDS: &str = "budget";
+/// The kinds of records that a count goes over: the first parts of their keys.
+const COUNTED_RECORDS: [&str; 3] = [BUDGET_RECORDS, "drain", "site"];
+
 impl Unavailable {
-    /// Whether this one may be taken out now: the checks under which that still holds when it is. One that is out already takes
-    /// nothing new, and is never denied.
-    pub fn allow(&self, sort: UnitKind, name: &str) -> Result<Vec<Check>, BudgetDenial> {
-        let unit = self
-            .units
-            .get(&(sort, name.to_string()))
-            .ok_or_else(|| BudgetDenial::UnknownUnit(name.into()))?;
-        let more = 1.0 - unit.out;
-        for rule in self.rules.rules.iter().filter(|rule| rule.of == sort) {
-            let own = group(rule.by, &unit.place);
-            if rule.only.as_deref().is_some_and(|only| only != own) {
+    /// Whether the budgets allow to take this unit out of service now, and the checks under which that still holds when the
+    /// transaction is carried out. A unit that is wholly unavailable takes nothing more, and is always allowed.
+    ///
+    /// # Errors
+    /// [`BudgetDenial::UnknownUnit`] if the unit is not counted, [`BudgetDenial::LimitReached`] if a rule does not allow it.
+    pub fn allow(&self, kind: UnitKind, name: &str) -> Result<Vec<Check>, BudgetDenial> {
+        let unit = self.unit(kind, name).ok_or_else(|| BudgetDenial::UnknownUnit(name.into()))?;
+        let additional = 1.0 - unit.outage.fraction;
+        for rule in self.rules_for(kind) {
+            let group = rule.scope.group_of(&unit.placement);
+            if !rule.applies_to(group) {
                 continue;
             }
-            let GroupStatus { name: group, most, out, who, .. } = self.group(rule, own);
-            if more > 0.0 && out + more > f64::from(most) + ROUNDING_TOLERANCE {
-                return Err(BudgetDenial::LimitReached { group, most, out, who });
+            let status = self.group(rule, group);
+            let is_over_limit =
+                status.unavailable + additional > f64::from(status.limit) + ROUNDING_TOLERANCE;
+            if additional > 0.0 && is_over_limit {
+                return Err(BudgetDenial::LimitReached {
+                    group: status.name,
+                    limit: status.limit,
+                    unavailable: status.unavailable,
+                    causes: status.causes,
+                });
             }
         }
-        let kinds = ["budget", "drain", "site"].map(|kind| Of::Kind(kind.into()));
-        let unchanged = |of| Check::Unchanged(of, self.revision);
-        Ok([Of::Agents].into_iter().chain(kinds).map(unchanged).collect())
+        Ok(unchanged_since(self.revision()))
     }
 }
 
-/// Takes a permit for an agent under its site's number and, where rules are stated, under all of them in the same step.
+/// The checks that nothing that a count goes over has changed since a revision.
+fn unchanged_since(revision: Revision) -> Vec<Check> {
+    let records = COUNTED_RECORDS.map(|kind| Of::Kind(kind.into()));
+    let counted = [Of::Agents].into_iter().chain(records);
+    counted.map(|of| Check::Unchanged(of, revision)).collect()
+}
+
+/// The transaction that takes a permit to take an agent out of service, under its site's number of permits and, where rules
+/// have been written, under all of them in the same step. `key` is the record of the site's permits, `taker` the name and
+/// incarnation of the lease that the permit is taken under.
+///
+/// # Errors
+/// [`BudgetDenial`], if no permit is granted.
 pub fn take_agent(
     view: &View,
     key: &str,
-    name: &str,
+    agent: &str,
     taker: (&str, u64),
-    why: &str,
+    reason: &str,
 ) -> Result<Txn, BudgetDenial> {
-    let mut txn = permit::take(view, key, name, taker, why)?;
+    let mut transaction = permit::take(view, key, agent, taker, reason)?;
     match Unavailable::count(view) {
-        Ok(count) => txn.checks.extend(count.allow(UnitKind::Agents, name)?),
-        // A rule that is stated meanwhile is of the kind that is looked at.
+        Ok(unavailable) => transaction.checks.extend(unavailable.allow(UnitKind::Agents, agent)?),
+        // Rules that are written meanwhile change the records of this kind.
         Err(BudgetDenial::NoRules) => {
-            txn.checks.push(Check::Unchanged(Of::Kind("budget".into()), view.revision));
+            let budget_records = Of::Kind(BUDGET_RECORDS.into());
+            transaction.checks.push(Check::Unchanged(budget_records, view.revision));
         }
-        Err(why) => return Err(why),
+        Err(denial) => return Err(denial),
     }
-    Ok(txn)
+    Ok(transaction)
 }
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -1,66 +1,121 @@
-//! The records that budgets, drains and observations stand in: their keys, and how they are read.
+//! The coordination records of budgets, drains and observations: their keys, and how they are read and written.
+//!
+//! Every record is one JSON object. Agents of several versions read each other's records, so the words in them are fixed;
+//! fields with another name in the code keep theirs by serde's `rename`.
 
-use heronhoist_council::state::Revision;
+use heronhoist_council::state::{Revision, Write};
 use heronhoist_council::wire::View;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
-/// Where the rules stand.
+/// The key of the [rules](crate::rules::Rules).
 pub const RULES_KEY: &str = "budget/rules";
-/// Below this stand the drains, by the servers' names.
+/// The key of a [`Drain`] is this prefix and the server's name.
 pub const DRAIN_PREFIX: &str = "drain/";
-/// Below this stands which drains agents keep, by the agents' names.
+/// The key of a [`DrainAcknowledgement`](crate::drain::DrainAcknowledgement) is this prefix and the agent's name.
 pub const ACKNOWLEDGEMENT_PREFIX: &str = "note/quiet/";
-/// Below this stands what agents find.
+/// The key of the [`ObservedServers`](crate::observed::ObservedServers) of an agent is this prefix and the agent's name.
 pub const OBSERVED_PREFIX: &str = "site/seen/";
 
-/// A drain.
+/// A drain of one record server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Drawn when it was entered: tells it from earlier ones of the server.
-    pub number: u64,
+    /// Drawn at random when the drain is entered; distinguishes it from earlier drains of the same server.
+    #[serde(rename = "number")]
+    pub id: u64,
     /// Who entered it.
-    pub by: String,
-    /// Why.
-    pub why: String,
+    #[serde(rename = "by")]
+    pub requested_by: String,
+    /// Why, in the operator's words.
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
-/// A record can't be read: another version wrote it, or somebody by hand.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the record {key} can't be read: {why}")]
-pub struct Unreadable {
-    /// Its key.
-    pub key: String,
-    /// Why.
-    pub why: String,
+/// A record that cannot be read or written.
+#[derive(Debug, Clone, thiserror::Error)]
+pub enum RecordError {
+    /// The record's value is not of the expected form: another version wrote it, or somebody by hand.
+    #[error("the record {key} can't be read: {source}")]
+    Unreadable {
+        /// The record's key.
+        key: String,
+        /// The fault in the value.
+        source: Arc<serde_json::Error>,
+    },
+    /// The value cannot be expressed as JSON.
+    #[error("the record {key} can't be written: {source}")]
+    Unwritable {
+        /// The record's key.
+        key: String,
+        /// The fault in the value.
+        source: Arc<serde_json::Error>,
+    },
 }
 
-/// A record as its kind words it, and its revision; none if there is none.
-pub(crate) fn read<T: DeserializeOwned>(view: &View, key: &str) -> Result<Option<(T, Revision)>, Unreadable> {
+/// Two errors are equal if they say the same of the same record.
+impl PartialEq for RecordError {
+    fn eq(&self, other: &RecordError) -> bool {
+        self.to_string() == other.to_string()
+    }
+}
+
+impl Eq for RecordError {}
+
+/// A record's value, and the revision at which it was last written.
+pub(crate) struct Versioned<T> {
+    pub(crate) value: T,
+    pub(crate) revision: Revision,
+}
+
+/// Reads one record; `None` if there is none of this key.
+///
+/// # Errors
+/// [`RecordError::Unreadable`] if its value is not of the expected form.
+pub(crate) fn read<T: DeserializeOwned>(view: &View, key: &str) -> Result<Option<Versioned<T>>, RecordError> {
     let Some(record) = view.records.get(key) else { return Ok(None) };
-    match serde_json::from_str(&record.value) {
-        Ok(value) => Ok(Some((value, record.revision))),
-        Err(why) => Err(Unreadable { key: key.into(), why: why.to_string() }),
+    let value = parse(key, &record.value)?;
+    Ok(Some(Versioned { value, revision: record.revision }))
+}
+
+/// Reads all records whose keys begin with a prefix, each with the rest of its key.
+pub(crate) fn read_all<'view, T: DeserializeOwned>(
+    view: &'view View,
+    prefix: &'view str,
+) -> impl Iterator<Item = (&'view str, Result<T, RecordError>)> {
+    view.records
+        .range(prefix.to_string()..)
+        .take_while(move |(key, _)| key.starts_with(prefix))
+        .map(move |(key, record)| (&key[prefix.len()..], parse(key, &record.value)))
+}
+
+/// The write that stores a value under a key.
+///
+/// # Errors
+/// [`RecordError::Unwritable`] if the value cannot be expressed as JSON.
+pub(crate) fn put<T: Serialize>(key: String, value: &T) -> Result<Write, RecordError> {
+    match serde_json::to_string(value) {
+        Ok(text) => Ok(Write::Put(key, text)),
+        Err(source) => Err(RecordError::Unwritable { key, source: Arc::new(source) }),
     }
 }
 
-/// All records below a prefix, by the rest of their keys.
-pub(crate) fn below<'v, T: DeserializeOwned>(
-    view: &'v View,
-    prefix: &'v str,
-) -> impl Iterator<Item = (&'v str, Result<T, Unreadable>)> {
-    let records = view.records.range(prefix.to_string()..);
-    let records = records.take_while(move |(key, _)| key.starts_with(prefix));
-    records.map(move |(key, record)| {
-        let value = serde_json::from_str(&record.value);
-        let value = value.map_err(|why| Unreadable { key: key.clone(), why: why.to_string() });
-        (&key[prefix.len()..], value)
-    })
+fn parse<T: DeserializeOwned>(key: &str, text: &str) -> Result<T, RecordError> {
+    serde_json::from_str(text)
+        .map_err(|source| RecordError::Unreadable { key: key.into(), source: Arc::new(source) })
+}
+
+/// The key of a server's drain.
+pub(crate) fn drain_key(server: &str) -> String {
+    format!("{DRAIN_PREFIX}{server}")
 }
 
-/// All drains, by server.
-pub fn drains(view: &View) -> Result<BTreeMap<String, Drain>, Unreadable> {
-    below::<Drain>(view, DRAIN_PREFIX).map(|(name, drain)| Ok((name.to_string(), drain?))).collect()
+/// All drains, by the names of the servers.
+///
+/// # Errors
+/// [`RecordError::Unreadable`] if the record of one of them is not of the expected form.
+pub fn drains(view: &View) -> Result<BTreeMap<String, Drain>, RecordError> {
+    read_all::<Drain>(view, DRAIN_PREFIX).map(|(server, drain)| Ok((server.to_string(), drain?))).collect()
 }
--- a/crates/disruption/src/rules.rs
+++ b/crates/disruption/src/rules.rs
@@ -1,17 +1,17 @@
-//! How much may be out: the rules, and what is wrong with them.
+//! The rules of the disruption budgets, and their validation.
 
-use crate::records::{Unreadable, RULES_KEY};
-use heronhoist_council::state::{Check, Txn, Write};
+use crate::records::{self, RecordError, RULES_KEY};
+use heronhoist_council::state::{Check, Txn};
 use heronhoist_council::wire::View;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Rules at most.
+/// Maximum number of rules, which bounds the size of their record and the work of a count.
 pub const MAX_RULES: usize = 64;
-/// Sums of what servers lack are compared with this much room for rounding.
+/// Sums of fractions are compared with this much room for rounding, in units (agents or servers).
 pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What is counted.
+/// The kind of the units that a rule counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnitKind {
@@ -21,159 +21,229 @@
     Servers,
 }
 
-/// What is counted together.
+/// Which units of a kind a rule counts together as one group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// All of them.
+    /// All of them are one group.
     All,
-    /// Those of a site.
+    /// One group per site.
     Site,
-    /// Those of a kind of machine.
-    Kind,
-    /// Those that drop each other's repeats.
+    /// One group per machine type.
+    #[serde(rename = "kind")]
+    MachineType,
+    /// One group per deduplication cell: servers that recognise each other's repeated requests.
     Cell,
 }
 
-/// How much may be out.
+impl Scope {
+    /// The name of the group that a unit of this placement belongs to.
+    pub(crate) fn group_of(self, placement: &Server) -> &str {
+        match self {
+            Scope::All => "",
+            Scope::Site => &placement.site,
+            Scope::MachineType => &placement.machine_type,
+            Scope::Cell => &placement.cell,
+        }
+    }
+}
+
+/// How many units of a group may be unavailable at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Limit {
-    /// So many.
+    /// This number of units.
     Number(u32),
-    /// This share of all that there are of the group, 0 to 1, rounded down.
+    /// This fraction of the group, 0 to 1; the resulting number of units is rounded down.
     Share(f64),
 }
 
-/// One rule.
+impl Limit {
+    /// The limit in units, for a group of this size.
+    pub(crate) fn for_group_of(self, size: usize) -> u32 {
+        match self {
+            Limit::Number(number) => number,
+            Limit::Share(share) => (share * size as f64 + ROUNDING_TOLERANCE) as u32,
+        }
+    }
+}
+
+/// One rule of the budgets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Of what.
-    pub of: UnitKind,
-    /// Counted together.
-    pub by: Scope,
-    /// Only for this site, kind or cell; none for each of them by itself.
+    /// The units that it counts.
+    #[serde(rename = "of")]
+    pub unit_kind: UnitKind,
+    /// How they are grouped.
+    #[serde(rename = "by")]
+    pub scope: Scope,
+    /// The one site, machine type or cell that the rule applies to; `None` applies it to each group separately.
     #[serde(default)]
     pub only: Option<String>,
-    /// At most.
-    pub most: Limit,
+    /// How many units of a group may be unavailable.
+    #[serde(rename = "most")]
+    pub limit: Limit,
 }
 
-/// Where a server stands, and what it is.
+impl Rule {
+    /// Whether the rule applies to the group of this name.
+    pub(crate) fn applies_to(&self, group: &str) -> bool {
+        self.only.as_deref().is_none_or(|only| only == group)
+    }
+
+    fn has_same_groups(&self, other: &Rule) -> bool {
+        self.unit_kind == other.unit_kind && self.scope == other.scope && self.only == other.only
+    }
+}
+
+/// The placement of a record server: the groups that it belongs to.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
     /// Its site.
     pub site: String,
-    /// Its kind of machine.
-    #[serde(default)]
-    pub kind: String,
-    /// Its dedup cell.
+    /// Its machine type; empty if none is given.
+    #[serde(default, rename = "kind")]
+    pub machine_type: String,
+    /// Its deduplication cell; empty if none is given.
     #[serde(default)]
     pub cell: String,
 }
 
-/// All rules, and the servers that there are to be counted.
+/// The rules of all budgets, and the record servers that they count.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// All must hold.
+    /// The rules, all of which must hold.
     pub rules: Vec<Rule>,
-    /// By name, as agents know them.
+    /// The servers, by the names that agents know them by.
     #[serde(default)]
     pub servers: BTreeMap<String, Server>,
 }
 
-/// What is wrong with rules; with the place of the rule, counted from 0.
+/// A fault in the rules. Rules are named by their index, from 0.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRule {
-    /// There are too many.
+    /// There are more than [`MAX_RULES`] rules.
     #[error("rule {MAX_RULES}: there may be {MAX_RULES} rules at most")]
     TooMany,
-    /// A share that is none.
+    /// The share is not between 0 and 1.
     #[error("rule {0}: most: wanted a share from 0 to 1")]
     ShareOutOfRange(usize),
-    /// Of agents, only their sites are known.
+    /// Agents are grouped by something that is not known of them.
     #[error("rule {0}: by: agents are counted by all or by site")]
     UnsupportedAgentScope(usize),
-    /// `only` goes with a site, a kind or a cell.
+    /// `only` is given for a rule that counts all units together.
     #[error("rule {0}: only: goes with by = \"site\", \"kind\" or \"cell\"")]
     OnlyWithoutGroups(usize),
-    /// There is no such site, kind or cell among the servers.
-    #[error("rule {0}: only: no server is of {1:?}")]
-    UnknownGroup(usize, String),
-    /// Two rules say different things of the same group.
-    #[error("rules {0} and {1} are of the same group and say different numbers")]
-    Contradiction(usize, usize),
-    /// A rule never gives anything, and does not say 0.
+    /// No server belongs to the group that `only` names.
+    #[error("rule {rule}: only: no server is of {group:?}")]
+    UnknownGroup {
+        /// The rule.
+        rule: usize,
+        /// The group that it names.
+        group: String,
+    },
+    /// Two rules set different limits for the same groups.
+    #[error("rules {first} and {second} are of the same group and say different numbers")]
+    Contradiction {
+        /// The earlier rule.
+        first: usize,
+        /// The later rule.
+        second: usize,
+    },
+    /// The share of the smallest group is less than one unit, so the rule never allows a disruption there, and it does not
+    /// state the number 0.
     #[error(
-        "rule {0}: its share of {1} is less than one: it never gives anything; say number 0 if that is meant"
+        "rule {rule}: its share of {group_size} is less than one: it never gives anything; say number 0 if that is meant"
     )]
-    NeverAllows(usize, usize),
+    NeverAllows {
+        /// The rule.
+        rule: usize,
+        /// The size of the smallest group that it applies to, in servers.
+        group_size: usize,
+    },
 }
 
 impl Rules {
-    /// What is wrong with them, or would never give anything.
+    /// The faults of all rules, in the order of the rules. Rules without any may be written.
+    #[must_use]
     pub fn validate(&self) -> Vec<InvalidRule> {
-        let mut faults = Vec::new();
-        if self.rules.len() > MAX_RULES {
-            faults.push(InvalidRule::TooMany);
+        let too_many = (self.rules.len() > MAX_RULES).then_some(InvalidRule::TooMany);
+        let faults_of_rules = self.rules.iter().enumerate().flat_map(|(index, rule)| {
+            [
+                share_out_of_range(index, rule),
+                unsupported_agent_scope(index, rule),
+                only_without_groups(index, rule),
+                self.unknown_group(index, rule),
+                self.contradiction(index, rule),
+                self.never_allows(index, rule),
+            ]
+        });
+        too_many.into_iter().chain(faults_of_rules.flatten()).collect()
+    }
+
+    fn unknown_group(&self, index: usize, rule: &Rule) -> Option<InvalidRule> {
+        if rule.unit_kind != UnitKind::Servers || rule.scope == Scope::All {
+            return None;
         }
-        for (at, rule) in self.rules.iter().enumerate() {
-            if let Limit::Share(share) = rule.most {
-                if !(0.0..=1.0).contains(&share) {
-                    faults.push(InvalidRule::ShareOutOfRange(at));
-                }
-            }
-            if rule.of == UnitKind::Agents && !matches!(rule.by, Scope::All | Scope::Site) {
-                faults.push(InvalidRule::UnsupportedAgentScope(at));
-            }
-            if rule.by == Scope::All && rule.only.is_some() {
-                faults.push(InvalidRule::OnlyWithoutGroups(at));
-            }
-            if let (UnitKind::Servers, Some(only)) = (rule.of, &rule.only) {
-                let known = self.servers.values().any(|server| group(rule.by, server) == only);
-                if rule.by != Scope::All && !known {
-                    faults.push(InvalidRule::UnknownGroup(at, only.clone()));
-                }
-            }
-            let same = |other: &Rule| (other.of, other.by, &other.only) == (rule.of, rule.by, &rule.only);
-            let other = self.rules[..at].iter().position(|other| same(other) && other.most != rule.most);
-            faults.extend(other.map(|other| InvalidRule::Contradiction(other, at)));
-            if let (UnitKind::Servers, Limit::Share(share)) = (rule.of, rule.most) {
-                let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
-                for server in self.servers.values() {
-                    *sizes.entry(group(rule.by, server)).or_default() += 1;
-                }
-                let sizes = sizes
-                    .into_iter()
-                    .filter(|(name, _)| rule.only.as_deref().is_none_or(|only| only == *name));
-                let least = sizes.map(|(_, size)| size).min().unwrap_or(0);
-                if least > 0 && (0.0..=1.0).contains(&share) && share > 0.0 && (share * least as f64) < 1.0 {
-                    faults.push(InvalidRule::NeverAllows(at, least));
-                }
-            }
+        let group = rule.only.as_ref()?;
+        let is_known = self.servers.values().any(|server| rule.scope.group_of(server) == group);
+        (!is_known).then(|| InvalidRule::UnknownGroup { rule: index, group: group.clone() })
+    }
+
+    fn contradiction(&self, index: usize, rule: &Rule) -> Option<InvalidRule> {
+        let earlier = &self.rules[..index];
+        let first =
+            earlier.iter().position(|other| rule.has_same_groups(other) && rule.limit != other.limit)?;
+        Some(InvalidRule::Contradiction { first, second: index })
+    }
+
+    fn never_allows(&self, index: usize, rule: &Rule) -> Option<InvalidRule> {
+        let (UnitKind::Servers, Limit::Share(share)) = (rule.unit_kind, rule.limit) else { return None };
+        let group_size = self.smallest_group(rule)?;
+        let is_share_valid = share > 0.0 && share <= 1.0;
+        let is_below_one_unit = share * (group_size as f64) < 1.0;
+        (is_share_valid && is_below_one_unit).then_some(InvalidRule::NeverAllows { rule: index, group_size })
+    }
+
+    /// The size of the smallest group of servers that a rule applies to; `None` if it applies to none.
+    fn smallest_group(&self, rule: &Rule) -> Option<usize> {
+        let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
+        for server in self.servers.values() {
+            *sizes.entry(rule.scope.group_of(server)).or_default() += 1;
         }
-        faults
+        let sizes = sizes.into_iter().filter(|(group, _)| rule.applies_to(group));
+        sizes.map(|(_, size)| size).min()
     }
 
-    /// What states them; permits and drains that are out stay out.
-    pub fn to_transaction(&self, view: &View) -> Result<Txn, Unreadable> {
+    /// The transaction that replaces the rules in force. Permits and drains that have been granted stay.
+    ///
+    /// # Errors
+    /// [`RecordError::Unwritable`] if the rules cannot be expressed as JSON.
+    pub fn to_transaction(&self, view: &View) -> Result<Txn, RecordError> {
+        let key = RULES_KEY.to_string();
         let check = match view.records.get(RULES_KEY) {
-            Some(record) => Check::At(RULES_KEY.into(), record.revision),
-            None => Check::Absent(RULES_KEY.into()),
+            Some(record) => Check::At(key.clone(), record.revision),
+            None => Check::Absent(key.clone()),
         };
-        let value = serde_json::to_string(self).unwrap_or_default();
-        Ok(Txn { checks: vec![check], writes: vec![Write::Put(RULES_KEY.into(), value)] })
+        Ok(Txn { checks: vec![check], writes: vec![records::put(key, self)?] })
     }
 }
 
-pub(crate) fn group(by: Scope, server: &Server) -> &str {
-    match by {
-        Scope::All => "",
-        Scope::Site => &server.site,
-        Scope::Kind => &server.kind,
-        Scope::Cell => &server.cell,
-    }
+fn share_out_of_range(index: usize, rule: &Rule) -> Option<InvalidRule> {
+    let Limit::Share(share) = rule.limit else { return None };
+    (!(0.0..=1.0).contains(&share)).then_some(InvalidRule::ShareOutOfRange(index))
+}
+
+fn unsupported_agent_scope(index: usize, rule: &Rule) -> Option<InvalidRule> {
+    let is_known_of_agents = matches!(rule.scope, Scope::All | Scope::Site);
+    let is_unsupported = rule.unit_kind == UnitKind::Agents && !is_known_of_agents;
+    is_unsupported.then_some(InvalidRule::UnsupportedAgentScope(index))
+}
+
+fn only_without_groups(index: usize, rule: &Rule) -> Option<InvalidRule> {
+    let has_no_groups = rule.scope == Scope::All;
+    (has_no_groups && rule.only.is_some()).then_some(InvalidRule::OnlyWithoutGroups(index))
 }
--- a/crates/disruption/src/unavailable.rs
+++ b/crates/disruption/src/unavailable.rs
@@ -1,113 +1,188 @@
-//! What is out, and why, counted over many records and all agents.
+//! Counting what is unavailable.
+//!
+//! A unit (an agent or a record server) counts for whatever cause: taken out by a permit, draining, gone, its lease ended,
+//! not ready, unreachable. A server that is warming up counts by the capacity that it is missing.
 
 use crate::denial::BudgetDenial;
 use crate::observed;
-use crate::records::{self, read, RULES_KEY};
-use crate::rules::{group, Limit, Rule, Rules, Scope, Server, UnitKind, ROUNDING_TOLERANCE};
+use crate::records::{self, Drain, RecordError, RULES_KEY};
+use crate::rules::{Rule, Rules, Scope, Server, UnitKind};
 use heronhoist_council::permit;
-use heronhoist_council::state::{is_agent, Revision, Standing};
+use heronhoist_council::state::{is_agent, Member, Revision, Standing};
 use heronhoist_council::wire::View;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Something that counts.
+/// Something that a rule counts.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Unit {
-    pub(crate) place: Server,
-    /// How much of it is out, 0 to 1, and why.
-    pub(crate) out: f64,
-    pub(crate) why: &'static str,
+    pub(crate) placement: Server,
+    pub(crate) outage: Outage,
 }
 
-/// What is out, as of one revision.
+/// How much of a unit is unavailable, and why.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Outage {
+    /// 0 if the unit is available, 1 if it is wholly unavailable.
+    pub(crate) fraction: f64,
+    /// For operators; empty if the unit is available.
+    pub(crate) cause: &'static str,
+}
+
+impl Outage {
+    const NONE: Outage = Outage { fraction: 0.0, cause: "" };
+
+    fn whole(cause: &'static str) -> Outage {
+        Outage { fraction: 1.0, cause }
+    }
+}
+
+/// All units and what of them is unavailable, as of one revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Unavailable {
-    pub(crate) rules: Rules,
-    pub(crate) units: BTreeMap<(UnitKind, String), Unit>,
-    pub(crate) revision: Revision,
+    rules: Rules,
+    units: BTreeMap<(UnitKind, String), Unit>,
+    revision: Revision,
 }
 
-/// One group of one rule, for people.
+/// One group of one rule, as operators see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupStatus {
-    /// As `servers of site east`.
+    /// Its name, such as `servers of site east`.
     pub name: String,
-    /// All that there are.
-    pub all: usize,
-    /// So many may be out.
-    pub most: u32,
-    /// So many are.
-    pub out: f64,
-    /// Each, and why.
-    pub who: Vec<String>,
+    /// How many units it has.
+    pub total: usize,
+    /// How many of its units may be unavailable.
+    pub limit: u32,
+    /// How many are, in units; a server that is warming up counts as a fraction.
+    pub unavailable: f64,
+    /// Each unavailable unit, with the cause in parentheses.
+    pub causes: Vec<String>,
 }
 
 impl Unavailable {
-    /// Counts what is out. The view must hold all members and all records, as of one linearizable read.
+    /// Counts what is unavailable. The view must hold all members and all records, as of one linearizable read.
+    ///
+    /// # Errors
+    /// [`BudgetDenial::NoRules`] if no rules have been written; [`BudgetDenial::Record`] or [`BudgetDenial::Permits`] if a
+    /// record cannot be read.
     pub fn count(view: &View) -> Result<Unavailable, BudgetDenial> {
-        let (rules, _) = read::<Rules>(view, RULES_KEY)?.ok_or(BudgetDenial::NoRules)?;
+        let rules = records::read::<Rules>(view, RULES_KEY)?.ok_or(BudgetDenial::NoRules)?.value;
+        let permits = permit::all_out(view)?;
         let mut units = BTreeMap::new();
-        let permits: BTreeSet<String> = permit::all_out(view)?;
         for (name, member) in view.members.iter().filter(|(name, _)| is_agent(name)) {
-            let place = Server { site: member.site.clone(), ..Server::default() };
-            let (out, why) = match member.standing {
-                _ if permits.contains(&permit::agent(name)) => (1.0, "taken out"),
-                Standing::Living if member.ready => (0.0, ""),
-                Standing::Living => (1.0, "not ready"),
-                Standing::Superseded => (1.0, "being replaced"),
-                Standing::Left => (1.0, "left"),
-                Standing::Expired => (1.0, "its lease ended"),
-            };
-            units.insert((UnitKind::Agents, name.clone()), Unit { place, out, why });
+            let placement = Server { site: member.site.clone(), ..Server::default() };
+            let outage = agent_outage(member, permits.contains(&permit::agent(name)));
+            units.insert((UnitKind::Agents, name.clone()), Unit { placement, outage });
         }
-        let lacks = observed::missing_capacity(view)?;
-        let drains = records::drains(view)?;
-        for (name, place) in &rules.servers {
-            let (out, why) = match (drains.contains_key(name), lacks.get(name)) {
-                (true, _) => (1.0, "drained"),
-                (_, Some(lack)) if *lack >= 1.0 => (1.0, "can't be reached"),
-                (_, Some(lack)) => (*lack, "cold"),
-                (false, None) => (0.0, ""),
-            };
-            units.insert((UnitKind::Servers, name.clone()), Unit { place: place.clone(), out, why });
+        let servers = ServerOutages::read(view)?;
+        for (name, placement) in &rules.servers {
+            let unit = Unit { placement: placement.clone(), outage: servers.of(name) };
+            units.insert((UnitKind::Servers, name.clone()), unit);
         }
         Ok(Unavailable { rules, units, revision: view.revision })
     }
 
-    pub(crate) fn group(&self, rule: &Rule, name: &str) -> GroupStatus {
-        let of = |(sort, _): &&(UnitKind, String)| *sort == rule.of;
-        let units = self.units.iter().filter(|(key, unit)| of(key) && group(rule.by, &unit.place) == name);
-        let (mut all, mut out, mut who) = (0, 0.0, Vec::new());
-        for ((_, unit_name), unit) in units {
-            all += 1;
-            out += unit.out;
-            if unit.out > 0.0 {
-                who.push(format!("{unit_name} ({})", unit.why));
+    /// The revision as of which the units were counted.
+    pub(crate) fn revision(&self) -> Revision {
+        self.revision
+    }
+
+    /// The unit of this kind and name, if it is counted.
+    pub(crate) fn unit(&self, kind: UnitKind, name: &str) -> Option<&Unit> {
+        self.units.get(&(kind, name.to_string()))
+    }
+
+    /// The rules that count units of a kind.
+    pub(crate) fn rules_for(&self, kind: UnitKind) -> impl Iterator<Item = &Rule> {
+        self.rules.rules.iter().filter(move |rule| rule.unit_kind == kind)
+    }
+
+    /// The status of one group of a rule.
+    pub(crate) fn group(&self, rule: &Rule, group: &str) -> GroupStatus {
+        let mut total = 0;
+        let mut unavailable = 0.0;
+        let mut causes = Vec::new();
+        for (name, unit) in self.units_of(rule.unit_kind) {
+            if rule.scope.group_of(&unit.placement) != group {
+                continue;
+            }
+            total += 1;
+            unavailable += unit.outage.fraction;
+            if unit.outage.fraction > 0.0 {
+                causes.push(format!("{name} ({})", unit.outage.cause));
             }
         }
-        let most = match rule.most {
-            Limit::Number(most) => most,
-            Limit::Share(share) => (share * all as f64 + ROUNDING_TOLERANCE) as u32,
-        };
-        let sort = if rule.of == UnitKind::Agents { "agents" } else { "servers" };
-        let name = match rule.by {
-            Scope::All => format!("all {sort}"),
-            Scope::Site => format!("{sort} of site {name}"),
-            Scope::Kind => format!("{sort} of kind {name}"),
-            Scope::Cell => format!("{sort} of cell {name}"),
-        };
-        GroupStatus { name, all, most, out, who }
+        let limit = rule.limit.for_group_of(total);
+        GroupStatus { name: group_name(rule, group), total, limit, unavailable, causes }
     }
 
-    /// Every group of every rule.
+    /// The status of every group of every rule, in the order of the rules and of the groups' names.
+    #[must_use]
     pub fn groups(&self) -> Vec<GroupStatus> {
-        let mut groups = Vec::new();
-        for rule in &self.rules.rules {
-            let units = self.units.iter().filter(|((sort, _), _)| *sort == rule.of);
-            let names: BTreeSet<&str> = units.map(|(_, unit)| group(rule.by, &unit.place)).collect();
-            let names =
-                names.into_iter().filter(|name| rule.only.as_deref().is_none_or(|only| only == *name));
-            groups.extend(names.map(|name| self.group(rule, name)));
+        let statuses_of = |rule| {
+            let groups = self.group_names(rule);
+            groups.into_iter().map(move |group| self.group(rule, group))
+        };
+        self.rules.rules.iter().flat_map(statuses_of).collect()
+    }
+
+    fn units_of(&self, kind: UnitKind) -> impl Iterator<Item = (&str, &Unit)> {
+        let units = self.units.iter().filter(move |((unit_kind, _), _)| *unit_kind == kind);
+        units.map(|((_, name), unit)| (name.as_str(), unit))
+    }
+
+    fn group_names(&self, rule: &Rule) -> BTreeSet<&str> {
+        let groups = self.units_of(rule.unit_kind).map(|(_, unit)| rule.scope.group_of(&unit.placement));
+        groups.filter(|group| rule.applies_to(group)).collect()
+    }
+}
+
+fn agent_outage(member: &Member, has_permit: bool) -> Outage {
+    match member.standing {
+        _ if has_permit => Outage::whole("taken out"),
+        Standing::Living if member.ready => Outage::NONE,
+        Standing::Living => Outage::whole("not ready"),
+        Standing::Superseded => Outage::whole("being replaced"),
+        Standing::Left => Outage::whole("left"),
+        Standing::Expired => Outage::whole("its lease ended"),
+    }
+}
+
+/// What the records say of the servers' availability.
+struct ServerOutages {
+    missing_capacity: BTreeMap<String, f64>,
+    drains: BTreeMap<String, Drain>,
+}
+
+impl ServerOutages {
+    fn read(view: &View) -> Result<ServerOutages, RecordError> {
+        let missing_capacity = observed::missing_capacity(view)?;
+        let drains = records::drains(view)?;
+        Ok(ServerOutages { missing_capacity, drains })
+    }
+
+    fn of(&self, server: &str) -> Outage {
+        if self.drains.contains_key(server) {
+            return Outage::whole("drained");
         }
-        groups
+        match self.missing_capacity.get(server) {
+            Some(missing) if *missing >= 1.0 => Outage::whole("can't be reached"),
+            Some(missing) => Outage { fraction: *missing, cause: "cold" },
+            None => Outage::NONE,
+        }
+    }
+}
+
+/// The name of a group as operators read it.
+fn group_name(rule: &Rule, group: &str) -> String {
+    let kind = match rule.unit_kind {
+        UnitKind::Agents => "agents",
+        UnitKind::Servers => "servers",
+    };
+    match rule.scope {
+        Scope::All => format!("all {kind}"),
+        Scope::Site => format!("{kind} of site {group}"),
+        Scope::MachineType => format!("{kind} of kind {group}"),
+        Scope::Cell => format!("{kind} of cell {group}"),
     }
 }
--- /dev/null
+++ b/crates/disruption/tests/common/mod.rs
@@ -0,0 +1,45 @@
+//! What the tests of this package share: the coordination state, without processes or sockets.
+
+use heronhoist_council::state::{Call, Command, Peer, Reply, State, Txn};
+use heronhoist_council::wire::View;
+use heronhoist_council::Bounds;
+use std::collections::BTreeMap;
+
+/// The agreed state of a coordination service.
+#[derive(Clone)]
+pub struct Coordination(pub State);
+
+impl Coordination {
+    pub fn new() -> Coordination {
+        Coordination(State::new(1, BTreeMap::<u64, Peer>::new()))
+    }
+
+    pub fn apply(&mut self, command: Command) -> Reply {
+        self.0.apply(&Call { session: None, command }, &Bounds::default())
+    }
+
+    /// Adds a member of this site that is ready; returns its incarnation.
+    pub fn join(&mut self, name: &str, site: &str) -> u64 {
+        let nonce = self.0.revision + 1;
+        let [site, version, address] = [site, "1", ""].map(String::from);
+        let after = self.0.members.get(name).map_or(0, |member| member.incarnation);
+        let joining = Command::Join { name: name.into(), nonce, after, site, version, address };
+        let incarnation = match self.apply(joining) {
+            Reply::Joined { incarnation } => incarnation,
+            other => panic!("{other:?}"),
+        };
+        self.apply(Command::Report { name: name.into(), incarnation, number: 1, ready: true });
+        incarnation
+    }
+
+    /// Carries out a transaction whose checks hold.
+    pub fn commit(&mut self, transaction: Txn) {
+        let reply = self.apply(Command::Write(transaction));
+        assert!(matches!(reply, Reply::Done(_)), "{reply:?}");
+    }
+
+    pub fn view(&self) -> View {
+        let State { history, revision, peers, members, records, .. } = self.0.clone();
+        View { history, revision, age: Some(0), peers, members, records }
+    }
+}
--- a/crates/disruption/tests/disruption.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -1,9 +1,11 @@
-//! Budgets, drains and what agents find, over the council's agreed state.
+//! Budgets, drains and observations, over the agreed state of the coordination service.
 
+mod common;
+
+use common::Coordination;
 use heronhoist_council::permit;
-use heronhoist_council::state::{Call, Command, Peer, Reply, State, Txn};
-use heronhoist_council::wire::{Response, View};
-use heronhoist_council::Bounds;
+use heronhoist_council::state::{Command, Record, Reply, Txn};
+use heronhoist_council::wire::Response;
 use heronhoist_disruption::denial::BudgetDenial;
 use heronhoist_disruption::drain::{self, DrainDenial};
 use heronhoist_disruption::drain_observer::DrainObserver;
@@ -12,60 +14,33 @@
 use heronhoist_disruption::rules::{InvalidRule, Limit, Rule, Rules, Scope, Server, UnitKind};
 use heronhoist_disruption::unavailable::Unavailable;
 use std::collections::BTreeMap;
+use std::error::Error;
 
-struct Council(State);
-
-impl Council {
-    fn new() -> Council {
-        Council(State::new(1, BTreeMap::<u64, Peer>::new()))
-    }
-
-    fn run(&mut self, command: Command) -> Reply {
-        self.0.apply(&Call { session: None, command }, &Bounds::default())
-    }
-
-    /// A member of this site that can serve.
-    fn join(&mut self, name: &str, site: &str) -> u64 {
-        let nonce = self.0.revision + 1;
-        let [site, version, address] = [site, "1", ""].map(String::from);
-        let after = self.0.members.get(name).map_or(0, |member| member.incarnation);
-        let joining = Command::Join { name: name.into(), nonce, after, site, version, address };
-        let incarnation = match self.run(joining) {
-            Reply::Joined { incarnation } => incarnation,
-            other => panic!("{other:?}"),
-        };
-        self.run(Command::Report { name: name.into(), incarnation, number: 1, ready: true });
-        incarnation
-    }
-
-    fn expire(&mut self, name: &str, incarnation: u64) {
-        self.run(Command::Expire(vec![(name.into(), incarnation)]));
-    }
-
-    fn write(&mut self, txn: Txn) -> Reply {
-        self.run(Command::Write(txn))
-    }
-
-    fn done(&mut self, txn: Txn) {
-        let reply = self.write(txn);
-        assert!(matches!(reply, Reply::Done(_)), "{reply:?}");
-    }
+fn expire(coordination: &mut Coordination, name: &str, incarnation: u64) {
+    coordination.apply(Command::Expire(vec![(name.into(), incarnation)]));
+}
 
-    fn view(&self) -> View {
-        let State { history, revision, peers, members, records, .. } = self.0.clone();
-        View { history, revision, age: Some(0), peers, members, records }
-    }
+/// Writes what an agent observes.
+fn observe<const N: usize>(
+    coordination: &mut Coordination,
+    agent: &str,
+    incarnation: u64,
+    missing_capacity: [(&str, f64); N],
+) {
+    let missing_capacity = missing_capacity.map(|(server, missing)| (server.to_string(), missing));
+    let observed = ObservedServers::new(incarnation, missing_capacity);
+    coordination.commit(observed.to_transaction(agent).expect("writable"));
 }
 
-fn rule(of: UnitKind, by: Scope, most: Limit) -> Rule {
-    Rule { of, by, only: None, most }
+fn rule(unit_kind: UnitKind, scope: Scope, limit: Limit) -> Rule {
+    Rule { unit_kind, scope, only: None, limit }
 }
 
-/// Two sites of three servers each; one server of a site may be out, two in all, and two agents of a site.
+/// Two sites of three servers each; one server of a site may be unavailable, two in all, and two agents of a site.
 fn rules() -> Rules {
     let server = |n: usize| {
         let site = if n < 3 { "east" } else { "west" };
-        (format!("s{n}"), Server { site: site.into(), kind: "m".into(), cell: (n % 2).to_string() })
+        (format!("s{n}"), Server { site: site.into(), machine_type: "m".into(), cell: (n % 2).to_string() })
     };
     Rules {
         rules: vec![
@@ -77,8 +52,8 @@
     }
 }
 
-fn drain(number: u64) -> Drain {
-    Drain { number, by: "op".into(), why: "disk".into() }
+fn drain(id: u64) -> Drain {
+    Drain { id, requested_by: "op".into(), reason: "disk".into() }
 }
 
 fn denied(result: Result<Txn, DrainDenial>) -> String {
@@ -86,28 +61,29 @@
 }
 
 #[test]
-fn a_server_may_stop_once_all_who_may_still_send_have_said_that_they_are_quiet() {
-    let mut council = Council::new();
-    let agents = ["n1", "n2", "n3", "n4"].map(|name| council.join(name, "east"));
-    council.join("hold:n1:7", "");
-    council.done(rules().to_transaction(&council.view()).expect("readable"));
-    council.done(drain::enter(&council.view(), "s1", drain(7), false).expect("allowed"));
-    assert!(denied(drain::enter(&council.view(), "s1", drain(8), false)).contains("for op: disk"));
+fn a_server_may_stop_once_every_agent_that_may_hold_its_lease_has_acknowledged() {
+    let mut coordination = Coordination::new();
+    let agents = ["n1", "n2", "n3", "n4"].map(|name| coordination.join(name, "east"));
+    coordination.join("hold:n1:7", "");
+    coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
+    coordination.commit(drain::enter(&coordination.view(), "s1", drain(7), false).expect("allowed"));
+    assert!(denied(drain::enter(&coordination.view(), "s1", drain(8), false)).contains("for op: disk"));
     let mut observers = [(); 4].map(|()| DrainObserver::default());
     for (at, observer) in observers.iter_mut().enumerate().take(2) {
-        observer.on_response(Some(&Response::Read(council.view()))).expect("readable");
+        observer.on_response(Some(&Response::Read(coordination.view()))).expect("readable");
         assert_eq!(observer.draining_servers().into_iter().collect::<Vec<_>>(), ["s1"]);
         assert_eq!(observer.pending_acknowledgement(agents[at], |_| false), None, "something is still out");
-        let quiet =
+        let acknowledgement =
             observer.pending_acknowledgement(agents[at], |server| server == "s1").expect("to be said");
-        council.done(quiet.to_transaction(&format!("n{}", at + 1)));
-        observer.on_acknowledged(quiet);
+        coordination.commit(acknowledgement.to_transaction(&format!("n{}", at + 1)).expect("writable"));
+        observer.on_acknowledged(acknowledgement);
         assert_eq!(observer.pending_acknowledgement(agents[at], |_| true), None, "it is said already");
     }
-    let barrier =
-        |council: &Council| drain::barrier(&council.view(), "s1").expect("readable").expect("it drains");
-    assert_eq!(barrier(&council).waits_for, ["n3", "n4"]);
-    // One is taken over by a newer process and may still hold its lease; then it has ended.
+    let barrier = |coordination: &Coordination| {
+        drain::barrier(&coordination.view(), "s1").expect("readable").expect("it drains")
+    };
+    assert_eq!(barrier(&coordination).waiting_for, ["n3", "n4"]);
+    // A newer process takes over from one that may still hold its lease; then the lease expires.
     let join = |nonce| Command::Join {
         name: "n3".into(),
         nonce,
@@ -116,139 +92,159 @@
         version: "2".into(),
         address: String::new(),
     };
-    assert!(matches!(council.run(join(99)), Reply::Wait { .. }));
-    assert_eq!(barrier(&council).waits_for, ["n3", "n4"]);
-    council.expire("n3", agents[2]);
+    assert!(matches!(coordination.apply(join(99)), Reply::Wait { .. }));
+    assert_eq!(barrier(&coordination).waiting_for, ["n3", "n4"]);
+    expire(&mut coordination, "n3", agents[2]);
     assert_eq!(
-        (barrier(&council).waits_for, barrier(&council).not_known),
+        (barrier(&coordination).waiting_for, barrier(&coordination).unconfirmed),
         (vec!["n4".into()], vec!["n3".into()])
     );
-    // What an earlier process of the name has said is nobody's word for this one.
-    council.expire("n2", agents[1]);
-    let again = council.join("n2", "east");
-    assert_eq!(barrier(&council).waits_for, ["n2", "n4"]);
-    observers[1].on_response(Some(&Response::Read(council.view()))).expect("readable");
-    council.done(observers[1].pending_acknowledgement(again, |_| true).expect("again").to_transaction("n2"));
-    council.run(Command::Leave { name: "n4".into(), incarnation: agents[3] });
-    assert!(barrier(&council).is_open());
+    // An acknowledgement of an earlier incarnation does not count for this one.
+    expire(&mut coordination, "n2", agents[1]);
+    let again = coordination.join("n2", "east");
+    assert_eq!(barrier(&coordination).waiting_for, ["n2", "n4"]);
+    observers[1].on_response(Some(&Response::Read(coordination.view()))).expect("readable");
+    coordination.commit(
+        observers[1]
+            .pending_acknowledgement(again, |_| true)
+            .expect("again")
+            .to_transaction("n2")
+            .expect("writable"),
+    );
+    coordination.apply(Command::Leave { name: "n4".into(), incarnation: agents[3] });
+    assert!(barrier(&coordination).is_open());
     assert_eq!(
-        (barrier(&council).quiet, barrier(&council).not_known),
+        (barrier(&coordination).acknowledged, barrier(&coordination).unconfirmed),
         (vec!["n1".into(), "n2".into()], vec!["n3".into()])
     );
 
-    // Ended and entered anew, it is another drain.
-    council.done(drain::end(&council.view(), "s1").expect("it drains"));
-    assert_eq!(drain::barrier(&council.view(), "s1"), Ok(None));
-    assert!(drain::end(&council.view(), "s1").is_err());
-    council.done(drain::enter(&council.view(), "s1", drain(9), false).expect("allowed"));
-    assert_eq!(barrier(&council).waits_for, ["n1", "n2"]);
+    // A drain that is ended and entered anew has another id.
+    coordination.commit(drain::end(&coordination.view(), "s1").expect("it drains"));
+    assert_eq!(drain::barrier(&coordination.view(), "s1"), Ok(None));
+    assert!(drain::end(&coordination.view(), "s1").is_err());
+    coordination.commit(drain::enter(&coordination.view(), "s1", drain(9), false).expect("allowed"));
+    assert_eq!(barrier(&coordination).waiting_for, ["n1", "n2"]);
 }
 
 #[test]
-fn whatever_is_out_counts_whatever_the_reason() {
-    let mut council = Council::new();
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| council.join(name, "east"));
-    let servers = |council: &Council| {
-        let count = Unavailable::count(&council.view()).expect("counted");
+fn a_server_counts_as_unavailable_whatever_the_cause() {
+    let mut coordination = Coordination::new();
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| coordination.join(name, "east"));
+    let servers = |coordination: &Coordination| {
+        let count = Unavailable::count(&coordination.view()).expect("counted");
         (0..6).map(|n| count.allow(UnitKind::Servers, &format!("s{n}")).is_ok()).collect::<Vec<_>>()
     };
-    assert_eq!(Unavailable::count(&council.view()).expect_err("no rules"), BudgetDenial::NoRules);
-    council.done(rules().to_transaction(&council.view()).expect("readable"));
-    assert_eq!(servers(&council), [true; 6]);
+    assert_eq!(Unavailable::count(&coordination.view()).expect_err("no rules"), BudgetDenial::NoRules);
+    coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
+    assert_eq!(servers(&coordination), [true; 6]);
     assert!(matches!(
-        Unavailable::count(&council.view()).expect("counted").allow(UnitKind::Servers, "s9"),
+        Unavailable::count(&coordination.view()).expect("counted").allow(UnitKind::Servers, "s9"),
         Err(BudgetDenial::UnknownUnit(_))
     ));
-    council.done(drain::enter(&council.view(), "s0", drain(1), false).expect("allowed"));
+    coordination.commit(drain::enter(&coordination.view(), "s0", drain(1), false).expect("allowed"));
     assert_eq!(
-        servers(&council),
+        servers(&coordination),
         [true, false, false, true, true, true],
         "one of a site, and itself takes nothing more"
     );
-    // One agent that can't reach a server says nothing; two of three do, and it counts.
-    council.done(ObservedServers::new(n1, [("s3".to_string(), 1.0)]).to_transaction("n1"));
-    council.done(ObservedServers::new(n2, []).to_transaction("n2"));
-    council.done(ObservedServers::new(n3, []).to_transaction("n3"));
-    assert_eq!(servers(&council), [true, false, false, true, true, true]);
-    council.done(ObservedServers::new(n2, [("s3".to_string(), 1.0)]).to_transaction("n2"));
-    assert_eq!(servers(&council), [true, false, false, true, false, false]);
-    let said = denied(drain::enter(&council.view(), "s4", drain(2), false));
+    // A server is unreachable by the median: not if one agent of three can't reach it, but if two can't.
+    observe(&mut coordination, "n1", n1, [("s3", 1.0)]);
+    observe(&mut coordination, "n2", n2, []);
+    observe(&mut coordination, "n3", n3, []);
+    assert_eq!(servers(&coordination), [true, false, false, true, true, true]);
+    observe(&mut coordination, "n2", n2, [("s3", 1.0)]);
+    assert_eq!(servers(&coordination), [true, false, false, true, false, false]);
+    let said = denied(drain::enter(&coordination.view(), "s4", drain(2), false));
     assert_eq!(said, "servers of site west: 1 may be out, and 1 are already: s3 (can't be reached)");
-    // It is back, and cold: what it lacks is not to be had.
-    council.done(ObservedServers::new(n1, [("s3".to_string(), 0.2)]).to_transaction("n1"));
-    council.done(ObservedServers::new(n2, [("s3".to_string(), 0.2)]).to_transaction("n2"));
+    // It is back and warming up: the capacity that it is missing counts.
+    observe(&mut coordination, "n1", n1, [("s3", 0.2)]);
+    observe(&mut coordination, "n2", n2, [("s3", 0.2)]);
     assert_eq!(
-        observed::missing_capacity(&council.view()).expect("readable"),
+        observed::missing_capacity(&coordination.view()).expect("readable"),
         BTreeMap::from([("s3".to_string(), 0.25)])
     );
-    let said = denied(drain::enter(&council.view(), "s4", drain(2), false));
+    let said = denied(drain::enter(&coordination.view(), "s4", drain(2), false));
     assert_eq!(said, "servers of site west: 1 may be out, and 0.25 are already: s3 (cold)");
-    // A person's word is over it, and what is overdrawn then gives nothing more.
-    council.done(drain::enter(&council.view(), "s4", drain(2), true).expect("a person's word"));
-    let overdrawn = Unavailable::count(&council.view()).expect("counted");
-    let Err(BudgetDenial::LimitReached { out, most, .. }) = overdrawn.allow(UnitKind::Servers, "s1") else {
+    // An operator may override the budgets; an overdrawn budget allows nothing more.
+    coordination.commit(drain::enter(&coordination.view(), "s4", drain(2), true).expect("a person's word"));
+    let overdrawn = Unavailable::count(&coordination.view()).expect("counted");
+    let Err(BudgetDenial::LimitReached { unavailable, limit, .. }) = overdrawn.allow(UnitKind::Servers, "s1")
+    else {
         panic!("given")
     };
-    assert!(out > f64::from(most) - 1.0);
-    // Agents: crashed, not ready, left and taken out by a permit.
-    let agents = |council: &Council, name| {
-        Unavailable::count(&council.view()).expect("counted").allow(UnitKind::Agents, name)
+    assert!(unavailable > f64::from(limit) - 1.0);
+}
+
+/// Crashed, not ready, and taken out by a permit.
+#[test]
+fn an_agent_counts_as_unavailable_whatever_the_cause() {
+    let mut coordination = Coordination::new();
+    let [_, n2, n3] = ["n1", "n2", "n3"].map(|name| coordination.join(name, "east"));
+    coordination.commit(rules().to_transaction(&coordination.view()).expect("writable"));
+    let agents = |coordination: &Coordination, name| {
+        Unavailable::count(&coordination.view()).expect("counted").allow(UnitKind::Agents, name)
     };
-    assert!(agents(&council, "n1").is_ok());
-    council.expire("n2", n2);
-    assert!(agents(&council, "n1").is_ok());
-    council.run(Command::Report { name: "n3".into(), incarnation: n3, number: 2, ready: false });
-    let Err(BudgetDenial::LimitReached { who, .. }) = agents(&council, "n1") else { panic!("given") };
-    assert_eq!(who, ["n2 (its lease ended)", "n3 (not ready)"]);
-    assert!(agents(&council, "n2").is_ok(), "it is out already");
-    council.run(Command::Forget { name: "n2".into() });
-    assert!(agents(&council, "n1").is_ok(), "a person's word that it is no more");
+    assert!(agents(&coordination, "n1").is_ok());
+    expire(&mut coordination, "n2", n2);
+    assert!(agents(&coordination, "n1").is_ok());
+    coordination.apply(Command::Report { name: "n3".into(), incarnation: n3, number: 2, ready: false });
+    let Err(BudgetDenial::LimitReached { causes, .. }) = agents(&coordination, "n1") else { panic!("given") };
+    assert_eq!(causes, ["n2 (its lease ended)", "n3 (not ready)"]);
+    assert!(agents(&coordination, "n2").is_ok(), "it is out already");
+    coordination.apply(Command::Forget { name: "n2".into() });
+    assert!(agents(&coordination, "n1").is_ok(), "a person's word that it is no more");
     let key = permit::agents_of("east");
-    let taker = council.join("hold:x", "");
-    council.done(permit::state_number(&council.view(), &key, 9).expect("stated"));
-    council.done(permit::take(&council.view(), &key, "n1", ("hold:x", taker), "kernel").expect("taken"));
-    let groups = Unavailable::count(&council.view()).expect("counted").groups();
+    let taker = coordination.join("hold:x", "");
+    coordination.commit(permit::state_number(&coordination.view(), &key, 9).expect("stated"));
+    coordination
+        .commit(permit::take(&coordination.view(), &key, "n1", ("hold:x", taker), "kernel").expect("taken"));
+    let groups = Unavailable::count(&coordination.view()).expect("counted").groups();
     let east = groups.iter().find(|group| group.name == "agents of site east").expect("counted");
-    assert_eq!((east.out, east.most, east.all), (2.0, 2, 2));
-    assert_eq!(east.who, ["n1 (taken out)", "n3 (not ready)"]);
+    assert_eq!((east.unavailable, east.limit, east.total), (2.0, 2, 2));
+    assert_eq!(east.causes, ["n1 (taken out)", "n3 (not ready)"]);
 }
 
-/// Each of these happens between the count and the step that rests on it.
+/// Each of these events happens between the count and the step that relies on it.
 #[test]
-fn a_count_that_does_not_stand_any_more_takes_nothing() {
-    type Happens = fn(&mut Council, u64);
-    let happenings: [(&str, Happens); 5] = [
-        ("an agent dies", |council, n1| council.expire("n1", n1)),
-        ("an agent can't serve", |council, n1| {
-            council.run(Command::Report { name: "n1".into(), incarnation: n1, number: 2, ready: false });
+fn a_count_that_is_out_of_date_grants_nothing() {
+    type Event = fn(&mut Coordination, u64);
+    let events: [(&str, Event); 5] = [
+        ("an agent dies", |coordination, n1| expire(coordination, "n1", n1)),
+        ("an agent can't serve", |coordination, n1| {
+            coordination.apply(Command::Report {
+                name: "n1".into(),
+                incarnation: n1,
+                number: 2,
+                ready: false,
+            });
         }),
-        ("another server is drained", |council, _| {
-            council.done(drain::enter(&council.view(), "s2", drain(5), false).expect("allowed"));
+        ("another server is drained", |coordination, _| {
+            coordination.commit(drain::enter(&coordination.view(), "s2", drain(5), false).expect("allowed"));
         }),
-        ("a server is found down", |council, n1| {
-            council.done(ObservedServers::new(n1, [("s2".to_string(), 1.0)]).to_transaction("n1"));
+        ("a server is found down", |coordination, n1| {
+            observe(coordination, "n1", n1, [("s2", 1.0)]);
         }),
-        ("the budget is made smaller", |council, _| {
+        ("the budget is made smaller", |coordination, _| {
             let mut fewer = rules();
-            fewer.rules[0].most = Limit::Number(0);
-            council.done(fewer.to_transaction(&council.view()).expect("readable"));
+            fewer.rules[0].limit = Limit::Number(0);
+            coordination.commit(fewer.to_transaction(&coordination.view()).expect("readable"));
         }),
     ];
-    for (what, happens) in happenings {
-        let mut council = Council::new();
-        let n1 = council.join("n1", "east");
-        council.done(rules().to_transaction(&council.view()).expect("readable"));
-        let txn = drain::enter(&council.view(), "s1", drain(1), false).expect("allowed");
-        let mut still = Council(council.0.clone());
-        still.done(txn.clone());
-        happens(&mut council, n1);
-        let reply = council.write(txn);
+    for (what, happens) in events {
+        let mut coordination = Coordination::new();
+        let n1 = coordination.join("n1", "east");
+        coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
+        let txn = drain::enter(&coordination.view(), "s1", drain(1), false).expect("allowed");
+        let mut still = coordination.clone();
+        still.commit(txn.clone());
+        happens(&mut coordination, n1);
+        let reply = coordination.apply(Command::Write(txn));
         assert!(matches!(reply, Reply::Conflict { .. }), "{what}: {reply:?}");
     }
 }
 
 #[test]
-fn rules_that_contradict_each_other_or_give_nothing_are_told_with_their_places() {
+fn rules_that_contradict_each_other_or_never_allow_anything_are_reported_with_their_index() {
     let mut rules = rules();
     assert_eq!(rules.validate(), []);
     rules.rules = vec![
@@ -256,26 +252,40 @@
         rule(UnitKind::Servers, Scope::Site, Limit::Number(2)),
         rule(UnitKind::Servers, Scope::All, Limit::Share(1.5)),
         rule(UnitKind::Agents, Scope::Cell, Limit::Number(1)),
-        Rule { only: Some("north".into()), ..rule(UnitKind::Servers, Scope::Kind, Limit::Number(1)) },
+        Rule { only: Some("north".into()), ..rule(UnitKind::Servers, Scope::MachineType, Limit::Number(1)) },
         Rule { only: Some("east".into()), ..rule(UnitKind::Agents, Scope::All, Limit::Number(1)) },
         rule(UnitKind::Servers, Scope::Cell, Limit::Share(0.2)),
     ];
     let wanted = [
-        InvalidRule::Contradiction(0, 1),
+        InvalidRule::Contradiction { first: 0, second: 1 },
         InvalidRule::ShareOutOfRange(2),
         InvalidRule::UnsupportedAgentScope(3),
-        InvalidRule::UnknownGroup(4, "north".into()),
+        InvalidRule::UnknownGroup { rule: 4, group: "north".into() },
         InvalidRule::OnlyWithoutGroups(5),
-        InvalidRule::NeverAllows(6, 3),
+        InvalidRule::NeverAllows { rule: 6, group_size: 3 },
     ];
     assert_eq!(rules.validate(), wanted);
 }
 
 #[test]
-fn what_agents_tell_is_bounded_and_comes_in_steps() {
+fn an_observation_is_bounded_and_rounded_up_to_steps() {
     let many = (0..2000).map(|n| (format!("s{n}"), f64::from(n) / 2000.0));
-    let seen = ObservedServers::new(1, many);
-    assert_eq!(seen.lacks.len(), observed::MAX_OBSERVED_SERVERS);
-    assert!(seen.lacks.values().all(|lack| *lack >= 0.75), "those that lack most");
+    let observed = ObservedServers::new(1, many);
+    assert_eq!(observed.missing_capacity.len(), observed::MAX_OBSERVED_SERVERS);
+    assert!(observed.missing_capacity.values().all(|missing| *missing >= 0.75), "those that lack most");
     assert_eq!(ObservedServers::new(1, [("a".into(), 0.01)]), ObservedServers::new(1, [("a".into(), 0.24)]));
 }
+
+#[test]
+fn an_unreadable_record_is_reported_with_its_key_and_its_fault() {
+    let mut coordination = Coordination::new();
+    let record = Record { value: "{}".into(), revision: 1 };
+    coordination.0.records.insert("drain/s1".into(), record);
+    let error = drain::barrier(&coordination.view(), "s1").expect_err("unreadable");
+    let text = "the record drain/s1 can't be read: missing field `number` at line 1 column 2";
+    assert_eq!(error.to_string(), text);
+    let source = error.source().expect("the fault").to_string();
+    assert_eq!(source, "missing field `number` at line 1 column 2");
+    let denial = drain::enter(&coordination.view(), "s2", drain(1), false).expect_err("unreadable");
+    assert_eq!(denial, DrainDenial::Record(error));
+}
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -27,7 +27,7 @@
 }
 
 impl Sends {
-    fn is_quiet(&self, server: &str, now: Micros) -> bool {
+    fn has_stopped_sending(&self, server: &str, now: Micros) -> bool {
         let past = self.heard.get(server).is_some_and(|heard| now >= heard + GRACE);
         past && !self.out.iter().any(|(other, _)| other == server)
     }
@@ -95,14 +95,23 @@
             asks.push((2, sends.observer.next_request()));
         }
         if let Some(held) = held.filter(|_| says) {
-            if sends.saying.as_ref().is_none_or(|(quiet, _)| quiet.incarnation != held) {
-                let quiet =
-                    sends.observer.pending_acknowledgement(held, |server| sends.is_quiet(server, now));
-                sends.saying = quiet.map(|quiet| {
+            if sends.saying.as_ref().is_none_or(|(written, _)| written.incarnation != held) {
+                let pending = sends
+                    .observer
+                    .pending_acknowledgement(held, |server| sends.has_stopped_sending(server, now));
+                sends.saying = pending.and_then(|pending| {
                     sends.session =
                         if sends.session.0 == held { (held, sends.session.1 + 1) } else { (held, 1) };
-                    let command = Command::Write(quiet.to_transaction(&name));
-                    (quiet, Request::Command(Call { session: Some(sends.session), command }))
+                    match pending.to_transaction(&name) {
+                        Ok(transaction) => {
+                            let command = Command::Write(transaction);
+                            Some((pending, Request::Command(Call { session: Some(sends.session), command })))
+                        }
+                        Err(why) => {
+                            self.outcome.seen.wrongs.push(why.to_string());
+                            None
+                        }
+                    }
                 });
             }
             asks.extend(sends.saying.as_ref().map(|(_, request)| (3, request.clone())));
@@ -129,14 +138,15 @@
     pub(super) fn agent_has_said(&mut self, at: usize, response: Option<Response>) {
         let Role::Agent(agent) = &mut self.processes[at].role else { return };
         let Some(response) = response else { return };
-        let said = agent.sends.saying.take();
-        if let (Some((quiet, _)), Response::Reply(Reply::Done(_), _)) = (said, response) {
-            agent.sends.observer.on_acknowledged(quiet);
+        let written = agent.sends.saying.take();
+        if let (Some((acknowledgement, _)), Response::Reply(Reply::Done(_), _)) = (written, response) {
+            agent.sends.observer.on_acknowledged(acknowledgement);
         }
     }
 
     fn rules(&self) -> Rules {
-        let rule = |of, by, most| Rule { of, by, only: None, most: Limit::Number(most) };
+        let rule =
+            |unit_kind, scope, limit| Rule { unit_kind, scope, only: None, limit: Limit::Number(limit) };
         let rules = vec![
             rule(UnitKind::Servers, Scope::All, self.plan.servers_out),
             rule(UnitKind::Agents, Scope::Site, self.plan.permits),
@@ -196,20 +206,19 @@
             (format!("s{}", self.rng.random_range(0..self.plan.servers)), self.rng.random());
         let name = self.processes[at].name.clone();
         let drains = records::drains(view).unwrap_or_default();
-        let is_there =
-            |server: &str, number: u64| drains.get(server).is_some_and(|drain| drain.number == number);
+        let is_there = |server: &str, id: u64| drains.get(server).is_some_and(|drain| drain.id == id);
         let Role::Drainer(drainer) = &self.processes[at].role else { return };
         let (mut doing, mut txn, mut next_at) = (drainer.doing.clone(), None, now + pause);
         match doing.clone() {
             Draining::Idle | Draining::Entering => {
                 // One that it entered, or the process of its name before it.
-                let own = drains.iter().find(|(_, drain)| drain.by == name);
+                let own = drains.iter().find(|(_, drain)| drain.requested_by == name);
                 doing = match own {
-                    Some((server, drain)) => Draining::Waiting(server.clone(), drain.number),
+                    Some((server, drain)) => Draining::Waiting(server.clone(), drain.id),
                     None => Draining::Idle,
                 };
                 if own.is_none() && !healed {
-                    let new = Drain { number, by: name.clone(), why: "disk".into() };
+                    let new = Drain { id: number, requested_by: name.clone(), reason: "disk".into() };
                     match drain::enter(view, &server, new, self.plan.planted == Planted::Alone) {
                         Ok(entering) => {
                             txn = Some(entering);
@@ -233,7 +242,7 @@
                         let spoke = |agent: &String| {
                             view.records.contains_key(&format!("{}{agent}", records::ACKNOWLEDGEMENT_PREFIX))
                         };
-                        !barrier.waits_for.iter().any(spoke)
+                        !barrier.waiting_for.iter().any(spoke)
                     }
                     Ok(Some(barrier)) => barrier.is_open(),
                     _ => false,
