--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -1,7 +1,7 @@
 //! `heronhoist hold`: takes one of the stated permits for an agent, runs a command, and waits until the agent serves again.
 //! The permit is not given back by this program, nor by its end: only by the agent itself, or by an operator's word.
 
-use super::tools::{Client, Where};
+use super::client::{Client, Where};
 use clap::Args;
 use heronhoist_council::holder::{About, Holder};
 use heronhoist_council::permit::{self, Denied};
