--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -1,6 +1,7 @@
 //! The command line.
 
 use crate::config::{Config, Unusable};
+use crate::fleet::command_error::CommandError;
 use crate::fleet::{drain, hold, tools};
 use crate::log;
 use crate::plan::{Members, Plan, PoolPlan};
@@ -114,7 +115,8 @@
         Some(Command::Council(what)) => fail(&become_council(&what), 1),
         Some(Command::Fleet { tool }) => match crate::on_one_thread(tools::run(tool)) {
             Ok(Ok(text)) => print(&text),
-            Ok(Err(fault)) | Err(fault) => fail(&fault, 1),
+            Ok(Err(error)) => fail(&error.to_string(), 1),
+            Err(fault) => fail(&fault, 1),
         },
         Some(Command::Hold(what)) => match crate::on_one_thread(hold::run(what)) {
             Ok(code) => ExitCode::from(code),
@@ -129,11 +131,11 @@
     }
 }
 
-/// What came of an operator's command.
-fn shown(done: Result<Result<String, (u8, String)>, String>) -> ExitCode {
+/// Prints what a command on drains returns, or ends with its exit code.
+fn shown(done: Result<Result<String, CommandError>, String>) -> ExitCode {
     match done {
         Ok(Ok(text)) => print(&text),
-        Ok(Err((code, why))) => fail(&why, code),
+        Ok(Err(error)) => fail(&error.to_string(), error.exit_code()),
         Err(why) => fail(&why, 1),
     }
 }
--- a/crates/agent/src/fleet/budgets.rs
+++ b/crates/agent/src/fleet/budgets.rs
@@ -1,17 +1,54 @@
-//! `heronhoist fleet budgets`: how much may be out, from a file.
+//! `heronhoist fleet budgets`: the rules of the disruption budgets from a file, and what is unavailable against them.
 
-use super::client::{Client, Where};
+use super::client::{Client, ClientError, Where, OPERATOR};
 use heronhoist_config::reader::{one_of, tables, text, whole, Absent, Reader, Section};
 use heronhoist_config::Fault;
-use heronhoist_disruption::records;
-use heronhoist_disruption::rules::{self, InvalidRule, Limit, Rule, Rules, Scope, Server, UnitKind};
+use heronhoist_disruption::denial::BudgetDenial;
+use heronhoist_disruption::records::{RecordError, RULES_KEY};
+use heronhoist_disruption::rules::{InvalidRule, Limit, Rule, Rules, Scope, Server, UnitKind, MAX_RULES};
 use heronhoist_disruption::unavailable::{GroupStatus, Unavailable};
 use std::fmt::Write as _;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use toml::de::DeValue;
 
-/// The groups of the budgets, and what of them is unavailable.
-pub fn groups(groups: &[GroupStatus]) -> String {
+/// Why the budgets can't be written or shown.
+#[derive(Debug, thiserror::Error)]
+pub enum BudgetsError {
+    /// The coordination service can't be called, or gave no answer.
+    #[error(transparent)]
+    Client(#[from] ClientError),
+    /// The rules can't be written.
+    #[error(transparent)]
+    Record(#[from] RecordError),
+    /// What is unavailable can't be counted.
+    #[error(transparent)]
+    Denial(#[from] BudgetDenial),
+    /// The file can't be read.
+    #[error("cannot read {}: {source}", .path.display())]
+    UnreadableFile {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The file is faulty.
+    #[error("{}", all_faults(.path, .faults))]
+    FaultyFile {
+        /// The file.
+        path: PathBuf,
+        /// Its faults, in the order of their places.
+        faults: Vec<Fault>,
+    },
+}
+
+/// One line per fault.
+fn all_faults(path: &Path, faults: &[Fault]) -> String {
+    let lines: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", path.display())).collect();
+    lines.join("\n")
+}
+
+/// The groups of the budgets, and what of them is unavailable, as a table.
+pub fn table(groups: &[GroupStatus]) -> String {
     let mut page = format!("\n{:<28} {:>5} {:>9} {:>6}  who\n", "budget", "all", "may be", "out");
     for GroupStatus { name, total, limit, unavailable, causes } in groups {
         let over = if *unavailable > f64::from(*limit) { "  OVERDRAWN" } else { "" };
@@ -24,29 +61,33 @@
     page
 }
 
-/// States budgets from a file, or shows what is out against those that are stated.
-pub async fn run(file: Option<&Path>, at: &Where) -> Result<String, String> {
-    let mut client = Client::new(at, "operator")?;
-    let Some(path) = file else {
-        let count = Unavailable::count(&client.read("").await?).map_err(|why| why.to_string())?;
-        return Ok(groups(&count.groups()));
-    };
-    let content =
-        std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let rules = parse(&content).map_err(|faults| {
-        let faults: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", path.display())).collect();
-        faults.join("\n")
-    })?;
-    let stated = client.change(records::RULES_KEY, |view| rules.to_transaction(view)).await?;
-    stated.map_err(|why| why.to_string())?;
-    let count = Unavailable::count(&client.read("").await?).map_err(|why| why.to_string())?;
-    Ok(groups(&count.groups()))
+/// Writes the rules that a file holds, if there is one; returns what is unavailable against the rules in force.
+///
+/// # Errors
+/// [`BudgetsError`], if the rules are not written or their outcome is unknown, or if nothing can be shown.
+pub async fn run(file: Option<&Path>, at: &Where) -> Result<String, BudgetsError> {
+    let mut client = Client::new(at, OPERATOR)?;
+    if let Some(path) = file {
+        let rules = read_rules(path)?;
+        client.change(RULES_KEY, |view| rules.to_transaction(view)).await??;
+    }
+    let unavailable = Unavailable::count(&client.read("").await?)?;
+    Ok(table(&unavailable.groups()))
+}
+
+fn read_rules(path: &Path) -> Result<Rules, BudgetsError> {
+    let content = std::fs::read_to_string(path)
+        .map_err(|source| BudgetsError::UnreadableFile { path: path.into(), source })?;
+    parse(&content).map_err(|faults| BudgetsError::FaultyFile { path: path.into(), faults })
 }
 
+/// The words of the file for the kinds of units.
 const UNIT_KINDS: [(&str, UnitKind); 2] = [("agents", UnitKind::Agents), ("servers", UnitKind::Servers)];
+/// The words of the file for the scopes.
 const SCOPES: [(&str, Scope); 4] =
     [("all", Scope::All), ("site", Scope::Site), ("kind", Scope::MachineType), ("cell", Scope::Cell)];
 
+/// A number, or a share in percent.
 fn limit(value: &DeValue<'_>) -> Option<Limit> {
     if let Some(number) = whole(value) {
         return u32::try_from(number).ok().map(Limit::Number);
@@ -55,58 +96,25 @@
     (0.0..=100.0).contains(&share).then_some(Limit::Share(share / 100.0))
 }
 
-/// Reads the file of the budgets. Every fault is told with its place.
+/// Reads the text of the file. Every fault is reported with its place.
 fn parse(content: &str) -> Result<Rules, Vec<Fault>> {
     let table = tables(content)?;
     let (mut reader, mut root) = Reader::new(content, &table, &|_| None);
     let mut rules = Rules::default();
-    let mut sections: Vec<Section<'_>> = Vec::new();
+    let mut rule_sections: Vec<Section<'_>> = Vec::new();
     for mut section in reader.sections(&mut root, "budget") {
-        let unit_kind =
-            reader.get(&mut section, "of", Absent::Fault, "agents or servers", one_of(&UNIT_KINDS));
-        let scope = reader.get(&mut section, "by", Absent::Fault, "all, site, kind or cell", one_of(&SCOPES));
-        let only = reader.get(&mut section, "only", Absent::Nothing, "a site, kind or cell", text);
-        let wanted = "a number as 2, or a share as \"25%\"";
-        let limit = reader.get(&mut section, "most", Absent::Fault, wanted, limit);
-        // Each keeps its place, so that what is said of it later finds its line.
-        rules.rules.push(Rule {
-            unit_kind: unit_kind.unwrap_or(UnitKind::Servers),
-            scope: scope.unwrap_or(Scope::All),
-            only,
-            limit: limit.unwrap_or(Limit::Number(0)),
-        });
-        sections.push(section);
+        rules.rules.push(parse_rule(&mut reader, &mut section));
+        rule_sections.push(section);
     }
-    for mut section in reader.sections(&mut root, "server") {
-        let name = reader.get(&mut section, "name", Absent::Fault, "a server's name", text);
-        let mut place = |key| reader.get(&mut section, key, Absent::Default(String::new()), "a name", text);
-        let [site, machine_type, cell] =
-            ["site", "kind", "cell"].map(&mut place).map(Option::unwrap_or_default);
-        if let Some(name) = name {
-            if rules.servers.contains_key(&name) {
-                reader.fault(&section, "name", "found a second time; wanted a name of its own".into());
-            }
-            rules.servers.insert(name, Server { site, machine_type, cell });
-        }
-        reader.end(section);
+    for section in reader.sections(&mut root, "server") {
+        parse_server(&mut reader, section, &mut rules);
     }
     reader.end(root);
-    // What the rules mean is looked at once each of them can be read.
-    let invalid_rules = if reader.faults.is_empty() { rules.validate() } else { Vec::new() };
-    for fault in invalid_rules {
-        let (at, key) = match &fault {
-            InvalidRule::TooMany => (rules::MAX_RULES, "of"),
-            InvalidRule::UnsupportedAgentScope(at) => (*at, "by"),
-            InvalidRule::OnlyWithoutGroups(at) | InvalidRule::UnknownGroup { rule: at, .. } => (*at, "only"),
-            InvalidRule::ShareOutOfRange(at)
-            | InvalidRule::Contradiction { second: at, .. }
-            | InvalidRule::NeverAllows { rule: at, .. } => (*at, "most"),
-        };
-        if let Some(section) = sections.get(at) {
-            reader.fault(section, key, fault.to_string());
-        }
+    // Rules are validated once each of them can be read.
+    if reader.faults.is_empty() {
+        report_invalid_rules(&mut reader, &rule_sections, &rules);
     }
-    sections.into_iter().for_each(|section| reader.end(section));
+    rule_sections.into_iter().for_each(|section| reader.end(section));
     let mut faults = std::mem::take(&mut reader.faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
     if faults.is_empty() {
@@ -116,5 +124,57 @@
     }
 }
 
+/// Reads one rule. What can't be read is replaced, so that each rule keeps its index.
+fn parse_rule<'text>(reader: &mut Reader<'text>, section: &mut Section<'text>) -> Rule {
+    let unit_kind = reader.get(section, "of", Absent::Fault, "agents or servers", one_of(&UNIT_KINDS));
+    let scope = reader.get(section, "by", Absent::Fault, "all, site, kind or cell", one_of(&SCOPES));
+    let only = reader.get(section, "only", Absent::Nothing, "a site, kind or cell", text);
+    let wanted = "a number as 2, or a share as \"25%\"";
+    let limit = reader.get(section, "most", Absent::Fault, wanted, limit);
+    Rule {
+        unit_kind: unit_kind.unwrap_or(UnitKind::Servers),
+        scope: scope.unwrap_or(Scope::All),
+        only,
+        limit: limit.unwrap_or(Limit::Number(0)),
+    }
+}
+
+/// Reads one server into the rules.
+fn parse_server<'text>(reader: &mut Reader<'text>, mut section: Section<'text>, rules: &mut Rules) {
+    let name = reader.get(&mut section, "name", Absent::Fault, "a server's name", text);
+    let mut placement = |key| reader.get(&mut section, key, Absent::Default(String::new()), "a name", text);
+    let [site, machine_type, cell] =
+        ["site", "kind", "cell"].map(&mut placement).map(Option::unwrap_or_default);
+    if let Some(name) = name {
+        if rules.servers.contains_key(&name) {
+            reader.fault(&section, "name", "found a second time; wanted a name of its own".into());
+        }
+        rules.servers.insert(name, Server { site, machine_type, cell });
+    }
+    reader.end(section);
+}
+
+/// Reports the faults of rules that can each be read, at the places of their keys.
+fn report_invalid_rules(reader: &mut Reader<'_>, sections: &[Section<'_>], rules: &Rules) {
+    for fault in rules.validate() {
+        let (rule, key) = place_of(&fault);
+        if let Some(section) = sections.get(rule) {
+            reader.fault(section, key, fault.to_string());
+        }
+    }
+}
+
+/// The index of the rule that is at fault, and the key.
+fn place_of(fault: &InvalidRule) -> (usize, &'static str) {
+    match fault {
+        InvalidRule::TooMany => (MAX_RULES, "of"),
+        InvalidRule::UnsupportedAgentScope(rule) => (*rule, "by"),
+        InvalidRule::OnlyWithoutGroups(rule) | InvalidRule::UnknownGroup { rule, .. } => (*rule, "only"),
+        InvalidRule::ShareOutOfRange(rule)
+        | InvalidRule::Contradiction { second: rule, .. }
+        | InvalidRule::NeverAllows { rule, .. } => (*rule, "most"),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -1,19 +1,24 @@
-//! What operators' commands call the coordination service through.
+//! The client through which operators' commands call the coordination service.
 
 use super::link::{Asker, Asking};
 use clap::Args;
+use heronhoist_config::Fault;
 use heronhoist_council::caller::DEADLINE;
 use heronhoist_council::state::{Call, Command, Reply, Txn};
-use heronhoist_council::wire::{Envelope, Request, Response, View, PROTOCOL};
+use heronhoist_council::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// What is not settled by then is told as unknown.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// Whoever looks how things stand does not wait so long.
-pub const STATUS_PATIENCE: Duration = Duration::from_secs(3);
+/// The name of operators' commands as clients.
+pub const OPERATOR: &str = "operator";
+/// For how long a request is retried; its outcome is reported as unknown after that.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(15);
+/// The same for a status page, which an operator waits for.
+pub const STATUS_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// The range of the pause before a transaction that conflicted is made anew, in milliseconds.
+const CONFLICT_PAUSE_MS: std::ops::Range<u64> = 5..50;
 /// Which council.
 #[derive(Args, Clone)]
 pub struct Where {
@@ -28,52 +33,121 @@
     fleet: Option<String>,
 }
 
-fn read(path: &Path) -> Result<(String, Vec<SocketAddr>), String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
+/// Why a call of the coordination service gives nothing.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientError {
+    /// The file that names the service cannot be read.
+    #[error("cannot read {}: {source}", .path.display())]
+    UnreadableFile {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The file that names the service is faulty.
+    #[error("{}", first_fault(.path, .faults))]
+    FaultyFile {
+        /// The file.
+        path: PathBuf,
+        /// Its faults; the first is reported.
+        faults: Vec<Fault>,
+    },
+    /// The file names no service.
+    #[error("{}: it has neither [fleet] nor [council]", .0.display())]
+    NoFleet(PathBuf),
+    /// The service refuses the request.
+    #[error(transparent)]
+    Refused(#[from] Refusal),
+    /// No response settled the request in time; its outcome is unknown.
+    #[error("no answer that settles it: {0}")]
+    Unsettled(String),
+    /// The response is none to this request.
+    #[error("{what}: {response:?}")]
+    UnexpectedResponse {
+        /// What was expected, for operators.
+        what: &'static str,
+        /// The response.
+        response: Box<Response>,
+    },
+    /// The transaction was not carried out, for another reason than a conflict.
+    #[error("not written: {0:?}")]
+    NotWritten(Reply),
+}
+
+impl ClientError {
+    /// Whether the file that names the service is at fault, rather than the service.
+    pub fn is_configuration(&self) -> bool {
+        matches!(
+            self,
+            ClientError::UnreadableFile { .. } | ClientError::FaultyFile { .. } | ClientError::NoFleet(_)
+        )
+    }
+
+    /// The error that a response is none to the request.
+    pub fn unexpected(what: &'static str, response: Response) -> ClientError {
+        ClientError::UnexpectedResponse { what, response: Box::new(response) }
+    }
+}
+
+fn first_fault(path: &Path, faults: &[Fault]) -> String {
+    faults.first().map_or_else(String::new, |fault| format!("{}:{fault}", path.display()))
+}
+
+/// A coordination service.
+struct Target {
+    fleet: String,
+    addresses: Vec<SocketAddr>,
+}
+
+/// The service that a file names: an agent's file, or that of one of the service's own processes.
+fn read_target(path: &Path) -> Result<Target, ClientError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ClientError::UnreadableFile { path: path.into(), source })?;
     let variable = |name: &str| std::env::var(name).ok();
-    let first = |faults: Vec<heronhoist_config::Fault>| {
-        faults.first().map_or_else(String::new, |fault| format!("{}:{fault}", path.display()))
-    };
+    let faulty = |faults| ClientError::FaultyFile { path: path.into(), faults };
     if heronhoist_config::is_council(&text) {
-        let council = heronhoist_config::parse_council(&text, &variable).map_err(first)?;
-        return Ok((council.fleet, council.peers.into_iter().map(|(_, address)| address).collect()));
+        let file = heronhoist_config::parse_council(&text, &variable).map_err(faulty)?;
+        let addresses = file.peers.into_iter().map(|(_, address)| address).collect();
+        return Ok(Target { fleet: file.fleet, addresses });
     }
-    let file = heronhoist_config::parse(&text, &variable).map_err(first)?;
-    let fleet =
-        file.fleet.ok_or_else(|| format!("{}: it has neither [fleet] nor [council]", path.display()))?;
-    Ok((fleet.name, fleet.council))
+    let file = heronhoist_config::parse(&text, &variable).map_err(faulty)?;
+    let fleet = file.fleet.ok_or_else(|| ClientError::NoFleet(path.into()))?;
+    Ok(Target { fleet: fleet.name, addresses: fleet.council })
 }
 
-/// Somebody who asks a council, and asks again until an answer settles it.
+/// A client of the coordination service, which retries a request until a response settles it.
 pub struct Client {
     /// The fleet's name.
     pub fleet: String,
     name: String,
-    /// The processes that are asked.
+    /// The calls to the service's processes.
     pub asker: Asker,
-    /// How long it is asked again.
-    pub patience: Duration,
+    /// For how long a request is retried.
+    pub retry_timeout: Duration,
     /// The session under which commands are sent, and the last one's number.
     pub session: Option<(u64, u64)>,
 }
 
 impl Client {
-    /// Of the council that `at` says.
-    pub fn new(at: &Where, name: &str) -> Result<Client, String> {
-        let (fleet, addresses) = match &at.config {
-            Some(path) => read(path)?,
-            None => (at.fleet.clone().unwrap_or_default(), at.council.clone()),
+    /// A client of this name, of the service that the command's arguments name.
+    ///
+    /// # Errors
+    /// [`ClientError`], if the file that names the service can't be used.
+    pub fn new(at: &Where, name: &str) -> Result<Client, ClientError> {
+        let target = match &at.config {
+            Some(path) => read_target(path)?,
+            None => Target { fleet: at.fleet.clone().unwrap_or_default(), addresses: at.council.clone() },
         };
         Ok(Client {
-            fleet,
+            fleet: target.fleet,
             name: name.into(),
-            asker: Asker::new(&addresses),
-            patience: PATIENCE,
+            asker: Asker::new(&target.addresses),
+            retry_timeout: RETRY_TIMEOUT,
             session: None,
         })
     }
 
-    /// Who asks.
+    /// The envelope of this client's requests.
     pub fn envelope(&self) -> Envelope {
         let incarnation = self.session.map_or(0, |(session, _)| session);
         Envelope {
@@ -85,7 +159,10 @@
         }
     }
 
-    /// One call; the pause before the next one, in microseconds, if it settled nothing.
+    /// One call without retries.
+    ///
+    /// # Errors
+    /// The pause before the next call, in microseconds, if this one settled nothing.
     pub async fn once(&mut self, request: &Request) -> Result<Response, u64> {
         let envelope = self.envelope();
         match self.asker.ask(&envelope, request, DEADLINE).await {
@@ -94,45 +171,57 @@
         }
     }
 
-    /// A member that has ended is not named any more.
-    pub async fn forget(&mut self, name: &str) -> Result<Reply, String> {
+    /// Removes a member whose lease has ended from the list of members.
+    ///
+    /// # Errors
+    /// [`ClientError`], if no response settled it.
+    pub async fn forget(&mut self, name: &str) -> Result<Reply, ClientError> {
         self.session = None;
         self.command(Command::Forget { name: name.into() }).await
     }
 
-    /// Asks until an answer settles it, or time is up.
-    pub async fn ask(&mut self, request: &Request) -> Result<Response, String> {
-        let until = Instant::now() + self.patience;
+    /// Sends a request until a response settles it, for [`Client::retry_timeout`] at most.
+    ///
+    /// # Errors
+    /// [`ClientError::Refused`], or [`ClientError::Unsettled`] if there was no such response in time.
+    pub async fn ask(&mut self, request: &Request) -> Result<Response, ClientError> {
+        let until = Instant::now() + self.retry_timeout;
         loop {
             let envelope = self.envelope();
             match self.asker.ask(&envelope, request, DEADLINE).await {
                 Asking::Settled(response) => match *response {
-                    Response::Refused(refusal) => return Err(refusal.to_string()),
+                    Response::Refused(refusal) => return Err(refusal.into()),
                     response => return Ok(response),
                 },
                 Asking::Again(_, why) if Instant::now() >= until => {
-                    return Err(format!("no answer that settles it: {why}"));
+                    return Err(ClientError::Unsettled(why));
                 }
                 Asking::Again(pause, _) => sleep(Duration::from_micros(pause)).await,
             }
         }
     }
 
-    /// All members and the records whose keys begin so, as they are now.
-    pub async fn read(&mut self, prefix: &str) -> Result<View, String> {
+    /// All members, and the records whose keys begin with a prefix, by a linearizable read.
+    ///
+    /// # Errors
+    /// [`ClientError`], if no response settled it.
+    pub async fn read(&mut self, prefix: &str) -> Result<View, ClientError> {
         match self.ask(&Request::Read { stale: false, prefix: prefix.into(), members: true }).await? {
             Response::Read(view) => Ok(view),
-            other => Err(format!("not an answer to a read: {other:?}")),
+            other => Err(ClientError::unexpected("not an answer to a read", other)),
         }
     }
 
-    /// Carries a command out once, however often it has to be sent.
-    pub async fn command(&mut self, command: Command) -> Result<Reply, String> {
+    /// Carries out a command exactly once, however often it has to be sent.
+    ///
+    /// # Errors
+    /// [`ClientError`], if no response settled it: the command may have been carried out.
+    pub async fn command(&mut self, command: Command) -> Result<Reply, ClientError> {
         if self.session.is_none() {
             let open = Request::Command(Call { session: None, command: Command::Open });
             match self.ask(&open).await? {
                 Response::Reply(Reply::Opened(session), _) => self.session = Some((session, 0)),
-                other => return Err(format!("no session: {other:?}")),
+                other => return Err(ClientError::unexpected("no session", other)),
             }
         }
         if let Some((_, number)) = &mut self.session {
@@ -141,16 +230,19 @@
         let request = Request::Command(Call { session: self.session, command });
         match self.ask(&request).await? {
             Response::Reply(reply, _) => Ok(reply),
-            other => Err(format!("not an answer to a command: {other:?}")),
+            other => Err(ClientError::unexpected("not an answer to a command", other)),
         }
     }
 
-    /// Writes what `change` makes of the records as they are, and again if they changed meanwhile.
+    /// Writes the transaction that `change` makes of the records below a prefix, anew while it conflicts with others.
+    ///
+    /// # Errors
+    /// [`ClientError`], if no response settled it; inside, the error of `change`.
     pub async fn change<E>(
         &mut self,
         prefix: &str,
         change: impl Fn(&View) -> Result<Txn, E>,
-    ) -> Result<Result<(), E>, String> {
+    ) -> Result<Result<(), E>, ClientError> {
         loop {
             let view = self.read(prefix).await?;
             let txn = match change(&view) {
@@ -159,8 +251,10 @@
             };
             match self.command(Command::Write(txn)).await? {
                 Reply::Done(_) => return Ok(Ok(())),
-                Reply::Conflict { .. } => sleep(Duration::from_millis(fastrand::u64(5..50))).await,
-                other => return Err(format!("not written: {other:?}")),
+                Reply::Conflict { .. } => {
+                    sleep(Duration::from_millis(fastrand::u64(CONFLICT_PAUSE_MS))).await
+                }
+                other => return Err(ClientError::NotWritten(other)),
             }
         }
     }
--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -1,22 +1,22 @@
 //! `heronhoist drain` and `heronhoist undrain`: record servers taken out by all agents together.
 
-use super::budgets::groups;
-use super::client::{Client, Where};
+use super::budgets;
+use super::client::{Client, Where, OPERATOR};
+use super::command_error::CommandError;
+use super::terminal::{self, WATCH_INTERVAL};
 use clap::Subcommand;
 use heronhoist_council::wire::View;
-use heronhoist_disruption::drain::{self, Barrier, DrainDenial};
-use heronhoist_disruption::records::{self, Drain, RecordError};
+use heronhoist_disruption::drain::{self, Barrier};
+use heronhoist_disruption::records::{self, Drain, RecordError, DRAIN_PREFIX};
 use heronhoist_disruption::unavailable::{GroupStatus, Unavailable};
+use serde_json::json;
 use std::fmt::Write as _;
-use std::io::Write as _;
+use std::io::{self, Write as _};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a barrier is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
-/// Exit codes: it is not allowed, or there is nothing to end; the council gave no answer.
-const DENIED: u8 = 3;
-const NO_COUNCIL: u8 = 5;
+/// How often the barrier is read while the command waits for it.
+const BARRIER_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Take a record server out of all agents together.
 ///
@@ -65,84 +65,66 @@
     },
 }
 
-type Failed = (u8, String);
-
-fn no_council(why: String) -> Failed {
-    (NO_COUNCIL, why)
-}
-
-fn denied(why: DrainDenial) -> Failed {
-    let unreadable = matches!(why, DrainDenial::Record(_));
-    (if unreadable { 1 } else { DENIED }, why.to_string())
-}
-
-fn unreadable(why: impl ToString) -> Failed {
-    (1, why.to_string())
-}
-
-/// Does what was asked; what there is to say about it, or an exit code and why.
-pub async fn run(tool: DrainTool) -> Result<String, Failed> {
+/// Carries out a command; returns what it prints.
+///
+/// # Errors
+/// [`CommandError`], with the command's exit code.
+pub async fn run(tool: DrainTool) -> Result<String, CommandError> {
     match tool {
         DrainTool::Server { name, why, wait, over_budget, at } => {
-            let mut client = Client::new(&at, "operator").map_err(|why| (2, why))?;
-            let id = fastrand::u64(1..);
-            let requested_by = std::env::var("USER").unwrap_or_else(|_| "operator".into());
-            let new = Drain { id, requested_by, reason: why };
-            let entered = client
-                .change("", |view| drain::enter(view, &name, new.clone(), over_budget))
-                .await
-                .map_err(no_council)?;
-            entered.map_err(denied)?;
-            if !wait {
-                return Ok(format!("{name} drains; `heronhoist drain status` shows when it may stop\n"));
-            }
-            wait_for(&mut client, &name, id).await
-        }
-        DrainTool::Status { watch, json, at } => {
-            let mut client = Client::new(&at, "operator").map_err(|why| (2, why))?;
-            loop {
-                let view = client.read("").await.map_err(no_council)?;
-                let page = if json { as_json(&view) } else { page(&view) }.map_err(unreadable)?;
-                if !watch {
-                    return Ok(page);
-                }
-                let mut out = std::io::stdout();
-                if write!(out, "\u{1b}[2J\u{1b}[H{page}").and_then(|()| out.flush()).is_err() {
-                    return Ok(String::new());
-                }
-                sleep(Duration::from_secs(1)).await;
+            let mut client = Client::new(&at, OPERATOR)?;
+            let drain_id = enter(&mut client, &name, why, over_budget).await?;
+            if wait {
+                wait_for(&mut client, &name, drain_id).await
+            } else {
+                Ok(format!("{name} drains; `heronhoist drain status` shows when it may stop\n"))
             }
         }
+        DrainTool::Status { watch, json, at } => status(watch, json, &at).await,
     }
 }
 
-/// Comes back once the server may stop.
-async fn wait_for(client: &mut Client, name: &str, drain_id: u64) -> Result<String, Failed> {
-    let mut told = String::new();
+/// Enters a drain; returns its id.
+async fn enter(
+    client: &mut Client,
+    server: &str,
+    reason: String,
+    over_budget: bool,
+) -> Result<u64, CommandError> {
+    let id = fastrand::u64(1..);
+    let requested_by = std::env::var("USER").unwrap_or_else(|_| OPERATOR.into());
+    let new = Drain { id, requested_by, reason };
+    client.change("", |view| drain::enter(view, server, new.clone(), over_budget)).await??;
+    Ok(id)
+}
+
+/// Waits until the server may stop.
+async fn wait_for(client: &mut Client, server: &str, drain_id: u64) -> Result<String, CommandError> {
+    let mut reported = String::new();
     loop {
-        // A council that is silent for a while opens nothing: it is asked on.
+        // No answer opens no barrier: the service is asked again.
         let Ok(view) = client.read("").await else {
-            sleep(LOOK_EVERY).await;
+            sleep(BARRIER_INTERVAL).await;
             continue;
         };
-        let barrier = drain::barrier(&view, name).map_err(unreadable)?;
+        let barrier = drain::barrier(&view, server)?;
         let Some(barrier) = barrier.filter(|barrier| barrier.drain.id == drain_id) else {
-            return Err((DENIED, format!("the drain of {name} was taken back by another")));
+            return Err(CommandError::Denied(format!("the drain of {server} was taken back by another")));
         };
         if barrier.is_open() {
-            return Ok(opened(name, &barrier));
+            return Ok(open_barrier(server, &barrier));
         }
-        let waits = format!("{name} may not stop yet: waits for {}", barrier.waiting_for.join(", "));
-        if waits != told {
-            let _ = writeln!(std::io::stderr(), "heronhoist drain: {waits}");
-            told = waits;
+        let waiting = format!("{server} may not stop yet: waits for {}", barrier.waiting_for.join(", "));
+        if waiting != reported {
+            let _ = writeln!(io::stderr(), "heronhoist drain: {waiting}");
+            reported = waiting;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(BARRIER_INTERVAL).await;
     }
 }
 
-fn opened(name: &str, barrier: &Barrier) -> String {
-    let mut text = format!("{name} may stop: {} agents send it nothing\n", barrier.acknowledged.len());
+fn open_barrier(server: &str, barrier: &Barrier) -> String {
+    let mut text = format!("{server} may stop: {} agents send it nothing\n", barrier.acknowledged.len());
     if !barrier.unconfirmed.is_empty() {
         let _ = writeln!(
             text,
@@ -153,56 +135,90 @@
     text
 }
 
-/// Takes a drain back.
-pub async fn undo(UndrainTool::Server { name, at }: UndrainTool) -> Result<String, Failed> {
-    let mut client = Client::new(&at, "operator").map_err(|why| (2, why))?;
-    let ended =
-        client.change(records::DRAIN_PREFIX, |view| drain::end(view, &name)).await.map_err(no_council)?;
-    ended.map_err(denied)?;
+/// Ends a drain.
+///
+/// # Errors
+/// [`CommandError`], with the command's exit code.
+pub async fn undo(UndrainTool::Server { name, at }: UndrainTool) -> Result<String, CommandError> {
+    let mut client = Client::new(&at, OPERATOR)?;
+    client.change(DRAIN_PREFIX, |view| drain::end(view, &name)).await??;
     Ok(format!("{name} drains no more; agents send to it as to a cold server\n"))
 }
 
-fn page(view: &View) -> Result<String, RecordError> {
+/// The status page; with `watch` it is shown until the output is closed.
+async fn status(watch: bool, json: bool, at: &Where) -> Result<String, CommandError> {
+    let mut client = Client::new(at, OPERATOR)?;
+    loop {
+        let view = client.read("").await?;
+        let page = if json { to_json(&view)? } else { to_text(&view)? };
+        if !watch {
+            return Ok(page);
+        }
+        if terminal::show(&page, true).is_err() {
+            return Ok(String::new());
+        }
+        sleep(WATCH_INTERVAL).await;
+    }
+}
+
+fn to_text(view: &View) -> Result<String, RecordError> {
     let mut page = String::new();
     let drains = records::drains(view)?;
     if drains.is_empty() {
         page += "nothing drains\n";
     }
-    for name in drains.keys() {
-        let Some(barrier) = drain::barrier(view, name)? else { continue };
-        let state = if barrier.is_open() { "may stop" } else { "drains" };
-        let Drain { requested_by, reason, .. } = &barrier.drain;
-        let _ = writeln!(
-            page,
-            "{name:<16} {state:<9} {} quiet, for {requested_by}: {reason}",
-            barrier.acknowledged.len()
-        );
-        for (what, who) in [("waits for", &barrier.waiting_for), ("not confirmed", &barrier.unconfirmed)] {
-            if !who.is_empty() {
-                let _ = writeln!(page, "  {what}: {}", who.join(", "));
-            }
+    for server in drains.keys() {
+        if let Some(barrier) = drain::barrier(view, server)? {
+            write_barrier(&mut page, server, &barrier);
         }
     }
     match Unavailable::count(view) {
-        Ok(count) => page += &groups(&count.groups()),
-        Err(why) => drop(writeln!(page, "\n{why}")),
+        Ok(unavailable) => page += &budgets::table(&unavailable.groups()),
+        Err(denial) => drop(writeln!(page, "\n{denial}")),
     }
     Ok(page)
 }
 
-fn as_json(view: &View) -> Result<String, RecordError> {
+fn write_barrier(page: &mut String, server: &str, barrier: &Barrier) {
+    let state = if barrier.is_open() { "may stop" } else { "drains" };
+    let acknowledged = barrier.acknowledged.len();
+    let Drain { requested_by, reason, .. } = &barrier.drain;
+    let _ = writeln!(page, "{server:<16} {state:<9} {acknowledged} quiet, for {requested_by}: {reason}");
+    for (what, agents) in [("waits for", &barrier.waiting_for), ("not confirmed", &barrier.unconfirmed)] {
+        if !agents.is_empty() {
+            let _ = writeln!(page, "  {what}: {}", agents.join(", "));
+        }
+    }
+}
+
+fn to_json(view: &View) -> Result<String, RecordError> {
     let mut drains = serde_json::Map::new();
-    for name in records::drains(view)?.keys() {
-        if let Some(barrier) = drain::barrier(view, name)? {
-            let is = serde_json::json!({
-                "drain": barrier.drain, "open": barrier.is_open(), "waits_for": barrier.waiting_for,
-                "quiet": barrier.acknowledged, "not_known": barrier.unconfirmed,
-            });
-            drains.insert(name.clone(), is);
+    for server in records::drains(view)?.keys() {
+        if let Some(barrier) = drain::barrier(view, server)? {
+            drains.insert(server.clone(), barrier_to_json(&barrier));
         }
     }
-    let groups = Unavailable::count(view).map(|count| count.groups()).unwrap_or_default();
-    let group = |g: &GroupStatus| serde_json::json!({ "group": g.name, "all": g.total, "most": g.limit, "out": g.unavailable, "who": g.causes });
-    let groups: Vec<_> = groups.iter().map(group).collect();
-    Ok(format!("{}\n", serde_json::json!({ "revision": view.revision, "drains": drains, "budgets": groups })))
+    let groups = Unavailable::count(view).map(|unavailable| unavailable.groups()).unwrap_or_default();
+    let groups: Vec<_> = groups.iter().map(group_to_json).collect();
+    Ok(format!("{}\n", json!({ "revision": view.revision, "drains": drains, "budgets": groups })))
+}
+
+fn barrier_to_json(barrier: &Barrier) -> serde_json::Value {
+    json!({
+        "drain": barrier.drain,
+        "open": barrier.is_open(),
+        "waits_for": barrier.waiting_for,
+        "quiet": barrier.acknowledged,
+        "not_known": barrier.unconfirmed,
+    })
+}
+
+fn group_to_json(group: &GroupStatus) -> serde_json::Value {
+    json!({
+        "group": group.name,
+        "all": group.total,
+        "most": group.limit,
+        "out": group.unavailable,
+        "who": group.causes,
+    })
 }
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -2,6 +2,7 @@
 //! The permit is not given back by this program, nor by its end: only by the agent itself, or by an operator's word.
 
 use super::client::{Client, Where};
+use super::command_error::CommandError;
 use clap::Args;
 use heronhoist_council::holder::{About, Holder};
 use heronhoist_council::permit::{self, Denied};
@@ -17,12 +18,19 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, Instant};
 
-/// How often the permit is looked at while the agent is awaited.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
-/// Exit codes: no permit was given; it was interrupted with the permit out; the council gave no answer.
-const NOT_GIVEN: u8 = 3;
-const LEFT_OUT: u8 = 4;
-const NO_COUNCIL: u8 = 5;
+/// How often the permit is read while the wrapper waits for the agent; how often one is requested, jittered by half of it.
+const PERMIT_INTERVAL: Duration = Duration::from_millis(300);
+/// How long the coordination service may take to grant the wrapper's lease.
+const LEASE_TIMEOUT: Duration = Duration::from_secs(15);
+/// How often the wrapper checks whether its lease is granted.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Bounds of the pause between two requests for the lease, in microseconds.
+const MIN_RENEWAL_PAUSE: Time = 1_000;
+const MAX_RENEWAL_PAUSE: Time = 100_000;
+/// The keys of the permits' records begin so.
+const BUDGET_PREFIX: &str = "budget/";
+/// The exit code of a command that was ended by a signal.
+const ENDED_BY_SIGNAL: u8 = 1;
 
 /// Take a permit for an agent, run a command, and wait until the agent serves again.
 ///
@@ -46,11 +54,177 @@
     command: Vec<String>,
 }
 
-fn say(text: &str) {
+/// Writes a line for the operator.
+fn report(text: &str) {
     let _ = writeln!(std::io::stderr(), "heronhoist hold: {text}");
 }
 
-/// The wrapper's own lease, kept in the background.
+/// Carries out `heronhoist hold`; returns its exit code.
+pub async fn run(hold: Hold) -> u8 {
+    match run_under_permit(&hold).await {
+        Ok(code) => code,
+        Err(error) => {
+            report(&error.to_string());
+            error.exit_code()
+        }
+    }
+}
+
+async fn run_under_permit(hold: &Hold) -> Result<u8, CommandError> {
+    let mut wrapper = Wrapper::join(hold).await?;
+    wrapper.take_permit(hold).await?;
+    wrapper.start_disruption().await?;
+    report(&format!("{} may be out: runs {}", hold.thing, hold.command.join(" ")));
+    let code = run_command(&hold.command).await.map_err(|why| wrapper.permit_out(why))?;
+    wrapper.finish_disruption().await?;
+    report(&format!("the command ended with {code}; waits until {} serves again", wrapper.agent));
+    wrapper.wait_for_return().await?;
+    wrapper.leave().await;
+    Ok(code)
+}
+
+/// A wrapper that takes part in the fleet, and the permit that it takes.
+struct Wrapper {
+    /// The wrapper's name as a member, and the incarnation of its lease.
+    name: String,
+    incarnation: u64,
+    lease: Lease,
+    client: Client,
+    /// The agent that is taken out of service, and its site.
+    agent: String,
+    site: String,
+    /// The key of the record of the site's permits.
+    key: String,
+}
+
+impl Wrapper {
+    /// Joins the fleet under a lease of its own.
+    async fn join(hold: &Hold) -> Result<Wrapper, CommandError> {
+        let agent = hold.thing.strip_prefix("agent:").map(String::from);
+        let agent =
+            agent.ok_or_else(|| CommandError::Denied(format!("--for {}: wanted agent:NAME", hold.thing)))?;
+        let name = format!("hold:{agent}:{}.{:08x}", std::process::id(), fastrand::u32(..));
+        let mut client = Client::new(&hold.at, &name)?;
+        let about = About {
+            name: name.clone(),
+            site: String::new(),
+            version: env!("CARGO_PKG_VERSION").into(),
+            address: String::new(),
+        };
+        let lease = Lease::keep(Client::new(&hold.at, &name)?, about);
+        let incarnation = lease.granted().await.ok_or(CommandError::NoLease)?;
+        client.session = Some((incarnation, 0));
+
+        let view = client.read("").await?;
+        let site = view.members.get(&agent).map(|member| member.site.clone());
+        let site = site.ok_or_else(|| CommandError::Denied(format!("the fleet has no agent {agent}")))?;
+        let key = permit::agents_of(&site);
+        Ok(Wrapper { name, incarnation, lease, client, agent, site, key })
+    }
+
+    /// Takes the permit; waits for it if that is asked for.
+    async fn take_permit(&mut self, hold: &Hold) -> Result<(), CommandError> {
+        let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
+        let mut reported = String::new();
+        loop {
+            let take = |view: &View| permits::take_agent(view, key, agent, taker, &hold.why);
+            let denial = match self.client.change("", take).await? {
+                Ok(()) => return Ok(()),
+                Err(denial) => denial,
+            };
+            if !(hold.wait && is_temporary(&denial)) {
+                return Err(self.not_given(&denial));
+            }
+            let why = denial.to_string();
+            if why != reported {
+                report(&format!("waits: {why}"));
+            }
+            reported = why;
+            sleep(PERMIT_INTERVAL.mul_f64(0.5 + fastrand::f64())).await;
+        }
+    }
+
+    fn not_given(&self, denial: &BudgetDenial) -> CommandError {
+        CommandError::Denied(match denial {
+            BudgetDenial::Permits(Denied::NoBudget(_)) => {
+                let site = &self.site;
+                format!("nobody has stated how many agents of {site} may be out; `heronhoist fleet permits --site {site} --most N` does")
+            }
+            denial => format!("{denial}; nothing was run"),
+        })
+    }
+
+    /// Records that the agent may be touched from now on.
+    async fn start_disruption(&mut self) -> Result<(), CommandError> {
+        let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
+        let start = |view: &View| permit::start(view, key, agent, taker);
+        let started = self.client.change(BUDGET_PREFIX, start).await;
+        started.map_err(|error| self.permit_out(error))?.map_err(|denial| self.permit_out(denial))?;
+        // At the last moment before the command: a wrapper that was paused finds out here.
+        if self.lease.holds() != Some(self.incarnation) {
+            let why = "the lease of this wrapper ended before the command was run; it was not run";
+            return Err(self.permit_out(why));
+        }
+        Ok(())
+    }
+
+    /// Records that the command has ended.
+    async fn finish_disruption(&mut self) -> Result<(), CommandError> {
+        let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
+        let finish = |view: &View| permit::finish(view, key, agent, taker);
+        let finished = self.client.change(BUDGET_PREFIX, finish).await;
+        finished.map_err(|error| self.permit_out(error))?.map_err(|denial| self.permit_out(denial))
+    }
+
+    /// Waits until the agent has given the permit back.
+    async fn wait_for_return(&mut self) -> Result<(), CommandError> {
+        let mut interrupt = signal(SignalKind::interrupt())?;
+        let mut terminate = signal(SignalKind::terminate())?;
+        loop {
+            if let Ok(view) = self.client.read(BUDGET_PREFIX).await {
+                if !self.has_permit(&view) {
+                    report(&format!("{} serves again; the permit is back", self.agent));
+                    return Ok(());
+                }
+            }
+            tokio::select! {
+                () = sleep(PERMIT_INTERVAL) => {}
+                _ = interrupt.recv() => return Err(self.permit_out("interrupted")),
+                _ = terminate.recv() => return Err(self.permit_out("told to end")),
+            }
+        }
+    }
+
+    /// Whether the permit that this wrapper took is out.
+    fn has_permit(&self, view: &View) -> bool {
+        let taker = (self.name.clone(), self.incarnation);
+        permit::of(view, &self.key, &self.agent).is_some_and(|permit| permit.taker == taker)
+    }
+
+    /// Leaves the fleet; if that fails, the lease expires by itself.
+    async fn leave(&mut self) {
+        let leave = self.lease.holder.borrow_mut().leave();
+        if let Some(request) = leave {
+            let _ = self.client.ask(&request).await;
+            let _ = self.client.forget(&self.name).await;
+        }
+    }
+
+    fn permit_out(&self, why: impl ToString) -> CommandError {
+        CommandError::PermitOut { agent: self.agent.clone(), why: why.to_string() }
+    }
+}
+
+/// Whether the permit may be granted later without an operator's doing.
+fn is_temporary(denial: &BudgetDenial) -> bool {
+    matches!(
+        denial,
+        BudgetDenial::LimitReached { .. }
+            | BudgetDenial::Permits(Denied::AllOut { .. } | Denied::OutAlready { .. })
+    )
+}
+
+/// The wrapper's own lease, renewed in the background.
 struct Lease {
     holder: Rc<RefCell<Holder>>,
     begun: Instant,
@@ -64,6 +238,7 @@
 }
 
 impl Lease {
+    /// Requests a lease, and renews it until this is dropped.
     fn keep(mut client: Client, about: About) -> Lease {
         let begun = Instant::now();
         let holder = Rc::new(RefCell::new(Holder::new(about, fastrand::u64(..), 0)));
@@ -84,139 +259,33 @@
                     );
                 }
                 let wait = kept.borrow().due().unwrap_or(0).saturating_sub(now());
-                sleep(Duration::from_micros(wait.clamp(1000, 100_000))).await;
+                sleep(Duration::from_micros(wait.clamp(MIN_RENEWAL_PAUSE, MAX_RENEWAL_PAUSE))).await;
             }
         })
         .abort_handle();
         Lease { holder, begun, task }
     }
 
-    /// The incarnation, if the lease is there at this moment.
+    /// The incarnation, if the lease is held at this moment.
     fn holds(&self) -> Option<u64> {
         self.holder.borrow().holds(self.begun.elapsed().as_micros() as Time)
     }
 
-    async fn taken(&self, within: Duration) -> Option<u64> {
-        let until = Instant::now() + within;
+    /// Waits until the lease is granted; `None` if it is not in time.
+    async fn granted(&self) -> Option<u64> {
+        let until = Instant::now() + LEASE_TIMEOUT;
         while Instant::now() < until {
             if let Some(incarnation) = self.holds() {
                 return Some(incarnation);
             }
-            sleep(Duration::from_millis(10)).await;
+            sleep(LEASE_CHECK_INTERVAL).await;
         }
         None
     }
 }
 
-/// Does it all; the exit code.
-pub async fn run(hold: Hold) -> u8 {
-    match go(hold).await {
-        Ok(code) => code,
-        Err((code, why)) => {
-            say(&why);
-            code
-        }
-    }
-}
-
-async fn go(hold: Hold) -> Result<u8, (u8, String)> {
-    let no_council = |why: String| (NO_COUNCIL, why);
-    let agent = hold.thing.strip_prefix("agent:").map(String::from);
-    let agent = agent.ok_or((NOT_GIVEN, format!("--for {}: wanted agent:NAME", hold.thing)))?;
-    let name = format!("hold:{agent}:{}.{:08x}", std::process::id(), fastrand::u32(..));
-    let client = |name: &str| Client::new(&hold.at, name).map_err(|why| (2, why));
-    let mut council = client(&name)?;
-    let about = About {
-        name: name.clone(),
-        site: String::new(),
-        version: env!("CARGO_PKG_VERSION").into(),
-        address: String::new(),
-    };
-    let lease = Lease::keep(client(&name)?, about);
-    let within = Duration::from_secs(15);
-    let incarnation = lease
-        .taken(within)
-        .await
-        .ok_or_else(|| no_council("the council took no notice; nothing was run".into()))?;
-    council.session = Some((incarnation, 0));
-    let me = (name.as_str(), incarnation);
-
-    let view = council.read("").await.map_err(no_council)?;
-    let site = view.members.get(&agent).map(|member| member.site.clone());
-    let site = site.ok_or((NOT_GIVEN, format!("the fleet has no agent {agent}")))?;
-    let key = permit::agents_of(&site);
-    let mut told = String::new();
-    loop {
-        let take = |view: &View| permits::take_agent(view, &key, &agent, me, &hold.why);
-        match council.change("", take).await.map_err(no_council)? {
-            Ok(()) => break,
-            Err(BudgetDenial::Permits(Denied::NoBudget(_))) => {
-                let why = format!("nobody has stated how many agents of {site} may be out; `heronhoist fleet permits --site {site} --most N` does");
-                return Err((NOT_GIVEN, why));
-            }
-            Err(
-                denied @ (BudgetDenial::LimitReached { .. }
-                | BudgetDenial::Permits(Denied::AllOut { .. } | Denied::OutAlready { .. })),
-            ) if hold.wait => {
-                let why = denied.to_string();
-                if why != told {
-                    say(&format!("waits: {why}"));
-                }
-                told = why;
-                sleep(LOOK_EVERY.mul_f64(0.5 + fastrand::f64())).await;
-            }
-            Err(denied) => return Err((NOT_GIVEN, format!("{denied}; nothing was run"))),
-        }
-    }
-    let start = |view: &View| permit::start(view, &key, &agent, me);
-    let started = council.change("budget/", start).await.map_err(|why| left(&agent, &why))?;
-    started.map_err(|denied| left(&agent, &denied.to_string()))?;
-    // At the last moment before: a wrapper that was stalled finds out here.
-    if lease.holds() != Some(incarnation) {
-        return Err(left(
-            &agent,
-            "the lease of this wrapper ended before the command was run; it was not run",
-        ));
-    }
-    say(&format!("{} may be out: runs {}", hold.thing, hold.command.join(" ")));
-    let code = command(&hold.command).await.map_err(|why| left(&agent, &why))?;
-
-    let finish = |view: &View| permit::finish(view, &key, &agent, me);
-    let finished = council.change("budget/", finish).await.map_err(|why| left(&agent, &why))?;
-    finished.map_err(|denied| left(&agent, &denied.to_string()))?;
-    say(&format!("the command ended with {code}; waits until {agent} serves again"));
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| (LEFT_OUT, e.to_string()))?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(|e| (LEFT_OUT, e.to_string()))?;
-    loop {
-        if let Ok(view) = council.read("budget/").await {
-            if permit::of(&view, &key, &agent)
-                .is_none_or(|permit| permit.taker != (name.clone(), incarnation))
-            {
-                say(&format!("{agent} serves again; the permit is back"));
-                break;
-            }
-        }
-        tokio::select! {
-            () = sleep(LOOK_EVERY) => {}
-            _ = interrupt.recv() => return Err(left(&agent, "interrupted")),
-            _ = terminate.recv() => return Err(left(&agent, "told to end")),
-        }
-    }
-    let goodbye = lease.holder.borrow_mut().leave();
-    if let Some(request) = goodbye {
-        let _ = council.ask(&request).await;
-        let _ = council.forget(&name).await;
-    }
-    Ok(code)
-}
-
-fn left(agent: &str, why: &str) -> (u8, String) {
-    let how = format!("{why}; the permit for agent:{agent} stays out until the agent serves again, or `heronhoist fleet free agent:{agent} --why ...`");
-    (LEFT_OUT, how)
-}
-
 /// Runs the command to its end. Ctrl-C goes to it as to any program of the terminal; SIGTERM is passed on.
-async fn command(words: &[String]) -> Result<u8, String> {
+async fn run_command(words: &[String]) -> Result<u8, String> {
     let (program, arguments) = words.split_first().ok_or("no command")?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
@@ -226,11 +295,11 @@
         tokio::select! {
             ended = child.wait() => {
                 let ended = ended.map_err(|e| e.to_string())?;
-                return Ok(ended.code().and_then(|code| u8::try_from(code).ok()).unwrap_or(1));
+                return Ok(ended.code().and_then(|code| u8::try_from(code).ok()).unwrap_or(ENDED_BY_SIGNAL));
             }
-            _ = interrupt.recv() => say("waits for the command, which was interrupted too"),
+            _ = interrupt.recv() => report("waits for the command, which was interrupted too"),
             _ = terminate.recv() => {
-                say("passes SIGTERM on to the command");
+                report("passes SIGTERM on to the command");
                 let pid = child.id().and_then(|id| rustix::process::Pid::from_raw(id as i32));
                 if let Some(pid) = pid {
                     let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
--- /dev/null
+++ b/crates/agent/src/fleet/status.rs
@@ -0,0 +1,216 @@
+//! `heronhoist fleet status`: the coordination service's processes, the members and the permits.
+
+use super::client::{Client, ClientError, STATUS_RETRY_TIMEOUT};
+use heronhoist_council::node::Standpoint;
+use heronhoist_council::permit;
+use heronhoist_council::state::{Member, Standing};
+use heronhoist_council::wire::{Request, Response, View};
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// How long one process of the service may take to say its status.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(1);
+/// The keys of the permits' records begin so.
+const BUDGET_PREFIX: &str = "budget/";
+
+/// What the page shows.
+struct Status {
+    fleet: String,
+    processes: Vec<ProcessStatus>,
+    /// For how long the leader has not heard of each member, in microseconds.
+    silent_us: BTreeMap<String, u64>,
+    view: View,
+}
+
+/// One process of the service, and its status or why there is none.
+struct ProcessStatus {
+    address: SocketAddr,
+    status: Result<Standpoint, String>,
+}
+
+/// The page, as text or as JSON.
+///
+/// # Errors
+/// [`ClientError`], if no process of the service gives the members and the records, not even old ones.
+pub async fn page(client: &mut Client, as_json: bool) -> Result<String, ClientError> {
+    let status = read(client).await?;
+    Ok(if as_json { status.to_json() } else { status.to_text() })
+}
+
+async fn read(client: &mut Client) -> Result<Status, ClientError> {
+    client.retry_timeout = STATUS_RETRY_TIMEOUT;
+    let mut silent_us = BTreeMap::new();
+    let processes = read_processes(client, &mut silent_us).await;
+    let view = read_view(client).await?;
+    Ok(Status { fleet: client.fleet.clone(), processes, silent_us, view })
+}
+
+/// Asks each process for its status; the leader's includes for how long it has not heard of each member.
+async fn read_processes(client: &mut Client, silent_us: &mut BTreeMap<String, u64>) -> Vec<ProcessStatus> {
+    let envelope = client.envelope();
+    let mut processes = Vec::new();
+    for link in client.asker.links() {
+        let response = link.ask(&envelope, &Request::Status, PROCESS_TIMEOUT).await;
+        let status = response.and_then(|response| match response {
+            Response::Status(process, silent_members) => {
+                if is_leader(&process) {
+                    *silent_us = silent_members;
+                }
+                Ok(process)
+            }
+            Response::Refused(refusal) => Err(refusal.to_string()),
+            other => Err(format!("{other:?}")),
+        });
+        processes.push(ProcessStatus { address: link.address(), status });
+    }
+    processes
+}
+
+/// Reads the members and the records. Without a majority, what one process has is better than nothing; the page says how old
+/// it may be.
+async fn read_view(client: &mut Client) -> Result<View, ClientError> {
+    let error = match client.read("").await {
+        Ok(view) => return Ok(view),
+        Err(error) => error,
+    };
+    let stale = Request::Read { stale: true, prefix: String::new(), members: true };
+    match client.ask(&stale).await {
+        Ok(Response::Read(view)) => Ok(view),
+        _ => Err(error),
+    }
+}
+
+fn is_leader(process: &Standpoint) -> bool {
+    process.leader == process.number
+}
+
+impl Status {
+    fn process_name(&self, number: u64) -> &str {
+        self.view.peers.get(&number).map_or("-", |peer| peer.name.as_str())
+    }
+
+    fn to_json(&self) -> String {
+        let processes: Vec<_> = self.processes.iter().map(|process| self.process_to_json(process)).collect();
+        let page = json!({ "council": processes, "silent_us": self.silent_us, "view": self.view });
+        format!("{page}\n")
+    }
+
+    fn process_to_json(&self, process: &ProcessStatus) -> serde_json::Value {
+        let address = process.address;
+        match &process.status {
+            Ok(status) => {
+                let name = self.process_name(status.number);
+                json!({ "address": address, "name": name, "standpoint": status })
+            }
+            Err(why) => json!({ "address": address, "unreachable": why }),
+        }
+    }
+
+    fn to_text(&self) -> String {
+        let mut page = self.heading();
+        self.write_processes(&mut page);
+        self.write_members(&mut page);
+        write_permits(&mut page, &self.view);
+        page
+    }
+
+    fn heading(&self) -> String {
+        let (fleet, revision) = (&self.fleet, self.view.revision);
+        match self.view.age {
+            Some(0) => format!("fleet {fleet}, revision {revision}\n"),
+            Some(age_us) => {
+                let age_s = age_us as f64 / 1e6;
+                format!("fleet {fleet}, revision {revision}, up to {age_s:.1} s old: NO MAJORITY ANSWERS\n")
+            }
+            None => {
+                format!("fleet {fleet}, revision {revision}, nobody knows how old: NO MAJORITY ANSWERS\n")
+            }
+        }
+    }
+
+    fn write_processes(&self, page: &mut String) {
+        let _ = writeln!(
+            page,
+            "\n{:<10} {:<22} {:<9} {:>6} {:>10} {:>8} {:>12}",
+            "council", "address", "state", "term", "committed", "entries", "snapshot B"
+        );
+        for ProcessStatus { address, status } in &self.processes {
+            let address = address.to_string();
+            match status {
+                Ok(status) => self.write_process(page, &address, status),
+                Err(why) => drop(writeln!(page, "{:<10} {address:<22} {why}", "?")),
+            }
+        }
+    }
+
+    fn write_process(&self, page: &mut String, address: &str, status: &Standpoint) {
+        let name = self.process_name(status.number);
+        let state = process_state(status);
+        let Standpoint { term, committed, entries, snapshot_bytes, .. } = status;
+        let _ = writeln!(
+            page,
+            "{name:<10} {address:<22} {state:<9} {term:>6} {committed:>10} {entries:>8} {snapshot_bytes:>12}"
+        );
+    }
+
+    fn write_members(&self, page: &mut String) {
+        let _ = writeln!(
+            page,
+            "\n{:<16} {:<12} {:<10} {:<12} {:>10} {:>8} {:<6} operators",
+            "member", "site", "version", "standing", "incarn.", "heard", "ready"
+        );
+        for (name, member) in &self.view.members {
+            let heard =
+                self.silent_us.get(name).map_or("-".into(), |us| format!("{:.1} s", *us as f64 / 1e6));
+            let ready = if member.ready { "yes" } else { "no" };
+            let standing = standing_name(member.standing);
+            let Member { site, version, incarnation, address, .. } = member;
+            let _ = writeln!(
+                page,
+                "{name:<16} {site:<12} {version:<10} {standing:<12} {incarnation:>10} {heard:>8} {ready:<6} {address}"
+            );
+        }
+    }
+}
+
+fn process_state(status: &Standpoint) -> &'static str {
+    if is_leader(status) {
+        "leads"
+    } else if status.leader == 0 {
+        "no leader"
+    } else {
+        "follows"
+    }
+}
+
+fn standing_name(standing: Standing) -> &'static str {
+    match standing {
+        Standing::Living => "living",
+        Standing::Superseded => "superseded",
+        Standing::Left => "left",
+        Standing::Expired => "lease ended",
+    }
+}
+
+fn write_permits(page: &mut String, view: &View) {
+    let records = view.records.range(BUDGET_PREFIX.to_string()..);
+    for (key, record) in records.take_while(|(key, _)| key.starts_with(BUDGET_PREFIX)) {
+        let Ok(budget) = serde_json::from_str::<permit::Budget>(&record.value) else { continue };
+        let _ = writeln!(page, "\n{key}: {} of {} out", budget.out.len(), budget.most);
+        for (unit, permit) in &budget.out {
+            let stage = permit_stage(permit);
+            let _ = writeln!(page, "  {unit} for {} ({stage}): {}", permit.taker.0, permit.why);
+        }
+    }
+}
+
+fn permit_stage(permit: &permit::Permit) -> &'static str {
+    match (permit.finished, permit.started.is_some()) {
+        (true, _) => "done, waits until it is back",
+        (false, true) => "out",
+        (false, false) => "taken",
+    }
+}
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/tools.rs
@@ -1,21 +1,26 @@
-//! What operators ask of a council, from the command line.
+//! `heronhoist fleet`: what operators ask of the coordination service, from the command line.
 
-use super::client::{Client, Where, STATUS_PATIENCE};
+use super::budgets::{self, BudgetsError};
+use super::client::{Client, ClientError, Where, OPERATOR};
 use super::link::Link;
+use super::status;
+use super::terminal::{self, WATCH_INTERVAL};
 use clap::Subcommand;
 use heronhoist_council::permit::{self, Denied};
-use heronhoist_council::state::{Peer, Reply, Standing};
+use heronhoist_council::state::{Peer, Reply};
 use heronhoist_council::wire::{Request, Response};
-use serde_json::json;
-use std::collections::BTreeMap;
-use std::fmt::Write as _;
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often `--watch` looks.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// How long a process that is to be added may take to say who it is.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// The keys of the permits' records begin so.
+const BUDGET_PREFIX: &str = "budget/";
+/// A prefix that selects few records, for reads that need the members and processes only.
+const NOTE_PREFIX: &str = "note/";
 
 /// What can be asked.
 #[derive(Subcommand)]
@@ -100,234 +105,180 @@
     },
 }
 
-/// Does what was asked; what there is to say about it.
-pub async fn run(tool: Tool) -> Result<String, String> {
-    let client = |at: &Where| Client::new(at, "operator");
+/// Why a command fails.
+#[derive(Debug, thiserror::Error)]
+pub enum ToolError {
+    /// The coordination service can't be called, or gave no answer.
+    #[error(transparent)]
+    Client(#[from] ClientError),
+    /// The permits don't allow it.
+    #[error(transparent)]
+    Permits(#[from] Denied),
+    /// The budgets can't be written or shown.
+    #[error(transparent)]
+    Budgets(#[from] BudgetsError),
+    /// The permit is named in another form.
+    #[error("what a permit is for is written as agent:NAME")]
+    PermitName,
+    /// The service refuses to forget the member.
+    #[error("{0}")]
+    NotForgotten(String),
+    /// There is no such member.
+    #[error("there is no member {0}")]
+    UnknownMember(String),
+    /// There is no such process.
+    #[error("the council has no process {0}")]
+    UnknownProcess(String),
+    /// The address of the process that replaces another is not known.
+    #[error("say with --with where it listens")]
+    NoAddress,
+    /// The process to be added has no answer.
+    #[error("{address}: {why}")]
+    NewProcess {
+        /// Its address.
+        address: SocketAddr,
+        /// Why.
+        why: String,
+    },
+    /// The process to be added belongs to a cluster.
+    #[error("{name} at {address} is in a council already")]
+    AlreadyInCluster {
+        /// Its name.
+        name: String,
+        /// Its address.
+        address: SocketAddr,
+    },
+    /// The copy of the state can't be written.
+    #[error("cannot write {}: {source}", .path.display())]
+    Copy {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+}
+
+fn client(at: &Where) -> Result<Client, ClientError> {
+    Client::new(at, OPERATOR)
+}
+
+/// Carries out a command; returns what it prints.
+///
+/// # Errors
+/// [`ToolError`], if it was not carried out, or its outcome is unknown.
+pub async fn run(tool: Tool) -> Result<String, ToolError> {
     match tool {
-        Tool::Status { watch, json, at } => loop {
-            let page = status(&mut client(&at)?, json).await;
-            if !watch {
-                return page;
-            }
-            let page = page.unwrap_or_else(|why| format!("{why}\n"));
-            let clear = if json { "" } else { "\u{1b}[2J\u{1b}[H" };
-            let mut out = std::io::stdout();
-            if std::io::Write::write_all(&mut out, format!("{clear}{page}").as_bytes()).is_err() {
-                return Ok(String::new());
-            }
-            let _ = std::io::Write::flush(&mut out);
-            sleep(LOOK_EVERY).await;
-        },
-        Tool::Permits { site, most, at } => {
-            let key = permit::agents_of(&site);
-            let done = client(&at)?.change("budget/", |view| permit::state_number(view, &key, most)).await?;
-            done.map_err(|e| e.to_string())?;
-            Ok(format!("{most} agents of {site} may be out at a time\n"))
-        }
-        Tool::Budgets { file, at } => super::budgets::run(file.as_deref(), &at).await,
-        Tool::Free { thing, why, at } => {
-            let name = thing.strip_prefix("agent:").ok_or("what a permit is for is written as agent:NAME")?;
-            let mut client = client(&at)?;
-            let view = client.read("budget/").await?;
-            let key = permit::out_for(&view, name).into_iter().next();
-            let key = key.ok_or_else(|| Denied::NotOut(thing.clone()).to_string())?;
-            let done = client.change("budget/", |view| permit::free(view, &key, name)).await?;
-            done.map_err(|e| e.to_string())?;
-            Ok(format!("the permit for {thing} is freed on your word: {why}\n"))
-        }
-        Tool::Forget { name, at } => match client(&at)?.forget(&name).await? {
-            Reply::Done(_) => Ok(format!("{name} is not named any more\n")),
-            Reply::Refused(why) => Err(why),
-            _ => Err(format!("there is no member {name}")),
-        },
-        Tool::Replace { name, with, at } => {
-            let mut client = client(&at)?;
-            let (number, old) = peer(&mut client, &name).await?;
-            let address =
-                with.or_else(|| old.address.parse().ok()).ok_or("say with --with where it listens")?;
-            let (added, new) = newcomer(&client, address).await?;
-            replace(&mut client, Some((added, new.clone())), Some(number)).await?;
-            Ok(format!("{} at {address} is in the council in place of {name}\n", new.name))
-        }
-        Tool::Add { address, at } => {
-            let mut client = client(&at)?;
-            let (added, new) = newcomer(&client, address).await?;
-            replace(&mut client, Some((added, new.clone())), None).await?;
-            Ok(format!("{} at {address} is in the council\n", new.name))
-        }
-        Tool::Remove { name, at } => {
-            let mut client = client(&at)?;
-            let (number, _) = peer(&mut client, &name).await?;
-            replace(&mut client, None, Some(number)).await?;
-            Ok(format!("{name} is in the council no more\n"))
+        Tool::Status { watch: false, json, at } => Ok(status::page(&mut client(&at)?, json).await?),
+        Tool::Status { watch: true, json, at } => watch_status(json, &at).await,
+        Tool::Permits { site, most, at } => set_permits(&site, most, &at).await,
+        Tool::Budgets { file, at } => Ok(budgets::run(file.as_deref(), &at).await?),
+        Tool::Free { thing, why, at } => free(&thing, &why, &at).await,
+        Tool::Forget { name, at } => forget(name, &at).await,
+        Tool::Replace { name, with, at } => replace(&name, with, &at).await,
+        Tool::Add { address, at } => add(address, &at).await,
+        Tool::Remove { name, at } => remove(&name, &at).await,
+        Tool::Copy { out, at } => copy(&out, &at).await,
+    }
+}
+
+/// Shows the status until the output is closed. What can't be read is shown in its place.
+async fn watch_status(json: bool, at: &Where) -> Result<String, ToolError> {
+    loop {
+        let page = status::page(&mut client(at)?, json).await;
+        let page = page.unwrap_or_else(|error| format!("{error}\n"));
+        if terminal::show(&page, !json).is_err() {
+            return Ok(String::new());
         }
-        Tool::Copy { out, at } => match client(&at)?.ask(&Request::Copy).await? {
-            Response::Copy(text) => {
-                std::fs::write(&out, &text).map_err(|e| format!("cannot write {}: {e}", out.display()))?;
-                Ok(format!("{}: {} bytes\n", out.display(), text.len()))
-            }
-            other => Err(format!("not a copy: {other:?}")),
-        },
+        sleep(WATCH_INTERVAL).await;
     }
 }
 
-async fn peer(client: &mut Client, name: &str) -> Result<(u64, Peer), String> {
-    let view = client.read("note/").await?;
-    let found = view.peers.into_iter().find(|(_, peer)| peer.name == name);
-    found.ok_or_else(|| format!("the council has no process {name}"))
+async fn set_permits(site: &str, most: u32, at: &Where) -> Result<String, ToolError> {
+    let key = permit::agents_of(site);
+    client(at)?.change(BUDGET_PREFIX, |view| permit::state_number(view, &key, most)).await??;
+    Ok(format!("{most} agents of {site} may be out at a time\n"))
 }
 
-/// Who listens there; one that is in a council already can't come in.
-async fn newcomer(client: &Client, address: SocketAddr) -> Result<(u64, Peer), String> {
-    let asked = Link::new(address).ask(&client.envelope(), &Request::Hello, Duration::from_secs(2)).await;
-    match asked.map_err(|e| format!("{address}: {e}"))? {
-        Response::Hello(identity) => {
-            if identity.formation.is_some_and(|formation| formation.peers.contains_key(&identity.number)) {
-                return Err(format!("{} at {address} is in a council already", identity.name));
-            }
-            Ok((identity.number, Peer { name: identity.name, address: address.to_string() }))
-        }
-        other => Err(format!("{address}: {other:?}")),
-    }
+async fn free(unit: &str, why: &str, at: &Where) -> Result<String, ToolError> {
+    let agent = unit.strip_prefix("agent:").ok_or(ToolError::PermitName)?;
+    let mut client = client(at)?;
+    let view = client.read(BUDGET_PREFIX).await?;
+    let key = permit::out_for(&view, agent).into_iter().next();
+    let key = key.ok_or_else(|| Denied::NotOut(unit.into()))?;
+    client.change(BUDGET_PREFIX, |view| permit::free(view, &key, agent)).await??;
+    Ok(format!("the permit for {unit} is freed on your word: {why}\n"))
 }
 
-async fn replace(client: &mut Client, add: Option<(u64, Peer)>, remove: Option<u64>) -> Result<(), String> {
-    match client.ask(&Request::Replace { add, remove }).await? {
-        Response::Replaced => Ok(()),
-        other => Err(format!("not done: {other:?}")),
+async fn forget(name: String, at: &Where) -> Result<String, ToolError> {
+    match client(at)?.forget(&name).await? {
+        Reply::Done(_) => Ok(format!("{name} is not named any more\n")),
+        Reply::Refused(why) => Err(ToolError::NotForgotten(why)),
+        _ => Err(ToolError::UnknownMember(name)),
     }
 }
 
-fn word(standing: Standing) -> &'static str {
-    match standing {
-        Standing::Living => "living",
-        Standing::Superseded => "superseded",
-        Standing::Left => "left",
-        Standing::Expired => "lease ended",
-    }
+async fn replace(name: &str, with: Option<SocketAddr>, at: &Where) -> Result<String, ToolError> {
+    let mut client = client(at)?;
+    let (old_id, old) = process_of_name(&mut client, name).await?;
+    let address = with.or_else(|| old.address.parse().ok()).ok_or(ToolError::NoAddress)?;
+    let (new_id, new) = new_process(&client, address).await?;
+    change_processes(&mut client, Some((new_id, new.clone())), Some(old_id)).await?;
+    Ok(format!("{} at {address} is in the council in place of {name}\n", new.name))
 }
 
-async fn status(client: &mut Client, as_json: bool) -> Result<String, String> {
-    client.patience = STATUS_PATIENCE;
-    let envelope = client.envelope();
-    let mut processes = Vec::new();
-    let mut silent = BTreeMap::new();
-    for link in client.asker.links() {
-        let asked = link.ask(&envelope, &Request::Status, Duration::from_secs(1)).await;
-        let address = link.address();
-        processes.push((
-            address,
-            asked.map(|response| match response {
-                Response::Status(stand, members) => {
-                    if stand.leader == stand.number {
-                        silent = members;
-                    }
-                    Ok(stand)
-                }
-                Response::Refused(refusal) => Err(refusal.to_string()),
-                other => Err(format!("{other:?}")),
-            }),
-        ));
-    }
-    // Without a majority, what one process has is better than nothing; how old it may be is said.
-    let view = match client.read("").await {
-        Ok(view) => view,
-        Err(why) => {
-            match client.ask(&Request::Read { stale: true, prefix: String::new(), members: true }).await {
-                Ok(Response::Read(view)) => view,
-                _ => return Err(why),
-            }
+async fn add(address: SocketAddr, at: &Where) -> Result<String, ToolError> {
+    let mut client = client(at)?;
+    let (new_id, new) = new_process(&client, address).await?;
+    change_processes(&mut client, Some((new_id, new.clone())), None).await?;
+    Ok(format!("{} at {address} is in the council\n", new.name))
+}
+
+async fn remove(name: &str, at: &Where) -> Result<String, ToolError> {
+    let mut client = client(at)?;
+    let (id, _) = process_of_name(&mut client, name).await?;
+    change_processes(&mut client, None, Some(id)).await?;
+    Ok(format!("{name} is in the council no more\n"))
+}
+
+async fn copy(path: &Path, at: &Where) -> Result<String, ToolError> {
+    match client(at)?.ask(&Request::Copy).await? {
+        Response::Copy(text) => {
+            std::fs::write(path, &text).map_err(|source| ToolError::Copy { path: path.into(), source })?;
+            Ok(format!("{}: {} bytes\n", path.display(), text.len()))
         }
-    };
-    let name = |number: u64| view.peers.get(&number).map_or("-", |peer| peer.name.as_str());
-    if as_json {
-        let processes: Vec<_> = processes
-            .iter()
-            .map(|(address, asked)| match asked {
-                Ok(Ok(stand)) => {
-                    json!({ "address": address, "name": name(stand.number), "standpoint": stand })
-                }
-                Ok(Err(why)) | Err(why) => json!({ "address": address, "unreachable": why }),
-            })
-            .collect();
-        let page = json!({ "council": processes, "silent_us": silent, "view": view });
-        return Ok(format!("{page}\n"));
+        other => Err(ClientError::unexpected("not a copy", other).into()),
     }
-    let mut page = match view.age {
-        Some(0) => format!("fleet {}, revision {}\n", client.fleet, view.revision),
-        Some(age) => format!(
-            "fleet {}, revision {}, up to {:.1} s old: NO MAJORITY ANSWERS\n",
-            client.fleet,
-            view.revision,
-            age as f64 / 1e6
-        ),
-        None => format!(
-            "fleet {}, revision {}, nobody knows how old: NO MAJORITY ANSWERS\n",
-            client.fleet, view.revision
-        ),
+}
+
+/// The id and the address of a process of the service.
+async fn process_of_name(client: &mut Client, name: &str) -> Result<(u64, Peer), ToolError> {
+    let view = client.read(NOTE_PREFIX).await?;
+    let found = view.peers.into_iter().find(|(_, peer)| peer.name == name);
+    found.ok_or_else(|| ToolError::UnknownProcess(name.into()))
+}
+
+/// The id and the address of the process that listens at an address, which must not belong to a cluster.
+async fn new_process(client: &Client, address: SocketAddr) -> Result<(u64, Peer), ToolError> {
+    let no_answer = |why| ToolError::NewProcess { address, why };
+    let response = Link::new(address).ask(&client.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
+    let identity = match response.map_err(no_answer)? {
+        Response::Hello(identity) => identity,
+        other => return Err(no_answer(format!("{other:?}"))),
     };
-    let _ = writeln!(
-        page,
-        "\n{:<10} {:<22} {:<9} {:>6} {:>10} {:>8} {:>12}",
-        "council", "address", "state", "term", "committed", "entries", "snapshot B"
-    );
-    for (address, asked) in &processes {
-        match asked {
-            Ok(Ok(stand)) => {
-                let state = if stand.leader == stand.number {
-                    "leads"
-                } else if stand.leader == 0 {
-                    "no leader"
-                } else {
-                    "follows"
-                };
-                let _ = writeln!(
-                    page,
-                    "{:<10} {:<22} {state:<9} {:>6} {:>10} {:>8} {:>12}",
-                    name(stand.number),
-                    address.to_string(),
-                    stand.term,
-                    stand.committed,
-                    stand.entries,
-                    stand.snapshot_bytes
-                );
-            }
-            Ok(Err(why)) | Err(why) => {
-                let _ = writeln!(page, "{:<10} {:<22} {why}", "?", address.to_string());
-            }
-        }
-    }
-    let _ = writeln!(
-        page,
-        "\n{:<16} {:<12} {:<10} {:<12} {:>10} {:>8} {:<6} operators",
-        "member", "site", "version", "standing", "incarn.", "heard", "ready"
-    );
-    for (who, member) in &view.members {
-        let heard = silent.get(who).map_or("-".into(), |us| format!("{:.1} s", *us as f64 / 1e6));
-        let ready = if member.ready { "yes" } else { "no" };
-        let _ = writeln!(
-            page,
-            "{who:<16} {:<12} {:<10} {:<12} {:>10} {heard:>8} {ready:<6} {}",
-            member.site,
-            member.version,
-            word(member.standing),
-            member.incarnation,
-            member.address
-        );
+    if identity.formation.is_some_and(|cluster| cluster.peers.contains_key(&identity.number)) {
+        return Err(ToolError::AlreadyInCluster { name: identity.name, address });
     }
-    for (key, record) in
-        view.records.range("budget/".to_string()..).take_while(|(key, _)| key.starts_with("budget/"))
-    {
-        let Ok(budget) = serde_json::from_str::<permit::Budget>(&record.value) else { continue };
-        let _ = writeln!(page, "\n{key}: {} of {} out", budget.out.len(), budget.most);
-        for (thing, permit) in &budget.out {
-            let stage = match (permit.finished, permit.started.is_some()) {
-                (true, _) => "done, waits until it is back",
-                (false, true) => "out",
-                (false, false) => "taken",
-            };
-            let _ = writeln!(page, "  {thing} for {} ({stage}): {}", permit.taker.0, permit.why);
-        }
+    Ok((identity.number, Peer { name: identity.name, address: address.to_string() }))
+}
+
+/// Adds a process to the service, removes one, or both in one step.
+async fn change_processes(
+    client: &mut Client,
+    add: Option<(u64, Peer)>,
+    remove: Option<u64>,
+) -> Result<(), ClientError> {
+    match client.ask(&Request::Replace { add, remove }).await? {
+        Response::Replaced => Ok(()),
+        other => Err(ClientError::unexpected("not done", other)),
     }
-    Ok(page)
 }
