--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -2,8 +2,11 @@
 
 use super::*;
 use crate::processes::judge::{Opened, Sent};
-use heronhoist_release::budget::{self, By, Most, Rule, Rules, Server, Sort};
-use heronhoist_release::drain::{self, Drain, Listener, Quiet};
+use heronhoist_disruption::denial::BudgetDenial;
+use heronhoist_disruption::drain::{self, DrainAcknowledgement, DrainDenial};
+use heronhoist_disruption::drain_observer::DrainObserver;
+use heronhoist_disruption::records::{self, Drain};
+use heronhoist_disruption::rules::{Limit, Rule, Rules, Scope, Server, UnitKind};
 
 /// An agent may still send so long after it has heard of a drain, and is not quiet before.
 const GRACE: Micros = 500_000;
@@ -12,19 +15,19 @@
 /// What an agent has to do with record servers.
 #[derive(Default)]
 pub(super) struct Sends {
-    listener: Listener,
+    observer: DrainObserver,
     /// When it heard of each drain.
     heard: BTreeMap<String, Micros>,
     /// Requests that are under way: to whom, and when they end.
     out: Vec<(String, Micros)>,
     next_at: Micros,
     /// What it is about to have written down, for which incarnation, and how it asks that.
-    saying: Option<(Quiet, Request)>,
+    saying: Option<(DrainAcknowledgement, Request)>,
     session: (u64, u64),
 }
 
 impl Sends {
-    fn is_quiet(&self, server: &str, now: Micros) -> bool {
+    fn has_stopped_sending(&self, server: &str, now: Micros) -> bool {
         let past = self.heard.get(server).is_some_and(|heard| now >= heard + GRACE);
         past && !self.out.iter().any(|(other, _)| other == server)
     }
@@ -89,16 +92,29 @@
         }
         let mut asks = Vec::new();
         if hears {
-            asks.push((2, sends.listener.asks()));
+            asks.push((2, sends.observer.next_request()));
         }
         if let Some(held) = held.filter(|_| says) {
-            if sends.saying.as_ref().is_none_or(|(quiet, _)| quiet.incarnation != held) {
-                let quiet = sends.listener.to_say(held, |server| sends.is_quiet(server, now));
-                sends.saying = quiet.map(|quiet| {
+            if sends.saying.as_ref().is_none_or(|(written, _)| written.incarnation != held) {
+                let pending = sends
+                    .observer
+                    .pending_acknowledgement(held, |server| sends.has_stopped_sending(server, now));
+                sends.saying = pending.and_then(|pending| {
                     sends.session =
                         if sends.session.0 == held { (held, sends.session.1 + 1) } else { (held, 1) };
-                    let command = Command::Write(quiet.told(&name));
-                    (quiet, Request::Command(CommandRequest { session: Some(sends.session), command }))
+                    match pending.to_transaction(&name) {
+                        Ok(transaction) => {
+                            let command = Command::Write(transaction);
+                            Some((
+                                pending,
+                                Request::Command(CommandRequest { session: Some(sends.session), command }),
+                            ))
+                        }
+                        Err(why) => {
+                            self.outcome.seen.wrongs.push(why.to_string());
+                            None
+                        }
+                    }
                 });
             }
             asks.extend(sends.saying.as_ref().map(|(_, request)| (3, request.clone())));
@@ -111,10 +127,10 @@
         let now = self.now;
         let Role::Agent(agent) = &mut self.processes[at].role else { return };
         let sends = &mut agent.sends;
-        if let Err(why) = sends.listener.hears(response.as_ref()) {
+        if let Err(why) = sends.observer.on_response(response.as_ref()) {
             self.outcome.seen.wrongs.push(why.to_string());
         }
-        let drained = sends.listener.drained();
+        let drained = sends.observer.draining_servers();
         sends.heard.retain(|server, _| drained.contains(server));
         for server in drained {
             sends.heard.entry(server).or_insert(now);
@@ -125,17 +141,19 @@
     pub(super) fn agent_has_said(&mut self, at: usize, response: Option<Response>) {
         let Role::Agent(agent) = &mut self.processes[at].role else { return };
         let Some(response) = response else { return };
-        let said = agent.sends.saying.take();
-        if let (Some((quiet, _)), Response::Reply(CommandResult::Done(_), _)) = (said, response) {
-            agent.sends.listener.said(quiet);
+        let written = agent.sends.saying.take();
+        if let (Some((acknowledgement, _)), Response::Reply(CommandResult::Done(_), _)) = (written, response)
+        {
+            agent.sends.observer.on_acknowledged(acknowledgement);
         }
     }
 
     fn rules(&self) -> Rules {
-        let rule = |of, by, most| Rule { of, by, only: None, most: Most::Number(most) };
+        let rule =
+            |unit_kind, scope, limit| Rule { unit_kind, scope, only: None, limit: Limit::Number(limit) };
         let rules = vec![
-            rule(Sort::Servers, By::All, self.plan.servers_out),
-            rule(Sort::Agents, By::Site, self.plan.permits),
+            rule(UnitKind::Servers, Scope::All, self.plan.servers_out),
+            rule(UnitKind::Agents, Scope::Site, self.plan.permits),
         ];
         let server = |n| (format!("s{n}"), Server { site: format!("site{n}"), ..Server::default() });
         Rules { rules, servers: (0..self.plan.servers).map(server).collect() }
@@ -191,28 +209,27 @@
         let (server, number) =
             (format!("s{}", self.rng.random_range(0..self.plan.servers)), self.rng.random());
         let name = self.processes[at].name.clone();
-        let drains = drain::all(view).unwrap_or_default();
-        let is_there =
-            |server: &str, number: u64| drains.get(server).is_some_and(|drain| drain.number == number);
+        let drains = records::drains(view).unwrap_or_default();
+        let is_there = |server: &str, id: u64| drains.get(server).is_some_and(|drain| drain.id == id);
         let Role::Drainer(drainer) = &self.processes[at].role else { return };
         let (mut doing, mut txn, mut next_at) = (drainer.doing.clone(), None, now + pause);
         match doing.clone() {
             Draining::Idle | Draining::Entering => {
                 // One that it entered, or the process of its name before it.
-                let own = drains.iter().find(|(_, drain)| drain.by == name);
+                let own = drains.iter().find(|(_, drain)| drain.requested_by == name);
                 doing = match own {
-                    Some((server, drain)) => Draining::Waiting(server.clone(), drain.number),
+                    Some((server, drain)) => Draining::Waiting(server.clone(), drain.id),
                     None => Draining::Idle,
                 };
                 if own.is_none() && !healed {
-                    let new = Drain { number, by: name.clone(), why: "disk".into() };
+                    let new = Drain { id: number, requested_by: name.clone(), reason: "disk".into() };
                     match drain::enter(view, &server, new, self.plan.planted == Planted::Alone) {
                         Ok(entering) => {
                             txn = Some(entering);
                             doing = Draining::Entering;
                         }
-                        Err(drain::Denied::Budget(budget::Denied::NoRules)) => {
-                            txn = self.rules().state(view).ok();
+                        Err(DrainDenial::Budget(BudgetDenial::NoRules)) => {
+                            txn = self.rules().to_transaction(view).ok();
                         }
                         Err(_) => {}
                     }
@@ -226,9 +243,10 @@
             Draining::Waiting(server, number) => {
                 let open = match drain::barrier(view, &server) {
                     Ok(Some(barrier)) if self.plan.planted == Planted::BarrierForgets => {
-                        let spoke =
-                            |agent: &String| view.records.contains_key(&format!("{}{agent}", drain::QUIET));
-                        !barrier.waits_for.iter().any(spoke)
+                        let spoke = |agent: &String| {
+                            view.records.contains_key(&format!("{}{agent}", records::ACKNOWLEDGEMENT_PREFIX))
+                        };
+                        !barrier.waiting_for.iter().any(spoke)
                     }
                     Ok(Some(barrier)) => barrier.is_open(),
                     _ => false,
@@ -279,7 +297,7 @@
     /// A drain that was taken back, by whoever it was.
     pub(super) fn note_undrained(&mut self, change: &Change) {
         if let heronhoist_coordination::state::ChangedItem::Record(key, None) = &change.item {
-            if let Some(server) = key.strip_prefix(drain::PREFIX) {
+            if let Some(server) = key.strip_prefix(records::DRAIN_PREFIX) {
                 self.close(server);
             }
         }
