--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::fleet::command_error::CommandError;
 use crate::fleet::{drain, hold, tools};
 use crate::log;
-use crate::plan::{Members, Plan, PoolPlan};
+use crate::plan::{PoolEndpoints, PoolPlan, ServingPlan};
 use crate::translate;
 use clap::{CommandFactory, FromArgMatches, Parser, Subcommand};
 use heronhoist_decision::Effect;
@@ -266,7 +266,7 @@
 
 /// What would be served.
 fn served(config: &Config) -> String {
-    let Plan { classes, pools, routes, .. } = &config.plan;
+    let ServingPlan { classes, pools, routes, .. } = &config.plan;
     let name = |place: Option<usize>| {
         place.and_then(|p| pools.get(p)).map_or("none: 404".to_string(), |pool| pool.name.clone())
     };
@@ -306,11 +306,11 @@
         ]
     });
     text += &table(["class", "effect", "aim of deadline"], rows);
-    let members = |pool: &PoolPlan| match &pool.members {
-        Members::Discovery(address) => format!("discovery at {address}"),
-        Members::Fixed(members) => {
-            let list: Vec<String> = members.iter().map(|m| format!("{} at {}", m.name, m.address)).collect();
-            list.join(", ")
+    let endpoints = |pool: &PoolPlan| match &pool.endpoints {
+        PoolEndpoints::Discovery(address) => format!("discovery at {address}"),
+        PoolEndpoints::Static(servers) => {
+            let list = servers.iter().map(|server| format!("{} at {}", server.name, server.address));
+            list.collect::<Vec<_>>().join(", ")
         }
     };
     let rows = pools.iter().map(|pool| {
@@ -321,7 +321,7 @@
             if settings.hedging { "second copies, " } else { "" },
             settings.drain_grace.as_ms()
         );
-        [pool.name.clone(), rules, members(pool)]
+        [pool.name.clone(), rules, endpoints(pool)]
     });
     text += &table(["pool", "rules", "servers"], rows);
     let rows = routes.rules().iter().map(|rule| {
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -5,7 +5,7 @@
 use crate::discovery::EndpointListReply;
 use crate::lanes::Room;
 use crate::log;
-use crate::plan::{Members, Plan, PoolPlan};
+use crate::plan::{PoolEndpoints, PoolPlan, ServingPlan};
 use crate::server;
 use crate::{legacy, translate};
 use heronhoist_config::{Fault, Protocol, ServerState};
@@ -100,7 +100,7 @@
     /// The list as this agent last had it.
     pub known: Option<EndpointList<SocketAddr>>,
     /// What it serves.
-    pub plan: Plan,
+    pub plan: ServingPlan,
     /// How its log looks, and what is in it.
     pub log: log::Wanted,
     path: PathBuf,
@@ -166,7 +166,7 @@
 /// What a file that was read again changes.
 pub struct Revised {
     /// What is served from now on.
-    pub plan: Plan,
+    pub plan: ServingPlan,
     origin: Origin,
 }
 
@@ -175,7 +175,7 @@
 const FRONT: &str = "http";
 
 /// The platform's settings as a plan.
-pub fn plan(file: &SettingsFile, discovery: SocketAddr) -> Plan {
+pub fn plan(file: &SettingsFile, discovery: SocketAddr) -> ServingPlan {
     let settings = file.settings();
     let duration = |span: Option<Span>, other_ms| Duration::from(span.unwrap_or(Span::from_ms(other_ms)));
     let pool = PoolPlan {
@@ -188,12 +188,12 @@
             keepalive: duration(file.keepalive(), 10_000.0),
         },
         settings,
-        members: Members::Discovery(discovery),
-        old_kinds: Vec::new(),
+        endpoints: PoolEndpoints::Discovery(discovery),
+        legacy_machine_types: Vec::new(),
     };
     let routes = Table::new(Vec::new(), Some(0)).unwrap_or_default();
     let (classes, tenants) = (file.class_names(), file.tenant_names());
-    Plan { classes, tenants, pools: vec![pool], routes, mappings: Rc::default() }
+    ServingPlan { classes, tenants, pools: vec![pool], routes, mappings: Rc::default() }
 }
 
 /// Keys that a file may do without though the one before it had them: the list and the seed serve a start only, and the
@@ -259,23 +259,23 @@
             connect_timeout: pool.connect_timeout,
             keepalive: pool.keepalive,
         },
-        members: match pool.membership {
+        endpoints: match pool.membership {
             heronhoist_config::Membership::Static => {
-                Members::Fixed(pool.servers.iter().map(member).collect())
+                PoolEndpoints::Static(pool.servers.iter().map(member).collect())
             }
-            heronhoist_config::Membership::Platform(address) => Members::Discovery(address),
+            heronhoist_config::Membership::Platform(address) => PoolEndpoints::Discovery(address),
         },
-        old_kinds: pool.old_kinds.clone(),
+        legacy_machine_types: pool.old_kinds.clone(),
     }
 }
 
 /// `path` is the file's own; directories that it names are beside it.
-fn own_plan(path: &Path, file: &heronhoist_config::File) -> Result<Plan, Unusable> {
+fn own_plan(path: &Path, file: &heronhoist_config::File) -> Result<ServingPlan, Unusable> {
     let mappings = match &file.mappings {
         Some(directory) => mappings(&path.parent().unwrap_or(Path::new("")).join(directory), file)?,
         None => Mappings::default(),
     };
-    Ok(Plan {
+    Ok(ServingPlan {
         classes: file.classes.clone(),
         tenants: file.tenants.clone(),
         pools: file.pools.iter().map(own_pool).collect(),
--- a/crates/agent/src/config/tests.rs
+++ b/crates/agent/src/config/tests.rs
@@ -40,7 +40,7 @@
     let old = read(text.as_bytes()).expect("readable");
     let check = |text: &str| Config::check(&old, text.as_bytes());
     let moved = check(&text.replace("127.0.0.1:81", "127.0.0.1:82")).expect("usable");
-    assert_eq!(moved.plan.pools[0].members, Members::Discovery(([127, 0, 0, 1], 82).into()));
+    assert_eq!(moved.plan.pools[0].endpoints, PoolEndpoints::Discovery(([127, 0, 0, 1], 82).into()));
     assert!(check(&text.replace(r#""known":{"rev":1,"targets":[]},"#, "")).is_ok());
     for (old, new, fault) in [
         (text, "", "empty"),
@@ -89,7 +89,7 @@
     );
     let config = parse(&text).expect("usable");
     assert_eq!(config.fronts[0].listen.to_string(), "127.0.0.1:80");
-    assert_eq!(config.plan.pools[0].members, Members::Discovery(([127, 0, 0, 1], 81).into()));
+    assert_eq!(config.plan.pools[0].endpoints, PoolEndpoints::Discovery(([127, 0, 0, 1], 81).into()));
     assert_eq!(config.ops, Some(([127, 0, 0, 1], 82).into()));
     assert_eq!(config.seed, 0x1f);
     assert_eq!((config.limits.sockets, config.limits.memory_mb), (Some(777), Some(33.5)));
--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/lanes.rs
@@ -4,7 +4,7 @@
 use crate::connections::{Connections, Siblings};
 use crate::discovery::Discovery;
 use crate::metrics::{Metrics, Times};
-use crate::plan::{KnownEndpoints, Members, PoolPlan};
+use crate::plan::{KnownEndpoints, PoolEndpoints, PoolPlan};
 use heronhoist_decision::{ClassId, Discovery as Heard, Settings, Span};
 use heronhoist_engine::{
     DrainableSource, EndpointInfo, EndpointList, EndpointSource, Pool, PoolOptions, PoolStats, Quota,
@@ -33,7 +33,7 @@
     /// The memory for bodies of its requests and answers.
     pub bodies: Rc<QuotaShare>,
     source: Source,
-    old_kinds: Vec<String>,
+    legacy_machine_types: Vec<String>,
     /// The longest time to come back that its clients may be told; none where the settings don't let them be told.
     advice_most: Cell<Option<Span>>,
     /// The times of each class that has asked here.
@@ -64,23 +64,22 @@
 
     /// Takes over a plan of the same membership; false, and nothing changed, if the list comes from elsewhere now.
     fn revise(&self, plan: &PoolPlan, ids: &[ClassId]) -> bool {
-        if self.old_kinds != plan.old_kinds {
+        if self.legacy_machine_types != plan.legacy_machine_types {
             return false;
         }
-        match (&self.source, &plan.members) {
-            (Source::Discovery(source), Members::Discovery(address)) => {
+        match (&self.source, &plan.endpoints) {
+            (Source::Discovery(source), PoolEndpoints::Discovery(address)) => {
                 source.send_if_modified(|old| std::mem::replace(old, *address) != *address);
             }
-            (Source::Fixed(source), Members::Fixed(members)) => {
+            (Source::Fixed(source), PoolEndpoints::Static(members)) => {
                 source.send_if_modified(|old| {
                     let changed = old != members;
                     old.clone_from(members);
                     changed
                 });
             }
-            (Source::Discovery(_), Members::Fixed(_)) | (Source::Fixed(_), Members::Discovery(_)) => {
-                return false
-            }
+            (Source::Discovery(_), PoolEndpoints::Static(_))
+            | (Source::Fixed(_), PoolEndpoints::Discovery(_)) => return false,
         }
         // Classes that have vanished are looked up anew should they come back.
         self.times.borrow_mut().clear();
@@ -210,25 +209,25 @@
         let bodies = self.bodies.share();
         let upstream =
             Http::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
-        let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.members {
-            Members::Discovery(address) => {
+        let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.endpoints {
+            PoolEndpoints::Discovery(address) => {
                 let (sender, address) = watch::channel(*address);
                 let is_pushed = plan.settings.discovery == Heard::Pushed;
-                let legacy_machine_types = plan.old_kinds.clone();
+                let legacy_machine_types = plan.legacy_machine_types.clone();
                 (Source::Discovery(sender), Box::new(Discovery { address, is_pushed, legacy_machine_types }))
             }
-            Members::Fixed(members) => {
+            PoolEndpoints::Static(members) => {
                 let (tell, told) = watch::channel(members.clone());
                 (Source::Fixed(tell), Box::new(StaticEndpoints::new(told)))
             }
         };
         // A list that stands in the file is known from the start.
-        let fixed = || match &plan.members {
-            Members::Fixed(members) => {
+        let fixed = || match &plan.endpoints {
+            PoolEndpoints::Static(members) => {
                 let list = EndpointList { version: 0, is_complete: true, endpoints: members.clone() };
                 Some(KnownEndpoints { list, is_version_valid: true })
             }
-            Members::Discovery(_) => None,
+            PoolEndpoints::Discovery(_) => None,
         };
         let known = known.or_else(fixed);
         let membership = match &*self.drained.borrow() {
@@ -260,7 +259,7 @@
         }
         spawn_local(pool.clone().run(membership));
         let advice_most = Cell::new(advice_most(&plan.settings));
-        let old_kinds = plan.old_kinds.clone();
-        Rc::new(Lane { pool, bodies, source, old_kinds, advice_most, times: RefCell::default() })
+        let legacy_machine_types = plan.legacy_machine_types.clone();
+        Rc::new(Lane { pool, bodies, source, legacy_machine_types, advice_most, times: RefCell::default() })
     }
 }
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -1,4 +1,4 @@
-//! What the agent serves, whichever file says so: the part of a configuration that a reload can change.
+//! What the agent serves: the part of a configuration that a reload can change, whichever form of file describes it.
 
 use crate::backend::HttpTerms;
 use heronhoist_decision::Settings;
@@ -8,45 +8,50 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Pools, and what is sent to them.
+/// The pools, and which requests go to each of them.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct ServingPlan {
     /// The names of the request classes, in the order of each pool's [`Settings::classes`].
     pub classes: Vec<String>,
     /// The names of the tenants, in the order of each pool's [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// The fleets; at least one.
+    /// The pools; at least one.
     pub pools: Vec<PoolPlan>,
-    /// Which of them a request goes to.
+    /// Which pool a request goes to, by its position in `pools`.
     pub routes: Table,
-    /// How requests of the old dialects are translated.
+    /// How requests of clients that speak an old dialect are translated.
     pub mappings: Rc<Mappings>,
 }
 
 /// One fleet of record servers.
 #[derive(Debug, Clone)]
 pub struct PoolPlan {
-    /// Its name; a pool goes on under its name.
+    /// The name of the pool. A reload updates the pool of the same name, which keeps its state.
     pub name: String,
-    /// What its module is told.
+    /// The settings of its decision module.
     pub settings: Settings,
-    /// What the numbers of zones and kinds mean.
+    /// The names of the zones and machine types, which the decision module knows by number.
     pub names: ServerNames,
     /// How its servers speak HTTP.
     pub http: HttpTerms,
-    /// Who says which servers there are.
-    pub members: Members,
-    /// The kinds of machine that speak the old dialect, where discovery tells the kinds.
-    pub old_kinds: Vec<String>,
+    /// Where its endpoints come from.
+    pub endpoints: PoolEndpoints,
+    /// The machine types whose servers speak the old dialect; only discovery reports machine types.
+    pub legacy_machine_types: Vec<String>,
 }
 
-/// Where a pool's list comes from.
+/// Where the endpoints of a pool come from.
+///
+/// | source | endpoints change |
+/// | --- | --- |
+/// | `Discovery` | whenever the platform's discovery reports a change |
+/// | `Static` | with a reload only |
 #[derive(Debug, Clone, PartialEq)]
-pub enum Members {
-    /// The platform's discovery, at this address.
+pub enum PoolEndpoints {
+    /// The platform's discovery at this address.
     Discovery(SocketAddr),
-    /// The file itself.
-    Fixed(Vec<EndpointInfo<SocketAddr>>),
+    /// The configuration file.
+    Static(Vec<EndpointInfo<SocketAddr>>),
 }
 
 /// The endpoints of a pool as they are known at the start of the agent, before its source has reported any.
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -8,7 +8,7 @@
 use crate::intake::Catalogue;
 use crate::lanes::Lanes;
 use crate::metrics::Metrics;
-use crate::plan::{KnownEndpoints, Members, Plan, PoolPlan};
+use crate::plan::{KnownEndpoints, PoolEndpoints, PoolPlan, ServingPlan};
 use crate::server::{Server, Serving};
 use heronhoist_decision::ClassId;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
     }
 
     /// Applies a plan to clients and pools. There is no await in between, so that no request sees one without the other.
-    fn apply(&mut self, plan: &Plan) {
+    fn apply(&mut self, plan: &ServingPlan) {
         let serving = apply_plan(plan, &mut self.classes, &self.pools, None);
         self.server.revise(serving);
         let pools: Vec<String> = plan.pools.iter().map(describe).collect();
@@ -64,7 +64,7 @@
 ///
 /// It neither fails nor waits. `known` is the list of the first pool as it was last known, at a start.
 pub fn apply_plan(
-    plan: &Plan,
+    plan: &ServingPlan,
     classes: &mut ClassRegistry,
     pools: &Lanes,
     known: Option<KnownEndpoints>,
@@ -82,9 +82,9 @@
 
 /// A pool and where its endpoints come from, for the log.
 fn describe(pool: &PoolPlan) -> String {
-    match &pool.members {
-        Members::Discovery(address) => format!("{} by discovery at {address}", pool.name),
-        Members::Fixed(members) => format!("{} of {} servers", pool.name, members.len()),
+    match &pool.endpoints {
+        PoolEndpoints::Discovery(address) => format!("{} by discovery at {address}", pool.name),
+        PoolEndpoints::Static(servers) => format!("{} of {} servers", pool.name, servers.len()),
     }
 }
 
--- a/crates/agent/src/reload/class_registry.rs
+++ b/crates/agent/src/reload/class_registry.rs
@@ -2,7 +2,7 @@
 
 use crate::intake::Class;
 use crate::metrics::Metrics;
-use crate::plan::Plan;
+use crate::plan::ServingPlan;
 use heronhoist_decision::ClassId;
 use std::rc::Rc;
 
@@ -25,7 +25,7 @@
     ///
     /// An unchanged class keeps its number. One with other terms gets a new number, so that requests in flight keep the old
     /// terms, and the counters of its name.
-    pub fn update(&mut self, plan: &Plan) -> Vec<Rc<Class>> {
+    pub fn update(&mut self, plan: &ServingPlan) -> Vec<Rc<Class>> {
         // All pools have the same classes.
         let terms = plan.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
         let mut updated = Vec::new();
--- a/crates/agent/src/reload/tests.rs
+++ b/crates/agent/src/reload/tests.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// A plan with these classes, each given by its name and its deadline in milliseconds.
-fn plan_with_classes(classes: &[(&str, u32)]) -> Plan {
+fn plan_with_classes(classes: &[(&str, u32)]) -> ServingPlan {
     let class = |(name, deadline_ms): &(&str, u32)| {
         format!(
             r#"{{"name":"{name}","effect":"idempotent","aimMs":10,"deadlineMs":{deadline_ms},"points":1}}"#
