--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -11,7 +11,7 @@
 use heronhoist_config::{Fault, Protocol, ServerState};
 use heronhoist_decision::{ReportSource, Span};
 use heronhoist_engine::{EndpointInfo, EndpointList, EndpointState, ServerNames};
-use heronhoist_routes::Table;
+use heronhoist_routing::Table;
 use heronhoist_settings::SettingsFile;
 use heronhoist_translate::Mappings;
 use serde::Deserialize;
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -6,7 +6,7 @@
 use crate::upload::{Broken, Payload, Source, Upload, BODY_MOST, HELD_MOST};
 use heronhoist_decision::{ClassId, Dialects, Effect, KeyId, Span, TenantId};
 use heronhoist_engine::{NewRequest, QuotaShare};
-use heronhoist_routes::Attributes;
+use heronhoist_routing::Attributes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::backend::HttpTerms;
 use heronhoist_decision::Settings;
 use heronhoist_engine::{EndpointInfo, EndpointList, ServerNames};
-use heronhoist_routes::Table;
+use heronhoist_routing::Table;
 use heronhoist_translate::Mappings;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -20,7 +20,7 @@
 use heronhoist_decision::Span;
 use heronhoist_engine::timing::{catch_up, heartbeat, timeout, HEARTBEAT_INTERVAL};
 use heronhoist_engine::{FinalResponse, NewRequest, Rejection, Reservation};
-use heronhoist_routes::{Attributes, Table};
+use heronhoist_routing::{Attributes, Table};
 use heronhoist_translate::wire::trouble::{Told, Trouble};
 use heronhoist_translate::{Mapping, Mappings, Notice, Side};
 use http_body_util::Full;
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -5,7 +5,7 @@
 use heronhoist_decision::{
     Class, DeduplicationScope, Discovery, Effect, Settings, SettingsError, Span, Tenant, ZoneId,
 };
-use heronhoist_routes::{Conditions, Fault as RouteFault, Rule, Table};
+use heronhoist_routing::{Conditions, Fault as RouteFault, Rule, Table};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/config/src/file/tests.rs
+++ b/crates/config/src/file/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use heronhoist_routes::Attributes;
+use heronhoist_routing::Attributes;
 
 const SOUND: &str = r#"
 default_pool = "records"
--- a/crates/decision/tests/decisions_in_one_place.rs
+++ b/crates/decision/tests/decisions_in_one_place.rs
@@ -161,7 +161,7 @@
         let knows_servers = words(&code).any(|word| numbered.contains(&word));
         assert!(!draws || !knows_servers, "{file} draws at random, and knows servers");
     }
-    for package in ["engine", "routes", "settings", "simhost", "config"] {
+    for package in ["engine", "routing", "settings", "simhost", "config"] {
         let manifest = read(&format!("crates/{package}/Cargo.toml"));
         assert!(!manifest.contains("rand"), "{package} draws at random");
     }
--- a/crates/engine/tests/line/main.rs
+++ b/crates/engine/tests/line/main.rs
@@ -4,7 +4,7 @@
 
 use heronhoist_decision::{Class, DeduplicationScope, Effect, Settings, Span};
 use heronhoist_engine::*;
-use heronhoist_routes::{Attributes, Conditions, Rule, Table};
+use heronhoist_routing::{Attributes, Conditions, Rule, Table};
 use line::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/routes/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,7 +6,7 @@
 //! combination of what the rules can tell apart, of which there may be [`CASES_MOST`] at most.
 //!
 //! ```
-//! use heronhoist_routes::{Attributes, Conditions, Rule, Table};
+//! use heronhoist_routing::{Attributes, Conditions, Rule, Table};
 //!
 //! let rule = |name: &str, class: &str, pool| Rule {
 //!     name: name.into(),
