--- a/crates/agent/benches/council.rs
+++ b/crates/agent/benches/council.rs
@@ -65,7 +65,7 @@
             self.0.read_line(&mut line).ok().filter(|n| *n > 0)?;
             match line.trim_end().split_once(": ") {
                 Some((name, value)) if name.eq_ignore_ascii_case("content-length") => {
-                    length = value.parse().ok()?
+                    length = value.parse().ok()?;
                 }
                 None if line.trim_end().is_empty() => break,
                 _ => {}
--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -280,7 +280,7 @@
                 if let Some(least) = call.least_bytes(place.dialect) {
                     view.count_at(before + least, call.counters.clone());
                 }
-                std::future::pending::<()>().await
+                std::future::pending::<()>().await;
             };
             let answer = tokio::select! {
                 biased;
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -480,8 +480,8 @@
             return Err("a request class has no name".into());
         }
         names.sort();
-        if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(format!("two request classes are named {:?}", twice[0]));
+        if let Some([twice, ..]) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+            return Err(format!("two request classes are named {twice:?}"));
         }
         let sockets = file.limits.sockets.unwrap_or(SOCKETS_DEFAULT);
         if sockets < SOCKETS_LEAST {
--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -252,7 +252,7 @@
             match self.command(Command::Write(txn)).await? {
                 CommandResult::Done(_) => return Ok(Ok(())),
                 CommandResult::Conflict { .. } => {
-                    sleep(Duration::from_millis(fastrand::u64(CONFLICT_PAUSE_MS))).await
+                    sleep(Duration::from_millis(fastrand::u64(CONFLICT_PAUSE_MS))).await;
                 }
                 other => return Err(ClientError::NotWritten(other)),
             }
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -165,10 +165,10 @@
             }
             SessionState::Joining => tracing::info!(member, "joins the fleet"),
             SessionState::Waiting => {
-                tracing::info!(member, "waits for the lease of an older process of its name to end")
+                tracing::info!(member, "waits for the lease of an older process of its name to end");
             }
             SessionState::Ended => {
-                tracing::warn!(member, "the council counts the lease as ended; it joins anew")
+                tracing::warn!(member, "the council counts the lease as ended; it joins anew");
             }
             SessionState::Displaced => {
                 tracing::warn!(
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -207,7 +207,7 @@
                 return;
             }
         }
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 
     /// True if the peer has closed its side, whatever it has sent before that and nobody has read. Asked of the kernel,
--- a/crates/agent/tests/loopback/budgets.rs
+++ b/crates/agent/tests/loopback/budgets.rs
@@ -46,7 +46,7 @@
                     serve(stream.into(), &heard, |_| {
                         thread::sleep(takes);
                         Some("done")
-                    })
+                    });
                 });
             }
         });
--- a/crates/agent/tests/loopback/close_delimited.rs
+++ b/crates/agent/tests/loopback/close_delimited.rs
@@ -145,10 +145,10 @@
             got.extend_from_slice(&piece[..read]);
             // The server goes on once the client has had what came before.
             if got.len() > begun.len() && told == 0 {
-                (told, _) = (1, go.send(()).unwrap());
+                (told, ()) = (1, go.send(()).unwrap());
             }
             if got.len() > begun.len() + rest.len() && told == 1 {
-                (told, _) = (2, go.send(()).unwrap());
+                (told, ()) = (2, go.send(()).unwrap());
             }
             if read == 0 || got.ends_with(b"\r\n0\r\n\r\n") {
                 break;
--- a/crates/agent/tests/loopback/held_up.rs
+++ b/crates/agent/tests/loopback/held_up.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Longer than any client is given for its head.
-const LONG: Duration = Duration::from_millis(3000);
+const LONG: Duration = Duration::from_secs(3);
 
 fn signal(agent: &Agent, signal: &str) {
     let pid = agent.child.id().to_string();
--- a/crates/agent/tests/loopback/limits.rs
+++ b/crates/agent/tests/loopback/limits.rs
@@ -188,7 +188,7 @@
     let writer = std::thread::spawn(move || std::io::Write::write_all(&mut stream, body.as_bytes()));
     let (stream, _) = server.accept().unwrap();
     // Longer than a body that does not come is safe from others.
-    std::thread::sleep(std::time::Duration::from_millis(1000));
+    std::thread::sleep(std::time::Duration::from_secs(1));
     let crowd: Vec<Client> = (0..16)
         .map(|_| {
             let mut other = Client::to(&agent);
--- a/crates/agent/tests/loopback/resting.rs
+++ b/crates/agent/tests/loopback/resting.rs
@@ -195,7 +195,7 @@
             match how {
                 // Nobody can tell that from a server that takes its time.
                 End::Silence => {
-                    assert!((502..=504).contains(&status) && heard == 1, "{class} {status} {heard}")
+                    assert!((502..=504).contains(&status) && heard == 1, "{class} {status} {heard}");
                 }
                 _ => assert_eq!((status, heard), (expected, attempts), "{how:?} {class}"),
             }
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -153,7 +153,7 @@
         match response {
             Some(Response::Renewed(terms)) => self.handle_renewal(sent_at, terms, now, random),
             Some(Response::Ended | Response::Reply(CommandResult::NotLiving, _)) => {
-                self.handle_expiry(now, pause)
+                self.handle_expiry(now, pause);
             }
             Some(Response::Displaced | Response::Refused(Refusal::OlderIncarnation { .. })) => {
                 // The newer process only waits for this one to leave.
--- a/crates/coordination/src/node/apply.rs
+++ b/crates/coordination/src/node/apply.rs
@@ -18,7 +18,7 @@
                 EntryType::EntryNormal => self.apply_command(&entry)?,
                 // Only changes of the second version are proposed here.
                 EntryType::EntryConfChange | EntryType::EntryConfChangeV2 => {
-                    self.apply_conf_change(&entry)?
+                    self.apply_conf_change(&entry)?;
                 }
             }
         }
--- a/crates/decision/src/policy/recovery.rs
+++ b/crates/decision/src/policy/recovery.rs
@@ -93,7 +93,7 @@
     /// Takes in a health check: the load that the server reports, and how long the check waited there.
     pub(super) fn health_check_ended(&mut self, now: Time, slot: ServerSlot, result: AttemptResult) {
         let reported = result.report.and_then(|report| self.read_load_report(slot, report));
-        let usual_latencies = self.current_classes().map(|class| class.usual_latency_ms());
+        let usual_latencies = self.current_classes().map(super::class_stats::ClassState::usual_latency_ms);
         let least_usual_ms = usual_latencies.fold(f64::INFINITY, f64::min);
         let is_checked = |ejection: &Ejection| ejection.by_health_check && ejection.is_probing;
         if !self.endpoints[slot].ejection.as_ref().is_some_and(is_checked) {
--- a/crates/decision/tests/keeps_attempting.rs
+++ b/crates/decision/tests/keeps_attempting.rs
@@ -90,7 +90,7 @@
                     }
                 }
                 Action::HealthCheck { server } => {
-                    self.probes.push((self.harness.now + Span::from_ms(200.0), *server))
+                    self.probes.push((self.harness.now + Span::from_ms(200.0), *server));
                 }
                 Action::Reject { .. } | Action::Fail { .. } => self.turned_away += 1,
                 _ => {}
--- a/crates/decision/tests/random_walk.rs
+++ b/crates/decision/tests/random_walk.rs
@@ -91,7 +91,7 @@
                 actions.extend_from_slice(harness.notify(event));
             }
             84..=86 => {
-                let request = RequestId(u64::from(rng.u32(0..step + 1)));
+                let request = RequestId(u64::from(rng.u32(0..=step)));
                 actions.extend_from_slice(harness.notify(Event::ClientDisconnected { request }));
             }
             87..=90 => {
--- a/crates/decision/tests/retry_rules.rs
+++ b/crates/decision/tests/retry_rules.rs
@@ -51,7 +51,7 @@
                             match group {
                                 _ if proven => {}
                                 DeduplicationScope::All => {
-                                    assert_eq!(is_rejected(&actions, id), !inside, "{case}")
+                                    assert_eq!(is_rejected(&actions, id), !inside, "{case}");
                                 }
                                 DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
--- a/crates/engine/src/drainable_source/tests.rs
+++ b/crates/engine/src/drainable_source/tests.rs
@@ -64,7 +64,7 @@
     fn run(self: Box<Self>, feed: EndpointSink<u16>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
             let _feed = feed;
-            std::future::pending().await
+            std::future::pending::<()>().await;
         })
     }
 }
--- a/crates/engine/src/pool/attempts.rs
+++ b/crates/engine/src/pool/attempts.rs
@@ -117,7 +117,7 @@
     /// may have disconnected or have its response, and servers may have forgotten the attempt that this one repeats.
     fn may_send(&self, request: RequestId, server: ServerId, begin_by: Time) -> bool {
         let state = self.0.state.borrow();
-        let is_pending = state.requests.get(&request).is_some_and(|open| open.is_pending());
+        let is_pending = state.requests.get(&request).is_some_and(super::requests::OpenRequest::is_pending);
         is_pending
             && self.0.clock.now() <= begin_by
             && state.servers.may_send(server, self.0.settings.get().drain_grace)
@@ -153,9 +153,9 @@
                 }
             }
             let body = open.request.streaming_body();
-            let is_body_consumed = body.is_some_and(|body| body.is_consumed());
+            let is_body_consumed = body.is_some_and(super::super::upstream::StreamingBody::is_consumed);
             // A server can't answer before it has the whole request.
-            let since = match body.map(|body| body.progress()) {
+            let since = match body.map(super::super::upstream::StreamingBody::progress) {
                 Some(BodyProgress::Complete(at)) => at.max(attempt.started_at),
                 _ => attempt.started_at,
             };
@@ -195,7 +195,7 @@
         BodyProgress::Complete(at) => {
             let client_timeout = deadlines.client_timeout;
             let latest = at + client_timeout - attempt_reserve(client_timeout);
-            sleep_until_settled(latest.min(deadlines.timeout_at)).await
+            sleep_until_settled(latest.min(deadlines.timeout_at)).await;
         }
         // The attempt sees that too, and knows what it means.
         BodyProgress::Incomplete | BodyProgress::Failed => std::future::pending().await,
--- a/crates/engine/src/pool/events.rs
+++ b/crates/engine/src/pool/events.rs
@@ -32,11 +32,11 @@
     fn perform_one(&self, action: Action) {
         match action {
             Action::Send { request, server, timeout_at, begin_by } => {
-                self.send(request, server, timeout_at, begin_by)
+                self.send(request, server, timeout_at, begin_by);
             }
             Action::Cancel { request, attempt } => self.cancel(request, attempt),
             Action::Reject { request, retry_after } => {
-                self.respond(request, FinalResponse::Rejected(retry_after))
+                self.respond(request, FinalResponse::Rejected(retry_after));
             }
             Action::Fail { request } => self.respond(request, FinalResponse::Failed),
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -225,8 +225,7 @@
         // The servers' zones are numbered as the first settings named them.
         let zone = zones
             .get(settings.zone.0 as usize)
-            .map(|name| self.0.state.borrow_mut().servers.zone_id(name))
-            .unwrap_or(settings.zone);
+            .map_or(settings.zone, |name| self.0.state.borrow_mut().servers.zone_id(name));
         let settings = Settings { zone, ..settings };
         self.handle_event(Event::Settings { settings: Box::new(settings), class_ids: classes });
     }
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -297,7 +297,7 @@
             let response = tokio::time::timeout(10 * client_timeout, pending.wait(|deadline| deadline)).await;
             match response {
                 Ok(response) => {
-                    assert!(forgets && matches!(response, FinalResponse::DeadlineExceeded), "{response:?}")
+                    assert!(forgets && matches!(response, FinalResponse::DeadlineExceeded), "{response:?}");
                 }
                 Err(_) => assert!(!forgets, "no response"),
             }
--- a/crates/engine/src/start_times/tests.rs
+++ b/crates/engine/src/start_times/tests.rs
@@ -68,7 +68,7 @@
             assert_eq!(source.publish_one(name, wrong), Some(seen), "{name}");
             // It is published again and again, alone and with all others, and stays as old as it is.
             for (n, whole) in [false, true, true, false].into_iter().enumerate() {
-                advance(Duration::from_millis(1000)).await;
+                advance(Duration::from_secs(1)).await;
                 if n == 2 {
                     source.0.reset_source();
                 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -196,10 +196,7 @@
 fn read(path: &Path) -> Result<Source, String> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| format!("heronhoist-lab: cannot read {}: {e}", path.display()))?;
-    let faults = match scenario::parse(&text) {
-        Ok(_) => return Source::new(&text),
-        Err(faults) => faults,
-    };
+    let Err(faults) = scenario::parse(&text) else { return Source::new(&text) };
     let lines: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", path.display())).collect();
     Err(lines.join("\n"))
 }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -88,7 +88,7 @@
 pub fn all(jobs: &[Job], means: &Means) -> Result<Record, String> {
     let done: Mutex<Vec<Option<Run>>> = Mutex::new(vec![None; jobs.len()]);
     let record = |complete: bool| {
-        let done = done.lock().unwrap_or_else(|broken| broken.into_inner());
+        let done = done.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let runs: Vec<Run> = done.iter().flatten().cloned().collect();
         let complete = complete && runs.len() == jobs.len() && runs.iter().all(|run| run.whole);
         Record { format: FORMAT, complete, runs }
@@ -96,8 +96,8 @@
     // One at a time: they share the file.
     let writing = Mutex::new(());
     let ended = |at: usize, run: Run| -> Result<(), String> {
-        done.lock().unwrap_or_else(|broken| broken.into_inner())[at] = Some(run);
-        let _alone = writing.lock().unwrap_or_else(|broken| broken.into_inner());
+        done.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = Some(run);
+        let _alone = writing.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         means.out.as_ref().map_or(Ok(()), |out| record(false).write(out))
     };
     let is_measured = jobs.iter().any(|job| job.scenario.holds.memory_growth.is_some());
@@ -145,13 +145,13 @@
                         });
                         bar.inc((job.scenario.length / 1000).saturating_sub(told.get()));
                         if let Err(why) = ended(at, run) {
-                            *failed.lock().unwrap_or_else(|broken| broken.into_inner()) = Some(why);
+                            *failed.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(why);
                         }
                     });
                 }
             });
             bar.finish_and_clear();
-            if let Some(why) = failed.into_inner().unwrap_or_else(|broken| broken.into_inner()) {
+            if let Some(why) = failed.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner) {
                 return Err(why);
             }
         }
--- a/crates/lab/src/processes/mod.rs
+++ b/crates/lab/src/processes/mod.rs
@@ -38,7 +38,7 @@
                 }
                 let outcome = world::play(plan, seed);
                 let wrongs = judge::judge(&outcome.seen, plan.permits, plan.servers_out);
-                let mut each = each.lock().unwrap_or_else(|broken| broken.into_inner());
+                let mut each = each.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 each(Played { seed, outcome, wrongs });
             });
         }
--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -831,7 +831,7 @@
                     Does::Drops,
                     length,
                 )
-                .await
+                .await;
             }
             Kind::OneWay => {
                 let back = self.rng.borrow_mut().random_bool(0.5);
@@ -856,15 +856,15 @@
                 self.spoil(vec![(one.clone(), other.clone()), (other, one)], does, length).await;
             }
             Kind::Hold => {
-                self.spoil(vec![(one.clone(), other.clone()), (other, one)], Does::Holds, length).await
+                self.spoil(vec![(one.clone(), other.clone()), (other, one)], Does::Holds, length).await;
             }
             Kind::LostReplies => {
                 self.spoil(pairs(&|a, b| a == one && !council.iter().any(|c| c == b)), Does::Drops, length)
-                    .await
+                    .await;
             }
             Kind::Isolate => self.spoil(pairs(&|a, b| a == one || b == one), Does::Drops, length).await,
             Kind::SlowProcess => {
-                self.spoil(pairs(&|a, b| a == one || b == one), Does::Delays(late), length).await
+                self.spoil(pairs(&|a, b| a == one || b == one), Does::Delays(late), length).await;
             }
         }
     }
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -61,7 +61,7 @@
                         }
                     }
                     (CommandResult::Done(_), Doing::Finishing(agent)) => {
-                        operator.doing = Doing::Waiting(agent)
+                        operator.doing = Doing::Waiting(agent);
                     }
                     // Not taken, or not known: a look at the budget tells.
                     _ => {}
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -457,11 +457,11 @@
     if ask.again {
         head += "X-Again: 1\r\n";
     }
-    if effect != Effect::Idempotent {
+    if effect == Effect::Idempotent {
+        head += "\r\n";
+    } else {
         let body = format!("call={}", ask.call);
         head += &format!("Content-Length: {}\r\n\r\n{body}", body.len());
-    } else {
-        head += "\r\n";
     }
     head.into_bytes()
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -18,7 +18,7 @@
     let fail = |e: &dyn std::fmt::Display| format!("cannot plot: {e}");
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let end = lines.iter().flat_map(|(_, points)| points.last()).map(|(x, _)| *x).fold(1.0, f64::max);
+        let end = lines.iter().filter_map(|(_, points)| points.last()).map(|(x, _)| *x).fold(1.0, f64::max);
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -476,10 +476,7 @@
     async fn carry(&self, agent: usize, ask: Ask) -> Reply {
         let life = self.lives.borrow()[agent].clone();
         let Some(life) = life else { return Reply::Unreachable };
-        let said = match self.say(&life, &ask) {
-            Ok(said) => said,
-            Err(()) => return Reply::Answer(Answer::Failed),
-        };
+        let Ok(said) = self.say(&life, &ask) else { return Reply::Answer(Answer::Failed) };
         let dialects = said.as_ref().map_or(Dialects::ALL, |asked| {
             let Sides { old, new } = asked.sides();
             let with =
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn list(items: &[&str]) -> Vec<String> {
-    items.iter().map(|item| item.to_string()).collect()
+    items.iter().map(std::string::ToString::to_string).collect()
 }
 
 fn rule(name: &str, pool: usize, conditions: Conditions) -> Rule {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -129,7 +129,7 @@
         }));
         if let Err(panic) = run {
             let text = panic.downcast_ref::<String>().cloned();
-            let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
+            let text = text.or_else(|| panic.downcast_ref::<&str>().map(std::string::ToString::to_string));
             outbox.push(Outgoing::Bug { what: text.unwrap_or_else(|| "panic without a text".into()) });
             return Ok(());
         }
--- a/crates/simhost/src/tests.rs
+++ b/crates/simhost/src/tests.rs
@@ -68,7 +68,7 @@
     let (end, replies) = play(&(first + &batch(2, "358835699.558", &[(4, &[done.to_string()])])));
     assert_eq!(end, Ok(()));
     let route = actions(&replies[0], "ROUTE");
-    let expected = serde_json::json!({"ticket": "r-1", "backend": "backend_a", "untilMs": 358836336.682});
+    let expected = serde_json::json!({"ticket": "r-1", "backend": "backend_a", "untilMs": 358_836_336.682});
     assert_eq!(route, [&expected]);
     assert_eq!(
         actions(&replies[1], "ROUTE"),
--- a/crates/simhost/tests/transcript.rs
+++ b/crates/simhost/tests/transcript.rs
@@ -33,7 +33,7 @@
 }
 
 /// The recording holds each kind of message that instances are sent, and each that has a cause in it; the decision module never
-/// asks for CLOSE_IDLE, ANNOUNCE and PULL, and BUG is a fault of the host's own. Those are held by the tests of the wire alone.
+/// asks for `CLOSE_IDLE`, ANNOUNCE and PULL, and BUG is a fault of the host's own. Those are held by the tests of the wire alone.
 #[test]
 fn the_recording_holds_the_messages() {
     for kind in [
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -413,7 +413,7 @@
                     match sides.of(side).iter().position(|field| field.path == *name.get_ref()) {
                         None => self.fault(name, key, "no such field"),
                         Some(at) if used.contains(&at) => {
-                            self.fault(name, key, "another rule has it already")
+                            self.fault(name, key, "another rule has it already");
                         }
                         Some(at) => {
                             used.push(at);
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -18,6 +18,7 @@
 
 impl Side {
     /// The one that is not this.
+    #[must_use]
     pub fn other(self) -> Side {
         match self {
             Side::Old => Side::New,
