--- a/crates/decision/src/api/actions.rs
+++ b/crates/decision/src/api/actions.rs
@@ -28,7 +28,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// When a retry is likely to succeed, if the client is to be told.
+        /// When a retry is likely to succeed, if the client is to be advised.
         retry_after: Option<Span>,
     },
     /// Final response: failed; it may or may not have been executed.
--- a/crates/decision/src/api/events.rs
+++ b/crates/decision/src/api/events.rs
@@ -36,12 +36,12 @@
         elapsed: Span,
         /// The server's load report, if it sent one.
         report: Option<Vec<f64>>,
-        /// The request has its final response; otherwise one is still owed.
+        /// The request has its final response; otherwise one is still pending.
         is_request_finished: bool,
         /// Part of the request body is no longer held after this attempt: the request cannot be sent again.
         is_body_consumed: bool,
     },
-    /// The client has disconnected; no response is owed any more.
+    /// The client has disconnected; no response is pending any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -34,7 +34,7 @@
 
 impl Balancer {
     /// Takes in the end of an attempt: learns from it, and retries or ends its request if a response is still
-    /// owed.
+    /// pending.
     pub(super) fn attempt_ended(
         &mut self,
         now: Time,
--- a/crates/decision/src/policy/outlier_detection.rs
+++ b/crates/decision/src/policy/outlier_detection.rs
@@ -22,7 +22,7 @@
 /// The largest fraction of the serving servers that is ejected: beyond it the fault is not the servers'.
 const MAX_EJECTED_FRACTION: f64 = 0.75;
 /// The first pause before a recovery probe.
-const INITIAL_PROBE_PAUSE: Span = Span(250_000);
+const INITIAL_PROBE_INTERVAL: Span = Span(250_000);
 
 /// The ejected servers, and what may be spent on probing them.
 #[derive(Default)]
@@ -135,7 +135,7 @@
         if self.endpoints[slot].is_ejected() || is_too_many {
             return;
         }
-        let pause = INITIAL_PROBE_PAUSE * self.fleet_size_factor();
+        let pause = INITIAL_PROBE_INTERVAL * self.fleet_size_factor();
         let can_check = self.is_large_fleet() && self.settings.health_checks;
         let server = &mut self.endpoints[slot];
         server.ejection = Some(Ejection {
--- a/crates/decision/src/policy/recovery.rs
+++ b/crates/decision/src/policy/recovery.rs
@@ -9,7 +9,7 @@
 use crate::api::{Action, Effect, Outcome, Span, Time};
 
 /// The longest pause between two probes; where there are many balancers, a multiple of it.
-const MAX_PROBE_PAUSE: Span = Span(4_000_000);
+const MAX_PROBE_INTERVAL: Span = Span(4_000_000);
 /// What a probe by a request costs of the recovery budget: it may cost a client its response.
 pub(super) const REQUEST_PROBE_COST: f64 = 3.0;
 /// What a probe by a health check costs of the recovery budget.
@@ -21,7 +21,7 @@
     /// Whether no request may go to the server now. Requests probe it one at a time, when a probe is due;
     /// where health checks do, requests help out once they are long overdue.
     pub(super) fn is_closed(&self, now: Time) -> bool {
-        let awaits_health_check = self.by_health_check && now.since(self.next_probe_at) < MAX_PROBE_PAUSE;
+        let awaits_health_check = self.by_health_check && now.since(self.next_probe_at) < MAX_PROBE_INTERVAL;
         awaits_health_check || !self.is_due(now)
     }
 
@@ -41,13 +41,13 @@
             return true;
         }
         let is_idempotent = self.class_of(pending).class.effect == Effect::Idempotent;
-        let is_long_overdue = now.since(ejection.next_probe_at) > MAX_PROBE_PAUSE;
+        let is_long_overdue = now.since(ejection.next_probe_at) > MAX_PROBE_INTERVAL;
         (is_idempotent || is_long_overdue) && self.outliers.recovery_budget.can_pay(REQUEST_PROBE_COST)
     }
 
     /// Ends a probe: a server that has recovered is no longer ejected; for another one the pause doubles.
     pub(super) fn finish_recovery_probe(&mut self, now: Time, slot: ServerSlot, has_recovered: bool) {
-        let max_pause = MAX_PROBE_PAUSE * self.fleet_size_factor();
+        let max_pause = MAX_PROBE_INTERVAL * self.fleet_size_factor();
         // Drawn in any case: the order of draws must not depend on what is found.
         let jitter = self.jitter();
         let server = &mut self.endpoints[slot];
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -176,7 +176,7 @@
         loop {
             sleep(CLEAN_UP_INTERVAL).await;
             let state = &mut *self.0.state.borrow_mut();
-            // A connection that was in use when its server was told to drain, moved or was removed becomes idle after.
+            // A connection that was in use when its server began to drain, moved or was removed becomes idle after.
             let servers = &state.servers;
             self.0.upstream.close_stale(&|server, incarnation| servers.is_current(server, incarnation));
             state.servers.remove_expired(self.0.settings.get().drain_grace + REMOVED_SERVER_RETENTION);
