--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -196,7 +196,7 @@
         Ok(levels) => log::start(format, levels, per_second),
         Err(e) => return fail(&format!("log level {levels:?}: {e}"), 1),
     }
-    match crate::fleet::council::run(config, path.parent().unwrap_or(Path::new("")), restore) {
+    match crate::fleet::coordinator::run(config, path.parent().unwrap_or(Path::new("")), restore) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => fail(&fault, 1),
     }
--- a/crates/agent/src/fleet/council/tests.rs
+++ b/crates/agent/src/fleet/coordinator/tests.rs
@@ -1,12 +1,16 @@
 //! A council process whose store fails for a while, on a medium that does so, asked over real connections.
 
+use super::super::link::Link;
 use super::super::store::medium::{Found, Medium, IO_ERROR, NO_ROOM};
 use super::*;
 use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Txn, Write};
+use heronhoist_coordination::wire::{Envelope, Refusal, Request, PROTOCOL};
 use std::io;
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use tokio::time::sleep;
 use tracing_subscriber::fmt::MakeWriter;
 
 mod golden;
--- a/crates/agent/src/fleet/council/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -3,7 +3,11 @@
 //! are not printable ASCII stand as in a Rust byte string.
 
 use super::super::super::link::{Asked, ASK, RAFT};
+use super::super::peer_links::Frame;
 use super::*;
+use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo};
+use heronhoist_coordination::state::{ClusterId, Peer};
+use std::collections::BTreeMap;
 
 const OWN_NUMBER: u64 = 5;
 const OTHER_NUMBER: u64 = 9;
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 mod budgets;
 mod client;
 pub mod command_error;
-pub mod council;
+pub mod coordinator;
 pub mod drain;
 pub mod hold;
 mod link;
