--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -198,7 +198,7 @@
     }
     match crate::fleet::coordinator::run(config, path.parent().unwrap_or(Path::new("")), restore) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => fail(&fault, 1),
+        Err(error) => fail(&error.to_string(), 1),
     }
 }
 
--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -1,82 +1,104 @@
-//! How the process finds out who takes part in its cluster, and begins.
+//! How the process finds the cluster that it takes part in, or forms it with the others, and starts its node.
 
-use super::{draw, Process, LOG_TARGET};
+use super::{random_id, Coordinator, LOG_TARGET};
 use crate::fleet::link::Link;
-use heronhoist_coordination::bootstrap::{self, initial_state, BootstrapStep, Identity};
+use heronhoist_coordination::bootstrap::{self, initial_state, BootstrapStep, ClusterInfo, Identity};
 use heronhoist_coordination::lease::LeaseTerms;
+use heronhoist_coordination::log::DurableState;
 use heronhoist_coordination::node::{Node, NodeError, NodeSettings};
 use heronhoist_coordination::service::Service;
 use heronhoist_coordination::state::{ClusterId, Peer};
 use heronhoist_coordination::wire::{Envelope, Request, Response, PROTOCOL};
 use heronhoist_coordination::{Limits, Time};
 use std::collections::BTreeMap;
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a process without a council asks the others who they are, and how long it waits.
-const HELLO_EVERY: Duration = Duration::from_millis(200);
-const HELLO_WAIT: Duration = Duration::from_secs(1);
+/// How often a process without a cluster asks the others for their identities.
+const HELLO_INTERVAL: Duration = Duration::from_millis(200);
+/// An identity that has not come by then is asked for again in the next round.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 /// Ticks in an election timeout.
 pub(super) const ELECTION_TICKS: usize = 10;
 
-impl Process {
-    /// Finds the others, begins once it is known who takes part, and goes on until something must not be.
-    pub(super) async fn take_part(self: &Rc<Self>, tick: Time) -> NodeError {
-        let image = match self.on_store(|store| store.image()) {
-            Ok(image) => image,
-            Err(fault) => return fault,
+impl Coordinator {
+    /// Starts the service from the store, once it is known which cluster it belongs to.
+    ///
+    /// # Errors
+    /// [`NodeError`], if the store fails, or what is in it can't be gone on with.
+    pub(super) async fn start_service(&self, tick_interval: Time) -> Result<(), NodeError> {
+        let stored = self.with_store(|store| store.image())?;
+        let initial = match stored.snapshot.is_some() {
+            true => stored,
+            false => self.find_cluster(stored).await?,
         };
-        let begun = image.snapshot.is_some();
+        let node_id = self.identity.borrow().node_id;
+        let settings = self.node_settings(tick_interval);
+        let node = Node::new(node_id, &initial, settings, random_id(), self.now())?;
+        *self.service.borrow_mut() = Some(Service::new(node));
+        Ok(())
+    }
+
+    /// Asks the others until there is a cluster, and returns the state to begin with: that of the new cluster, or `stored`
+    /// if the cluster exists without this process.
+    async fn find_cluster(&self, stored: DurableState) -> Result<DurableState, NodeError> {
         let peers: Vec<Peer> = self
             .config
             .peers
             .iter()
             .map(|(name, address)| Peer { name: name.clone(), address: address.to_string() })
             .collect();
-        let history = ClusterId(draw());
-        let mut told = String::new();
-        let image = loop {
-            if begun {
-                break image;
-            }
-            let heard = self.hello().await;
+        let new_id = ClusterId(random_id());
+        let mut logged = String::new();
+        loop {
+            let responses = self.request_identities().await;
             let own = self.identity.borrow().clone();
-            let why = match bootstrap::next_step(&own, &peers, &heard, history) {
-                BootstrapStep::Form(formation) => {
-                    let first = initial_state(&formation);
-                    let identity = Identity { cluster: Some(formation), ..own };
-                    if let Err(fault) = self.on_store(|store| store.begin(&identity, Some(&first))) {
-                        return fault;
-                    }
-                    *self.identity.borrow_mut() = identity;
-                    tracing::info!(target: LOG_TARGET, "the council is formed");
-                    break first;
-                }
-                BootstrapStep::Outside { is_replaced: replaced, .. } => {
-                    let name = &self.config.name;
-                    let why = match replaced {
-                        true => format!("its disk is new, and the council knows {name} by another; `heronhoist fleet replace {name}` takes it in"),
-                        false => format!("the council does not know it; `heronhoist fleet replace OLD --with {}` takes it in", self.config.listen),
-                    };
-                    tracing::warn!(target: LOG_TARGET, "{why}");
-                    *self.outside.borrow_mut() = why;
-                    break image;
+            let reason = match bootstrap::next_step(&own, &peers, &responses, new_id) {
+                BootstrapStep::Form(cluster) => return self.form_cluster(own, cluster),
+                BootstrapStep::Outside { is_replaced, .. } => {
+                    let reason = self.outside_reason(is_replaced);
+                    tracing::warn!(target: LOG_TARGET, "{reason}");
+                    *self.not_serving_reason.borrow_mut() = reason;
+                    return Ok(stored);
                 }
                 BootstrapStep::Wait(names) => format!("it waits for {}", names.join(", ")),
             };
-            if why != told {
-                tracing::info!(target: LOG_TARGET, "no council yet: {why}");
+            if reason != logged {
+                tracing::info!(target: LOG_TARGET, "no council yet: {reason}");
             }
-            (*self.outside.borrow_mut(), told) = (why.clone(), why);
-            sleep(HELLO_EVERY).await;
-        };
-        let settings = NodeSettings {
+            logged.clone_from(&reason);
+            *self.not_serving_reason.borrow_mut() = reason;
+            sleep(HELLO_INTERVAL).await;
+        }
+    }
+
+    /// Stores the cluster, and its first state.
+    fn form_cluster(&self, own: Identity, cluster: ClusterInfo) -> Result<DurableState, NodeError> {
+        let initial = initial_state(&cluster);
+        let identity = Identity { cluster: Some(cluster), ..own };
+        self.with_store(|store| store.begin(&identity, Some(&initial)))?;
+        *self.identity.borrow_mut() = identity;
+        tracing::info!(target: LOG_TARGET, "the council is formed");
+        Ok(initial)
+    }
+
+    /// Why a process with an empty disk is no node of the cluster, and what an operator can do.
+    fn outside_reason(&self, is_replaced: bool) -> String {
+        let name = &self.config.name;
+        let address = self.config.listen;
+        match is_replaced {
+            true => format!("its disk is new, and the council knows {name} by another; `heronhoist fleet replace {name}` takes it in"),
+            false => format!("the council does not know it; `heronhoist fleet replace OLD --with {address}` takes it in"),
+        }
+    }
+
+    fn node_settings(&self, tick_interval: Time) -> NodeSettings {
+        NodeSettings {
             lease_terms: LeaseTerms {
                 duration: self.config.lease.as_micros() as Time,
                 max_clock_drift: self.config.drift,
             },
-            tick_interval: tick,
+            tick_interval,
             election_ticks: ELECTION_TICKS,
             limits: Limits {
                 log_entries: self.config.log_entries,
@@ -84,36 +106,27 @@
                 ..Limits::default()
             },
             ..NodeSettings::default()
-        };
-        let number = self.identity.borrow().node_id;
-        match Node::new(number, &image, settings, draw(), self.now()) {
-            Ok(node) => *self.desk.borrow_mut() = Some(Service::new(node)),
-            Err(fault) => return fault,
-        }
-        loop {
-            if let Err(fault) = self.work() {
-                return fault;
-            }
-            self.dirty.notified().await;
         }
     }
 
-    pub(super) async fn hello(&self) -> BTreeMap<String, Identity> {
-        let mut heard = BTreeMap::new();
+    /// The identities of the other processes that respond, by name.
+    async fn request_identities(&self) -> BTreeMap<String, Identity> {
+        let mut identities = BTreeMap::new();
         for (name, address) in &self.config.peers {
             if *name == self.config.name {
                 continue;
             }
-            let asked = Link::new(*address).ask(&self.envelope(), &Request::Hello, HELLO_WAIT).await;
-            if let Ok(Response::Hello(identity)) = asked {
-                heard.insert(name.clone(), identity);
+            let response = Link::new(*address).ask(&self.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
+            if let Ok(Response::Hello(identity)) = response {
+                identities.insert(name.clone(), identity);
             }
         }
-        heard
+        identities
     }
 
+    /// The envelope of this process's messages.
     pub(super) fn envelope(&self) -> Envelope {
-        let term = self.desk.borrow().as_ref().map_or(0, |desk| desk.node().status().term);
+        let term = self.status().map_or(0, |status| status.term);
         Envelope {
             fleet: self.config.fleet.clone(),
             protocol: PROTOCOL,
--- a/crates/agent/src/fleet/coordinator/listener.rs
+++ b/crates/agent/src/fleet/coordinator/listener.rs
@@ -1,111 +1,130 @@
 //! The listener for clients and for the other processes, and the answers to their requests over HTTP.
 
 use super::peer_links::Frame;
-use super::Process;
+use super::Coordinator;
 use crate::accept::accept;
 use crate::fleet::link::{Asked, ASK, RAFT};
 use crate::gauge::Gauge;
 use crate::wire::Wire;
 use bytes::Bytes;
+use heronhoist_coordination::node::NodeError;
+use heronhoist_coordination::service::Service;
 use heronhoist_coordination::wire::check_envelope;
+use heronhoist_coordination::Time;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Method, StatusCode};
+use hyper::{Method, Request, Response, StatusCode};
 use std::convert::Infallible;
 use std::rc::Rc;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Connections at a time; later ones are closed at once.
-const CONNECTIONS_MOST: usize = 8192;
-/// The largest request, and the largest batch of messages of another council process.
-const REQUEST_MOST: usize = 1 << 20;
-const BATCH_MOST: usize = 32 << 20;
+/// Connections at a time, far more than the members of a fleet; later ones are closed at once.
+const MAX_CONNECTIONS: usize = 8192;
+/// The largest request of a client, in bytes.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
+/// The largest batch of messages of another process, in bytes: one message may hold a whole snapshot.
+const MAX_BATCH_BYTES: usize = 32 << 20;
 
-pub(super) async fn listen(process: Rc<Process>, listener: TcpListener) {
-    let open = Gauge::default();
+type HttpResponse = Response<Full<Bytes>>;
+
+/// Serves connections for as long as the process lives.
+pub(super) async fn serve_connections(coordinator: Rc<Coordinator>, listener: TcpListener) {
+    let connections = Gauge::default();
     loop {
         let stream = accept(&listener, |_, _| {}).await;
-        if open.count() >= CONNECTIONS_MOST {
-            continue;
+        if connections.count() < MAX_CONNECTIONS {
+            spawn_local(serve_connection(Rc::clone(&coordinator), stream, connections.enter()));
         }
-        let (wire, _) = Wire::new(stream, open.enter());
-        let process = Rc::clone(&process);
-        spawn_local(async move {
-            let service = service_fn(|request| {
-                let process = Rc::clone(&process);
-                async move { Ok::<_, Infallible>(process.answer(request).await) }
-            });
-            let mut builder = hyper::server::conn::http1::Builder::new();
-            builder.header_read_timeout(None);
-            let _ = builder.serve_connection(wire, service).await;
-        });
     }
 }
 
-type Answer = hyper::Response<Full<Bytes>>;
+/// Serves one connection, which is counted as long as `counted` lives.
+async fn serve_connection(coordinator: Rc<Coordinator>, stream: TcpStream, counted: impl Sized + 'static) {
+    let (wire, _) = Wire::new(stream, counted);
+    let service = service_fn(|request| {
+        let coordinator = Rc::clone(&coordinator);
+        async move { Ok::<_, Infallible>(coordinator.respond_to_http(request).await) }
+    });
+    let mut builder = hyper::server::conn::http1::Builder::new();
+    builder.header_read_timeout(None);
+    // What fails here is the peer's connection, and the peer sees that too.
+    let _ = builder.serve_connection(wire, service).await;
+}
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Answer {
-    let mut answer = hyper::Response::new(Full::new(text.into()));
-    *answer.status_mut() = status;
-    answer
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
 }
 
-impl Process {
-    pub(super) async fn answer(&self, request: hyper::Request<Incoming>) -> Answer {
+impl Coordinator {
+    async fn respond_to_http(&self, request: Request<Incoming>) -> HttpResponse {
         if request.method() != Method::POST {
-            return plain(StatusCode::METHOD_NOT_ALLOWED, "only POST\n");
+            return text_response(StatusCode::METHOD_NOT_ALLOWED, "only POST\n");
         }
-        let path = request.uri().path().to_string();
-        let most = match path.as_str() {
-            ASK => REQUEST_MOST,
-            RAFT => BATCH_MOST,
-            _ => return plain(StatusCode::NOT_FOUND, "there are /v1/ask and /v1/raft\n"),
+        let is_raft = request.uri().path() == RAFT;
+        let max_bytes = match request.uri().path() {
+            ASK => MAX_REQUEST_BYTES,
+            RAFT => MAX_BATCH_BYTES,
+            _ => return text_response(StatusCode::NOT_FOUND, "there are /v1/ask and /v1/raft\n"),
         };
-        let Ok(body) = Limited::new(request.into_body(), most).collect().await else {
-            return plain(
-                StatusCode::PAYLOAD_TOO_LARGE,
-                format!("over the bound of a message: {most} bytes\n"),
-            );
+        let Ok(body) = Limited::new(request.into_body(), max_bytes).collect().await else {
+            let text = format!("over the bound of a message: {max_bytes} bytes\n");
+            return text_response(StatusCode::PAYLOAD_TOO_LARGE, text);
         };
         let body = body.to_bytes();
-        if path == RAFT {
-            return self.heard(&body);
+        match is_raft {
+            true => self.receive_batch(&body),
+            false => self.respond_to_client(&body).await,
         }
-        match serde_json::from_slice::<Asked>(&body) {
-            Err(e) => plain(StatusCode::BAD_REQUEST, format!("{e}\n")),
-            Ok(asked) => {
-                let response = self.respond(asked).await;
-                plain(StatusCode::OK, serde_json::to_vec(&response).unwrap_or_default())
+    }
+
+    async fn respond_to_client(&self, body: &[u8]) -> HttpResponse {
+        match serde_json::from_slice::<Asked>(body) {
+            Err(error) => text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
+            Ok(request) => {
+                let response = self.handle_request(request).await;
+                text_response(StatusCode::OK, serde_json::to_vec(&response).unwrap_or_default())
             }
         }
     }
 
-    /// Messages of another council process.
-    pub(super) fn heard(&self, body: &[u8]) -> Answer {
-        let split = body.iter().position(|b| *b == b'\n').map(|at| (&body[..at], &body[at + 1..]));
-        let frame = split.and_then(|(head, rest)| Some((serde_json::from_slice::<Frame>(head).ok()?, rest)));
-        let Some((frame, mut rest)) = frame else {
-            return plain(StatusCode::BAD_REQUEST, "messages that can't be read\n");
+    /// Gives the messages of another process to the service.
+    fn receive_batch(&self, body: &[u8]) -> HttpResponse {
+        let Some((frame, messages)) = split_frame(body) else {
+            return text_response(StatusCode::BAD_REQUEST, "messages that can't be read\n");
         };
         if let Err(refusal) = check_envelope(&frame.envelope, &self.config.fleet) {
-            return plain(StatusCode::FORBIDDEN, format!("{refusal}\n"));
+            return text_response(StatusCode::FORBIDDEN, format!("{refusal}\n"));
         }
-        self.heard_from.borrow_mut().insert(frame.number, frame.address);
-        let mut desk = self.desk.borrow_mut();
-        let Some(desk) = desk.as_mut() else { return plain(StatusCode::OK, "") };
-        while let Some((length, more)) = rest.split_first_chunk::<4>() {
-            let Some((message, more)) = more.split_at_checked(u32::from_le_bytes(*length) as usize) else {
-                break;
-            };
-            rest = more;
-            if let Err(fault) = desk.receive(self.now(), message) {
-                self.fail(&fault);
-                return plain(StatusCode::SERVICE_UNAVAILABLE, "");
-            }
+        self.reported_addresses.borrow_mut().insert(frame.node_id, frame.address);
+        let mut service = self.service.borrow_mut();
+        let Some(service) = service.as_mut() else { return text_response(StatusCode::OK, "") };
+        if let Err(error) = receive_messages(service, self.now(), messages) {
+            self.fail(error);
+            return text_response(StatusCode::SERVICE_UNAVAILABLE, "");
         }
-        self.dirty.notify_one();
-        plain(StatusCode::OK, "")
+        self.work_pending.notify_one();
+        text_response(StatusCode::OK, "")
+    }
+}
+
+/// The frame of a batch, which ends with a line feed, and the messages after it.
+fn split_frame(body: &[u8]) -> Option<(Frame, &[u8])> {
+    let end = body.iter().position(|byte| *byte == b'\n')?;
+    let frame = serde_json::from_slice(&body[..end]).ok()?;
+    Some((frame, &body[end + 1..]))
+}
+
+/// Each message follows its length in four bytes, the lowest first. One that is cut short ends the batch.
+fn receive_messages(service: &mut Service, now: Time, mut batch: &[u8]) -> Result<(), NodeError> {
+    while let Some((length, rest)) = batch.split_first_chunk::<4>() {
+        let length = u32::from_le_bytes(*length) as usize;
+        let Some((message, rest)) = rest.split_at_checked(length) else { break };
+        batch = rest;
+        service.receive(now, message)?;
     }
+    Ok(())
 }
--- a/crates/agent/src/fleet/coordinator/mod.rs
+++ b/crates/agent/src/fleet/coordinator/mod.rs
@@ -1,16 +1,18 @@
-//! A council process: its listener, its links to the others, its disk and its clock, round a desk that has none of them.
+//! A process of the coordination service: its listener, its links to the other processes, its disk and its clock. The
+//! [`Service`] in it decides what is answered, and has none of them.
 
 use super::store::Store;
 use crate::ops;
+use error::CoordinatorError;
 use heronhoist_config::Council;
 use heronhoist_coordination::bootstrap::Identity;
 use heronhoist_coordination::log::DiskError;
 use heronhoist_coordination::node::NodeError;
-use heronhoist_coordination::service::Service;
+use heronhoist_coordination::service::{CallerId, Service};
 use heronhoist_coordination::wire::Response;
-use heronhoist_coordination::Time;
-use listener::listen;
-use startup::{identify, open_first};
+use heronhoist_coordination::{NodeId, Time};
+use listener::serve_connections;
+use startup::{load_identity, open_store};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,6 +24,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
+pub mod error;
 mod formation;
 mod listener;
 mod peer_links;
@@ -31,96 +34,133 @@
 mod startup;
 mod work_loop;
 
-/// The target of all events here, which filters of levels name.
+/// The target of all events of this module. Filters of levels name it, so it does not follow the module's name.
 const LOG_TARGET: &str = "heronhoist::fleet::council";
 
-struct Process {
+/// The state of the process.
+struct Coordinator {
     config: Council,
     identity: RefCell<Identity>,
-    desk: RefCell<Option<Service>>,
+    /// None until the process takes part in a cluster, and while its store fails.
+    service: RefCell<Option<Service>>,
     /// None while it fails.
     store: RefCell<Option<Store>>,
-    reopen: Reopen,
-    callers: RefCell<HashMap<u64, oneshot::Sender<Response>>>,
-    next: Cell<u64>,
-    dirty: Notify,
-    links: RefCell<HashMap<u64, mpsc::Sender<Vec<u8>>>>,
-    /// Where processes said that they are, for those that the state does not name yet.
-    heard_from: RefCell<HashMap<u64, SocketAddr>>,
-    begun: Instant,
-    /// Why it takes part in no council yet, or while its store fails.
-    outside: RefCell<String>,
-    failed: RefCell<Option<String>>,
+    reopen_store: ReopenStore,
+    /// Where the responses to clients go.
+    pending_calls: RefCell<HashMap<CallerId, oneshot::Sender<Response>>>,
+    next_caller: Cell<CallerId>,
+    /// Notified when the service may have something to write, send or answer.
+    work_pending: Notify,
+    /// Messages that wait for each of the other processes.
+    peer_queues: RefCell<HashMap<NodeId, mpsc::Sender<Vec<u8>>>>,
+    /// The addresses that processes sent with their messages, for those that the state does not name yet.
+    reported_addresses: RefCell<HashMap<NodeId, SocketAddr>>,
+    started_at: Instant,
+    /// Why there is no service, for operators and for clients.
+    not_serving_reason: RefCell<String>,
+    /// The error after which the process must end.
+    fatal_error: RefCell<Option<NodeError>>,
+    /// Notified when there is a fatal error.
     ended: Notify,
-    led: Cell<u64>,
+    /// The last leader that was logged; 0 for none.
+    logged_leader: Cell<NodeId>,
 }
 
-/// How a store that has failed is opened again.
-type Reopen = Box<dyn Fn() -> Result<Store, DiskError>>;
+/// Opens a store again after it has failed.
+type ReopenStore = Box<dyn Fn() -> Result<Store, DiskError>>;
 
-fn draw() -> u64 {
+/// A random id of a process or a cluster. 0 stands for none.
+fn random_id() -> u64 {
     fastrand::u64(1..u64::MAX)
 }
 
-/// Runs a council process until SIGTERM, or until it must not go on: then in one plain line why.
-pub fn run(config: Council, folder: &Path, restore: Option<&Path>) -> Result<(), String> {
+/// Runs a process of the coordination service until SIGTERM. Its disk is relative to `folder`; `restore` is a copy of a state
+/// from which a new cluster begins.
+///
+/// # Errors
+/// [`CoordinatorError`], if the process can't start or must not go on.
+pub fn run(config: Council, folder: &Path, restore: Option<&Path>) -> Result<(), CoordinatorError> {
     let disk = folder.join(&config.disk);
-    crate::on_one_thread(async move {
-        let store = open_first(!disk.exists(), || Store::open(&disk)).await.map_err(|e| e.to_string())?;
+    let process = async move {
+        let store = open_store(!disk.exists(), || Store::open(&disk)).await?;
         if store.repaired {
             tracing::warn!(target: LOG_TARGET, disk = %disk.display(), "the disk was not closed: looked through, an unfinished step was dropped");
         }
         serve(config, restore, store, Box::new(move || Store::reopen(&disk))).await
-    })?
+    };
+    crate::on_one_thread(process).map_err(CoordinatorError::Runtime)?
 }
 
-async fn serve(config: Council, restore: Option<&Path>, store: Store, reopen: Reopen) -> Result<(), String> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot wait for SIGTERM: {e}"))?;
-    let identity = identify(&store, &config, restore)?;
-    let listener = TcpListener::bind(config.listen)
-        .await
-        .map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-    let process = Rc::new(Process {
-        identity: RefCell::new(identity),
-        desk: RefCell::new(None),
-        store: RefCell::new(Some(store)),
-        reopen,
-        callers: RefCell::default(),
-        next: Cell::new(1),
-        dirty: Notify::new(),
-        links: RefCell::default(),
-        heard_from: RefCell::default(),
-        begun: Instant::now(),
-        outside: RefCell::new("it looks for the others".into()),
-        failed: RefCell::new(None),
-        ended: Notify::new(),
-        led: Cell::new(0),
-        config,
-    });
-    if let Some(ops) = process.config.ops {
-        let listener =
-            TcpListener::bind(ops).await.map_err(|e| format!("cannot listen for operators on {ops}: {e}"))?;
-        spawn_local(ops::run(listener, Rc::clone(&process)));
-    }
-    let place = listener.local_addr().map_err(|e| e.to_string())?;
-    tracing::info!(target: LOG_TARGET, name = %process.config.name, fleet = %process.config.fleet, "council process listens on {place}");
-    spawn_local(listen(Rc::clone(&process), listener));
-    spawn_local(Rc::clone(&process).form());
+/// Serves clients and the other processes from an open store until SIGTERM.
+///
+/// # Errors
+/// [`CoordinatorError`], if the process can't start or must not go on.
+async fn serve(
+    config: Council,
+    restore: Option<&Path>,
+    store: Store,
+    reopen_store: ReopenStore,
+) -> Result<(), CoordinatorError> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(CoordinatorError::Signal)?;
+    let identity = load_identity(&store, &config, restore)?;
+    let address = config.listen;
+    let listener =
+        TcpListener::bind(address).await.map_err(|source| CoordinatorError::Listen { address, source })?;
+    let coordinator = Rc::new(Coordinator::new(config, identity, store, reopen_store));
+    coordinator.serve_operators().await?;
+    let address = listener.local_addr().map_err(CoordinatorError::LocalAddress)?;
+    let Council { name, fleet, .. } = &coordinator.config;
+    tracing::info!(target: LOG_TARGET, %name, %fleet, "council process listens on {address}");
+    spawn_local(serve_connections(Rc::clone(&coordinator), listener));
+    spawn_local(Rc::clone(&coordinator).run());
     tokio::select! {
-        _ = term.recv() => Ok(()),
-        () = process.ended.notified() => {
-            Err(process.failed.borrow_mut().take().unwrap_or_else(|| "it must not go on".into()))
+        _ = terminate.recv() => Ok(()),
+        () = coordinator.ended.notified() => {
+            let error = coordinator.fatal_error.borrow_mut().take();
+            Err(error.map_or(CoordinatorError::Ended, CoordinatorError::Node))
         }
     }
 }
 
-impl Process {
+impl Coordinator {
+    fn new(config: Council, identity: Identity, store: Store, reopen_store: ReopenStore) -> Coordinator {
+        Coordinator {
+            config,
+            identity: RefCell::new(identity),
+            service: RefCell::new(None),
+            store: RefCell::new(Some(store)),
+            reopen_store,
+            pending_calls: RefCell::default(),
+            next_caller: Cell::new(1),
+            work_pending: Notify::new(),
+            peer_queues: RefCell::default(),
+            reported_addresses: RefCell::default(),
+            started_at: Instant::now(),
+            not_serving_reason: RefCell::new("it looks for the others".into()),
+            fatal_error: RefCell::new(None),
+            ended: Notify::new(),
+            logged_leader: Cell::new(0),
+        }
+    }
+
+    /// Serves the operators' address, if the configuration has one.
+    async fn serve_operators(self: &Rc<Self>) -> Result<(), CoordinatorError> {
+        let Some(address) = self.config.ops else { return Ok(()) };
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|source| CoordinatorError::ListenForOperators { address, source })?;
+        spawn_local(ops::run(listener, Rc::clone(self)));
+        Ok(())
+    }
+
+    /// Microseconds since the process started.
     fn now(&self) -> Time {
-        self.begun.elapsed().as_micros() as Time
+        self.started_at.elapsed().as_micros() as Time
     }
 
-    fn fail(&self, fault: &NodeError) {
-        self.failed.borrow_mut().get_or_insert_with(|| fault.to_string());
+    /// Ends the process. Of several errors the first one is reported.
+    fn fail(&self, error: NodeError) {
+        self.fatal_error.borrow_mut().get_or_insert(error);
         self.ended.notify_one();
     }
 }
--- a/crates/agent/src/fleet/coordinator/peer_links.rs
+++ b/crates/agent/src/fleet/coordinator/peer_links.rs
@@ -1,80 +1,102 @@
 //! Links to the other processes: Raft messages in batches.
 
-use super::{Process, LOG_TARGET};
+use super::{Coordinator, LOG_TARGET};
 use crate::fleet::link::{Link, RAFT};
 use heronhoist_coordination::wire::Envelope;
+use heronhoist_coordination::NodeId;
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
+use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Messages that wait for one other process; what is over is lost, as on a bad link.
-pub(super) const QUEUE_MOST: usize = 1024;
-/// Messages that go out together, but for one that is larger than all of them.
+/// Messages that wait for one other process. Those over it are dropped; Raft sends again.
+const MAX_QUEUED_MESSAGES: usize = 1024;
+/// A batch takes no further message once it has this many bytes. One message alone may be larger.
 const BATCH_BYTES: usize = 1 << 20;
-/// A batch that is not taken by then is lost.
-const BATCH_WAIT: Duration = Duration::from_secs(2);
-/// Pause after a batch that was lost.
-const LINK_PAUSE: Duration = Duration::from_millis(50);
+/// A batch that is not answered by then counts as lost.
+const BATCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a batch that was lost, so that a process that is down is not called all the time.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Before the messages of another council process.
+/// The first line of a batch of messages.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Frame {
     pub(super) envelope: Envelope,
-    pub(super) number: u64,
+    /// The sender.
+    #[serde(rename = "number")]
+    pub(super) node_id: NodeId,
+    /// Where the sender is reached.
     pub(super) address: SocketAddr,
 }
 
-impl Process {
-    /// Where the others reach this process.
-    fn advertised(&self) -> SocketAddr {
-        let own = self.config.peers.iter().find(|(name, _)| *name == self.config.name);
-        own.map_or(self.config.listen, |(_, address)| *address)
-    }
-
-    fn address_of(&self, number: u64) -> Option<SocketAddr> {
-        let desk = self.desk.borrow();
-        let peer =
-            desk.as_ref().and_then(|desk| desk.node().state().peers.get(&number)?.address.parse().ok());
-        peer.or_else(|| self.heard_from.borrow().get(&number).copied())
+impl Coordinator {
+    /// Queues a message for another process. One that finds no room is lost, as on a bad link.
+    pub(super) fn send_to_peer(self: &Rc<Self>, peer: NodeId, message: Vec<u8>) {
+        let mut queues = self.peer_queues.borrow_mut();
+        let queue = queues.entry(peer).or_insert_with(|| {
+            let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+            spawn_local(Rc::clone(self).send_batches(peer, messages));
+            queue
+        });
+        let _ = queue.try_send(message);
     }
 
-    /// Carries messages to one other process, a batch at a time.
-    pub(super) async fn carry(self: Rc<Self>, to: u64, mut waiting: mpsc::Receiver<Vec<u8>>) {
+    /// Sends the messages for one other process, a batch at a time.
+    async fn send_batches(self: Rc<Self>, peer: NodeId, mut messages: mpsc::Receiver<Vec<u8>>) {
         let mut link: Option<Link> = None;
-        while let Some(first) = waiting.recv().await {
-            let Some(address) = self.address_of(to) else { continue };
+        while let Some(first) = messages.recv().await {
+            let Some(address) = self.peer_address(peer) else { continue };
             let link = match &mut link {
                 Some(link) if link.address() == address => link,
                 other => other.insert(Link::new(address)),
             };
-            let frame = Frame {
-                envelope: self.envelope(),
-                number: self.identity.borrow().node_id,
-                address: self.advertised(),
-            };
-            let mut body = serde_json::to_vec(&frame).unwrap_or_default();
-            body.push(b'\n');
-            let mut message = Some(first);
-            while let Some(bytes) = message {
-                body.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
-                body.extend_from_slice(&bytes);
-                message = if body.len() < BATCH_BYTES { waiting.try_recv().ok() } else { None };
-            }
-            match link.post(RAFT, body, BATCH_WAIT).await {
-                Ok((StatusCode::OK, _)) => {}
-                Ok((status, why)) => {
-                    tracing::warn!(target: LOG_TARGET, %address, %status, "refused: {}", String::from_utf8_lossy(&why).trim_end());
-                    sleep(LINK_PAUSE).await;
-                }
-                Err(why) => {
-                    tracing::debug!(target: LOG_TARGET, %address, "a batch was lost: {why}");
-                    sleep(LINK_PAUSE).await;
+            let batch = self.next_batch(first, &mut messages);
+            match link.post(RAFT, batch, BATCH_TIMEOUT).await {
+                Ok((StatusCode::OK, _)) => continue,
+                Ok((status, body)) => {
+                    let reason = String::from_utf8_lossy(&body);
+                    tracing::warn!(target: LOG_TARGET, %address, %status, "refused: {}", reason.trim_end());
                 }
+                Err(error) => tracing::debug!(target: LOG_TARGET, %address, "a batch was lost: {error}"),
             }
+            sleep(RETRY_INTERVAL).await;
+        }
+    }
+
+    /// The body of a batch: its frame, and the messages that wait, each after its length in four bytes.
+    fn next_batch(&self, first: Vec<u8>, messages: &mut mpsc::Receiver<Vec<u8>>) -> Vec<u8> {
+        let frame = Frame {
+            envelope: self.envelope(),
+            node_id: self.identity.borrow().node_id,
+            address: self.advertised_address(),
+        };
+        let mut batch = serde_json::to_vec(&frame).unwrap_or_default();
+        batch.push(b'\n');
+        let mut next = Some(first);
+        while let Some(message) = next {
+            batch.extend_from_slice(&(message.len() as u32).to_le_bytes());
+            batch.extend_from_slice(&message);
+            next = if batch.len() < BATCH_BYTES { messages.try_recv().ok() } else { None };
         }
+        batch
+    }
+
+    /// Where the others reach this process.
+    fn advertised_address(&self) -> SocketAddr {
+        let own = self.config.peers.iter().find(|(name, _)| *name == self.config.name);
+        own.map_or(self.config.listen, |(_, address)| *address)
+    }
+
+    /// Where another process is reached: as the state names it, else as it said itself.
+    fn peer_address(&self, peer: NodeId) -> Option<SocketAddr> {
+        let agreed = self.service.borrow().as_ref().and_then(|service| {
+            let peer = service.node().state().peers.get(&peer)?;
+            peer.address.parse().ok()
+        });
+        agreed.or_else(|| self.reported_addresses.borrow().get(&peer).copied())
     }
 }
--- a/crates/agent/src/fleet/coordinator/requests.rs
+++ b/crates/agent/src/fleet/coordinator/requests.rs
@@ -1,61 +1,75 @@
 //! Requests of clients: each is given to the service, and its caller waits for the response.
 
-use super::Process;
+use super::Coordinator;
 use crate::fleet::link::Asked;
 use heronhoist_coordination::bootstrap::{ClusterInfo, Identity};
+use heronhoist_coordination::service::CallerId;
 use heronhoist_coordination::state::ClusterId;
-use heronhoist_coordination::wire::{check_envelope, Refusal, Request, Response};
+use heronhoist_coordination::wire::{check_envelope, Envelope, Refusal, Request, Response};
 use tokio::sync::oneshot;
 
-/// Takes a caller's question back if the caller goes first.
-struct Waiting<'p> {
-    process: &'p Process,
-    caller: u64,
+/// A call that waits for its response. It is cancelled when it is dropped first, as when the client disconnects.
+struct PendingCall<'c> {
+    coordinator: &'c Coordinator,
+    caller: CallerId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        if self.process.callers.borrow_mut().remove(&self.caller).is_some() {
-            if let Some(desk) = self.process.desk.borrow_mut().as_mut() {
-                desk.cancel(self.caller);
-            }
+        if self.coordinator.pending_calls.borrow_mut().remove(&self.caller).is_none() {
+            return;
+        }
+        if let Some(service) = self.coordinator.service.borrow_mut().as_mut() {
+            service.cancel(self.caller);
         }
     }
 }
 
-impl Process {
-    pub(super) async fn respond(&self, Asked { envelope, request }: Asked) -> Response {
+impl Coordinator {
+    /// The response to a client's request, once there is one.
+    pub(super) async fn handle_request(&self, Asked { envelope, request }: Asked) -> Response {
         if let Err(refusal) = check_envelope(&envelope, &self.config.fleet) {
             return Response::Refused(refusal);
         }
         if request == Request::Hello {
-            return Response::Hello(self.itself());
+            return Response::Hello(self.current_identity());
         }
-        let (caller, answer) = {
-            let mut desk = self.desk.borrow_mut();
-            let Some(desk) = desk.as_mut() else {
-                return Response::Refused(Refusal::NotFormed(self.outside.borrow().clone()));
-            };
-            let caller = self.next.get();
-            self.next.set(caller + 1);
-            let (sender, answer) = oneshot::channel();
-            self.callers.borrow_mut().insert(caller, sender);
-            desk.handle_request(self.now(), caller, &envelope, request);
-            (caller, answer)
+        let (sender, receiver) = oneshot::channel();
+        let caller = match self.submit(&envelope, request, sender) {
+            Ok(caller) => caller,
+            Err(refusal) => return Response::Refused(refusal),
+        };
+        let _pending = PendingCall { coordinator: self, caller };
+        self.work_pending.notify_one();
+        receiver.await.unwrap_or(Response::Refused(Refusal::Unknown))
+    }
+
+    /// Gives a request to the service, whose response goes to `sender`.
+    fn submit(
+        &self,
+        envelope: &Envelope,
+        request: Request,
+        sender: oneshot::Sender<Response>,
+    ) -> Result<CallerId, Refusal> {
+        let mut service = self.service.borrow_mut();
+        let Some(service) = service.as_mut() else {
+            return Err(Refusal::NotFormed(self.not_serving_reason.borrow().clone()));
         };
-        let _waiting = Waiting { process: self, caller };
-        self.dirty.notify_one();
-        answer.await.unwrap_or(Response::Refused(Refusal::Unknown))
+        let caller = self.next_caller.get();
+        self.next_caller.set(caller + 1);
+        self.pending_calls.borrow_mut().insert(caller, sender);
+        service.handle_request(self.now(), caller, envelope, request);
+        Ok(caller)
     }
 
-    /// Who this is, with the council as it is now.
-    pub(super) fn itself(&self) -> Identity {
+    /// The identity of this process, with its cluster as it is now.
+    fn current_identity(&self) -> Identity {
         let mut identity = self.identity.borrow().clone();
-        if let Some(desk) = self.desk.borrow().as_ref() {
-            let state = desk.node().state();
+        if let Some(service) = self.service.borrow().as_ref() {
+            let state = service.node().state();
             if state.cluster_id != ClusterId::NONE {
-                identity.cluster =
-                    Some(ClusterInfo { cluster_id: state.cluster_id, peers: state.peers.clone() });
+                let peers = state.peers.clone();
+                identity.cluster = Some(ClusterInfo { cluster_id: state.cluster_id, peers });
             }
         }
         identity
--- a/crates/agent/src/fleet/coordinator/startup.rs
+++ b/crates/agent/src/fleet/coordinator/startup.rs
@@ -1,6 +1,7 @@
-//! What is done before the process listens: the store is opened, and it is settled who the process is.
+//! What is done before the process listens: the store is opened, and the process's identity is read or made.
 
-use super::{draw, LOG_TARGET};
+use super::error::CoordinatorError;
+use super::{random_id, LOG_TARGET};
 use crate::fleet::store::Store;
 use heronhoist_config::Council;
 use heronhoist_coordination::backoff::Backoff;
@@ -13,60 +14,84 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Opens the store at the start. One that is there and fails holds what is owed: it is tried again as after a failure later, and
-/// nobody is listened to meanwhile.
-pub(super) async fn open_first(
+/// Opens the store at the start. One that exists and fails holds what was acknowledged: it is tried again, as after a later
+/// failure, and the process does not listen meanwhile.
+///
+/// # Errors
+/// [`DiskError`], if the store is unusable, or is new and fails.
+pub(super) async fn open_store(
     is_new: bool,
     open: impl Fn() -> Result<Store, DiskError>,
 ) -> Result<Store, DiskError> {
-    let (begun, mut backoff, mut failed) = (Instant::now(), Backoff::default(), false);
+    let started_at = Instant::now();
+    let mut backoff = Backoff::default();
+    let mut has_failed = false;
     loop {
         match open() {
-            Err(fault @ DiskError::Failed(_)) if !is_new => {
-                if !std::mem::replace(&mut failed, true) {
-                    tracing::warn!(target: LOG_TARGET, "the store failed, and is tried again; until then this process takes no part: {fault}");
+            Err(error @ DiskError::Failed(_)) if !is_new => {
+                if !has_failed {
+                    tracing::warn!(target: LOG_TARGET, "the store failed, and is tried again; until then this process takes no part: {error}");
                 }
-                let pause = backoff.record_failure(begun.elapsed().as_micros() as Time, fastrand::f64());
+                has_failed = true;
+                let now = started_at.elapsed().as_micros() as Time;
+                let pause = backoff.record_failure(now, fastrand::f64());
                 sleep(Duration::from_micros(pause)).await;
             }
-            opened => {
-                if failed && opened.is_ok() {
+            result => {
+                if has_failed && result.is_ok() {
                     tracing::info!(target: LOG_TARGET, "the store works again");
                 }
-                return opened;
+                return result;
             }
         }
     }
 }
 
-/// Who the disk is, new or not, and a copy made its beginning if that is asked.
-pub(super) fn identify(store: &Store, config: &Council, restore: Option<&Path>) -> Result<Identity, String> {
-    let known = store.identity().map_err(|e| e.to_string())?;
+/// The identity on the disk. A new disk gets one, and the state of the copy `restore` if there is one.
+///
+/// # Errors
+/// [`CoordinatorError`], if the store fails, belongs to another process, or the copy can't be restored to it.
+pub(super) fn load_identity(
+    store: &Store,
+    config: &Council,
+    restore: Option<&Path>,
+) -> Result<Identity, CoordinatorError> {
+    let stored = store.identity()?;
     if let Some(copy) = restore {
-        if known.is_some() {
-            return Err(format!("{} is no new disk; a copy is only restored to one", config.disk));
-        }
-        let text = std::fs::read(copy).map_err(|e| format!("cannot read {}: {e}", copy.display()))?;
-        let state: State = serde_json::from_slice(&text)
-            .map_err(|e| format!("{}: no copy of a council: {e}", copy.display()))?;
-        let peer = Peer { name: config.name.clone(), address: config.listen.to_string() };
-        let (number, history) = (draw(), ClusterId(draw()));
-        let peers = BTreeMap::from([(number, peer.clone())]);
-        let formation = Some(ClusterInfo { cluster_id: history, peers });
-        let identity = Identity { node_id: number, name: config.name.clone(), cluster: formation };
-        let image = restored_state(state, history, number, peer);
-        store.begin(&identity, Some(&image)).map_err(|e| e.to_string())?;
-        return Ok(identity);
+        return match stored {
+            Some(_) => Err(CoordinatorError::DiskInUse { disk: config.disk.clone() }),
+            None => restore_copy(store, config, copy),
+        };
     }
-    match known {
-        Some(identity) if identity.name != config.name => {
-            Err(format!("{} is the disk of {}, not of {}", config.disk, identity.name, config.name))
-        }
+    match stored {
+        Some(identity) if identity.name != config.name => Err(CoordinatorError::OtherProcessDisk {
+            disk: config.disk.clone(),
+            owner: identity.name,
+            name: config.name.clone(),
+        }),
         Some(identity) => Ok(identity),
         None => {
-            let identity = Identity { node_id: draw(), name: config.name.clone(), cluster: None };
-            store.begin(&identity, None).map_err(|e| e.to_string())?;
+            let identity = Identity { node_id: random_id(), name: config.name.clone(), cluster: None };
+            store.begin(&identity, None)?;
             Ok(identity)
         }
     }
 }
+
+/// Begins a new cluster, of this process alone, with the state of a copy.
+fn restore_copy(store: &Store, config: &Council, copy: &Path) -> Result<Identity, CoordinatorError> {
+    let path = copy.to_path_buf();
+    let text = std::fs::read(copy).map_err(|source| CoordinatorError::ReadCopy { path, source })?;
+    let path = copy.to_path_buf();
+    let state: State =
+        serde_json::from_slice(&text).map_err(|source| CoordinatorError::InvalidCopy { path, source })?;
+    let peer = Peer { name: config.name.clone(), address: config.listen.to_string() };
+    let node_id = random_id();
+    let cluster_id = ClusterId(random_id());
+    let peers = BTreeMap::from([(node_id, peer.clone())]);
+    let cluster = Some(ClusterInfo { cluster_id, peers });
+    let identity = Identity { node_id, name: config.name.clone(), cluster };
+    let initial = restored_state(state, cluster_id, node_id, peer);
+    store.begin(&identity, Some(&initial))?;
+    Ok(identity)
+}
--- a/crates/agent/src/fleet/coordinator/tests.rs
+++ b/crates/agent/src/fleet/coordinator/tests.rs
@@ -139,7 +139,7 @@
     let (medium, listen, ops) = (Medium::default(), free(), free());
     let store = on(&medium).expect("a store");
     let (again, closed) = (medium.clone(), medium.clone());
-    let reopen: Reopen = Box::new(move || {
+    let reopen: ReopenStore = Box::new(move || {
         let store = on(&again)?;
         store.try_to_write()?;
         Ok(store)
@@ -209,13 +209,13 @@
             assert!(!asker.put("note/b").await, "acknowledged, and not kept");
             std::future::pending::<()>().await;
         };
-        let reopen: Reopen = Box::new(move || on(&other));
+        let reopen: ReopenStore = Box::new(move || on(&other));
         tokio::select! {
             ended = serve(config(listen, None), None, store, reopen) => ended,
             () = failing => Ok(()),
         }
     });
-    let why = ended.expect("a runtime").expect_err("it ends");
+    let why = ended.expect("a runtime").expect_err("it ends").to_string();
     assert_eq!(why, "disk: another disk is there than the one that failed");
 }
 
@@ -228,17 +228,17 @@
     drop(on(&medium).expect("a store"));
     let opened = crate::on_one_thread(async {
         medium.set_down(Some(NO_ROOM));
-        let fault = open_first(true, || on(&medium)).await.err();
+        let fault = open_store(true, || on(&medium)).await.err();
         assert!(matches!(fault, Some(DiskError::Failed(_))), "{fault:?}");
         let damaged = || Err(DiskError::Unusable("cut short".into()));
-        assert!(open_first(false, damaged).await.is_err());
+        assert!(open_store(false, damaged).await.is_err());
         let tries = medium.operations();
         let mended = async {
             until("it is tried again", async || (medium.operations() > tries + 1).then_some(())).await;
             assert_eq!((lines.with("the store failed"), lines.with("the store works again")), (1, 0));
             medium.set_down(None);
         };
-        let (opened, ()) = tokio::join!(open_first(false, || on(&medium)), mended);
+        let (opened, ()) = tokio::join!(open_store(false, || on(&medium)), mended);
         opened
     });
     opened.expect("a runtime").expect("it is opened");
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -111,7 +111,7 @@
         let other = listener.local_addr().expect("an address");
         let medium = disk(other);
         let store = on(&medium).expect("a store");
-        let reopen: Reopen = Box::new(move || on(&medium));
+        let reopen: ReopenStore = Box::new(move || on(&medium));
         tokio::select! {
             ended = serve(two_processes(listen, other), None, store, reopen) => panic!("it ended: {ended:?}"),
             () = play(listen, listener) => {}
@@ -141,10 +141,10 @@
     let read: Asked = serde_json::from_str(&golden_text("ask-hello.json")).expect("read");
     assert_eq!((read.envelope, read.request), (envelope.clone(), Request::Hello));
     let address = ADVERTISED.parse().expect("an address");
-    let frame = Frame { envelope: envelope.clone(), number: OWN_NUMBER, address };
+    let frame = Frame { envelope: envelope.clone(), node_id: OWN_NUMBER, address };
     assert_eq!(serde_json::to_string(&frame).expect("written"), golden_text("raft-frame.json"));
     let read: Frame = serde_json::from_str(&golden_text("raft-frame.json")).expect("read");
-    assert_eq!((read.envelope, read.number, read.address), (envelope, OWN_NUMBER, address));
+    assert_eq!((read.envelope, read.node_id, read.address), (envelope, OWN_NUMBER, address));
 }
 
 /// A process without a council asks the other who it is, takes part in the council that the answer names, and says so itself.
--- a/crates/agent/src/fleet/coordinator/work_loop.rs
+++ b/crates/agent/src/fleet/coordinator/work_loop.rs
@@ -1,58 +1,80 @@
 //! The steps of the process: its clock, and what the service has to write, send and answer.
 
-use super::peer_links::QUEUE_MOST;
-use super::{Process, LOG_TARGET};
+use super::{Coordinator, LOG_TARGET};
 use heronhoist_coordination::node::NodeError;
+use heronhoist_coordination::service::{CallerId, Output};
+use heronhoist_coordination::wire::Response;
 use heronhoist_coordination::Time;
+use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::mpsc;
-use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-impl Process {
-    pub(super) async fn tick(self: Rc<Self>, every: Time) {
-        let mut ticks = interval(Duration::from_micros(every));
+impl Coordinator {
+    /// Moves the service's clock on, every `tick_interval` microseconds.
+    pub(super) async fn run_clock(self: Rc<Self>, tick_interval: Time) {
+        let mut ticks = interval(Duration::from_micros(tick_interval));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            if let Some(desk) = self.desk.borrow_mut().as_mut() {
-                desk.tick(self.now());
+            if let Some(service) = self.service.borrow_mut().as_mut() {
+                service.tick(self.now());
             }
-            self.dirty.notify_one();
+            self.work_pending.notify_one();
         }
     }
 
-    /// Writes down what has come in, then sends and answers.
-    pub(super) fn work(self: &Rc<Self>) -> Result<(), NodeError> {
-        if self.failed.borrow().is_some() {
-            return Ok(());
+    /// Does the service's work whenever there may be some, until an error.
+    ///
+    /// # Errors
+    /// [`NodeError`], if the store fails or the node must not go on.
+    pub(super) async fn run_service(self: &Rc<Self>) -> Result<Infallible, NodeError> {
+        loop {
+            self.advance()?;
+            self.work_pending.notified().await;
         }
-        let (output, leader, names) = {
-            let (mut desk, mut store) = (self.desk.borrow_mut(), self.store.borrow_mut());
-            let (Some(desk), Some(store)) = (desk.as_mut(), store.as_mut()) else { return Ok(()) };
-            let output = desk.advance(store, self.now())?;
-            (output, desk.node().leader().unwrap_or(0), desk.node().state().peers.clone())
-        };
-        if self.led.replace(leader) != leader {
-            let name = names.get(&leader).map_or("nobody", |peer| peer.name.as_str());
-            tracing::info!(target: LOG_TARGET, leader = name, "who leads has changed");
+    }
+
+    /// Writes what has come in, and only then sends and answers what rests on it.
+    fn advance(self: &Rc<Self>) -> Result<(), NodeError> {
+        if self.fatal_error.borrow().is_some() {
+            return Ok(());
         }
+        let Some(output) = self.advance_service()? else { return Ok(()) };
+        self.log_leader();
         for (caller, response) in output.responses {
-            if let Some(sender) = self.callers.borrow_mut().remove(&caller) {
-                let _ = sender.send(response);
-            }
+            self.respond(caller, response);
         }
-        for (to, message) in output.messages {
-            let mut links = self.links.borrow_mut();
-            let queue = links.entry(to).or_insert_with(|| {
-                let (queue, waiting) = mpsc::channel(QUEUE_MOST);
-                spawn_local(Rc::clone(self).carry(to, waiting));
-                queue
-            });
-            // What finds no room is lost, as on a bad link: Raft sends again.
-            let _ = queue.try_send(message);
+        for (peer, message) in output.messages {
+            self.send_to_peer(peer, message);
         }
         Ok(())
     }
+
+    /// What the service has to send, after it is on the disk; none without a service or a store.
+    fn advance_service(&self) -> Result<Option<Output>, NodeError> {
+        let mut service = self.service.borrow_mut();
+        let mut store = self.store.borrow_mut();
+        let (Some(service), Some(store)) = (service.as_mut(), store.as_mut()) else { return Ok(None) };
+        service.advance(store, self.now()).map(Some)
+    }
+
+    /// Logs who leads, if that has changed.
+    fn log_leader(&self) {
+        let service = self.service.borrow();
+        let Some(service) = service.as_ref() else { return };
+        let leader = service.node().leader().unwrap_or(0);
+        if self.logged_leader.replace(leader) != leader {
+            let peer = service.node().state().peers.get(&leader);
+            let name = peer.map_or("nobody", |peer| peer.name.as_str());
+            tracing::info!(target: LOG_TARGET, leader = name, "who leads has changed");
+        }
+    }
+
+    /// Gives a caller its response, unless the caller has gone.
+    fn respond(&self, caller: CallerId, response: Response) {
+        if let Some(sender) = self.pending_calls.borrow_mut().remove(&caller) {
+            let _ = sender.send(response);
+        }
+    }
 }
