--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -1,6 +1,6 @@
 //! The client through which operators' commands call the coordination service.
 
-use super::link::{Asker, Asking};
+use super::link::{CallError, CoordinationClient, Unsettled};
 use clap::Args;
 use heronhoist_config::Fault;
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
@@ -60,7 +60,7 @@
     Refused(#[from] Refusal),
     /// No response settled the request in time; its outcome is unknown.
     #[error("no answer that settles it: {0}")]
-    Unsettled(String),
+    Unsettled(CallError),
     /// The response is none to this request.
     #[error("{what}: {response:?}")]
     UnexpectedResponse {
@@ -121,7 +121,7 @@
     pub fleet: String,
     name: String,
     /// The calls to the service's processes.
-    pub asker: Asker,
+    pub calls: CoordinationClient,
     /// For how long a request is retried.
     pub retry_timeout: Duration,
     /// The session under which commands are sent, and the last one's number.
@@ -141,7 +141,7 @@
         Ok(Client {
             fleet: target.fleet,
             name: name.into(),
-            asker: Asker::new(&target.addresses),
+            calls: CoordinationClient::new(&target.addresses),
             retry_timeout: RETRY_TIMEOUT,
             session: None,
         })
@@ -165,10 +165,7 @@
     /// The pause before the next call, in microseconds, if this one settled nothing.
     pub async fn once(&mut self, request: &Request) -> Result<Response, u64> {
         let envelope = self.envelope();
-        match self.asker.ask(&envelope, request, CALL_TIMEOUT).await {
-            Asking::Settled(response) => Ok(*response),
-            Asking::Again(pause, _) => Err(pause),
-        }
+        self.calls.call(&envelope, request, CALL_TIMEOUT).await.map_err(|unsettled| unsettled.pause)
     }
 
     /// Removes a member whose lease has ended from the list of members.
@@ -188,15 +185,13 @@
         let until = Instant::now() + self.retry_timeout;
         loop {
             let envelope = self.envelope();
-            match self.asker.ask(&envelope, request, CALL_TIMEOUT).await {
-                Asking::Settled(response) => match *response {
-                    Response::Refused(refusal) => return Err(refusal.into()),
-                    response => return Ok(response),
-                },
-                Asking::Again(_, why) if Instant::now() >= until => {
-                    return Err(ClientError::Unsettled(why));
+            match self.calls.call(&envelope, request, CALL_TIMEOUT).await {
+                Ok(Response::Refused(refusal)) => return Err(refusal.into()),
+                Ok(response) => return Ok(response),
+                Err(Unsettled { error, .. }) if Instant::now() >= until => {
+                    return Err(ClientError::Unsettled(error));
                 }
-                Asking::Again(pause, _) => sleep(Duration::from_micros(pause)).await,
+                Err(Unsettled { pause, .. }) => sleep(Duration::from_micros(pause)).await,
             }
         }
     }
--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -116,7 +116,8 @@
             if *name == self.config.name {
                 continue;
             }
-            let response = Link::new(*address).ask(&self.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
+            let response =
+                Link::new(*address).request(&self.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
             if let Ok(Response::Hello(identity)) = response {
                 identities.insert(name.clone(), identity);
             }
--- a/crates/agent/src/fleet/coordinator/listener.rs
+++ b/crates/agent/src/fleet/coordinator/listener.rs
@@ -3,7 +3,7 @@
 use super::peer_links::Frame;
 use super::Coordinator;
 use crate::accept::accept;
-use crate::fleet::link::{Asked, ASK, RAFT};
+use crate::fleet::link::{ClientRequest, RAFT_PATH, REQUEST_PATH};
 use crate::gauge::Gauge;
 use crate::wire::Wire;
 use bytes::Bytes;
@@ -64,10 +64,10 @@
         if request.method() != Method::POST {
             return text_response(StatusCode::METHOD_NOT_ALLOWED, "only POST\n");
         }
-        let is_raft = request.uri().path() == RAFT;
+        let is_raft = request.uri().path() == RAFT_PATH;
         let max_bytes = match request.uri().path() {
-            ASK => MAX_REQUEST_BYTES,
-            RAFT => MAX_BATCH_BYTES,
+            REQUEST_PATH => MAX_REQUEST_BYTES,
+            RAFT_PATH => MAX_BATCH_BYTES,
             _ => return text_response(StatusCode::NOT_FOUND, "there are /v1/ask and /v1/raft\n"),
         };
         let Ok(body) = Limited::new(request.into_body(), max_bytes).collect().await else {
@@ -82,7 +82,7 @@
     }
 
     async fn respond_to_client(&self, body: &[u8]) -> HttpResponse {
-        match serde_json::from_slice::<Asked>(body) {
+        match serde_json::from_slice::<ClientRequest>(body) {
             Err(error) => text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
             Ok(request) => {
                 let response = self.handle_request(request).await;
--- a/crates/agent/src/fleet/coordinator/peer_links.rs
+++ b/crates/agent/src/fleet/coordinator/peer_links.rs
@@ -1,7 +1,7 @@
 //! Links to the other processes: Raft messages in batches.
 
 use super::{Coordinator, LOG_TARGET};
-use crate::fleet::link::{Link, RAFT};
+use crate::fleet::link::{Link, RAFT_PATH};
 use heronhoist_coordination::wire::Envelope;
 use heronhoist_coordination::NodeId;
 use hyper::StatusCode;
@@ -55,11 +55,11 @@
                 other => other.insert(Link::new(address)),
             };
             let batch = self.next_batch(first, &mut messages);
-            match link.post(RAFT, batch, BATCH_TIMEOUT).await {
-                Ok((StatusCode::OK, _)) => continue,
-                Ok((status, body)) => {
-                    let reason = String::from_utf8_lossy(&body);
-                    tracing::warn!(target: LOG_TARGET, %address, %status, "refused: {}", reason.trim_end());
+            match link.post(RAFT_PATH, batch, BATCH_TIMEOUT).await {
+                Ok(response) if response.status == StatusCode::OK => continue,
+                Ok(response) => {
+                    let status = response.status;
+                    tracing::warn!(target: LOG_TARGET, %address, %status, "refused: {}", response.text());
                 }
                 Err(error) => tracing::debug!(target: LOG_TARGET, %address, "a batch was lost: {error}"),
             }
--- a/crates/agent/src/fleet/coordinator/requests.rs
+++ b/crates/agent/src/fleet/coordinator/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of clients: each is given to the service, and its caller waits for the response.
 
 use super::Coordinator;
-use crate::fleet::link::Asked;
+use crate::fleet::link::ClientRequest;
 use heronhoist_coordination::bootstrap::{ClusterInfo, Identity};
 use heronhoist_coordination::service::CallerId;
 use heronhoist_coordination::state::ClusterId;
@@ -27,7 +27,10 @@
 
 impl Coordinator {
     /// The response to a client's request, once there is one.
-    pub(super) async fn handle_request(&self, Asked { envelope, request }: Asked) -> Response {
+    pub(super) async fn handle_request(
+        &self,
+        ClientRequest { envelope, request }: ClientRequest,
+    ) -> Response {
         if let Err(refusal) = check_envelope(&envelope, &self.config.fleet) {
             return Response::Refused(refusal);
         }
--- a/crates/agent/src/fleet/coordinator/tests.rs
+++ b/crates/agent/src/fleet/coordinator/tests.rs
@@ -111,7 +111,7 @@
             incarnation: 0,
             term: 0,
         };
-        self.link.ask(&envelope, &request, Duration::from_secs(20)).await.ok()
+        self.link.request(&envelope, &request, Duration::from_secs(20)).await.ok()
     }
 
     /// Whether it was acknowledged.
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -2,7 +2,7 @@
 //! A file is never changed to make a test pass: processes of both versions run side by side. In a `.bytes` file, bytes that
 //! are not printable ASCII stand as in a Rust byte string.
 
-use super::super::super::link::{Asked, ASK, RAFT};
+use super::super::super::link::{ClientRequest, RAFT_PATH, REQUEST_PATH};
 use super::super::peer_links::Frame;
 use super::*;
 use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo};
@@ -129,16 +129,16 @@
 
 #[test]
 fn paths() {
-    assert_eq!((ASK, RAFT), ("/v1/ask", "/v1/raft"));
+    assert_eq!((REQUEST_PATH, RAFT_PATH), ("/v1/ask", "/v1/raft"));
 }
 
 #[test]
 fn bodies_of_requests_and_the_head_of_a_batch() {
     let envelope =
         Envelope { fleet: "gulf".into(), protocol: PROTOCOL, from: "c1".into(), incarnation: 0, term: 0 };
-    let asked = Asked { envelope: envelope.clone(), request: Request::Hello };
+    let asked = ClientRequest { envelope: envelope.clone(), request: Request::Hello };
     assert_eq!(serde_json::to_string(&asked).expect("written"), golden_text("ask-hello.json"));
-    let read: Asked = serde_json::from_str(&golden_text("ask-hello.json")).expect("read");
+    let read: ClientRequest = serde_json::from_str(&golden_text("ask-hello.json")).expect("read");
     assert_eq!((read.envelope, read.request), (envelope.clone(), Request::Hello));
     let address = ADVERTISED.parse().expect("an address");
     let frame = Frame { envelope: envelope.clone(), node_id: OWN_NUMBER, address };
--- a/crates/agent/src/fleet/member.rs
+++ b/crates/agent/src/fleet/member.rs
@@ -1,7 +1,7 @@
 //! The agent as a member of its fleet: it joins, renews its lease, says whether it can serve, and gives back the permit for
 //! itself once it serves again. Nothing of serving waits for it.
 
-use super::link::{Asker, Asking};
+use super::link::{CoordinationClient, Unsettled};
 use heronhoist_config::Fleet;
 use heronhoist_coordination::lease_holder::{LeaseHolder, MemberInfo, SessionState};
 use heronhoist_coordination::permit;
@@ -109,7 +109,7 @@
     }
 
     async fn keep_lease(self: Rc<Self>, ready: Rc<impl Fn() -> bool>) {
-        let mut asker = Asker::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.council);
         let mut told: Option<(SessionState, bool)> = None;
         loop {
             let now = self.now();
@@ -117,14 +117,14 @@
             let request = self.holder.borrow_mut().next_request(now);
             if let Some(request) = request {
                 let envelope = self.envelope();
-                let (response, pause) = match asker.ask(&envelope, &request, CALL_TIMEOUT).await {
-                    Asking::Settled(response) => {
+                let (response, pause) = match client.call(&envelope, &request, CALL_TIMEOUT).await {
+                    Ok(response) => {
                         self.answered.set(Instant::now());
-                        (Some(*response), 0)
+                        (Some(response), 0)
                     }
-                    Asking::Again(pause, why) => {
+                    Err(Unsettled { pause, error }) => {
                         self.failures.set(self.failures.get() + 1);
-                        tracing::debug!("the council does not settle: {why}");
+                        tracing::debug!("the council does not settle: {error}");
                         (None, pause)
                     }
                 };
@@ -181,7 +181,7 @@
 
     /// Looks for a permit that is out for this agent, and gives it back as soon as that may be.
     async fn keep_permits(self: Rc<Self>, ready: Rc<impl Fn() -> bool>) {
-        let mut asker = Asker::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.council);
         let key = permit::agent_budget_key(&self.fleet.site);
         loop {
             if self.holds().is_none() || !ready() {
@@ -190,12 +190,10 @@
             }
             let envelope = self.envelope();
             let read = Request::Read { stale: false, prefix: key.clone(), members: true };
-            let view = match asker.ask(&envelope, &read, CALL_TIMEOUT).await {
-                Asking::Settled(response) => match *response {
-                    Response::Read(view) => view,
-                    _ => return,
-                },
-                Asking::Again(..) => {
+            let view = match client.call(&envelope, &read, CALL_TIMEOUT).await {
+                Ok(Response::Read(view)) => view,
+                Ok(_) => return,
+                Err(_) => {
                     sleep(PERMIT_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
                     continue;
                 }
@@ -205,7 +203,7 @@
                 // Checked where it is written: a repeat of it does nothing.
                 let request =
                     Request::Command(CommandRequest { session: None, command: Command::Write(txn) });
-                if let Asking::Settled(answer) = asker.ask(&envelope, &request, CALL_TIMEOUT).await {
+                if let Ok(answer) = client.call(&envelope, &request, CALL_TIMEOUT).await {
                     tracing::info!(%member, "gives the permit for itself back: {answer:?}");
                 }
                 sleep(Duration::from_micros(LOOK_EVERY)).await;
@@ -218,9 +216,9 @@
             }
             let watch =
                 Request::Watch { cluster_id: view.cluster_id, after: view.revision, prefix: key.clone() };
-            let pause = match asker.ask(&envelope, &watch, WATCH_TIMEOUT + CALL_TIMEOUT).await {
-                Asking::Settled(_) => 0,
-                Asking::Again(pause, _) => pause,
+            let pause = match client.call(&envelope, &watch, WATCH_TIMEOUT + CALL_TIMEOUT).await {
+                Ok(_) => 0,
+                Err(unsettled) => unsettled.pause,
             };
             sleep(Duration::from_micros(pause.max(LOOK_EVERY))).await;
         }
@@ -240,15 +238,15 @@
         observer: &RefCell<DrainObserver>,
         drained: &watch::Sender<BTreeSet<String>>,
     ) {
-        let mut asker = Asker::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.council);
         loop {
             let envelope = self.envelope();
             let request = observer.borrow().next_request();
             let watches = matches!(request, Request::Watch { .. });
             let within = if watches { WATCH_TIMEOUT + CALL_TIMEOUT } else { CALL_TIMEOUT };
-            let (response, pause) = match asker.ask(&envelope, &request, within).await {
-                Asking::Settled(response) => (Some(*response), 0),
-                Asking::Again(pause, _) => (None, pause),
+            let (response, pause) = match client.call(&envelope, &request, within).await {
+                Ok(response) => (Some(response), 0),
+                Err(unsettled) => (None, unsettled.pause),
             };
             let updated = observer.borrow_mut().on_response(response.as_ref());
             match updated {
@@ -275,7 +273,7 @@
 
     /// Records which drains this agent acknowledges, and what it observes of servers, whenever that has changed.
     async fn keep_records(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
-        let mut asker = Asker::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.council);
         let mut session = (0, 0);
         let mut recorded: Option<ObservedServers> = None;
         let mut observe_at = Instant::now();
@@ -312,9 +310,9 @@
                 Request::Command(CommandRequest { session: Some(session), command: Command::Write(txn) });
             let envelope = self.envelope();
             while self.holds() == Some(incarnation) {
-                match asker.ask(&envelope, &request, CALL_TIMEOUT).await {
-                    Asking::Settled(response) => {
-                        if matches!(*response, Response::Reply(CommandResult::Done(_), _)) {
+                match client.call(&envelope, &request, CALL_TIMEOUT).await {
+                    Ok(response) => {
+                        if matches!(response, Response::Reply(CommandResult::Done(_), _)) {
                             if let Some(acknowledgement) = acknowledgement {
                                 self.draining.set((self.draining.get().0, acknowledgement.drain_ids.len()));
                                 observer.borrow_mut().on_acknowledged(acknowledgement);
@@ -323,7 +321,7 @@
                         }
                         break;
                     }
-                    Asking::Again(pause, _) => sleep(Duration::from_micros(pause)).await,
+                    Err(unsettled) => sleep(Duration::from_micros(unsettled.pause)).await,
                 }
             }
         }
@@ -334,10 +332,10 @@
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
         let envelope = self.envelope();
         let Some(request) = self.holder.borrow_mut().leave() else { return };
-        let mut asker = Asker::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.council);
         let goodbye = async {
             for _ in 0..2 * self.fleet.council.len() {
-                if let Asking::Settled(_) = asker.ask(&envelope, &request, CALL_TIMEOUT).await {
+                if client.call(&envelope, &request, CALL_TIMEOUT).await.is_ok() {
                     return;
                 }
             }
--- a/crates/agent/src/fleet/status.rs
+++ b/crates/agent/src/fleet/status.rs
@@ -52,9 +52,9 @@
 async fn read_processes(client: &mut Client, silent_us: &mut BTreeMap<String, u64>) -> Vec<ProcessStatus> {
     let envelope = client.envelope();
     let mut processes = Vec::new();
-    for link in client.asker.links() {
-        let response = link.ask(&envelope, &Request::Status, PROCESS_TIMEOUT).await;
-        let status = response.and_then(|response| match response {
+    for link in client.calls.links() {
+        let response = link.request(&envelope, &Request::Status, PROCESS_TIMEOUT).await;
+        let status = response.map_err(|error| error.to_string()).and_then(|response| match response {
             Response::Status(process, silent_members) => {
                 if is_leader(&process) {
                     *silent_us = silent_members;
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/tools.rs
@@ -260,8 +260,8 @@
 /// The id and the address of the process that listens at an address, which must not belong to a cluster.
 async fn new_process(client: &Client, address: SocketAddr) -> Result<(u64, Peer), ToolError> {
     let no_answer = |why| ToolError::NewProcess { address, why };
-    let response = Link::new(address).ask(&client.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
-    let identity = match response.map_err(no_answer)? {
+    let response = Link::new(address).request(&client.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
+    let identity = match response.map_err(|error| no_answer(error.to_string()))? {
         Response::Hello(identity) => identity,
         other => return Err(no_answer(format!("{other:?}"))),
     };
