--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -27,7 +27,7 @@
     /// # Errors
     /// [`NodeError`], if the store fails, or what is in it can't be gone on with.
     pub(super) async fn start_service(&self, tick_interval: Time) -> Result<(), NodeError> {
-        let stored = self.with_store(|store| store.image())?;
+        let stored = self.with_store(|store| store.load())?;
         let initial = match stored.snapshot.is_some() {
             true => stored,
             false => self.find_cluster(stored).await?,
@@ -76,7 +76,7 @@
     fn form_cluster(&self, own: Identity, cluster: ClusterInfo) -> Result<DurableState, NodeError> {
         let initial = initial_state(&cluster);
         let identity = Identity { cluster: Some(cluster), ..own };
-        self.with_store(|store| store.begin(&identity, Some(&initial)))?;
+        self.with_store(|store| store.initialize(&identity, Some(&initial)))?;
         *self.identity.borrow_mut() = identity;
         tracing::info!(target: LOG_TARGET, "the council is formed");
         Ok(initial)
--- a/crates/agent/src/fleet/coordinator/mod.rs
+++ b/crates/agent/src/fleet/coordinator/mod.rs
@@ -83,7 +83,7 @@
     let disk = folder.join(&config.disk);
     let process = async move {
         let store = open_store(!disk.exists(), || Store::open(&disk)).await?;
-        if store.repaired {
+        if store.was_repaired {
             tracing::warn!(target: LOG_TARGET, disk = %disk.display(), "the disk was not closed: looked through, an unfinished step was dropped");
         }
         serve(config, restore, store, Box::new(move || Store::reopen(&disk))).await
--- a/crates/agent/src/fleet/coordinator/startup.rs
+++ b/crates/agent/src/fleet/coordinator/startup.rs
@@ -72,7 +72,7 @@
         Some(identity) => Ok(identity),
         None => {
             let identity = Identity { node_id: random_id(), name: config.name.clone(), cluster: None };
-            store.begin(&identity, None)?;
+            store.initialize(&identity, None)?;
             Ok(identity)
         }
     }
@@ -92,6 +92,6 @@
     let cluster = Some(ClusterInfo { cluster_id, peers });
     let identity = Identity { node_id, name: config.name.clone(), cluster };
     let initial = restored_state(state, cluster_id, node_id, peer);
-    store.begin(&identity, Some(&initial))?;
+    store.initialize(&identity, Some(&initial))?;
     Ok(identity)
 }
--- a/crates/agent/src/fleet/coordinator/tests.rs
+++ b/crates/agent/src/fleet/coordinator/tests.rs
@@ -76,7 +76,7 @@
 }
 
 fn on(medium: &Medium) -> Result<Store, DiskError> {
-    Store::on(medium.clone(), Path::new("medium"))
+    Store::from_backend(medium.clone(), Path::new("medium"))
 }
 
 async fn ready(ops: SocketAddr) -> String {
@@ -141,7 +141,7 @@
     let (again, closed) = (medium.clone(), medium.clone());
     let reopen: ReopenStore = Box::new(move || {
         let store = on(&again)?;
-        store.try_to_write()?;
+        store.check_writable()?;
         Ok(store)
     });
     let play = async move {
@@ -191,7 +191,7 @@
     crate::on_one_thread(both).expect("a runtime");
     // What was synced alone is enough.
     closed.found(Found::Synced);
-    let image = on(&closed).and_then(|store| store.image()).expect("whole");
+    let image = on(&closed).and_then(|store| store.load()).expect("whole");
     assert!(!image.entries.is_empty());
 }
 
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -67,7 +67,7 @@
     let medium = Medium::default();
     let first = formation.as_ref().map(initial_state);
     let identity = Identity { node_id: OWN_NUMBER, name: "c1".into(), cluster: formation };
-    on(&medium).and_then(|store| store.begin(&identity, first.as_ref())).expect("begun");
+    on(&medium).and_then(|store| store.initialize(&identity, first.as_ref())).expect("begun");
     medium
 }
 
--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -32,7 +32,7 @@
         let mut store = Store::open(&path).expect("open");
         store.save(save).expect("saved");
         memory.apply(save);
-        assert_eq!(store.image().expect("read"), memory);
+        assert_eq!(store.load().expect("read"), memory);
     }
     let mut store = Store::open(&path).expect("open");
     assert!(Store::open(&path).is_err_and(|e| e.to_string().contains("already open")), "one process a file");
@@ -44,7 +44,7 @@
     };
     store.save(&other).expect("saved");
     memory.apply(&other);
-    assert_eq!(store.image().expect("read"), memory);
+    assert_eq!(store.load().expect("read"), memory);
     let _ = std::fs::remove_file(&path);
 }
 
@@ -60,7 +60,7 @@
     let whole = std::fs::read(&path).expect("read");
     for length in [0, 1, 100, 4096, whole.len() / 2, whole.len() - 1] {
         std::fs::write(&path, &whole[..length]).expect("written");
-        let image = Store::open(&path).and_then(|store| store.image());
+        let image = Store::open(&path).and_then(|store| store.load());
         let stays = image.as_ref().is_err_and(|fault| matches!(fault, DiskError::Unusable(_)));
         assert!(image.is_ok() || stays, "{length}: tried again for ever: {image:?}");
         assert!(length == 0 || image.is_err() || image.is_ok_and(|i| i.entries.len() == 39), "{length}");
@@ -73,7 +73,7 @@
     let mut turned = whole.clone();
     turned[at] ^= 1;
     std::fs::write(&path, &turned).expect("written");
-    let fault = Store::open(&path).and_then(|store| store.image()).expect_err("a broken checksum");
+    let fault = Store::open(&path).and_then(|store| store.load()).expect_err("a broken checksum");
     assert!(fault.to_string().contains("checksum of entry"), "{fault}");
     let _ = std::fs::remove_file(&path);
 }
@@ -105,13 +105,13 @@
 }
 
 fn on(medium: &Medium) -> Result<Store, DiskError> {
-    Store::on(medium.clone(), Path::new("medium"))
+    Store::from_backend(medium.clone(), Path::new("medium"))
 }
 
 /// The file that each run begins with.
 fn begun() -> Medium {
     let (medium, identity) = (Medium::default(), Identity { node_id: 5, name: "c1".into(), cluster: None });
-    on(&medium).and_then(|store| store.begin(&identity, None)).expect("a sound store");
+    on(&medium).and_then(|store| store.initialize(&identity, None)).expect("a sound store");
     medium
 }
 
@@ -155,7 +155,7 @@
         medium.found(found);
         let mut store = on(&medium).unwrap_or_else(|fault| panic!("{case}: {fault}"));
         assert_eq!(store.identity().expect("read").map(|identity| identity.node_id), Some(5));
-        let mut image = store.image().unwrap_or_else(|fault| panic!("{case}: {fault}"));
+        let mut image = store.load().unwrap_or_else(|fault| panic!("{case}: {fault}"));
         assert!(image == before || image == after, "{case}: {failed:?}");
         if failed.is_err() && before != after {
             seen[usize::from(image == after)] += 1;
@@ -163,7 +163,7 @@
         let next = WriteBatch { entries: vec![(20, vec![9; 3000])], ..WriteBatch::default() };
         store.save(&next).unwrap_or_else(|fault| panic!("{case}: {fault}"));
         image.apply(&next);
-        assert_eq!(store.image().expect("read"), image, "{case}");
+        assert_eq!(store.load().expect("read"), image, "{case}");
     }
     assert!(seen.iter().all(|count| *count > 0), "kept and not kept: {seen:?}");
 }
@@ -181,7 +181,7 @@
     drop(store);
     medium.found(Found::Synced);
     let mut store = on(&medium).expect("open");
-    store.try_to_write().expect("it works again");
+    store.check_writable().expect("it works again");
     store.save(&saves()[1]).expect("saved");
 }
 
@@ -191,18 +191,18 @@
     let path = place("before");
     {
         let mut builder = Builder::new();
-        builder.set_cache_size(CACHE);
-        let store = Store { database: builder.create(&path).expect("made"), repaired: false };
-        store.write(&[("form", FORM)]).expect("written");
+        builder.set_cache_size(CACHE_BYTES);
+        let store = Store { database: builder.create(&path).expect("made"), was_repaired: false };
+        store.write_values(&[("form", FORMAT)]).expect("written");
         let identity = Identity { node_id: 7, name: "c1".into(), cluster: None };
-        store.begin(&identity, None).expect("begun");
+        store.initialize(&identity, None).expect("begun");
         let mut store = store;
         store.save(&saves()[0]).expect("saved");
     }
     let store = Store::reopen(&path).expect("opened");
     let mut memory = DurableState::default();
     memory.apply(&saves()[0]);
-    assert_eq!(store.image().expect("read"), memory);
+    assert_eq!(store.load().expect("read"), memory);
     assert_eq!(store.identity().expect("read").map(|identity| identity.node_id), Some(7));
     drop(store);
     std::fs::remove_file(&path).expect("removed");
--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -56,7 +56,7 @@
     let formation = ClusterInfo { cluster_id: ClusterId(5), peers: BTreeMap::from([(NUMBER, peer("c1"))]) };
     let first = initial_state(&formation);
     let identity = Identity { node_id: NUMBER, name: "c1".into(), cluster: Some(formation) };
-    store.begin(&identity, Some(&first)).expect("begun");
+    store.initialize(&identity, Some(&first)).expect("begun");
     let mut node = Node::new(NUMBER, &first, settings(), 0x0102_0304, 0).expect("a node");
     let mut now = 0;
     while !node.is_leader() {
@@ -75,7 +75,7 @@
 /// All that is in a store, as text.
 fn contents(store: &Store) -> String {
     let identity = store.identity().expect("read").expect("an identity");
-    let image = store.image().expect("read");
+    let image = store.load().expect("read");
     let mut text = format!("identity: {}\n", serde_json::to_string(&identity).expect("serializable"));
     let _ = writeln!(text, "cut: {},{}", image.compacted.index, image.compacted.term);
     let _ = writeln!(text, "hard: {}", image.hard_state.expect("a hard state").escape_ascii());
@@ -91,9 +91,9 @@
     let path = place("golden-read");
     std::fs::copy(golden_path("store.redb"), &path).expect("copied");
     let mut store = Store::open(&path).expect("opened");
-    assert!(!store.repaired);
+    assert!(!store.was_repaired);
     assert_eq!(contents(&store), golden_text("store.txt"));
-    let image = store.image().expect("read");
+    let image = store.load().expect("read");
     let mut node = Node::new(NUMBER, &image, settings(), 9, 0).expect("a node");
     for now in (0..TICKS).map(|tick| tick * TICK) {
         node.tick(now);
