--- a/crates/agent/src/fleet/member/drains.rs
+++ b/crates/agent/src/fleet/member/drains.rs
@@ -1,33 +1,91 @@
 //! The drains that the fleet has agreed: the agent follows them, acknowledges them, and records what it observes of servers.
 
-use super::{Drains, Member, LOG_TARGET};
+use super::{Drains, Member, LOG_TARGET, MIN_PAUSE};
 use crate::fleet::link::CoordinationClient;
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
 use heronhoist_coordination::service::WATCH_TIMEOUT;
-use heronhoist_coordination::state::{Command, CommandRequest, CommandResult};
+use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Txn};
 use heronhoist_coordination::wire::{Request, Response};
+use heronhoist_coordination::Incarnation;
+use heronhoist_disruption::drain::DrainAcknowledgement;
 use heronhoist_disruption::drain_observer::DrainObserver;
 use heronhoist_disruption::observed::ObservedServers;
+use heronhoist_disruption::records::RecordError;
 use std::cell::RefCell;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// How often the agent checks whether it has an acknowledgement of drains to write.
+/// How often the agent checks whether it has an acknowledgement of drains to write: a drain waits for it.
 const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_millis(50);
 /// How often the agent checks what it observes of servers; jittered by half of it.
 const OBSERVE_INTERVAL: Duration = Duration::from_secs(1);
 
+/// A record of this agent in the agreed state.
+enum AgentRecord {
+    Acknowledgement(DrainAcknowledgement),
+    Observation(ObservedServers),
+}
+
+impl AgentRecord {
+    fn to_transaction(&self, agent: &str) -> Result<Txn, RecordError> {
+        match self {
+            AgentRecord::Acknowledgement(acknowledgement) => acknowledgement.to_transaction(agent),
+            AgentRecord::Observation(observation) => observation.to_transaction(agent),
+        }
+    }
+}
+
+/// What the agent observes of servers.
+struct Observations {
+    last_written: Option<ObservedServers>,
+    due_at: Instant,
+}
+
+impl Observations {
+    /// An observation that differs from the one that was written last, if it is time for one.
+    fn next(
+        &mut self,
+        incarnation: Incarnation,
+        missing_capacity: &dyn Fn() -> BTreeMap<String, f64>,
+    ) -> Option<ObservedServers> {
+        if Instant::now() < self.due_at {
+            return None;
+        }
+        self.due_at = Instant::now() + OBSERVE_INTERVAL.mul_f64(0.5 + fastrand::f64());
+        let observation = ObservedServers::new(incarnation, missing_capacity());
+        Some(observation).filter(|observation| self.last_written.as_ref() != Some(observation))
+    }
+}
+
+/// The member's own session. Under it, a command that arrives late can't undo what a later one wrote.
+#[derive(Default)]
+struct CommandSession {
+    incarnation: Incarnation,
+    last_number: u64,
+}
+
+impl CommandSession {
+    /// A request for a command under the next number. An incarnation counts from 1.
+    fn next_request(&mut self, incarnation: Incarnation, command: Command) -> Request {
+        if self.incarnation != incarnation {
+            *self = CommandSession { incarnation, last_number: 0 };
+        }
+        self.last_number += 1;
+        Request::Command(CommandRequest { session: Some((incarnation, self.last_number)), command })
+    }
+}
+
 impl Member {
     /// Follows which servers the fleet has agreed to drain, and acknowledges those that this agent sends nothing to any more. The
-    /// drains that were observed last stay in force while the council is silent, whether or not the lease is held.
-    pub(super) async fn keep_drains(self: Rc<Self>, drains: Drains) {
+    /// drains that were observed last stay in force while the service is silent, whether or not the lease is held.
+    pub(super) async fn handle_drains(self: Rc<Self>, drains: Drains) {
         let observer = RefCell::new(DrainObserver::default());
-        let records = self.keep_records(&observer, &drains);
+        let write = self.write_records(&observer, &drains);
         let follow = self.follow_drains(&observer, &drains.drained);
-        tokio::join!(records, follow);
+        tokio::join!(write, follow);
     }
 
     async fn follow_drains(
@@ -39,9 +97,11 @@
         loop {
             let envelope = self.envelope();
             let request = observer.borrow().next_request();
-            let watches = matches!(request, Request::Watch { .. });
-            let within = if watches { WATCH_TIMEOUT + CALL_TIMEOUT } else { CALL_TIMEOUT };
-            let (response, pause) = match client.call(&envelope, &request, within).await {
+            let time_limit = match request {
+                Request::Watch { .. } => WATCH_TIMEOUT + CALL_TIMEOUT,
+                _ => CALL_TIMEOUT,
+            };
+            let (response, pause) = match client.call(&envelope, &request, time_limit).await {
                 Ok(response) => (Some(response), 0),
                 Err(unsettled) => (None, unsettled.pause),
             };
@@ -49,78 +109,87 @@
             match updated {
                 Ok(true) => self.apply_drains(observer.borrow().draining_servers(), drained),
                 Ok(false) => {}
-                Err(why) => tracing::error!(target: LOG_TARGET, "the drains stay as they were: {why}"),
+                Err(error) => {
+                    tracing::error!(target: LOG_TARGET, "the drains stay as they were: {error}");
+                }
             }
-            sleep(Duration::from_micros(pause.max(1000))).await;
+            sleep(Duration::from_micros(pause.max(MIN_PAUSE))).await;
         }
     }
 
     fn apply_drains(&self, servers: BTreeSet<String>, drained: &watch::Sender<BTreeSet<String>>) {
-        self.draining.set((servers.len(), self.draining.get().1));
-        drained.send_if_modified(|old| {
-            let changed = *old != servers;
-            if changed {
+        let mut counts = self.drain_counts.get();
+        counts.draining = servers.len();
+        self.drain_counts.set(counts);
+        drained.send_if_modified(|current| {
+            let has_changed = *current != servers;
+            if has_changed {
                 let list = servers.iter().cloned().collect::<Vec<_>>().join(", ");
                 tracing::info!(target: LOG_TARGET, servers = list, "the fleet has agreed on what drains");
             }
-            *old = servers;
-            changed
+            *current = servers;
+            has_changed
         });
     }
 
-    /// Records which drains this agent acknowledges, and what it observes of servers, whenever that has changed.
-    async fn keep_records(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
+    /// Writes which drains this agent acknowledges, and what it observes of servers, whenever that has changed.
+    async fn write_records(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
         let mut client = CoordinationClient::new(&self.fleet.council);
-        let mut session = (0, 0);
-        let mut recorded: Option<ObservedServers> = None;
-        let mut observe_at = Instant::now();
+        let mut session = CommandSession::default();
+        let mut observations = Observations { last_written: None, due_at: Instant::now() };
         loop {
             sleep(ACKNOWLEDGE_INTERVAL).await;
-            let Some(incarnation) = self.holds() else { continue };
+            let Some(incarnation) = self.held_incarnation() else { continue };
             let acknowledgement =
                 observer.borrow().pending_acknowledgement(incarnation, &drains.has_stopped_sending);
-            let mut observation = None;
-            if acknowledgement.is_none() && Instant::now() >= observe_at {
-                observe_at = Instant::now() + OBSERVE_INTERVAL.mul_f64(0.5 + fastrand::f64());
-                observation = Some(ObservedServers::new(incarnation, (drains.missing_capacity)()))
-                    .filter(|observation| recorded.as_ref() != Some(observation));
-            }
-            let member = &self.fleet.member;
-            let transaction =
-                acknowledgement.as_ref().map(|acknowledgement| acknowledgement.to_transaction(member));
-            let transaction =
-                transaction.or_else(|| observation.as_ref().map(|servers| servers.to_transaction(member)));
-            let txn = match transaction {
-                None => continue,
-                Some(Ok(txn)) => txn,
-                Some(Err(why)) => {
-                    tracing::error!(target: LOG_TARGET, "the acknowledgement or observation is not recorded: {why}");
+            let record = match acknowledgement {
+                Some(acknowledgement) => AgentRecord::Acknowledgement(acknowledgement),
+                None => match observations.next(incarnation, &drains.missing_capacity) {
+                    Some(observation) => AgentRecord::Observation(observation),
+                    None => continue,
+                },
+            };
+            let transaction = match record.to_transaction(&self.fleet.member) {
+                Ok(transaction) => transaction,
+                Err(error) => {
+                    tracing::error!(target: LOG_TARGET, "the acknowledgement or observation is not recorded: {error}");
                     continue;
                 }
             };
-            // Under the member's own session: what is late from before can't undo what was said after it.
-            if session.0 != incarnation {
-                session = (incarnation, 0);
+            let request = session.next_request(incarnation, Command::Write(transaction));
+            if !self.write_record(&mut client, incarnation, &request).await {
+                continue;
             }
-            session.1 += 1;
-            let request =
-                Request::Command(CommandRequest { session: Some(session), command: Command::Write(txn) });
-            let envelope = self.envelope();
-            while self.holds() == Some(incarnation) {
-                match client.call(&envelope, &request, CALL_TIMEOUT).await {
-                    Ok(response) => {
-                        if matches!(response, Response::Reply(CommandResult::Done(_), _)) {
-                            if let Some(acknowledgement) = acknowledgement {
-                                self.draining.set((self.draining.get().0, acknowledgement.drain_ids.len()));
-                                observer.borrow_mut().on_acknowledged(acknowledgement);
-                            }
-                            recorded = observation.or(recorded);
-                        }
-                        break;
-                    }
-                    Err(unsettled) => sleep(Duration::from_micros(unsettled.pause)).await,
+            match record {
+                AgentRecord::Acknowledgement(acknowledgement) => {
+                    self.record_acknowledged(&acknowledgement);
+                    observer.borrow_mut().on_acknowledged(acknowledgement);
                 }
+                AgentRecord::Observation(observation) => observations.last_written = Some(observation),
             }
         }
     }
+
+    /// Sends a command until it is settled or the lease is lost, and says whether it was carried out.
+    async fn write_record(
+        &self,
+        client: &mut CoordinationClient,
+        incarnation: Incarnation,
+        request: &Request,
+    ) -> bool {
+        let envelope = self.envelope();
+        while self.held_incarnation() == Some(incarnation) {
+            match client.call(&envelope, request, CALL_TIMEOUT).await {
+                Ok(response) => return matches!(response, Response::Reply(CommandResult::Done(_), _)),
+                Err(unsettled) => sleep(Duration::from_micros(unsettled.pause)).await,
+            }
+        }
+        false
+    }
+
+    fn record_acknowledged(&self, acknowledgement: &DrainAcknowledgement) {
+        let mut counts = self.drain_counts.get();
+        counts.acknowledged = acknowledgement.drain_ids.len();
+        self.drain_counts.set(counts);
+    }
 }
--- a/crates/agent/src/fleet/member/lease.rs
+++ b/crates/agent/src/fleet/member/lease.rs
@@ -1,82 +1,101 @@
 //! The lease of the member: it joins, and renews its lease.
 
-use super::{Member, LOG_TARGET, LOOK_EVERY};
+use super::{Member, CHECK_INTERVAL, LOG_TARGET, MIN_PAUSE};
 use crate::fleet::link::{CoordinationClient, Unsettled};
 use heronhoist_coordination::lease_holder::SessionState;
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
-use heronhoist_coordination::wire::Response;
+use heronhoist_coordination::wire::{Request, Response};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
+/// Where the member stands with the service.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct LeaseStatus {
+    session: SessionState,
+    is_lease_held: bool,
+}
+
+impl LeaseStatus {
+    /// Whether the member has just joined: its first renewal is still to come, which is no event.
+    fn has_just_joined(self, previous: Option<LeaseStatus>) -> bool {
+        let was_member = previous.is_some_and(|status| status.session == SessionState::Member);
+        self.session == SessionState::Member && !self.is_lease_held && !was_member
+    }
+}
+
 impl Member {
-    pub(super) async fn keep_lease(self: Rc<Self>, ready: Rc<impl Fn() -> bool>) {
+    /// Joins, and renews the lease, for as long as the agent lives.
+    pub(super) async fn maintain_lease(self: Rc<Self>, is_ready: Rc<impl Fn() -> bool>) {
         let mut client = CoordinationClient::new(&self.fleet.council);
-        let mut told: Option<(SessionState, bool)> = None;
+        let mut logged: Option<LeaseStatus> = None;
         loop {
             let now = self.now();
-            self.holder.borrow_mut().set_ready(ready(), now);
-            let request = self.holder.borrow_mut().next_request(now);
+            self.lease_holder.borrow_mut().set_ready(is_ready(), now);
+            let request = self.lease_holder.borrow_mut().next_request(now);
             if let Some(request) = request {
-                let envelope = self.envelope();
-                let (response, pause) = match client.call(&envelope, &request, CALL_TIMEOUT).await {
-                    Ok(response) => {
-                        self.answered.set(Instant::now());
-                        (Some(response), 0)
-                    }
-                    Err(Unsettled { pause, error }) => {
-                        self.failures.set(self.failures.get() + 1);
-                        tracing::debug!(target: LOG_TARGET, "the council does not settle: {error}");
-                        (None, pause)
-                    }
-                };
-                if matches!(response, Some(Response::Renewed(_))) {
-                    self.renewals.set(self.renewals.get() + 1);
-                }
-                self.holder.borrow_mut().handle_response(
-                    self.now(),
-                    response.as_ref(),
-                    pause,
-                    fastrand::f64(),
-                );
+                self.send_lease_request(&mut client, &request).await;
+            }
+            let status = self.lease_status();
+            if logged != Some(status) && !status.has_just_joined(logged) {
+                logged = Some(status);
+                self.log_lease_status(status);
             }
-            let stands = (self.holder.borrow().session(), self.holds().is_some());
-            // One that was just taken in has its first renewal before it.
-            let begins = stands == (SessionState::Member, false)
-                && told.is_none_or(|(stand, _)| stand != SessionState::Member);
-            if told != Some(stands) && !begins {
-                told = Some(stands);
-                self.tell(stands);
+            let due_at = self.lease_holder.borrow().next_request_at().unwrap_or(0);
+            let pause = due_at.saturating_sub(self.now()).clamp(MIN_PAUSE, CHECK_INTERVAL);
+            sleep(Duration::from_micros(pause)).await;
+        }
+    }
+
+    /// Sends one request of the lease holder, and gives it the response.
+    async fn send_lease_request(&self, client: &mut CoordinationClient, request: &Request) {
+        let envelope = self.envelope();
+        let (response, pause) = match client.call(&envelope, request, CALL_TIMEOUT).await {
+            Ok(response) => {
+                self.last_response_at.set(Instant::now());
+                (Some(response), 0)
             }
-            let due = self.holder.borrow().next_request_at().unwrap_or(0);
-            let wait = due.saturating_sub(self.now()).clamp(1000, LOOK_EVERY);
-            sleep(Duration::from_micros(wait)).await;
+            Err(Unsettled { pause, error }) => {
+                self.failed_calls.set(self.failed_calls.get() + 1);
+                tracing::debug!(target: LOG_TARGET, "the council does not settle: {error}");
+                (None, pause)
+            }
+        };
+        if matches!(response, Some(Response::Renewed(_))) {
+            self.renewals.set(self.renewals.get() + 1);
         }
+        let random = fastrand::f64();
+        self.lease_holder.borrow_mut().handle_response(self.now(), response.as_ref(), pause, random);
+    }
+
+    fn lease_status(&self) -> LeaseStatus {
+        let session = self.lease_holder.borrow().session();
+        LeaseStatus { session, is_lease_held: self.held_incarnation().is_some() }
     }
 
-    fn tell(&self, (stand, holds): (SessionState, bool)) {
-        let (member, incarnation) = (&*self.fleet.member, self.holder.borrow().incarnation());
-        match stand {
-            SessionState::Member if holds => {
+    fn log_lease_status(&self, status: LeaseStatus) {
+        let member = &*self.fleet.member;
+        let incarnation = self.lease_holder.borrow().incarnation();
+        match status.session {
+            SessionState::Member if status.is_lease_held => {
                 tracing::info!(target: LOG_TARGET, member, incarnation, "takes part in the fleet");
             }
             SessionState::Member => {
-                tracing::warn!(target: LOG_TARGET, member,
-                    incarnation,
-                    "the lease has run out; serving goes on, nothing rests on it"
-                );
+                let text = "the lease has run out; serving goes on, nothing rests on it";
+                tracing::warn!(target: LOG_TARGET, member, incarnation, "{text}");
             }
             SessionState::Joining => tracing::info!(target: LOG_TARGET, member, "joins the fleet"),
             SessionState::Waiting => {
-                tracing::info!(target: LOG_TARGET, member, "waits for the lease of an older process of its name to end");
+                let text = "waits for the lease of an older process of its name to end";
+                tracing::info!(target: LOG_TARGET, member, "{text}");
             }
             SessionState::Ended => {
-                tracing::warn!(target: LOG_TARGET, member, "the council counts the lease as ended; it joins anew");
+                let text = "the council counts the lease as ended; it joins anew";
+                tracing::warn!(target: LOG_TARGET, member, "{text}");
             }
             SessionState::Displaced => {
-                tracing::warn!(target: LOG_TARGET, member,
-                    "a newer process has its name; this one has left the fleet and serves on"
-                );
+                let text = "a newer process has its name; this one has left the fleet and serves on";
+                tracing::warn!(target: LOG_TARGET, member, "{text}");
             }
         }
     }
--- a/crates/agent/src/fleet/member/metrics.rs
+++ b/crates/agent/src/fleet/member/metrics.rs
@@ -1,22 +1,24 @@
-//! The member's figures for the operators' page.
+//! The member's metrics on the operators' page.
 
 use super::Member;
 use std::fmt::Write as _;
 
 impl Member {
-    /// Figures for the operators' page.
+    /// The metrics, in the text format of Prometheus.
     pub fn figures(&self) -> String {
         let mut page = String::new();
-        let holder = self.holder.borrow();
-        let silent = self.answered.get().elapsed().as_secs_f64();
+        let is_lease_held = self.held_incarnation().is_some();
+        let incarnation = self.lease_holder.borrow().incarnation();
+        let silent_seconds = self.last_response_at.get().elapsed().as_secs_f64();
+        let drains = self.drain_counts.get();
         for (name, kind, value) in [
-            ("fleet_lease_held", "gauge", f64::from(u8::from(holder.held_incarnation(self.now()).is_some()))),
-            ("fleet_incarnation", "gauge", holder.incarnation() as f64),
-            ("fleet_council_silent_seconds", "gauge", silent),
-            ("fleet_servers_drained", "gauge", self.draining.get().0 as f64),
-            ("fleet_servers_quiet", "gauge", self.draining.get().1 as f64),
+            ("fleet_lease_held", "gauge", f64::from(u8::from(is_lease_held))),
+            ("fleet_incarnation", "gauge", incarnation as f64),
+            ("fleet_council_silent_seconds", "gauge", silent_seconds),
+            ("fleet_servers_drained", "gauge", drains.draining as f64),
+            ("fleet_servers_quiet", "gauge", drains.acknowledged as f64),
             ("fleet_renewals_total", "counter", self.renewals.get() as f64),
-            ("fleet_call_failures_total", "counter", self.failures.get() as f64),
+            ("fleet_call_failures_total", "counter", self.failed_calls.get() as f64),
         ] {
             let _ = writeln!(page, "# TYPE app_{name} {kind}\napp_{name} {value}");
         }
