--- a/crates/agent/src/fleet/coordinator/ready_page.rs
+++ b/crates/agent/src/fleet/coordinator/ready_page.rs
@@ -17,7 +17,7 @@
         self.status().is_some_and(|status| status.leader != 0)
     }
 
-    fn why_not(&self) -> String {
+    fn not_ready_reason(&self) -> String {
         match self.service.borrow().is_some() {
             true => "it knows no leader".into(),
             false => self.not_serving_reason.borrow().clone(),
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -30,7 +30,7 @@
     /// Listening, with settings, and with servers to send to.
     fn is_ready(&self) -> bool;
     /// Why it is not, where there is more to say.
-    fn why_not(&self) -> String {
+    fn not_ready_reason(&self) -> String {
         String::new()
     }
     /// The page of figures.
@@ -73,9 +73,9 @@
         }
         "/-/ready" if shown.is_ready() => return plain(StatusCode::OK, "ready\n".into()),
         "/-/ready" => {
-            let why = shown.why_not();
-            let why = if why.is_empty() { why } else { why + "\n" };
-            return plain(StatusCode::SERVICE_UNAVAILABLE, format!("not ready\n{why}"));
+            let reason = shown.not_ready_reason();
+            let line = if reason.is_empty() { reason } else { reason + "\n" };
+            return plain(StatusCode::SERVICE_UNAVAILABLE, format!("not ready\n{line}"));
         }
         "/-/metrics" => shown.figures(),
         _ => return plain(StatusCode::NOT_FOUND, "there are /-/ready and /-/metrics\n".into()),
