--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -2,9 +2,13 @@
 //! A file is never changed to make a test pass: processes of both versions run side by side. In a `.bytes` file, bytes that
 //! are not printable ASCII stand as in a Rust byte string.
 
+#[path = "../../../../../coordination/tests/support/escaped_bytes.rs"]
+mod escaped_bytes;
+
 use super::super::super::link::{ClientRequest, RAFT_PATH, REQUEST_PATH};
 use super::super::peer_links::Frame;
 use super::*;
+use escaped_bytes::unescape;
 use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo};
 use heronhoist_coordination::state::{ClusterId, Peer};
 use std::collections::BTreeMap;
@@ -27,29 +31,6 @@
     bytes.escape_ascii().to_string()
 }
 
-fn unescaped(text: &str) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
-        if byte != b'\\' {
-            bytes.push(byte);
-            continue;
-        }
-        bytes.push(match rest.next().expect("an escape") {
-            b'x' => {
-                let digits = [rest.next(), rest.next()].map(|digit| digit.expect("a digit"));
-                let digits = std::str::from_utf8(&digits).expect("ASCII");
-                u8::from_str_radix(digits, 16).expect("hexadecimal")
-            }
-            b'n' => b'\n',
-            b'r' => b'\r',
-            b't' => b'\t',
-            escaped => escaped,
-        });
-    }
-    bytes
-}
-
 fn formation(other: SocketAddr) -> ClusterInfo {
     let peer = |name: &str, address: String| Peer { name: name.into(), address };
     let own = (OWN_NUMBER, peer("c1", ADVERTISED.into()));
@@ -178,7 +159,7 @@
             let (sent, body) = serve_one(&listener, "").await;
             assert_eq!(sent, head("/v1/raft", &listener, &body));
             assert_eq!(escaped(&body), golden_text("raft-batch-of-c1.bytes"));
-            let batch = unescaped(&golden_text("raft-batch-of-c2.bytes"));
+            let batch = unescape(&golden_text("raft-batch-of-c2.bytes"));
             let taken = send(listen, "POST", "/v1/raft", &batch).await;
             assert_eq!(taken, ("HTTP/1.1 200 OK".into(), String::new()));
             let answer = loop {
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -5,6 +5,13 @@
 //! Each `.jsonl` file has one value a line, in the order of the test. A `.bytes` file has one named value a line, with
 //! bytes that are not printable ASCII as in a Rust byte string.
 
+#[path = "support/escaped_bytes.rs"]
+mod escaped_bytes;
+#[macro_use]
+#[path = "support/golden.rs"]
+mod support;
+
+use escaped_bytes::unescape;
 use heronhoist_coordination::bootstrap::{initial_state, restored_state, ClusterInfo, Identity};
 use heronhoist_coordination::lease::LeaseTerms;
 use heronhoist_coordination::log::{Disk, DiskError, DurableState, LogPosition, WriteBatch};
@@ -16,47 +23,8 @@
 };
 use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response, View, PROTOCOL};
 use heronhoist_coordination::{LimitExceeded, Limits};
-use serde::de::DeserializeOwned;
-use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Debug;
-use std::path::PathBuf;
-
-/// Fails to compile where a variant is not listed, and fails where a listed one has no value.
-macro_rules! has_every_variant {
-    ($values:expr, $type:ty, $($variant:pat),+ $(,)?) => {{
-        let _ = |value: &$type| match value { $($variant => {})+ };
-        $(assert!(
-            $values.iter().any(|value| matches!(value, $variant)),
-            "no value of {}", stringify!($variant),
-        );)+
-    }};
-}
-
-fn golden_path(file: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
-}
-
-fn golden_text(file: &str) -> String {
-    std::fs::read_to_string(golden_path(file)).unwrap_or_else(|why| panic!("{file}: {why}"))
-}
-
-/// The values are written as the file has them, and the file is read as the values.
-#[track_caller]
-fn assert_golden<T>(file: &str, values: &[T])
-where
-    T: Serialize + DeserializeOwned + PartialEq + Debug,
-{
-    let golden = golden_text(file);
-    let written: String =
-        values.iter().map(|value| serde_json::to_string(value).expect("serializable") + "\n").collect();
-    assert_eq!(written, golden, "{file} is not what is written");
-    let read: Vec<T> = golden
-        .lines()
-        .map(|line| serde_json::from_str(line).unwrap_or_else(|why| panic!("{file}: {line}: {why}")))
-        .collect();
-    assert_eq!(read, values, "{file} is read otherwise");
-}
+use support::{assert_golden, golden_text};
 
 /// Named bytes are those of the file.
 #[track_caller]
@@ -76,29 +44,6 @@
     text.lines().map(line).collect()
 }
 
-fn unescape(text: &str) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
-        if byte != b'\\' {
-            bytes.push(byte);
-            continue;
-        }
-        bytes.push(match rest.next().expect("an escape") {
-            b'x' => {
-                let digits = [rest.next(), rest.next()].map(|digit| digit.expect("a digit"));
-                let digits = std::str::from_utf8(&digits).expect("ASCII");
-                u8::from_str_radix(digits, 16).expect("hexadecimal")
-            }
-            b'n' => b'\n',
-            b'r' => b'\r',
-            b't' => b'\t',
-            escaped => escaped,
-        });
-    }
-    bytes
-}
-
 fn peer(name: &str) -> Peer {
     Peer { name: name.into(), address: format!("{name}.example:7400") }
 }
--- a/crates/engine/src/drainable_source/tests.rs
+++ b/crates/engine/src/drainable_source/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::endpoint_source::tests::StartObserver;
 use crate::endpoint_source::StaticEndpoints;
 use crate::start_times::StartTimes;
 use heronhoist_decision::Span;
@@ -69,16 +70,6 @@
     }
 }
 
-#[derive(Default)]
-struct StartObserver(RefCell<Vec<Option<Time>>>);
-
-impl EndpointObserver<u16> for StartObserver {
-    fn on_endpoints(&self, list: EndpointList<u16>) {
-        self.0.borrow_mut().extend(list.endpoints.into_iter().map(|endpoint| endpoint.started_at));
-    }
-    fn on_failure(&self) {}
-}
-
 /// While the source has not published yet, drains are applied to the list that is known: by the pool's clock, and with the
 /// start times that the pool has settled in it.
 #[tokio::test(start_paused = true)]
--- a/crates/engine/src/endpoint_source/mod.rs
+++ b/crates/engine/src/endpoint_source/mod.rs
@@ -102,4 +102,4 @@
 }
 
 #[cfg(test)]
-mod tests;
+pub(crate) mod tests;
--- a/crates/engine/src/endpoint_source/tests.rs
+++ b/crates/engine/src/endpoint_source/tests.rs
@@ -45,8 +45,9 @@
     assert_eq!(observer.1.get(), 1);
 }
 
+/// Records the start times in the lists that it observes.
 #[derive(Default)]
-struct StartObserver(RefCell<Vec<Option<Time>>>);
+pub(crate) struct StartObserver(pub(crate) RefCell<Vec<Option<Time>>>);
 
 impl EndpointObserver<u16> for StartObserver {
     fn on_endpoints(&self, list: EndpointList<u16>) {
