--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -313,13 +313,13 @@
                 Err(Spoilt::Connection)
                     if written == 0 && call.client.as_ref().is_some_and(View::has_closed) =>
                 {
-                    gate.nothing_was_sent();
+                    gate.mark_unsent();
                     return Outcome::NotSent.into();
                 }
                 // A pooled connection that ended before anything was written to it says nothing of the server,
                 // and no attempt was made: take the next one. A new one that ends so does say something, and
                 // to go on would be a storm of connections.
-                Err(Spoilt::Connection) if !lease.is_fresh() && written == 0 => gate.nothing_was_sent(),
+                Err(Spoilt::Connection) if !lease.is_fresh() && written == 0 => gate.mark_unsent(),
                 Err(Spoilt::Stuck) => return Outcome::TimedOut.into(),
                 Ok(_) | Err(_) if !is_whole => return Outcome::ConnectFailed.into(),
                 Ok(_) | Err(_) => return Outcome::ConnectionReset.into(),
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -112,7 +112,7 @@
     }
 
     /// Takes [`open`](Gate::open) back: no byte was written after all.
-    pub fn nothing_was_sent(&self) {
+    pub fn mark_unsent(&self) {
         self.is_sent.set(false);
     }
 }
