--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -221,7 +221,7 @@
         let made_room = || self.close_one() || self.siblings.close_borrowed();
         let reservation = match self.open.try_reserve(1) {
             Some(reservation) => reservation,
-            None if made_room() => self.open.overdraw(1),
+            None if made_room() => self.open.force_reserve(1),
             None => return Err(Outcome::NotSent),
         };
         let (server, begun) = (place.server.0, Instant::now());
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -100,7 +100,7 @@
     }
 
     /// Reserves an amount whether it is available or not: for a caller that is about to give back as much.
-    pub fn overdraw(self: &Rc<Self>, amount: usize) -> Reservation {
+    pub fn force_reserve(self: &Rc<Self>, amount: usize) -> Reservation {
         self.in_use.set(self.in_use.get() + amount);
         Reservation { share: Rc::clone(self), amount }
     }
@@ -111,7 +111,7 @@
         if amount > self.available() {
             return None;
         }
-        Some(self.overdraw(amount))
+        Some(self.force_reserve(amount))
     }
 }
 
