--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -10,7 +10,7 @@
 use crate::wire::View;
 use bytes::{Bytes, BytesMut};
 use heronhoist_decision::{DialectId, Outcome, ServerId};
-use heronhoist_engine::timing::{catch_up, sleep_until_settled, timeout, timeout_at};
+use heronhoist_engine::timing::{catch_up, sleep_until_caught_up, timeout, timeout_at};
 use heronhoist_engine::{Gate, Incarnation, QuotaShare, Reservation, StreamingBody, Upstream};
 use heronhoist_translate::wire::trouble::is_refusal;
 use heronhoist_translate::Mapping;
@@ -505,7 +505,7 @@
 /// Comes back when the peer has taken nothing of what waits to be written for too long.
 async fn stuck(view: &View) {
     loop {
-        sleep_until_settled(Instant::now() + STUCK_LOOK).await;
+        sleep_until_caught_up(Instant::now() + STUCK_LOOK).await;
         if view.stuck_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
             return;
         }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -35,7 +35,7 @@
 use config::Config;
 use fleet::member::{Drains, Member};
 use handover::{ProcessPeers, Takeover};
-use heronhoist_engine::timing::{sleep_until_settled, timeout};
+use heronhoist_engine::timing::{sleep_until_caught_up, timeout};
 use lanes::Lanes;
 use metrics::Metrics;
 use ops::Shown;
@@ -223,10 +223,10 @@
     if peers.has_ready_successor() {
         // New connections are the successor's from now on; those that are open may still be used for a while.
         end(accepting.into_iter().map(|(_, task)| task).collect()).await;
-        sleep_until_settled(stop + ACCEPT_ON).await;
+        sleep_until_caught_up(stop + ACCEPT_ON).await;
     } else {
         // Whoever has come by then is let in, also if this process was held up meanwhile.
-        sleep_until_settled(stop + ACCEPT_ON).await;
+        sleep_until_caught_up(stop + ACCEPT_ON).await;
         for (closing, task) in accepting {
             closing.notify_one();
             let _ = task.await;
--- a/crates/engine/src/pool/attempts.rs
+++ b/crates/engine/src/pool/attempts.rs
@@ -5,7 +5,7 @@
 use super::reserves::attempt_reserve;
 use super::Pool;
 use crate::clock::span;
-use crate::timing::sleep_until_settled;
+use crate::timing::sleep_until_caught_up;
 use crate::upstream::{AttemptResult, BodyProgress, EndpointAddress, Gate, RequestPayload, Upstream};
 use heronhoist_decision::{AttemptNumber, Event, Outcome, RequestId, ServerId, Time};
 use std::cell::Cell;
@@ -189,13 +189,13 @@
 /// time runs too.
 async fn timed_out(request: &impl RequestPayload, deadlines: AttemptDeadlines) {
     let Some(body) = request.streaming_body() else {
-        return sleep_until_settled(deadlines.timeout_at).await;
+        return sleep_until_caught_up(deadlines.timeout_at).await;
     };
     match body.finished().await {
         BodyProgress::Complete(at) => {
             let client_timeout = deadlines.client_timeout;
             let latest = at + client_timeout - attempt_reserve(client_timeout);
-            sleep_until_settled(latest.min(deadlines.timeout_at)).await;
+            sleep_until_caught_up(latest.min(deadlines.timeout_at)).await;
         }
         // The attempt sees that too, and knows what it means.
         BodyProgress::Incomplete | BodyProgress::Failed => std::future::pending().await,
--- a/crates/engine/src/pool/pending_response.rs
+++ b/crates/engine/src/pool/pending_response.rs
@@ -2,7 +2,7 @@
 
 use super::reserves::response_reserve;
 use super::Pool;
-use crate::timing::sleep_until_settled;
+use crate::timing::sleep_until_caught_up;
 use crate::upstream::{BodyProgress, RequestPayload, StreamingBody, Upstream};
 use heronhoist_decision::{RequestId, Span};
 use std::rc::Rc;
@@ -72,7 +72,7 @@
         tokio::select! {
             biased;
             response = &mut self.response => response.unwrap_or(FinalResponse::Failed),
-            () = sleep_until_settled(latest) => FinalResponse::DeadlineExceeded,
+            () = sleep_until_caught_up(latest) => FinalResponse::DeadlineExceeded,
         }
     }
 
@@ -109,7 +109,7 @@
 /// once somebody has read on, or if the client can't have sent all of it.
 async fn unread_too_long(body: &dyn StreamingBody, client_timeout: Duration) {
     if let Some(since) = body.unread_since() {
-        sleep_until_settled(since + client_timeout - response_reserve(client_timeout)).await;
+        sleep_until_caught_up(since + client_timeout - response_reserve(client_timeout)).await;
     }
     if body.unread_since().is_none() {
         std::future::pending::<()>().await;
--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -60,7 +60,7 @@
 }
 
 /// Sleeps until a time, and until what had arrived by then has had its turn.
-pub async fn sleep_until_settled(due: Instant) {
+pub async fn sleep_until_caught_up(due: Instant) {
     sleep_until(due).await;
     settle(due).await;
 }
@@ -89,7 +89,7 @@
     tokio::select! {
         biased;
         output = future => Ok(output),
-        () = sleep_until_settled(due) => Err(Elapsed),
+        () = sleep_until_caught_up(due) => Err(Elapsed),
     }
 }
 
