--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -5,7 +5,7 @@
 use heronhoist_decision::{
     Class, DeduplicationScope, Discovery, Effect, Settings, SettingsError, Span, Tenant, ZoneId,
 };
-use heronhoist_routing::{Conditions, Fault as RouteFault, Rule, Table};
+use heronhoist_routing::{Conditions, Rule, Table, TableError};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -650,8 +650,8 @@
         Err(faults) => {
             for fault in faults {
                 let (place, key) = match &fault {
-                    RouteFault::Unreachable { rule, .. } => (at[rule.0], format!("route[{}]", rule.0)),
-                    RouteFault::Overlap { second, .. } => (at[second.0], format!("route[{}]", second.0)),
+                    TableError::Unreachable { rule, .. } => (at[rule.0], format!("route[{}]", rule.0)),
+                    TableError::Overlap { second, .. } => (at[second.0], format!("route[{}]", second.0)),
                     _ => (at[0], "route".into()),
                 };
                 reader.fault_at(place, key, fault.to_string());
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A table is checked when it is made: a rule that no request can reach, and two rules of one priority that disagree on
 //! some requests while neither is a special case of the other, are errors. The check is exact. It walks over every
-//! combination of what the rules can tell apart, of which there may be [`CASES_MOST`] at most.
+//! combination of what the rules can tell apart, of which there may be [`MAX_CASES`] at most.
 //!
 //! ```
 //! use heronhoist_routing::{Attributes, Conditions, Rule, Table};
@@ -26,7 +26,7 @@
 use std::fmt;
 
 /// Combinations of conditions that are looked at for the check.
-pub const CASES_MOST: usize = 200_000;
+pub const MAX_CASES: usize = 200_000;
 
 /// Finds a label by its name.
 pub type Labels<'a> = &'a dyn Fn(&str) -> Option<&'a str>;
@@ -84,13 +84,13 @@
 /// Why rules make no table. A rule is given by its place in the list and its name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum Fault {
+pub enum TableError {
     /// No request can reach the rule.
     Unreachable {
         /// The rule.
         rule: (usize, String),
         /// The names of those that take all it could match.
-        behind: Vec<String>,
+        shadowed_by: Vec<String>,
     },
     /// Requests exist that both match, of which each could be meant.
     Overlap {
@@ -102,31 +102,31 @@
         example: String,
     },
     /// The rules tell so many cases apart that they can't be checked.
-    TooMany {
+    TooManyCases {
         /// How many.
         cases: usize,
     },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Unreachable { rule, behind } => {
-                write!(f, "no request reaches route {:?}: {:?} would take it first", rule.1, behind)
+            TableError::Unreachable { rule, shadowed_by } => {
+                write!(f, "no request reaches route {:?}: {:?} would take it first", rule.1, shadowed_by)
             }
-            Fault::Overlap { first, second, example } => write!(
+            TableError::Overlap { first, second, example } => write!(
                 f,
                 "routes {:?} and {:?} both match {example} and neither is a special case of the other; give one a priority",
                 first.1, second.1
             ),
-            Fault::TooMany { cases } => {
-                write!(f, "the routes tell {cases} cases apart; {CASES_MOST} at most can be checked")
+            TableError::TooManyCases { cases } => {
+                write!(f, "the routes tell {cases} cases apart; {MAX_CASES} at most can be checked")
             }
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for TableError {}
 
 impl Conditions {
     fn matches(&self, request: &Attributes<'_>) -> bool {
@@ -152,7 +152,7 @@
 
 impl Table {
     /// Checks the rules. Those without a default leave some requests without a pool, if their conditions do.
-    pub fn new(rules: Vec<Rule>, default: Option<usize>) -> Result<Table, Vec<Fault>> {
+    pub fn new(rules: Vec<Rule>, default: Option<usize>) -> Result<Table, Vec<TableError>> {
         let mut placed: Vec<(usize, Rule)> = rules.into_iter().enumerate().collect();
         placed.sort_by_key(|(_, rule)| std::cmp::Reverse(rule.priority));
         let faults = faults_of(&placed);
@@ -217,16 +217,16 @@
     all
 }
 
-fn faults_of(rules: &[(usize, Rule)]) -> Vec<Fault> {
+fn faults_of(rules: &[(usize, Rule)]) -> Vec<TableError> {
     let axes = axes(rules);
     let cases = axes.iter().fold(1_usize, |n, axis| n.saturating_mul(axis.values.len()));
-    if cases.saturating_mul(rules.len()) > CASES_MOST {
-        return vec![Fault::TooMany { cases: cases.saturating_mul(rules.len()) }];
+    if cases.saturating_mul(rules.len()) > MAX_CASES {
+        return vec![TableError::TooManyCases { cases: cases.saturating_mul(rules.len()) }];
     }
     let count = rules.len();
     let mut wins = vec![0_usize; count];
     // Who won a case that the rule matched too; and of two rules whether some case is in both, and some in one alone.
-    let mut behind = vec![Vec::new(); count];
+    let mut shadowed_by = vec![Vec::new(); count];
     let mut shared: BTreeMap<(usize, usize), String> = BTreeMap::new();
     let mut alone = vec![vec![false; count]; count];
     let mut choice = vec![0_usize; axes.len()];
@@ -235,9 +235,9 @@
         if let Some(&winner) = matched.first() {
             wins[winner] += 1;
             for &other in &matched[1..] {
-                behind[other].push(winner);
-                behind[other].sort_unstable();
-                behind[other].dedup();
+                shadowed_by[other].push(winner);
+                shadowed_by[other].sort_unstable();
+                shadowed_by[other].dedup();
             }
         }
         for (n, &a) in matched.iter().enumerate() {
@@ -255,9 +255,9 @@
         }
     }
     let named = |at: usize| (rules[at].0, rules[at].1.name.clone());
-    let unreachable = (0..count).filter(|&at| wins[at] == 0).map(|at| Fault::Unreachable {
+    let unreachable = (0..count).filter(|&at| wins[at] == 0).map(|at| TableError::Unreachable {
         rule: named(at),
-        behind: behind[at].iter().map(|&other: &usize| rules[other].1.name.clone()).collect(),
+        shadowed_by: shadowed_by[at].iter().map(|&other: &usize| rules[other].1.name.clone()).collect(),
     });
     let overlaps = shared.iter().filter(|((a, b), _)| {
         let (first, second) = (&rules[*a].1, &rules[*b].1);
@@ -267,7 +267,7 @@
             && alone[*b][*a]
             && wins[*b] > 0
     });
-    let overlaps = overlaps.map(|((a, b), example)| Fault::Overlap {
+    let overlaps = overlaps.map(|((a, b), example)| TableError::Overlap {
         first: named(*a),
         second: named(*b),
         example: example.clone(),
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -52,11 +52,11 @@
     }
 }
 
-/// Also behind several rules that only together take everything, and behind a wider one of higher priority.
+/// Also where several rules only together take everything, and where a wider one of higher priority does.
 #[test]
 fn a_rule_that_nothing_reaches_is_found() {
     let unreachable = |rules: Vec<Rule>| match &Table::new(rules, None).unwrap_err()[..] {
-        [Fault::Unreachable { rule, behind }] => (rule.1.clone(), behind.clone()),
+        [TableError::Unreachable { rule, shadowed_by }] => (rule.1.clone(), shadowed_by.clone()),
         other => panic!("{other:?}"),
     };
     let split = vec![
@@ -79,7 +79,7 @@
 fn rules_that_disagree_are_found_unless_one_has_priority_or_they_agree() {
     let rules = vec![rule("reads", 1, classes(&["read"])), rule("court", 2, tenants(&["court"]))];
     match &Table::new(rules.clone(), None).unwrap_err()[..] {
-        [Fault::Overlap { first, second, example }] => {
+        [TableError::Overlap { first, second, example }] => {
             assert_eq!((first.0, second.0), (0, 1));
             assert_eq!(example, "class read, tenant court");
         }
@@ -100,6 +100,6 @@
     let wide = Conditions { classes: many.clone(), tenants: many, ..Conditions::default() };
     assert!(matches!(
         Table::new(vec![rule("wide", 0, wide)], None).unwrap_err()[..],
-        [Fault::TooMany { .. }]
+        [TableError::TooManyCases { .. }]
     ));
 }
