--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -94,7 +94,7 @@
     let id = fastrand::u64(1..);
     let requested_by = std::env::var("USER").unwrap_or_else(|_| OPERATOR.into());
     let new = Drain { id, requested_by, reason };
-    client.change("", |view| drain::enter(view, server, new.clone(), over_budget)).await??;
+    client.change("", |view| drain::start(view, server, new.clone(), over_budget)).await??;
     Ok(id)
 }
 
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -127,7 +127,7 @@
         let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
         let mut reported = String::new();
         loop {
-            let take = |view: &View| permits::take_agent(view, key, agent, taker, &hold.why);
+            let take = |view: &View| permits::acquire_for_agent(view, key, agent, taker, &hold.why);
             let denial = match self.client.change("", take).await? {
                 Ok(()) => return Ok(()),
                 Err(denial) => denial,
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// [`DrainDenial`], if the drain is not entered.
-pub fn enter(view: &View, server: &str, drain: Drain, over_budget: bool) -> Result<Txn, DrainDenial> {
+pub fn start(view: &View, server: &str, drain: Drain, over_budget: bool) -> Result<Txn, DrainDenial> {
     let drains = records::drains(view)?;
     if let Some(drain) = drains.get(server) {
         return Err(DrainDenial::AlreadyDraining { server: server.into(), drain: drain.clone() });
--- a/crates/disruption/src/permits.rs
+++ b/crates/disruption/src/permits.rs
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// [`BudgetDenial`], if no permit is granted.
-pub fn take_agent(
+pub fn acquire_for_agent(
     view: &View,
     key: &str,
     agent: &str,
--- a/crates/disruption/tests/disruption.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -66,8 +66,8 @@
     let agents = ["n1", "n2", "n3", "n4"].map(|name| coordination.join(name, "east"));
     coordination.join("hold:n1:7", "");
     coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
-    coordination.commit(drain::enter(&coordination.view(), "s1", drain(7), false).expect("allowed"));
-    assert!(denied(drain::enter(&coordination.view(), "s1", drain(8), false)).contains("for op: disk"));
+    coordination.commit(drain::start(&coordination.view(), "s1", drain(7), false).expect("allowed"));
+    assert!(denied(drain::start(&coordination.view(), "s1", drain(8), false)).contains("for op: disk"));
     let mut observers = [(); 4].map(|()| DrainObserver::default());
     for (at, observer) in observers.iter_mut().enumerate().take(2) {
         observer.on_response(Some(&Response::Read(coordination.view()))).expect("readable");
@@ -122,7 +122,7 @@
     coordination.commit(drain::end(&coordination.view(), "s1").expect("it drains"));
     assert_eq!(drain::barrier(&coordination.view(), "s1"), Ok(None));
     assert!(drain::end(&coordination.view(), "s1").is_err());
-    coordination.commit(drain::enter(&coordination.view(), "s1", drain(9), false).expect("allowed"));
+    coordination.commit(drain::start(&coordination.view(), "s1", drain(9), false).expect("allowed"));
     assert_eq!(barrier(&coordination).waiting_for, ["n1", "n2"]);
 }
 
@@ -141,7 +141,7 @@
         Unavailable::count(&coordination.view()).expect("counted").allow(UnitKind::Servers, "s9"),
         Err(BudgetDenial::UnknownUnit(_))
     ));
-    coordination.commit(drain::enter(&coordination.view(), "s0", drain(1), false).expect("allowed"));
+    coordination.commit(drain::start(&coordination.view(), "s0", drain(1), false).expect("allowed"));
     assert_eq!(
         servers(&coordination),
         [true, false, false, true, true, true],
@@ -154,7 +154,7 @@
     assert_eq!(servers(&coordination), [true, false, false, true, true, true]);
     observe(&mut coordination, "n2", n2, [("s3", 1.0)]);
     assert_eq!(servers(&coordination), [true, false, false, true, false, false]);
-    let said = denied(drain::enter(&coordination.view(), "s4", drain(2), false));
+    let said = denied(drain::start(&coordination.view(), "s4", drain(2), false));
     assert_eq!(said, "servers of site west: 1 may be out, and 1 are already: s3 (can't be reached)");
     // It is back and warming up: the capacity that it is missing counts.
     observe(&mut coordination, "n1", n1, [("s3", 0.2)]);
@@ -163,10 +163,10 @@
         observed::missing_capacity(&coordination.view()).expect("readable"),
         BTreeMap::from([("s3".to_string(), 0.25)])
     );
-    let said = denied(drain::enter(&coordination.view(), "s4", drain(2), false));
+    let said = denied(drain::start(&coordination.view(), "s4", drain(2), false));
     assert_eq!(said, "servers of site west: 1 may be out, and 0.25 are already: s3 (cold)");
     // An operator may override the budgets; an overdrawn budget allows nothing more.
-    coordination.commit(drain::enter(&coordination.view(), "s4", drain(2), true).expect("a person's word"));
+    coordination.commit(drain::start(&coordination.view(), "s4", drain(2), true).expect("a person's word"));
     let overdrawn = Unavailable::count(&coordination.view()).expect("counted");
     let Err(BudgetDenial::LimitReached { unavailable, limit, .. }) = overdrawn.allow(UnitKind::Servers, "s1")
     else {
@@ -220,7 +220,7 @@
             });
         }),
         ("another server is drained", |coordination, _| {
-            coordination.commit(drain::enter(&coordination.view(), "s2", drain(5), false).expect("allowed"));
+            coordination.commit(drain::start(&coordination.view(), "s2", drain(5), false).expect("allowed"));
         }),
         ("a server is found down", |coordination, n1| {
             observe(coordination, "n1", n1, [("s2", 1.0)]);
@@ -235,7 +235,7 @@
         let mut coordination = Coordination::new();
         let n1 = coordination.join("n1", "east");
         coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
-        let txn = drain::enter(&coordination.view(), "s1", drain(1), false).expect("allowed");
+        let txn = drain::start(&coordination.view(), "s1", drain(1), false).expect("allowed");
         let mut still = coordination.clone();
         still.commit(txn.clone());
         happens(&mut coordination, n1);
@@ -287,6 +287,6 @@
     assert_eq!(error.to_string(), text);
     let source = error.source().expect("the fault").to_string();
     assert_eq!(source, "missing field `number` at line 1 column 2");
-    let denial = drain::enter(&coordination.view(), "s2", drain(1), false).expect_err("unreadable");
+    let denial = drain::start(&coordination.view(), "s2", drain(1), false).expect_err("unreadable");
     assert_eq!(denial, DrainDenial::Record(error));
 }
--- a/crates/disruption/tests/golden.rs
+++ b/crates/disruption/tests/golden.rs
@@ -159,14 +159,15 @@
     let mut recorder = Recorder { coordination, transactions: Vec::new() };
     let key = permit::agent_budget_key("east");
     recorder.write(|view| permit::set_limit(view, &key, 1).expect("stated"));
-    let take =
-        |view: &View| permits::take_agent(view, &key, "n1", ("tool:r1", tool), "roll").expect("allowed");
+    let take = |view: &View| {
+        permits::acquire_for_agent(view, &key, "n1", ("tool:r1", tool), "roll").expect("allowed")
+    };
     recorder.transactions.push(take(&recorder.coordination.view()));
     recorder.write(|view| rules().to_transaction(view).expect("stated"));
     recorder.write(|view| rules().to_transaction(view).expect("stated again"));
     recorder.write(take);
-    recorder.write(|view| drain::enter(view, "s1", drain(), false).expect("allowed"));
-    recorder.write(|view| drain::enter(view, "s2", Drain { id: 45, ..drain() }, true).expect("forced"));
+    recorder.write(|view| drain::start(view, "s1", drain(), false).expect("allowed"));
+    recorder.write(|view| drain::start(view, "s2", Drain { id: 45, ..drain() }, true).expect("forced"));
     let mut observer = DrainObserver::default();
     observer.on_response(Some(&Response::Read(recorder.coordination.view()))).expect("read");
     let acknowledgement =
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -223,7 +223,7 @@
                 };
                 if own.is_none() && !healed {
                     let new = Drain { id: number, requested_by: name.clone(), reason: "disk".into() };
-                    match drain::enter(view, &server, new, self.plan.planted == Planted::Alone) {
+                    match drain::start(view, &server, new, self.plan.planted == Planted::Alone) {
                         Ok(entering) => {
                             txn = Some(entering);
                             doing = Draining::Entering;
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -110,7 +110,7 @@
         let counted = self.plan.servers > 0 && !alone;
         let permits = if alone { u32::MAX } else { self.plan.permits };
         let take = || match counted {
-            true => permits::take_agent(view, &key, &about, taker, "kernel"),
+            true => permits::acquire_for_agent(view, &key, &about, taker, "kernel"),
             false => Ok(permit::acquire(view, &key, &about, taker, "kernel")?),
         };
         let txn = match (&doing, mine) {
