--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -187,7 +187,7 @@
         Err(e) => return fail(&format!("cannot read {}: {e}", path.display()), UNREAD),
     };
     let variable = |name: &str| std::env::var(name).ok();
-    let config = match heronhoist_config::parse_council(&text, &variable) {
+    let config = match heronhoist_config::parse_coordinator_config(&text, &variable) {
         Ok(config) => config,
         Err(faults) => return fail(&Unusable::Faults(path.into(), faults).to_string(), 1),
     };
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -123,7 +123,7 @@
     /// The platform's, as it was read.
     Platform(Value),
     /// This project's own.
-    Own(Box<heronhoist_config::File>),
+    Own(Box<heronhoist_config::AgentConfig>),
 }
 
 /// Why there is no configuration.
@@ -241,7 +241,7 @@
     let member = |server: &heronhoist_config::Server| EndpointInfo {
         zone: server.zone.clone(),
         cell: server.cell,
-        dialect: if server.is_old { OLD } else { NEW },
+        dialect: if server.is_legacy { OLD } else { NEW },
         weight: Some(server.weight),
         state: match server.state {
             ServerState::Serving => EndpointState::Serving,
@@ -265,13 +265,13 @@
             }
             heronhoist_config::Membership::Platform(address) => PoolEndpoints::Discovery(address),
         },
-        legacy_machine_types: pool.old_kinds.clone(),
+        legacy_machine_types: pool.legacy_machine_types.clone(),
     }
 }
 
 /// `path` is the file's own; directories that it names are beside it.
-fn own_plan(path: &Path, file: &heronhoist_config::File) -> Result<ServingPlan, Unusable> {
-    let mappings = match &file.mappings {
+fn own_plan(path: &Path, file: &heronhoist_config::AgentConfig) -> Result<ServingPlan, Unusable> {
+    let mappings = match &file.mappings_directory {
         Some(directory) => mappings(&path.parent().unwrap_or(Path::new("")).join(directory), file)?,
         None => Mappings::default(),
     };
@@ -285,7 +285,7 @@
 }
 
 /// The mapping files of a directory, which have to fit the classes.
-fn mappings(directory: &Path, file: &heronhoist_config::File) -> Result<Mappings, Unusable> {
+fn mappings(directory: &Path, file: &heronhoist_config::AgentConfig) -> Result<Mappings, Unusable> {
     let read = translate::read_all(directory).map_err(|fault| match fault {
         translate::Fault::Unread(why) => Unusable::Unread(why),
         translate::Fault::Faulty(lines) => {
@@ -310,11 +310,14 @@
 }
 
 /// What this project's own file says that a process can't change while it runs, and whether the other says the same.
-fn fixed_fault(old: &heronhoist_config::File, new: &heronhoist_config::File) -> Option<&'static str> {
+fn fixed_fault(
+    old: &heronhoist_config::AgentConfig,
+    new: &heronhoist_config::AgentConfig,
+) -> Option<&'static str> {
     let parts = [
         ("front", old.fronts == new.fronts),
-        ("ops.listen", old.ops == new.ops),
-        ("limits", (old.sockets, old.memory_mb) == (new.sockets, new.memory_mb)),
+        ("ops.listen", old.ops_address == new.ops_address),
+        ("limits", (old.max_descriptors, old.max_memory_mb) == (new.max_descriptors, new.max_memory_mb)),
         ("fleet", old.fleet == new.fleet),
         ("log", (old.log_format, &old.log_level) == (new.log_format, &new.log_level)),
     ];
@@ -358,10 +361,10 @@
         };
         Ok(Config {
             fronts: file.fronts.iter().map(front).collect(),
-            ops: file.ops,
+            ops: file.ops_address,
             fleet: file.fleet.clone(),
             seed: std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), std::process::id()),
-            limits: Limits { sockets: Some(file.sockets), memory_mb: Some(file.memory_mb) },
+            limits: Limits { sockets: Some(file.max_descriptors), memory_mb: Some(file.max_memory_mb) },
             known: None,
             plan: own_plan(path, &file)?,
             log: log::Wanted { format, levels: file.log_level.clone(), per_second: log::PER_SECOND },
@@ -396,7 +399,7 @@
         Ok(Config { path: path.into(), log, ..config })
     }
 
-    fn own(path: &Path) -> Result<heronhoist_config::File, Unusable> {
+    fn own(path: &Path) -> Result<heronhoist_config::AgentConfig, Unusable> {
         let text = String::from_utf8(read_file(path)?)
             .map_err(|e| Unusable::Faulty(format!("{}: not UTF-8: {e}", path.display())))?;
         heronhoist_config::parse(&text, &variable).map_err(|faults| Unusable::Faults(path.into(), faults))
@@ -411,7 +414,7 @@
     pub fn entries(&self) -> Vec<(String, String, String)> {
         match &self.origin {
             Origin::Own(file) => file
-                .entries
+                .effective_values
                 .iter()
                 .map(|entry| (entry.key.clone(), entry.value.clone(), entry.source.to_string()))
                 .collect(),
--- a/crates/agent/src/fleet/budgets.rs
+++ b/crates/agent/src/fleet/budgets.rs
@@ -1,7 +1,7 @@
 //! `heronhoist fleet budgets`: the rules of the disruption budgets from a file, and what is unavailable against them.
 
 use super::client::{Client, ClientError, Where, OPERATOR};
-use heronhoist_config::reader::{one_of, tables, text, whole, Absent, Reader, Section};
+use heronhoist_config::reader::{integer, one_of, parse_toml, text, Absent, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_disruption::denial::BudgetDenial;
 use heronhoist_disruption::records::{RecordError, RULES_KEY};
@@ -89,7 +89,7 @@
 
 /// A number, or a share in percent.
 fn limit(value: &DeValue<'_>) -> Option<Limit> {
-    if let Some(number) = whole(value) {
+    if let Some(number) = integer(value) {
         return u32::try_from(number).ok().map(Limit::Number);
     }
     let share: f64 = text(value)?.strip_suffix('%')?.trim().parse().ok()?;
@@ -98,7 +98,7 @@
 
 /// Reads the text of the file. Every fault is reported with its place.
 fn parse(content: &str) -> Result<Rules, Vec<Fault>> {
-    let table = tables(content)?;
+    let table = parse_toml(content)?;
     let (mut reader, mut root) = Reader::new(content, &table, &|_| None);
     let mut rules = Rules::default();
     let mut rule_sections: Vec<Section<'_>> = Vec::new();
@@ -147,7 +147,7 @@
         ["site", "kind", "cell"].map(&mut placement).map(Option::unwrap_or_default);
     if let Some(name) = name {
         if rules.servers.contains_key(&name) {
-            reader.fault(&section, "name", "found a second time; wanted a name of its own".into());
+            reader.add_fault(&section, "name", "found a second time; wanted a name of its own".into());
         }
         rules.servers.insert(name, Server { site, machine_type, cell });
     }
@@ -159,7 +159,7 @@
     for fault in rules.validate() {
         let (rule, key) = place_of(&fault);
         if let Some(section) = sections.get(rule) {
-            reader.fault(section, key, fault.to_string());
+            reader.add_fault(section, key, fault.to_string());
         }
     }
 }
--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -105,14 +105,14 @@
         .map_err(|source| ClientError::UnreadableFile { path: path.into(), source })?;
     let variable = |name: &str| std::env::var(name).ok();
     let faulty = |faults| ClientError::FaultyFile { path: path.into(), faults };
-    if heronhoist_config::is_council(&text) {
-        let file = heronhoist_config::parse_council(&text, &variable).map_err(faulty)?;
+    if heronhoist_config::is_coordinator_config(&text) {
+        let file = heronhoist_config::parse_coordinator_config(&text, &variable).map_err(faulty)?;
         let addresses = file.peers.into_iter().map(|(_, address)| address).collect();
         return Ok(Target { fleet: file.fleet, addresses });
     }
     let file = heronhoist_config::parse(&text, &variable).map_err(faulty)?;
     let fleet = file.fleet.ok_or_else(|| ClientError::NoFleet(path.into()))?;
-    Ok(Target { fleet: fleet.name, addresses: fleet.council })
+    Ok(Target { fleet: fleet.name, addresses: fleet.coordinators })
 }
 
 /// A client of the coordination service, which retries a request until a response settles it.
--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -95,14 +95,14 @@
     fn node_settings(&self, tick_interval: Time) -> NodeSettings {
         NodeSettings {
             lease_terms: LeaseTerms {
-                duration: self.config.lease.as_micros() as Time,
-                max_clock_drift: self.config.drift,
+                duration: self.config.lease_duration.as_micros() as Time,
+                max_clock_drift: self.config.max_clock_drift,
             },
             tick_interval,
             election_ticks: ELECTION_TICKS,
             limits: Limits {
-                log_entries: self.config.log_entries,
-                changes: self.config.changes,
+                log_entries: self.config.max_log_entries,
+                changes: self.config.max_changes,
                 ..Limits::default()
             },
             ..NodeSettings::default()
--- a/crates/agent/src/fleet/coordinator/mod.rs
+++ b/crates/agent/src/fleet/coordinator/mod.rs
@@ -4,7 +4,7 @@
 use super::store::Store;
 use crate::ops;
 use error::CoordinatorError;
-use heronhoist_config::Council;
+use heronhoist_config::CoordinatorConfig;
 use heronhoist_coordination::bootstrap::Identity;
 use heronhoist_coordination::log::DiskError;
 use heronhoist_coordination::node::NodeError;
@@ -39,7 +39,7 @@
 
 /// The state of the process.
 struct Coordinator {
-    config: Council,
+    config: CoordinatorConfig,
     identity: RefCell<Identity>,
     /// None until the process takes part in a cluster, and while its store fails.
     service: RefCell<Option<Service>>,
@@ -79,8 +79,8 @@
 ///
 /// # Errors
 /// [`CoordinatorError`], if the process can't start or must not go on.
-pub fn run(config: Council, folder: &Path, restore: Option<&Path>) -> Result<(), CoordinatorError> {
-    let disk = folder.join(&config.disk);
+pub fn run(config: CoordinatorConfig, folder: &Path, restore: Option<&Path>) -> Result<(), CoordinatorError> {
+    let disk = folder.join(&config.store_path);
     let process = async move {
         let store = open_store(!disk.exists(), || Store::open(&disk)).await?;
         if store.was_repaired {
@@ -96,7 +96,7 @@
 /// # Errors
 /// [`CoordinatorError`], if the process can't start or must not go on.
 async fn serve(
-    config: Council,
+    config: CoordinatorConfig,
     restore: Option<&Path>,
     store: Store,
     reopen_store: ReopenStore,
@@ -109,7 +109,7 @@
     let coordinator = Rc::new(Coordinator::new(config, identity, store, reopen_store));
     coordinator.serve_operators().await?;
     let address = listener.local_addr().map_err(CoordinatorError::LocalAddress)?;
-    let Council { name, fleet, .. } = &coordinator.config;
+    let CoordinatorConfig { name, fleet, .. } = &coordinator.config;
     tracing::info!(target: LOG_TARGET, %name, %fleet, "council process listens on {address}");
     spawn_local(serve_connections(Rc::clone(&coordinator), listener));
     spawn_local(Rc::clone(&coordinator).run());
@@ -123,7 +123,12 @@
 }
 
 impl Coordinator {
-    fn new(config: Council, identity: Identity, store: Store, reopen_store: ReopenStore) -> Coordinator {
+    fn new(
+        config: CoordinatorConfig,
+        identity: Identity,
+        store: Store,
+        reopen_store: ReopenStore,
+    ) -> Coordinator {
         Coordinator {
             config,
             identity: RefCell::new(identity),
@@ -145,7 +150,7 @@
 
     /// Serves the operators' address, if the configuration has one.
     async fn serve_operators(self: &Rc<Self>) -> Result<(), CoordinatorError> {
-        let Some(address) = self.config.ops else { return Ok(()) };
+        let Some(address) = self.config.ops_address else { return Ok(()) };
         let listener = TcpListener::bind(address)
             .await
             .map_err(|source| CoordinatorError::ListenForOperators { address, source })?;
--- a/crates/agent/src/fleet/coordinator/recovery.rs
+++ b/crates/agent/src/fleet/coordinator/recovery.rs
@@ -19,7 +19,7 @@
 impl Coordinator {
     /// Takes part in the cluster, and after each failure of the store again once it works, until a fatal error.
     pub(super) async fn run(self: Rc<Self>) {
-        let election_timeout = self.config.election.as_micros() as Time;
+        let election_timeout = self.config.election_timeout.as_micros() as Time;
         let tick_interval = (election_timeout / ELECTION_TICKS as Time).max(MIN_TICK_INTERVAL);
         spawn_local(Rc::clone(&self).run_clock(tick_interval));
         let mut backoff = Backoff::default();
--- a/crates/agent/src/fleet/coordinator/startup.rs
+++ b/crates/agent/src/fleet/coordinator/startup.rs
@@ -3,7 +3,7 @@
 use super::error::CoordinatorError;
 use super::{random_id, LOG_TARGET};
 use crate::fleet::store::Store;
-use heronhoist_config::Council;
+use heronhoist_config::CoordinatorConfig;
 use heronhoist_coordination::backoff::Backoff;
 use heronhoist_coordination::bootstrap::{restored_state, ClusterInfo, Identity};
 use heronhoist_coordination::log::DiskError;
@@ -53,19 +53,19 @@
 /// [`CoordinatorError`], if the store fails, belongs to another process, or the copy can't be restored to it.
 pub(super) fn load_identity(
     store: &Store,
-    config: &Council,
+    config: &CoordinatorConfig,
     restore: Option<&Path>,
 ) -> Result<Identity, CoordinatorError> {
     let stored = store.identity()?;
     if let Some(copy) = restore {
         return match stored {
-            Some(_) => Err(CoordinatorError::DiskInUse { disk: config.disk.clone() }),
+            Some(_) => Err(CoordinatorError::DiskInUse { disk: config.store_path.clone() }),
             None => restore_copy(store, config, copy),
         };
     }
     match stored {
         Some(identity) if identity.name != config.name => Err(CoordinatorError::OtherProcessDisk {
-            disk: config.disk.clone(),
+            disk: config.store_path.clone(),
             owner: identity.name,
             name: config.name.clone(),
         }),
@@ -79,7 +79,11 @@
 }
 
 /// Begins a new cluster, of this process alone, with the state of a copy.
-fn restore_copy(store: &Store, config: &Council, copy: &Path) -> Result<Identity, CoordinatorError> {
+fn restore_copy(
+    store: &Store,
+    config: &CoordinatorConfig,
+    copy: &Path,
+) -> Result<Identity, CoordinatorError> {
     let path = copy.to_path_buf();
     let text = std::fs::read(copy).map_err(|source| CoordinatorError::ReadCopy { path, source })?;
     let path = copy.to_path_buf();
--- a/crates/agent/src/fleet/coordinator/tests.rs
+++ b/crates/agent/src/fleet/coordinator/tests.rs
@@ -59,18 +59,18 @@
     listener.local_addr().expect("an address")
 }
 
-fn config(listen: SocketAddr, ops: Option<SocketAddr>) -> Council {
-    Council {
+fn config(listen: SocketAddr, ops: Option<SocketAddr>) -> CoordinatorConfig {
+    CoordinatorConfig {
         fleet: "gulf".into(),
         name: "c1".into(),
         listen,
-        disk: "medium".into(),
-        ops,
-        lease: Duration::from_secs(3),
-        drift: 0.01,
-        election: Duration::from_millis(100),
-        log_entries: 16,
-        changes: 64,
+        store_path: "medium".into(),
+        ops_address: ops,
+        lease_duration: Duration::from_secs(3),
+        max_clock_drift: 0.01,
+        election_timeout: Duration::from_millis(100),
+        max_log_entries: 16,
+        max_changes: 64,
         peers: vec![("c1".into(), listen)],
     }
 }
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -38,9 +38,9 @@
     ClusterInfo { cluster_id: ClusterId(77), peers }
 }
 
-fn two_processes(listen: SocketAddr, other: SocketAddr) -> Council {
+fn two_processes(listen: SocketAddr, other: SocketAddr) -> CoordinatorConfig {
     let peers = vec![("c1".into(), ADVERTISED.parse().expect("an address")), ("c2".into(), other)];
-    Council { peers, ..config(listen, None) }
+    CoordinatorConfig { peers, ..config(listen, None) }
 }
 
 /// A disk of the first process, which takes part in a council already or in none.
--- a/crates/agent/src/fleet/member/drains.rs
+++ b/crates/agent/src/fleet/member/drains.rs
@@ -93,7 +93,7 @@
         observer: &RefCell<DrainObserver>,
         drained: &watch::Sender<BTreeSet<String>>,
     ) {
-        let mut client = CoordinationClient::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.coordinators);
         loop {
             let envelope = self.envelope();
             let request = observer.borrow().next_request();
@@ -134,7 +134,7 @@
 
     /// Writes which drains this agent acknowledges, and what it observes of servers, whenever that has changed.
     async fn write_records(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
-        let mut client = CoordinationClient::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.coordinators);
         let mut session = CommandSession::default();
         let mut observations = Observations { last_written: None, due_at: Instant::now() };
         loop {
--- a/crates/agent/src/fleet/member/lease.rs
+++ b/crates/agent/src/fleet/member/lease.rs
@@ -27,7 +27,7 @@
 impl Member {
     /// Joins, and renews the lease, for as long as the agent lives.
     pub(super) async fn maintain_lease(self: Rc<Self>, is_ready: Rc<impl Fn() -> bool>) {
-        let mut client = CoordinationClient::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.coordinators);
         let mut logged: Option<LeaseStatus> = None;
         loop {
             let now = self.now();
--- a/crates/agent/src/fleet/member/mod.rs
+++ b/crates/agent/src/fleet/member/mod.rs
@@ -124,9 +124,9 @@
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
         let envelope = self.envelope();
         let Some(request) = self.lease_holder.borrow_mut().leave() else { return };
-        let mut client = CoordinationClient::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.coordinators);
         let attempts = async {
-            for _ in 0..LEAVE_ROUNDS * self.fleet.council.len() {
+            for _ in 0..LEAVE_ROUNDS * self.fleet.coordinators.len() {
                 if client.call(&envelope, &request, CALL_TIMEOUT).await.is_ok() {
                     return;
                 }
--- a/crates/agent/src/fleet/member/permits.rs
+++ b/crates/agent/src/fleet/member/permits.rs
@@ -20,7 +20,7 @@
 impl Member {
     /// Gives a permit for this agent back as soon as that is allowed, for as long as the agent lives.
     pub(super) async fn return_permits(self: Rc<Self>, is_ready: Rc<impl Fn() -> bool>) {
-        let mut client = CoordinationClient::new(&self.fleet.council);
+        let mut client = CoordinationClient::new(&self.fleet.coordinators);
         let budget_key = permit::agent_budget_key(&self.fleet.site);
         let pause_of_check = Duration::from_micros(CHECK_INTERVAL);
         loop {
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -23,17 +23,17 @@
 
 /// A configuration without a fault.
 #[derive(Debug, Clone)]
-pub struct File {
+pub struct AgentConfig {
     /// How log lines look.
     pub log_format: LogFormat,
     /// What is logged: a level, or levels for targets, as `info,heronhoist::attempt=debug`.
     pub log_level: String,
     /// Where operators call, if anywhere.
-    pub ops: Option<SocketAddr>,
+    pub ops_address: Option<SocketAddr>,
     /// Descriptors that the processes of the agent may hold together.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Megabytes of memory that they may use together.
-    pub memory_mb: f64,
+    pub max_memory_mb: f64,
     /// The names of the classes, in the order of each pool's [`Settings::classes`].
     pub classes: Vec<String>,
     /// The names of the tenants, in the order of each pool's [`Settings::tenants`].
@@ -43,13 +43,13 @@
     /// Where clients come; at least one.
     pub fronts: Vec<Front>,
     /// The directory of the mapping files, as the file names it; there is one if a front is [`Protocol::Legacy`].
-    pub mappings: Option<String>,
+    pub mappings_directory: Option<String>,
     /// Which pool a request goes to, by its place in `pools`.
     pub routes: Table,
     /// How the agent takes part in a fleet, if it does.
     pub fleet: Option<Fleet>,
     /// All values in force, and who said so.
-    pub entries: Vec<Entry>,
+    pub effective_values: Vec<EffectiveValue>,
 }
 
 /// Where clients come.
@@ -100,7 +100,7 @@
     /// A server closes a connection that has stood idle this long.
     pub keepalive: Duration,
     /// The kinds of machine that speak the old dialect, where discovery tells the kinds.
-    pub old_kinds: Vec<String>,
+    pub legacy_machine_types: Vec<String>,
 }
 
 /// Who says which servers a pool has.
@@ -128,7 +128,7 @@
     /// Its size among the others.
     pub weight: f64,
     /// It speaks the old dialect of the mapping files.
-    pub is_old: bool,
+    pub is_legacy: bool,
 }
 
 /// What a static server does.
@@ -145,14 +145,16 @@
 const MS: &str = "milliseconds above 0";
 
 /// Reads a file, with `environment` to look up what its addresses name.
-pub fn parse(text: &str, environment: Environment<'_>) -> Result<File, Vec<Fault>> {
-    let table = tables(text)?;
+pub fn parse(text: &str, environment: Environment<'_>) -> Result<AgentConfig, Vec<Fault>> {
+    let table = parse_toml(text)?;
     let (mut reader, root) = Reader::new(text, &table, environment);
     let file = read(&mut reader, root);
     let mut faults = std::mem::take(&mut reader.faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
     match file {
-        Some(file) if faults.is_empty() => Ok(File { entries: reader.entries, ..file }),
+        Some(file) if faults.is_empty() => {
+            Ok(AgentConfig { effective_values: reader.effective_values, ..file })
+        }
         _ => Err(faults),
     }
 }
@@ -170,7 +172,7 @@
 }
 
 fn count(least: i64) -> impl Fn(&DeValue<'_>) -> Option<u32> {
-    move |value| whole(value).filter(|n| *n >= least).and_then(|n| u32::try_from(n).ok())
+    move |value| integer(value).filter(|n| *n >= least).and_then(|n| u32::try_from(n).ok())
 }
 
 /// For a key that must or may not be there.
@@ -188,7 +190,7 @@
     }
 }
 
-fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<File> {
+fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<AgentConfig> {
     let mut log = reader.section(&mut root, "log");
     let formats = &[("text", LogFormat::Text), ("json", LogFormat::Json)];
     let log_format = reader.get(
@@ -205,14 +207,14 @@
     reader.end(log);
 
     let mut ops = reader.section(&mut root, "ops");
-    let needs = needed(ops.is_there());
-    let operators = reader.expanded(&mut ops, "listen", needs, ADDRESS, address);
+    let needs = needed(ops.is_present());
+    let ops_address = reader.get_expanded(&mut ops, "listen", needs, ADDRESS, address);
     reader.end(ops);
 
     let mut limits = reader.section(&mut root, "limits");
-    let sockets =
+    let max_descriptors =
         reader.get(&mut limits, "sockets", Absent::Default(1024), "64 descriptors or more", count(64));
-    let memory_mb =
+    let max_memory_mb =
         reader.get(&mut limits, "memory_mb", Absent::Default(64.0), "16 megabytes or more", |v| {
             number(v).filter(|n| (16.0..=1e9).contains(n))
         });
@@ -222,27 +224,27 @@
     let tenants = tenants(reader, &mut root);
     let pools = pools(reader, &mut root, &classes, &tenants);
     let mut translate = reader.section(&mut root, "translate");
-    let absent = needed(translate.is_there());
-    let mappings = reader.get(&mut translate, "mappings", absent, "a directory", text);
+    let absent = needed(translate.is_present());
+    let mappings_directory = reader.get(&mut translate, "mappings", absent, "a directory", text);
     reader.end(translate);
-    let fronts = fronts(reader, &mut root, operators, mappings.is_some());
+    let fronts = fronts(reader, &mut root, ops_address, mappings_directory.is_some());
     let fleet = crate::council::fleet(reader, &mut root);
     let routes = routes(reader, &mut root, &classes, &tenants, &pools, &fronts);
     reader.end(root);
-    Some(File {
+    Some(AgentConfig {
         log_format: log_format?,
         log_level: log_level?,
-        ops: operators,
-        sockets: sockets? as usize,
-        memory_mb: memory_mb?,
+        ops_address,
+        max_descriptors: max_descriptors? as usize,
+        max_memory_mb: max_memory_mb?,
         classes: names_of(&classes),
         tenants: names_of(&tenants),
         pools: values_of(&pools),
         fronts: values_of(&fronts),
-        mappings,
+        mappings_directory,
         routes: routes?,
         fleet,
-        entries: Vec::new(),
+        effective_values: Vec::new(),
     })
 }
 
@@ -270,7 +272,7 @@
 fn name<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>, taken: &mut Vec<String>) -> Option<String> {
     let name: String = reader.get(section, "name", Absent::Fault, NAME, text)?;
     if taken.contains(&name) {
-        reader.fault(section, "name", format!("found {name:?} a second time; wanted a name of its own"));
+        reader.add_fault(section, "name", format!("found {name:?} a second time; wanted a name of its own"));
         return None;
     }
     taken.push(name.clone());
@@ -281,7 +283,7 @@
     let (mut taken, mut classes) = (Vec::new(), Vec::new());
     let sections = reader.sections(root, "class");
     if sections.is_empty() {
-        reader.fault(root, "class", "found none; wanted one [[class]] at least".into());
+        reader.add_fault(root, "class", "found none; wanted one [[class]] at least".into());
     }
     for mut section in sections {
         let name = name(reader, &mut section, &mut taken);
@@ -320,7 +322,7 @@
         });
     if let (Some(aim), Some(deadline)) = (aim, deadline) {
         if aim > deadline {
-            reader.fault(
+            reader.add_fault(
                 section,
                 "aim_ms",
                 format!("found {aim}; wanted no more than deadline_ms, {deadline}"),
@@ -376,7 +378,7 @@
     let (mut taken, mut pools) = (Vec::new(), Vec::new());
     let sections = reader.sections(root, "pool");
     if sections.is_empty() {
-        reader.fault(root, "pool", "found none; wanted one [[pool]] at least".into());
+        reader.add_fault(root, "pool", "found none; wanted one [[pool]] at least".into());
     }
     for mut section in sections {
         let name = name(reader, &mut section, &mut taken);
@@ -398,27 +400,28 @@
     let platform =
         reader.get(section, "membership", Absent::Fault, "\"static\" or \"platform\"", one_of(kinds));
     let needs = needed(platform == Some(true));
-    let discovery = reader.expanded(section, "discovery", needs, ADDRESS, address);
+    let discovery = reader.get_expanded(section, "discovery", needs, ADDRESS, address);
     if platform == Some(false) && discovery.is_some() {
-        reader.fault(section, "discovery", "found an address; a static pool asks nobody".into());
+        reader.add_fault(section, "discovery", "found an address; a static pool asks nobody".into());
     }
-    let old_kinds = reader.get(section, "old_kinds", Absent::Default(Vec::new()), "a list of kinds", texts);
-    if platform == Some(false) && old_kinds.as_ref().is_some_and(|kinds| !kinds.is_empty()) {
+    let legacy_machine_types =
+        reader.get(section, "old_kinds", Absent::Default(Vec::new()), "a list of kinds", text_list);
+    if platform == Some(false) && legacy_machine_types.as_ref().is_some_and(|kinds| !kinds.is_empty()) {
         let what = "found kinds; a static pool's servers say dialect = \"old\" themselves".into();
-        reader.fault(section, "old_kinds", what);
+        reader.add_fault(section, "old_kinds", what);
     }
     let pushed = reader.get(section, "discovery_pushed", Absent::Default(false), "true or false", flag);
     let sections = reader.sections(section, "server");
     match (platform, sections.is_empty()) {
         (Some(true), false) => {
-            reader.fault(
+            reader.add_fault(
                 section,
                 "server",
                 "found servers; those of a platform pool come from discovery".into(),
             );
         }
         (Some(false), true) => {
-            reader.fault(section, "server", "found none; wanted one [[pool.server]] at least".into());
+            reader.add_fault(section, "server", "found none; wanted one [[pool.server]] at least".into());
         }
         _ => {}
     }
@@ -512,7 +515,7 @@
     match settings.validate() {
         // What is wrong with the classes has been said at their place.
         Ok(()) | Err(SettingsError::NoClasses) => {}
-        Err(fault) => reader.fault(section, "name", fault.to_string()),
+        Err(fault) => reader.add_fault(section, "name", fault.to_string()),
     }
     let membership = if platform? { Membership::Platform(discovery?) } else { Membership::Static };
     let (connect_timeout, keepalive) = (connect_timeout?.into(), keepalive?.into());
@@ -524,12 +527,12 @@
         servers,
         connect_timeout,
         keepalive,
-        old_kinds: old_kinds?,
+        legacy_machine_types: legacy_machine_types?,
     })
 }
 
 fn server<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>) -> Option<Server> {
-    let place = reader.expanded(section, "address", Absent::Fault, ADDRESS, address);
+    let place = reader.get_expanded(section, "address", Absent::Fault, ADDRESS, address);
     let zone = reader.get(section, "zone", Absent::Default(String::new()), "the name of a zone", text);
     let cell = reader.get(section, "cell", Absent::Default(0), "a whole number", count(0));
     let states = &[("serving", ServerState::Serving), ("draining", ServerState::Draining)];
@@ -537,10 +540,10 @@
     let state = reader.get(section, "state", serving, "\"serving\" or \"draining\"", one_of(states));
     let weight = reader.get(section, "weight", Absent::Default(1.0), "a size above 0", positive);
     let dialects = &[("new", false), ("old", true)];
-    let is_old =
+    let is_legacy =
         reader.get(section, "dialect", Absent::Default(false), "\"new\" or \"old\"", one_of(dialects));
-    let (name, address, is_old) = (String::new(), place?, is_old?);
-    Some(Server { is_old, name, address, zone: zone?, cell: cell?, state: state?, weight: weight? })
+    let (name, address, is_legacy) = (String::new(), place?, is_legacy?);
+    Some(Server { is_legacy, name, address, zone: zone?, cell: cell?, state: state?, weight: weight? })
 }
 
 fn fronts<'t>(
@@ -552,7 +555,7 @@
     let (mut taken, mut fronts) = (Vec::new(), Named::<Front>::new());
     let sections = reader.sections(root, "front");
     if sections.is_empty() {
-        reader.fault(root, "front", "found none; wanted one [[front]] at least".into());
+        reader.add_fault(root, "front", "found none; wanted one [[front]] at least".into());
     }
     for mut section in sections {
         let name = name(reader, &mut section, &mut taken);
@@ -561,14 +564,14 @@
             reader.get(&mut section, "protocol", http, "\"http\" or \"legacy\"", one_of(PROTOCOLS));
         if protocol == Some(Protocol::Legacy) && !translates {
             let what = "found \"legacy\"; wanted [translate] with mappings = \"DIR\" beside it".into();
-            reader.fault(&section, "protocol", what);
+            reader.add_fault(&section, "protocol", what);
         }
-        let listen = reader.expanded(&mut section, "listen", Absent::Fault, ADDRESS, address);
+        let listen = reader.get_expanded(&mut section, "listen", Absent::Fault, ADDRESS, address);
         let others = fronts.iter().filter_map(|(_, front)| Some(front.as_ref()?.listen)).chain(operators);
         if let Some(twice) =
             listen.filter(|listen| listen.port() != 0 && others.into_iter().any(|o| o == *listen))
         {
-            reader.fault(
+            reader.add_fault(
                 &section,
                 "listen",
                 format!("found {twice} a second time; wanted an address of its own"),
@@ -579,7 +582,11 @@
         reader.end(section);
     }
     if fronts.len() > FRONTS_MOST {
-        reader.fault(root, "front", format!("found {}; {FRONTS_MOST} at most can be served", fronts.len()));
+        reader.add_fault(
+            root,
+            "front",
+            format!("found {}; {FRONTS_MOST} at most can be served", fronts.len()),
+        );
     }
     fronts
 }
@@ -608,25 +615,25 @@
     let (mut taken, mut rules, mut at) = (Vec::new(), Vec::new(), Vec::new());
     let sections = reader.sections(root, "route");
     if sections.is_empty() && default.is_none() && pools.len() > 1 {
-        reader.fault(root, "default_pool", format!("found nothing and no [[route]]; wanted {wanted}"));
+        reader.add_fault(root, "default_pool", format!("found nothing and no [[route]]; wanted {wanted}"));
     }
     for mut section in sections {
         let name = name(reader, &mut section, &mut taken);
-        let priority = reader.get(&mut section, "priority", Absent::Default(0), "a whole number", whole);
+        let priority = reader.get(&mut section, "priority", Absent::Default(0), "a whole number", integer);
         let mut list = |section: &mut Section<'t>, key, known: &[String], what: &str| {
             let wanted = format!("{what}, one or a list, of {}", known.join(", "));
             reader.get(section, key, Absent::Nothing, &wanted, |v| {
-                texts(v).filter(|list| known.is_empty() || list.iter().all(|item| known.contains(item)))
+                text_list(v).filter(|list| known.is_empty() || list.iter().all(|item| known.contains(item)))
             })
         };
         let front = list(&mut section, "front", &fronts, "fronts");
         let class = list(&mut section, "class", &classes, "classes");
         let tenant = list(&mut section, "tenant", &tenants, "tenants");
         let path = reader.get(&mut section, "path", Absent::Nothing, "paths as \"/a/b\" or \"/a/*\"", |v| {
-            texts(v).filter(|list| list.iter().all(|path| is_pattern(path)))
+            text_list(v).filter(|list| list.iter().all(|path| is_pattern(path)))
         });
         let table = reader.section(&mut section, "label");
-        let labels = reader.pairs(&table, "a value or a list of them", texts);
+        let labels = reader.pairs(&table, "a value or a list of them", text_list);
         let labels: BTreeMap<String, Vec<String>> =
             labels.into_iter().map(|(name, values)| (name.to_ascii_lowercase(), values)).collect();
         let pool = reader
@@ -654,7 +661,7 @@
                     RouteFault::Overlap { second, .. } => (at[second.0], format!("route[{}]", second.0)),
                     _ => (at[0], "route".into()),
                 };
-                reader.fault_at(place, key, fault.to_string());
+                reader.add_fault_at(place, key, fault.to_string());
             }
             None
         }
--- a/crates/config/src/file/tests.rs
+++ b/crates/config/src/file/tests.rs
@@ -67,7 +67,7 @@
 #[test]
 fn a_sound_file_is_read_with_the_source_of_each_value() {
     let file = parse(SOUND, &environment).expect("sound");
-    assert_eq!(file.ops, address("127.0.0.1:9090"));
+    assert_eq!(file.ops_address, address("127.0.0.1:9090"));
     assert_eq!(file.classes, ["lookup", "correction"]);
     let effect = Effect::Deduplicated { scope: DeduplicationScope::Cell, window: Span::from_ms(600.0) };
     assert_eq!(file.pools[1].settings.classes[1].effect, effect);
@@ -79,11 +79,12 @@
     let labels = |name: &str| (name == "x-region").then_some("east");
     let request = Attributes { path: "/copies/7", labels: Some(&labels), ..Attributes::default() };
     assert_eq!((file.routes.route(&request), file.routes.default_pool()), (Some(1), Some(0)));
-    let entry = |key: &str| file.entries.iter().find(|e| e.key == key).expect(key).source.to_string();
+    let entry =
+        |key: &str| file.effective_values.iter().find(|e| e.key == key).expect(key).source.to_string();
     assert_eq!(entry("class[0].aim_ms"), "line 13");
     assert_eq!(entry("ops.listen"), "line 8, ${OPS}");
     assert_eq!(entry("limits.sockets"), "default");
-    let value = |key: &str| &file.entries.iter().find(|e| e.key == key).expect(key).value;
+    let value = |key: &str| &file.effective_values.iter().find(|e| e.key == key).expect(key).value;
     assert_eq!(value("class[1].effect"), "\"deduplicated\"");
     assert_eq!(
         (value("log.format").as_str(), value("ops.listen").as_str()),
@@ -143,5 +144,5 @@
     let twice = format!("{SOUND}\n[[route]]\nname = \"all copies\"\npath = \"/copies/a\"\nlabel = {{ x-region = \"east\" }}\npool = \"records\"\n");
     let faults = parse(&twice, &environment).unwrap_err();
     assert_eq!(faults[0].key, "route[1]");
-    assert!(faults[0].what.contains("no request reaches route \"all copies\""), "{}", faults[0]);
+    assert!(faults[0].message.contains("no request reaches route \"all copies\""), "{}", faults[0]);
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -31,6 +31,6 @@
 mod file;
 pub mod reader;
 
-pub use council::{is_council, parse_council, Council, Fleet};
-pub use file::{parse, File, Front, LogFormat, Membership, Pool, Protocol, Server, ServerState};
-pub use reader::{Entry, Environment, Fault, Source};
+pub use council::{is_coordinator_config, parse_coordinator_config, CoordinatorConfig, Fleet};
+pub use file::{parse, AgentConfig, Front, LogFormat, Membership, Pool, Protocol, Server, ServerState};
+pub use reader::{EffectiveValue, Environment, Fault, Source};
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -16,15 +16,15 @@
     /// The key, with the tables round it; empty where the text is no TOML.
     pub key: String,
     /// What was found there, and what is wanted.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault { line, column, key, what } = self;
+        let Fault { line, column, key, message } = self;
         match key.is_empty() {
-            true => write!(f, "{line}:{column}: {what}"),
-            false => write!(f, "{line}:{column}: {key}: {what}"),
+            true => write!(f, "{line}:{column}: {message}"),
+            false => write!(f, "{line}:{column}: {key}: {message}"),
         }
     }
 }
@@ -52,7 +52,7 @@
 
 /// A value in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct EffectiveValue {
     /// The key, with the tables round it.
     pub key: String,
     /// The value as the file would have it.
@@ -81,7 +81,7 @@
     /// What is wrong, in the order in which it was found.
     pub faults: Vec<Fault>,
     /// What is in force, in the order in which it was asked for.
-    pub entries: Vec<Entry>,
+    pub effective_values: Vec<EffectiveValue>,
 }
 
 /// A table that is being read. Keys of it that nobody has asked for are faults at its [end](Reader::end).
@@ -108,7 +108,7 @@
     }
 
     /// Whether the file has this table.
-    pub fn is_there(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.table.is_some()
     }
 }
@@ -136,14 +136,14 @@
 }
 
 /// A whole number.
-pub fn whole(value: &DeValue<'_>) -> Option<i64> {
+pub fn integer(value: &DeValue<'_>) -> Option<i64> {
     match value {
         DeValue::Integer(n) => i64::from_str_radix(n.as_str(), n.radix()).ok(),
         _ => None,
     }
 }
 
-/// Text without `${...}`, which only [`Reader::expanded`] reads.
+/// Text without `${...}`, which only [`Reader::get_expanded`] reads.
 pub fn text(value: &DeValue<'_>) -> Option<String> {
     match value {
         DeValue::String(text) if !text.is_empty() && !text.contains("${") => Some(text.to_string()),
@@ -168,7 +168,7 @@
 }
 
 /// One text, or a list of them.
-pub fn texts(value: &DeValue<'_>) -> Option<Vec<String>> {
+pub fn text_list(value: &DeValue<'_>) -> Option<Vec<String>> {
     match value {
         DeValue::Array(items) if !items.is_empty() => items.iter().map(|item| text(item.get_ref())).collect(),
         other => text(other).map(|one| vec![one]),
@@ -176,21 +176,21 @@
 }
 
 /// The tables of a text, or the one fault that it is no TOML.
-pub fn tables(text: &str) -> Result<Spanned<DeTable<'_>>, Vec<Fault>> {
+pub fn parse_toml(text: &str) -> Result<Spanned<DeTable<'_>>, Vec<Fault>> {
     DeTable::parse(text).map_err(|e| {
         let (line, column) = position(text, e.span().map_or(0, |span| span.start));
-        vec![Fault { line, column, key: String::new(), what: format!("no TOML: {}", e.message()) }]
+        vec![Fault { line, column, key: String::new(), message: format!("no TOML: {}", e.message()) }]
     })
 }
 
 impl<'t> Reader<'t> {
-    /// Begins to read the [tables] of a text.
+    /// Begins to read the [TOML](parse_toml) of a text.
     pub fn new(
         text: &'t str,
         table: &'t Spanned<DeTable<'t>>,
         environment: Environment<'t>,
     ) -> (Self, Section<'t>) {
-        let reader = Reader { text, environment, faults: Vec::new(), entries: Vec::new() };
+        let reader = Reader { text, environment, faults: Vec::new(), effective_values: Vec::new() };
         let section =
             Section { path: String::new(), table: Some(table.get_ref()), at: 0..0, asked: BTreeSet::new() };
         (reader, section)
@@ -201,16 +201,16 @@
     }
 
     /// Notes a fault at a place in the text.
-    pub fn fault_at(&mut self, at: usize, key: String, what: String) {
+    pub fn add_fault_at(&mut self, at: usize, key: String, message: String) {
         let (line, column) = position(self.text, at);
-        self.faults.push(Fault { line, column, key, what });
+        self.faults.push(Fault { line, column, key, message });
     }
 
     /// Notes a fault of a key, or of its table if it is not there.
-    pub fn fault(&mut self, section: &Section<'_>, key: &str, what: String) {
+    pub fn add_fault(&mut self, section: &Section<'_>, key: &str, message: String) {
         let value = section.table.and_then(|table| table.get(key));
         let at = value.map_or(section.at.start, |value| value.span().start);
-        self.fault_at(at, section.key(key), what);
+        self.add_fault_at(at, section.key(key), message);
     }
 
     /// The value of a key as `read` understands it. `wanted` says in words what that is.
@@ -229,24 +229,28 @@
                 Some(read) => {
                     let source = Source::Line(self.line(value.span().start));
                     let value = self.text.get(value.span()).unwrap_or_default().to_string();
-                    self.entries.push(Entry { key: name, value, source });
+                    self.effective_values.push(EffectiveValue { key: name, value, source });
                     Some(read)
                 }
                 None => {
                     let what = format!("found {}; wanted {wanted}", found(value.get_ref()));
-                    self.fault_at(value.span().start, name, what);
+                    self.add_fault_at(value.span().start, name, what);
                     None
                 }
             },
             None => match absent {
                 Absent::Default(value) => {
                     let said = word(&format!("{value:?}"));
-                    self.entries.push(Entry { key: name, value: said, source: Source::Default });
+                    self.effective_values.push(EffectiveValue {
+                        key: name,
+                        value: said,
+                        source: Source::Default,
+                    });
                     Some(value)
                 }
                 Absent::Nothing => None,
                 Absent::Fault => {
-                    self.fault_at(section.at.start, name, format!("found nothing; wanted {wanted}"));
+                    self.add_fault_at(section.at.start, name, format!("found nothing; wanted {wanted}"));
                     None
                 }
             },
@@ -254,7 +258,7 @@
     }
 
     /// Text in which `${NAME}` stands for a variable of the environment; one that is not set is a fault.
-    pub fn expanded<T: fmt::Debug + Clone>(
+    pub fn get_expanded<T: fmt::Debug + Clone>(
         &mut self,
         section: &mut Section<'t>,
         key: &'static str,
@@ -272,7 +276,7 @@
         let text = match expand(raw, self.environment, &mut names) {
             Ok(text) => text,
             Err(what) => {
-                self.fault_at(span.start, name, what);
+                self.add_fault_at(span.start, name, what);
                 return None;
             }
         };
@@ -280,11 +284,11 @@
         let source = if names.is_empty() { Source::Line(line) } else { Source::Environment(line, names) };
         match read(&text) {
             Some(read) => {
-                self.entries.push(Entry { key: name, value: format!("{text:?}"), source });
+                self.effective_values.push(EffectiveValue { key: name, value: format!("{text:?}"), source });
                 Some(read)
             }
             None => {
-                self.fault_at(span.start, name, format!("found {text:?}; wanted {wanted}"));
+                self.add_fault_at(span.start, name, format!("found {text:?}; wanted {wanted}"));
                 None
             }
         }
@@ -299,7 +303,7 @@
                 DeValue::Table(table) => (Some(table), name.span()),
                 other => {
                     let what = format!("found {}; wanted a table [{path}]", found(other));
-                    self.fault_at(value.span().start, path.clone(), what);
+                    self.add_fault_at(value.span().start, path.clone(), what);
                     (None, value.span())
                 }
             },
@@ -315,7 +319,7 @@
         let Some(value) = parent.table.and_then(|table| table.get(key)) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
             let what = format!("found {}; wanted tables [[{path}]]", found(value.get_ref()));
-            self.fault_at(value.span().start, path, what);
+            self.add_fault_at(value.span().start, path, what);
             return Vec::new();
         };
         let mut sections = Vec::new();
@@ -329,7 +333,7 @@
                 }),
                 other => {
                     let what = format!("found {}; wanted a table", found(other));
-                    self.fault_at(item.span().start, format!("{path}[{n}]"), what);
+                    self.add_fault_at(item.span().start, format!("{path}[{n}]"), what);
                 }
             }
         }
@@ -349,7 +353,7 @@
                 Some(read) => pairs.push((name.get_ref().to_string(), read)),
                 None => {
                     let what = format!("found {}; wanted {wanted}", found(value.get_ref()));
-                    self.fault_at(value.span().start, section.key(name.get_ref()), what);
+                    self.add_fault_at(value.span().start, section.key(name.get_ref()), what);
                 }
             }
         }
@@ -366,7 +370,7 @@
         let known: Vec<&str> = section.asked.iter().copied().collect();
         for (at, name) in unknown {
             let what = format!("no such key; there are {}", known.join(", "));
-            self.fault_at(at, section.key(&name), what);
+            self.add_fault_at(at, section.key(&name), what);
         }
     }
 }
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -2,7 +2,9 @@
 //! fault of a file is told with its place.
 
 use crate::world::Micros;
-use heronhoist_config::reader::{flag, number, one_of, tables, text, texts, whole, Absent, Reader, Section};
+use heronhoist_config::reader::{
+    flag, integer, number, one_of, parse_toml, text, text_list, Absent, Reader, Section,
+};
 use heronhoist_config::Fault;
 use heronhoist_coordination::lease::LeaseTerms;
 use toml::de::DeValue;
@@ -196,7 +198,7 @@
 
 /// Reads a scenario.
 pub fn parse(text: &str) -> Result<Plan, Vec<Fault>> {
-    let table = tables(text)?;
+    let table = parse_toml(text)?;
     let (mut reader, root) = Reader::new(text, &table, &|_| None);
     let plan = read(&mut reader, root);
     let mut faults = std::mem::take(&mut reader.faults);
@@ -225,7 +227,7 @@
     (absent, least, most): (usize, usize, usize),
 ) -> Option<usize> {
     let read = move |value: &DeValue<'_>| {
-        whole(value).and_then(|n| usize::try_from(n).ok()).filter(|n| (least..=most).contains(n))
+        integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| (least..=most).contains(n))
     };
     reader.get(section, key, Absent::Default(absent), &format!("{least} to {most}"), read)
 }
@@ -286,7 +288,7 @@
     let wanted = format!("a list of {}", words(&KINDS));
     let faults = reader.get(&mut section, "of", Absent::Default(Vec::new()), &wanted, |value| {
         let kind = |word: &String| KINDS.iter().find(|(name, _)| name == word).map(|(_, kind)| *kind);
-        texts(value)?.iter().map(kind).collect()
+        text_list(value)?.iter().map(kind).collect()
     });
     reader.end(section);
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -5,7 +5,7 @@
 use crate::record::Mode;
 use crate::speech::Speech;
 use crate::world::{Kind, Micros};
-use heronhoist_config::reader::{flag, number, tables, text, whole, Absent, Reader, Section};
+use heronhoist_config::reader::{flag, integer, number, parse_toml, text, Absent, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_decision::{
     Class, DeduplicationScope, Effect, ReportField, ReportSource, Settings, Span, Tenant,
@@ -249,7 +249,7 @@
 
 /// Reads a scenario.
 pub fn parse(source: &str) -> Result<Scenario, Vec<Fault>> {
-    let table = tables(source)?;
+    let table = parse_toml(source)?;
     let (mut reader, root) = Reader::new(source, &table, &|_| None);
     let scenario = read(&mut reader, root);
     let mut faults = reader.faults;
@@ -268,7 +268,7 @@
 }
 
 fn count(value: &DeValue<'_>) -> Option<usize> {
-    whole(value).filter(|n| (1..=100_000).contains(n)).map(|n| n as usize)
+    integer(value).filter(|n| (1..=100_000).contains(n)).map(|n| n as usize)
 }
 
 fn share(value: &DeValue<'_>) -> Option<f64> {
@@ -322,7 +322,7 @@
     if let (Some(Some(_)), Some(classes)) = (&mixed, &classes) {
         // Without this such a class would be played as if all spoke alike, and nothing of it compared.
         if let Err(name) = Speech::new(classes.iter().map(|(mix, _)| mix.name.as_str())) {
-            reader.fault(&root, "dialects", format!("class {name} has no worked mapping"));
+            reader.add_fault(&root, "dialects", format!("class {name} has no worked mapping"));
         }
     }
     let servers = fleet.as_ref().map_or(usize::MAX, |fleet| fleet.servers);
@@ -465,7 +465,7 @@
 fn mixed<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>, servers: usize) -> Option<Option<Mixed>> {
     let mut section = reader.section(root, "dialects");
     let up_to =
-        |value: &DeValue<'_>| whole(value).and_then(|n| usize::try_from(n).ok()).filter(|n| *n <= servers);
+        |value: &DeValue<'_>| integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| *n <= servers);
     let old_servers =
         reader.get(&mut section, "old_servers", Absent::Nothing, "so many of the servers", up_to);
     let old_clients = reader.get(&mut section, "old_clients", Absent::Default(0.5), "0 to 1", share);
@@ -505,7 +505,7 @@
 fn classes<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Option<Vec<(ClassMix, Class)>> {
     let sections = reader.sections(root, "class");
     if sections.is_empty() {
-        reader.fault(root, "class", "found none; wanted one [[class]] at least".into());
+        reader.add_fault(root, "class", "found none; wanted one [[class]] at least".into());
     }
     let mut classes = Some(Vec::new());
     for mut section in sections {
@@ -593,7 +593,7 @@
             KINDS.iter().find(|(known, ..)| *known == name).map(|(_, what, to)| (*what, *to))
         });
         let index = |most: usize| {
-            move |v: &DeValue<'_>| whole(v).and_then(|n| usize::try_from(n).ok()).filter(|n| *n < most)
+            move |v: &DeValue<'_>| integer(v).and_then(|n| usize::try_from(n).ok()).filter(|n| *n < most)
         };
         let (on, to, most, wanted) = match kind.map_or('-', |(_, to)| to) {
             's' => ("server", "to_server", servers, "a server, counted from 0"),
@@ -615,15 +615,15 @@
         // Around and around instead, as long as the run is.
         let wraps = reader.get(&mut section, "wraps", Absent::Default(false), "true or false", flag);
         if kind.is_some_and(|(what, _)| matches!(what, What::Pace(_))) && pace.is_none() {
-            reader.fault(&section, "pace", "found nothing; wanted a factor above 0".into());
+            reader.add_fault(&section, "pace", "found nothing; wanted a factor above 0".into());
         }
         if kind.is_some_and(|(what, _)| matches!(what, What::Spoil(_))) && spoilt.is_none() {
-            reader.fault(&section, "share", "found nothing; wanted 0 to 1".into());
+            reader.add_fault(&section, "share", "found nothing; wanted 0 to 1".into());
         }
         let width = last.zip(first).map_or(1, |(last, first)| last.max(first) - first + 1);
         let beyond = |(times, first): (usize, usize)| at_one && first + times.saturating_mul(width) > most;
         if wraps == Some(false) && times.zip(first).is_some_and(beyond) {
-            reader.fault(&section, "times", format!("goes beyond the last of {most}"));
+            reader.add_fault(&section, "times", format!("goes beyond the last of {most}"));
         }
         reader.end(section);
         let what = kind.map(|(what, _)| match what {
