--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -220,7 +220,7 @@
     matches!(
         denial,
         BudgetDenial::LimitReached { .. }
-            | BudgetDenial::Permits(PermitDenial::AllOut { .. } | PermitDenial::OutAlready { .. })
+            | BudgetDenial::Permits(PermitDenial::Exhausted { .. } | PermitDenial::AlreadyTaken { .. })
     )
 }
 
--- a/crates/agent/src/fleet/member/permits.rs
+++ b/crates/agent/src/fleet/member/permits.rs
@@ -39,7 +39,7 @@
                 }
             };
             let member = &self.fleet.member;
-            if let Ok(transaction) = permit::give_back(&view, &budget_key, member, envelope.incarnation) {
+            if let Ok(transaction) = permit::release(&view, &budget_key, member, envelope.incarnation) {
                 self.return_permit(&mut client, &envelope, transaction).await;
                 sleep(pause_of_check).await;
             } else if permit::find(&view, &budget_key, member).is_some() {
--- a/crates/agent/src/fleet/status.rs
+++ b/crates/agent/src/fleet/status.rs
@@ -202,7 +202,7 @@
         let _ = writeln!(page, "\n{key}: {} of {} out", budget.permits.len(), budget.max);
         for (unit, permit) in &budget.permits {
             let stage = permit_stage(permit);
-            let _ = writeln!(page, "  {unit} for {} ({stage}): {}", permit.taker.0, permit.why);
+            let _ = writeln!(page, "  {unit} for {} ({stage}): {}", permit.taker.0, permit.reason);
         }
     }
 }
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/tools.rs
@@ -204,7 +204,7 @@
     let mut client = client(at)?;
     let view = client.read(BUDGET_PREFIX).await?;
     let key = permit::budgets_with_permit_for(&view, agent).into_iter().next();
-    let key = key.ok_or_else(|| PermitDenial::NotOut(unit.into()))?;
+    let key = key.ok_or_else(|| PermitDenial::NotTaken(unit.into()))?;
     client.change(BUDGET_PREFIX, |view| permit::force_release(view, &key, agent)).await??;
     Ok(format!("the permit for {unit} is freed on your word: {why}\n"))
 }
--- a/crates/coordination/src/permit.rs
+++ b/crates/coordination/src/permit.rs
@@ -31,7 +31,8 @@
     /// The name and incarnation of the member that took it.
     pub taker: (String, Incarnation),
     /// The reason, for people.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The revision from which on the taker may have touched the unit; none if it has not.
     #[serde(default)]
     pub started: Option<Revision>,
@@ -51,7 +52,7 @@
     NoBudget(String),
     /// All permits are taken.
     #[error("all {max} permits of {budget} are out: {units}")]
-    AllOut {
+    Exhausted {
         /// The budget's key.
         budget: String,
         /// Its limit.
@@ -60,27 +61,27 @@
         units: String,
     },
     /// A permit for this unit is taken already.
-    #[error("{unit} is out already, for {taker}: {why}")]
-    OutAlready {
+    #[error("{unit} is out already, for {taker}: {reason}")]
+    AlreadyTaken {
         /// The unit.
         unit: String,
         /// Who took the permit.
         taker: String,
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// No permit for this unit is taken.
     #[error("there is no permit for {0}")]
-    NotOut(String),
+    NotTaken(String),
     /// The incarnation that was to be taken out cannot prove that this unit is back; only a newer one can.
     #[error("{0} has not come back since it was taken out")]
-    NotBack(String),
+    NotRestarted(String),
     /// This member took the permit, and may still be working on the unit.
     #[error("{0} may still be at it")]
-    TakerLives(String),
+    TakerActive(String),
     /// This member took the permit, and not the one that asks.
     #[error("the permit is {0}'s")]
-    NotYours(String),
+    OtherTaker(String),
 }
 
 /// The prefix of the keys of budgets.
@@ -153,22 +154,22 @@
     key: &str,
     agent: &str,
     taker: (&str, Incarnation),
-    why: &str,
+    reason: &str,
 ) -> Result<Txn, PermitDenial> {
     let mut stored = StoredBudget::read(view, key)?;
     let Budget { max, permits } = &mut stored.budget;
     let unit = agent_unit(agent);
     if let Some(permit) = permits.get(&unit) {
-        let (taker, why) = (permit.taker.0.clone(), permit.why.clone());
-        return Err(PermitDenial::OutAlready { unit, taker, why });
+        let (taker, reason) = (permit.taker.0.clone(), permit.reason.clone());
+        return Err(PermitDenial::AlreadyTaken { unit, taker, reason });
     }
     if permits.len() >= *max as usize {
         let units = permits.keys().cloned().collect::<Vec<_>>().join(", ");
-        return Err(PermitDenial::AllOut { budget: key.into(), max: *max, units });
+        return Err(PermitDenial::Exhausted { budget: key.into(), max: *max, units });
     }
     let taker = (taker.0.to_string(), taker.1);
     let check = Check::Living(taker.0.clone(), taker.1);
-    permits.insert(unit, Permit { taker, why: why.into(), started: None, finished: false });
+    permits.insert(unit, Permit { taker, reason: reason.into(), started: None, finished: false });
     Ok(stored.replace(key, vec![check]))
 }
 
@@ -201,9 +202,9 @@
 ) -> Result<Txn, PermitDenial> {
     let mut stored = StoredBudget::read(view, key)?;
     let unit = agent_unit(agent);
-    let Some(permit) = stored.budget.permits.get_mut(&unit) else { return Err(PermitDenial::NotOut(unit)) };
+    let Some(permit) = stored.budget.permits.get_mut(&unit) else { return Err(PermitDenial::NotTaken(unit)) };
     if permit.taker != (taker.to_string(), incarnation) {
-        return Err(PermitDenial::NotYours(permit.taker.0.clone()));
+        return Err(PermitDenial::OtherTaker(permit.taker.0.clone()));
     }
     change(permit);
     Ok(stored.replace(key, vec![Check::Living(taker.into(), incarnation)]))
@@ -225,20 +226,20 @@
 /// # Errors
 ///
 /// Fails if there is no such permit, if the taker may still be working on the agent, or if the incarnation proves nothing.
-pub fn give_back(view: &View, key: &str, agent: &str, incarnation: Incarnation) -> Result<Txn, PermitDenial> {
+pub fn release(view: &View, key: &str, agent: &str, incarnation: Incarnation) -> Result<Txn, PermitDenial> {
     let mut stored = StoredBudget::read(view, key)?;
     let unit = agent_unit(agent);
-    let Some(permit) = stored.budget.permits.remove(&unit) else { return Err(PermitDenial::NotOut(unit)) };
+    let Some(permit) = stored.budget.permits.remove(&unit) else { return Err(PermitDenial::NotTaken(unit)) };
     let mut checks = vec![Check::Living(agent.into(), incarnation)];
     if !permit.finished {
         let (taker, taker_incarnation) = permit.taker;
         let may_work =
             |member: &Member| member.incarnation == taker_incarnation && member.status.may_hold_lease();
         if view.members.get(&taker).is_some_and(may_work) {
-            return Err(PermitDenial::TakerLives(taker));
+            return Err(PermitDenial::TakerActive(taker));
         }
         if permit.started.is_some_and(|started| incarnation <= started) {
-            return Err(PermitDenial::NotBack(unit));
+            return Err(PermitDenial::NotRestarted(unit));
         }
         checks.push(Check::Ended(taker, taker_incarnation));
     }
@@ -254,7 +255,7 @@
     let mut stored = StoredBudget::read(view, key)?;
     let unit = agent_unit(agent);
     if stored.budget.permits.remove(&unit).is_none() {
-        return Err(PermitDenial::NotOut(unit));
+        return Err(PermitDenial::NotTaken(unit));
     }
     Ok(stored.replace(key, Vec::new()))
 }
@@ -275,7 +276,7 @@
 /// # Errors
 ///
 /// Fails if one of these records is no budget.
-pub fn units_out(view: &View) -> Result<BTreeSet<String>, PermitDenial> {
+pub fn units_with_permits(view: &View) -> Result<BTreeSet<String>, PermitDenial> {
     let prefix = agent_budget_key("");
     let mut units = BTreeSet::new();
     for key in view.records.keys().filter(|key| key.starts_with(&prefix)) {
--- a/crates/coordination/tests/components.rs
+++ b/crates/coordination/tests/components.rs
@@ -154,26 +154,29 @@
     replica.write(permit::acquire(&replica.view(), &key, "n1", me, "")).expect("the second");
     assert!(matches!(
         permit::acquire(&replica.view(), &key, "n2", me, ""),
-        Err(PermitDenial::AllOut { max: 2, .. })
+        Err(PermitDenial::Exhausted { max: 2, .. })
     ));
     assert!(matches!(
         permit::acquire(&replica.view(), &key, "n0", me, ""),
-        Err(PermitDenial::OutAlready { .. })
+        Err(PermitDenial::AlreadyTaken { .. })
     ));
     // A limit that is lowered while permits are taken releases none, and none is taken above it.
     replica.write(permit::set_limit(&replica.view(), &key, 1)).expect("stated");
-    assert!(matches!(permit::acquire(&replica.view(), &key, "n2", me, ""), Err(PermitDenial::AllOut { .. })));
+    assert!(matches!(
+        permit::acquire(&replica.view(), &key, "n2", me, ""),
+        Err(PermitDenial::Exhausted { .. })
+    ));
 
     // While the taker may be working on the agent, the agent cannot return the permit, whatever its incarnation.
     assert!(matches!(
-        permit::give_back(&replica.view(), &key, "n0", agents[0]),
-        Err(PermitDenial::TakerLives(_))
+        permit::release(&replica.view(), &key, "n0", agents[0]),
+        Err(PermitDenial::TakerActive(_))
     ));
     replica.write(permit::start(&replica.view(), &key, "n0", me)).expect("started");
     replica.run(Command::Expire(vec![("hold:x".into(), taker)]));
     assert!(matches!(
-        permit::give_back(&replica.view(), &key, "n0", agents[0]),
-        Err(PermitDenial::NotBack(_))
+        permit::release(&replica.view(), &key, "n0", agents[0]),
+        Err(PermitDenial::NotRestarted(_))
     ));
     assert!(matches!(
         replica.write(permit::finish(&replica.view(), &key, "n0", me)),
@@ -182,12 +185,12 @@
     replica.run(Command::Expire(vec![("n0".into(), agents[0])]));
     let back = replica.join("n0", 77);
     assert!(matches!(
-        replica.write(permit::give_back(&replica.view(), &key, "n0", back)),
+        replica.write(permit::release(&replica.view(), &key, "n0", back)),
         Ok(CommandResult::Done(_))
     ));
     // The taker had not started with the other agent: the end of its lease is proof enough.
     assert!(matches!(
-        replica.write(permit::give_back(&replica.view(), &key, "n1", agents[1])),
+        replica.write(permit::release(&replica.view(), &key, "n1", agents[1])),
         Ok(CommandResult::Done(_))
     ));
     assert_eq!(permit::budgets_with_permit_for(&replica.view(), "n1"), Vec::<String>::new());
@@ -205,15 +208,15 @@
     replica.write(permit::finish(&replica.view(), &key, "n0", me)).expect("finished");
     assert_eq!(
         permit::finish(&replica.view(), &key, "n0", ("hold:y", 1)),
-        Err(PermitDenial::NotYours("hold:x".into()))
+        Err(PermitDenial::OtherTaker("hold:x".into()))
     );
     // A transaction that the agent prepared conflicts once its lease has ended.
-    let txn = permit::give_back(&replica.view(), &key, "n0", agent);
+    let txn = permit::release(&replica.view(), &key, "n0", agent);
     replica.run(Command::Leave { name: "n0".into(), incarnation: agent });
     assert!(matches!(replica.write(txn), Ok(CommandResult::Conflict { check: 0 })));
     let back = replica.join("n0", 2);
     assert!(matches!(
-        replica.write(permit::give_back(&replica.view(), &key, "n0", back)),
+        replica.write(permit::release(&replica.view(), &key, "n0", back)),
         Ok(CommandResult::Done(_))
     ));
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -409,7 +409,8 @@
 }
 
 fn permits() -> BTreeMap<String, Permit> {
-    let permit = Permit { taker: ("tool:r1".into(), 4), why: "roll".into(), started: None, finished: false };
+    let permit =
+        Permit { taker: ("tool:r1".into(), 4), reason: "roll".into(), started: None, finished: false };
     let finished = Permit { started: Some(12), finished: true, ..permit.clone() };
     BTreeMap::from([(permit::agent_unit("n1"), permit), (permit::agent_unit("n2"), finished)])
 }
@@ -432,7 +433,7 @@
     let short: Budget = serde_json::from_str("{\"most\":2}").expect("read");
     assert_eq!(short, Budget { max: 2, permits: BTreeMap::new() });
     let short: Permit = serde_json::from_str("{\"taker\":[\"t\",4],\"why\":\"w\"}").expect("read");
-    assert_eq!(short, Permit { taker: ("t".into(), 4), why: "w".into(), started: None, finished: false });
+    assert_eq!(short, Permit { taker: ("t".into(), 4), reason: "w".into(), started: None, finished: false });
     // Fields that nobody knows.
     serde_json::from_str::<Budget>("{\"most\":2,\"x\":1}").expect_err("refused");
     serde_json::from_str::<Permit>("{\"taker\":[\"t\",4],\"why\":\"w\",\"x\":1}").expect_err("refused");
@@ -465,7 +466,7 @@
         Box::new(|view| permit::acquire(view, &key, "n1", taker, "roll")),
         Box::new(|view| permit::start(view, &key, "n1", taker)),
         Box::new(|view| permit::finish(view, &key, "n1", taker)),
-        Box::new(|view| permit::give_back(view, &key, "n1", n1)),
+        Box::new(|view| permit::release(view, &key, "n1", n1)),
         Box::new(|view| permit::acquire(view, &key, "n1", taker, "roll again")),
     ];
     for step in steps {
@@ -479,7 +480,7 @@
         &call(None, Command::Leave { name: taker.0.into(), incarnation: taker.1 }),
         &Limits::default(),
     );
-    txns.push(permit::give_back(&view(&state), &key, "n1", n1).expect("the taker has gone"));
+    txns.push(permit::release(&view(&state), &key, "n1", n1).expect("the taker has gone"));
     assert_golden("permit_txn.jsonl", &txns);
 }
 
--- a/crates/disruption/src/unavailable.rs
+++ b/crates/disruption/src/unavailable.rs
@@ -67,7 +67,7 @@
     /// record cannot be read.
     pub fn count(view: &View) -> Result<Unavailable, BudgetDenial> {
         let rules = records::read::<Rules>(view, RULES_KEY)?.ok_or(BudgetDenial::NoRules)?.value;
-        let permits = permit::units_out(view)?;
+        let permits = permit::units_with_permits(view)?;
         let mut units = BTreeMap::new();
         for (name, member) in view.members.iter().filter(|(name, _)| is_agent(name)) {
             let placement = Server { site: member.site.clone(), ..Server::default() };
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -10,7 +10,7 @@
         let Role::Agent(agent) = &self.processes[at].role else { return };
         let (name, incarnation) = (agent.holder.name().to_string(), agent.holder.incarnation());
         let Some(key) = permit::budgets_with_permit_for(&view, &name).into_iter().next() else { return };
-        let Ok(txn) = permit::give_back(&view, &key, &name, incarnation) else { return };
+        let Ok(txn) = permit::release(&view, &key, &name, incarnation) else { return };
         self.ask(at, 1, Request::Command(CommandRequest { session: None, command: Command::Write(txn) }));
     }
 
