--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/link.rs
@@ -310,7 +310,7 @@
         refusal,
         Refusal::Unknown
             | Refusal::NotFormed(_)
-            | Refusal::Over(_)
+            | Refusal::LimitExceeded(_)
             | Refusal::OtherFleet { .. }
             | Refusal::OtherProtocol { .. }
     )
--- a/crates/coordination/src/node/operation.rs
+++ b/crates/coordination/src/node/operation.rs
@@ -52,7 +52,7 @@
     /// The outcome is unknown: the operation may have been carried out, or may still be.
     Unknown,
     /// A limit would be exceeded. Nothing was done.
-    Over(LimitExceeded),
+    LimitExceeded(LimitExceeded),
     /// The operation cannot be carried out, for this reason.
     Refused(String),
 }
@@ -65,7 +65,7 @@
         let max_in_flight = self.settings.limits.in_flight;
         if self.pending.len() >= max_in_flight {
             let limit = LimitExceeded::new("in_flight", max_in_flight);
-            self.results.push((id, OperationResult::Over(limit)));
+            self.results.push((id, OperationResult::LimitExceeded(limit)));
             return id;
         }
         self.pending.insert(id, now);
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -152,7 +152,9 @@
                 self.watches.push(watch);
                 return;
             }
-            Ok(None) => Response::Refused(Refusal::Over(LimitExceeded::new("watchers", MAX_WATCHES))),
+            Ok(None) => {
+                Response::Refused(Refusal::LimitExceeded(LimitExceeded::new("watchers", MAX_WATCHES)))
+            }
             Err(refusal) => Response::Refused(refusal),
         };
         self.respond(watch.caller, response);
@@ -228,9 +230,8 @@
             OperationResult::Ended => return Response::Ended,
             OperationResult::Displaced => return Response::Displaced,
             OperationResult::Replaced => return Response::Replaced,
-            OperationResult::Reply(CommandResult::Over(limit)) | OperationResult::Over(limit) => {
-                Refusal::Over(limit)
-            }
+            OperationResult::Reply(CommandResult::LimitExceeded(limit))
+            | OperationResult::LimitExceeded(limit) => Refusal::LimitExceeded(limit),
             OperationResult::Reply(result) => return Response::Reply(result, self.node.lease_terms()),
             OperationResult::NotLeader(leader) => {
                 let peers = &self.node.state().peers;
--- a/crates/coordination/src/state/command.rs
+++ b/crates/coordination/src/state/command.rs
@@ -106,7 +106,8 @@
     /// A later command of the session, or a later report of the member, was executed already.
     Outdated,
     /// A limit would be exceeded. Nothing was done.
-    Over(LimitExceeded),
+    #[serde(rename = "over")]
+    LimitExceeded(LimitExceeded),
     /// The command is invalid, for this reason. Nothing was done.
     Refused(String),
 }
--- a/crates/coordination/src/state/member.rs
+++ b/crates/coordination/src/state/member.rs
@@ -116,7 +116,8 @@
                 return Some(CommandResult::Present { incarnation: 0 });
             }
             let is_full = self.members.len() >= limits.members;
-            return is_full.then(|| CommandResult::Over(LimitExceeded::new("members", limits.members)));
+            return is_full
+                .then(|| CommandResult::LimitExceeded(LimitExceeded::new("members", limits.members)));
         };
         let incarnation = member.incarnation;
         if member.nonce == request.nonce {
--- a/crates/coordination/src/state/record.rs
+++ b/crates/coordination/src/state/record.rs
@@ -102,7 +102,7 @@
         match error {
             TxnError::Conflict { check } => CommandResult::Conflict { check },
             TxnError::Invalid(invalid) => CommandResult::Refused(invalid.to_string()),
-            TxnError::LimitExceeded(limit) => CommandResult::Over(limit),
+            TxnError::LimitExceeded(limit) => CommandResult::LimitExceeded(limit),
         }
     }
 }
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -160,7 +160,8 @@
     Unknown,
     /// A limit would be exceeded.
     #[error(transparent)]
-    Over(LimitExceeded),
+    #[serde(rename = "over")]
+    LimitExceeded(LimitExceeded),
     /// The changes that a watch asks for are not kept any more, or are of another cluster. Read everything, and watch from
     /// there.
     #[error("changes are only kept from revision {oldest} of history {cluster_id} on")]
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -127,7 +127,7 @@
         CommandResult::NotLiving,
         CommandResult::NoSession,
         CommandResult::Outdated,
-        CommandResult::Over(excess()),
+        CommandResult::LimitExceeded(excess()),
         CommandResult::Refused("why".into()),
     ]
 }
@@ -192,7 +192,7 @@
         Refusal::NotLeader { leader: None },
         Refusal::NotLeader { leader: Some(peer("c2")) },
         Refusal::Unknown,
-        Refusal::Over(excess()),
+        Refusal::LimitExceeded(excess()),
         Refusal::Compacted { cluster_id: ClusterId(5), oldest: 9 },
         Refusal::NotFormed("it waits for c2".into()),
         Refusal::Impossible("why".into()),
@@ -292,7 +292,7 @@
         Refusal::OlderIncarnation { .. },
         Refusal::NotLeader { .. },
         Refusal::Unknown,
-        Refusal::Over(_),
+        Refusal::LimitExceeded(_),
         Refusal::Compacted { .. },
         Refusal::NotFormed(_),
         Refusal::Impossible(_),
@@ -359,7 +359,7 @@
         CommandResult::NotLiving,
         CommandResult::NoSession,
         CommandResult::Outdated,
-        CommandResult::Over(_),
+        CommandResult::LimitExceeded(_),
         CommandResult::Refused(_),
     );
     assert_golden("reply.jsonl", &replies);
@@ -507,7 +507,7 @@
     let mut node = Node::new(11, &initial_state(&formation), settings, 1, 0).expect("a node");
     node.submit(0, Operation::Read);
     let answers = node.advance(&mut Recorder::default(), 0).expect("worked").results;
-    let over = OperationResult::Over(LimitExceeded { limit: "in_flight".into(), max: 0 });
+    let over = OperationResult::LimitExceeded(LimitExceeded { limit: "in_flight".into(), max: 0 });
     assert_eq!(answers.into_iter().map(|(_, answer)| answer).collect::<Vec<_>>(), [over]);
 }
 
--- a/crates/coordination/tests/state.rs
+++ b/crates/coordination/tests/state.rs
@@ -137,7 +137,7 @@
     };
     let mut state = state();
     let over = |reply: CommandResult| match reply {
-        CommandResult::Over(excess) => excess.limit,
+        CommandResult::LimitExceeded(excess) => excess.limit,
         other => panic!("{other:?}"),
     };
     state.apply(&join("n1", 1), &bounds);
--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -249,7 +249,8 @@
                 });
                 self.caller.record_redirect(at, 0.5)
             }
-            None | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::Over(_))) => {
+            None
+            | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::LimitExceeded(_))) => {
                 self.caller.record_failure(0.5)
             }
             Some(_) => {
--- a/crates/lab/src/processes/world/askers.rs
+++ b/crates/lab/src/processes/world/askers.rs
@@ -40,7 +40,8 @@
                 let leader = leader.as_ref().and_then(|peer| peer.name.strip_prefix('c')?.parse().ok());
                 Some(asker.caller.record_redirect(leader.filter(|at| *at < plan.council), draw))
             }
-            None | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::Over(_))) => {
+            None
+            | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::LimitExceeded(_))) => {
                 Some(asker.caller.record_failure(draw))
             }
             Some(_) => {
