--- a/crates/coordination/src/node/error.rs
+++ b/crates/coordination/src/node/error.rs
@@ -12,17 +12,17 @@
     #[error("disk: {0}")]
     Disk(#[from] DiskError),
     /// The disk lost entries that this process had acknowledged.
-    #[error("this disk is older than what it has acknowledged: it ends at {last_index}, and {commit_index} was acknowledged; replace this process by one with an empty disk")]
-    OldDisk {
+    #[error("this disk is older than what it has acknowledged: it ends at {last_index}, and {acknowledged_index} was acknowledged; replace this process by one with an empty disk")]
+    StaleDisk {
         /// The last entry on the disk.
         last_index: LogIndex,
         /// The last entry that the leader knows this process to have had.
-        commit_index: LogIndex,
+        acknowledged_index: LogIndex,
     },
     /// The leader has another entry at this index than the one that this process knows to be committed: disks were replaced by
     /// older copies.
     #[error("the council has another history than this disk: entry {0} was agreed otherwise; were older copies of disks put back? Stop all, and restore from a copy or from this disk")]
-    OtherHistory(LogIndex),
+    DivergedHistory(LogIndex),
     /// A committed entry cannot be decoded.
     #[error("raft: entry {index} can't be read: {reason}")]
     UnreadableEntry {
--- a/crates/coordination/src/node/message.rs
+++ b/crates/coordination/src/node/message.rs
@@ -43,7 +43,7 @@
         let raft = &self.raw_node.raft;
         let last_index = raft.raft_log.last_index();
         if message.term >= raft.term && message.commit > last_index {
-            return Err(NodeError::OldDisk { last_index, commit_index: message.commit });
+            return Err(NodeError::StaleDisk { last_index, acknowledged_index: message.commit });
         }
         Ok(())
     }
@@ -60,7 +60,7 @@
         let mut entries = message.entries.iter().filter(|entry| committed.contains(&entry.index));
         let differs = |index, term| log.term(index).is_ok_and(|own_term| own_term != term);
         match entries.find(|entry| differs(entry.index, entry.term)) {
-            Some(entry) => Err(NodeError::OtherHistory(entry.index)),
+            Some(entry) => Err(NodeError::DivergedHistory(entry.index)),
             None => Ok(()),
         }
     }
--- a/crates/coordination/tests/stale_disks.rs
+++ b/crates/coordination/tests/stale_disks.rs
@@ -140,7 +140,7 @@
     cluster.processes.get_mut(&isolated).expect("one of three").isolated = false;
     cluster.steps(60);
     let fault = cluster.processes[&isolated].fault.clone();
-    assert!(matches!(fault, Some(NodeError::OtherHistory(_))), "{fault:?}");
+    assert!(matches!(fault, Some(NodeError::DivergedHistory(_))), "{fault:?}");
     cluster.written("i");
 }
 
@@ -163,7 +163,7 @@
     cluster.exchange();
     cluster.steps(20);
     let fault = cluster.processes[&follower].fault.clone();
-    assert!(matches!(fault, Some(NodeError::OldDisk { .. })), "{fault:?}");
+    assert!(matches!(fault, Some(NodeError::StaleDisk { .. })), "{fault:?}");
     assert_eq!(cluster.leader(), leader);
     cluster.written("e");
 }
--- a/crates/coordination/tests/store_failures.rs
+++ b/crates/coordination/tests/store_failures.rs
@@ -231,7 +231,7 @@
     let failed = NodeError::Disk(DiskError::Failed("Input/output error (os error 5)".into()));
     let damaged = NodeError::Disk(DiskError::Unusable("the checksum of entry 17 does not fit".into()));
     assert!(failed.is_store_failure() && !damaged.is_store_failure());
-    assert!(!NodeError::OldDisk { last_index: 1, commit_index: 2 }.is_store_failure());
+    assert!(!NodeError::StaleDisk { last_index: 1, acknowledged_index: 2 }.is_store_failure());
     assert_eq!(failed.to_string(), "disk: Input/output error (os error 5)");
 }
 
