--- a/crates/agent/src/fleet/member/lease.rs
+++ b/crates/agent/src/fleet/member/lease.rs
@@ -93,7 +93,7 @@
                 let text = "the council counts the lease as ended; it joins anew";
                 tracing::warn!(target: LOG_TARGET, member, "{text}");
             }
-            SessionState::Displaced => {
+            SessionState::Superseded => {
                 let text = "a newer process has its name; this one has left the fleet and serves on";
                 tracing::warn!(target: LOG_TARGET, member, "{text}");
             }
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -36,7 +36,7 @@
     /// The leader counts its lease as expired. It joins anew under another incarnation.
     Ended,
     /// A newer process has its name. It has left, and does not join again.
-    Displaced,
+    Superseded,
 }
 
 /// A process that is, or wants to be, a member.
@@ -128,7 +128,7 @@
         }
         self.requested_at = Some(now);
         Some(match self.incarnation {
-            Some(incarnation) if self.session == SessionState::Displaced => self.leave_request(incarnation),
+            Some(incarnation) if self.session == SessionState::Superseded => self.leave_request(incarnation),
             None => self.join_request(),
             Some(incarnation) if self.reported_ready != self.ready && self.lease.is_held(now) => {
                 self.report_request(incarnation)
@@ -147,18 +147,18 @@
         random: f64,
     ) -> bool {
         let Some(sent_at) = self.requested_at.take() else { return false };
-        if self.session == SessionState::Displaced {
+        if self.session == SessionState::Superseded {
             return self.handle_response_to_leave(now, response, pause);
         }
         match response {
             Some(Response::Renewed(terms)) => self.handle_renewal(sent_at, terms, now, random),
-            Some(Response::Ended | Response::Reply(CommandResult::NotLiving, _)) => {
+            Some(Response::Expired | Response::Reply(CommandResult::NotLiving, _)) => {
                 self.handle_expiry(now, pause);
             }
-            Some(Response::Displaced | Response::Refused(Refusal::OlderIncarnation { .. })) => {
+            Some(Response::Superseded | Response::Refused(Refusal::OlderIncarnation { .. })) => {
                 // The newer process only waits for this one to leave.
                 self.lease.release();
-                self.session = SessionState::Displaced;
+                self.session = SessionState::Superseded;
                 self.next_request_at = now;
             }
             Some(Response::Reply(result, _)) => return self.handle_command_result(result, now, pause),
--- a/crates/coordination/src/node/operation.rs
+++ b/crates/coordination/src/node/operation.rs
@@ -42,9 +42,9 @@
     /// The lease is renewed, counted from when the operation was submitted.
     Renewed,
     /// The lease has expired, or is about to.
-    Ended,
+    Expired,
     /// A newer process has the name, or waits for it.
-    Displaced,
+    Superseded,
     /// The processes of the cluster have been changed.
     Replaced,
     /// This node is not the leader; that one is, if any is known.
--- a/crates/coordination/src/node/read_round.rs
+++ b/crates/coordination/src/node/read_round.rs
@@ -95,9 +95,9 @@
             self.leases.record_renewal(&name, incarnation, received_at);
             self.finish(id, OperationResult::Renewed);
         } else if self.is_displaced(&name, incarnation) {
-            self.finish(id, OperationResult::Displaced);
+            self.finish(id, OperationResult::Superseded);
         } else {
-            self.finish(id, OperationResult::Ended);
+            self.finish(id, OperationResult::Expired);
         }
     }
 
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -227,8 +227,8 @@
         let refusal = match result {
             OperationResult::Readable => return self.read_response(request),
             OperationResult::Renewed => return Response::Renewed(self.node.lease_terms()),
-            OperationResult::Ended => return Response::Ended,
-            OperationResult::Displaced => return Response::Displaced,
+            OperationResult::Expired => return Response::Expired,
+            OperationResult::Superseded => return Response::Superseded,
             OperationResult::Replaced => return Response::Replaced,
             OperationResult::Reply(CommandResult::LimitExceeded(limit))
             | OperationResult::LimitExceeded(limit) => Refusal::LimitExceeded(limit),
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -80,9 +80,11 @@
     /// The lease is renewed.
     Renewed(LeaseTerms),
     /// The lease has expired; the sender must not act on it.
-    Ended,
+    #[serde(rename = "ended")]
+    Expired,
     /// The lease is not renewed: a newer process has the name, or waits for it.
-    Displaced,
+    #[serde(rename = "displaced")]
+    Superseded,
     /// The members and records that were read.
     Read(View),
     /// Changes for a watch.
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -245,8 +245,8 @@
     responses.extend(replies().into_iter().map(|reply| Response::Reply(reply, terms())));
     responses.extend([
         Response::Renewed(terms()),
-        Response::Ended,
-        Response::Displaced,
+        Response::Expired,
+        Response::Superseded,
         Response::Read(empty),
         Response::Read(full),
         Response::Changes { changes: changes(), upto: 12 },
@@ -263,8 +263,8 @@
         Response::Hello(_),
         Response::Reply(..),
         Response::Renewed(_),
-        Response::Ended,
-        Response::Displaced,
+        Response::Expired,
+        Response::Superseded,
         Response::Read(_),
         Response::Changes { .. },
         Response::Status(..),
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -504,7 +504,7 @@
                 // One that holds no lease may only not have heard yet that it has ended.
                 let local = process.clock.local(self.now);
                 process.life == Life::Down
-                    || agent.holder.session() == SessionState::Displaced
+                    || agent.holder.session() == SessionState::Superseded
                     || agent.holder.held_incarnation(local).is_some()
             }
             Role::Client(client) => client.now.is_none(),
