--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -213,9 +213,11 @@
     /// [`ClientError`], if no response settled it: the command may have been carried out.
     pub async fn command(&mut self, command: Command) -> Result<CommandResult, ClientError> {
         if self.session.is_none() {
-            let open = Request::Command(CommandRequest { session: None, command: Command::Open });
+            let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
             match self.ask(&open).await? {
-                Response::Reply(CommandResult::Opened(session), _) => self.session = Some((session, 0)),
+                Response::Reply(CommandResult::SessionOpened(session), _) => {
+                    self.session = Some((session, 0))
+                }
                 other => return Err(ClientError::unexpected("no session", other)),
             }
         }
--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -45,7 +45,7 @@
         Command::Write(Txn { checks, writes })
     };
     let mut commands =
-        vec![Command::Open, Command::Join { name, nonce: 71, follows: 0, site, version, address }];
+        vec![Command::OpenSession, Command::Join { name, nonce: 71, follows: 0, site, version, address }];
     commands.extend((0..10).map(put));
     commands
 }
--- a/crates/agent/tests/fleet/processes.rs
+++ b/crates/agent/tests/fleet/processes.rs
@@ -466,8 +466,10 @@
 
     pub fn session(&mut self) -> u64 {
         if self.session.is_none() {
-            match self.settled(&Request::Command(CommandRequest { session: None, command: Command::Open })) {
-                Response::Reply(CommandResult::Opened(session), _) => self.session = Some(session),
+            match self
+                .settled(&Request::Command(CommandRequest { session: None, command: Command::OpenSession }))
+            {
+                Response::Reply(CommandResult::SessionOpened(session), _) => self.session = Some(session),
                 other => panic!("no session: {other:?}"),
             }
         }
--- a/crates/coordination/src/state/command.rs
+++ b/crates/coordination/src/state/command.rs
@@ -13,7 +13,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Opens a session for a client that is not a member.
-    Open,
+    #[serde(rename = "open")]
+    OpenSession,
     /// Makes a process a member.
     Join {
         /// Its name.
@@ -76,7 +77,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum CommandResult {
     /// A session with this number was opened.
-    Opened(Revision),
+    #[serde(rename = "opened")]
+    SessionOpened(Revision),
     /// The process is a member.
     Joined {
         /// Its incarnation, which is the number of its session too.
@@ -138,9 +140,9 @@
 
     fn execute(&mut self, command: &Command, limits: &Limits) -> CommandResult {
         match command {
-            Command::Open => {
+            Command::OpenSession => {
                 self.revision += 1;
-                CommandResult::Opened(self.open_session(limits))
+                CommandResult::SessionOpened(self.open_session(limits))
             }
             Command::Join { name, nonce, follows, site, version, address } => {
                 let (nonce, follows) = (*nonce, *follows);
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -106,7 +106,7 @@
 
 fn commands() -> Vec<Command> {
     vec![
-        Command::Open,
+        Command::OpenSession,
         joining(2),
         Command::Report { name: "n1".into(), incarnation: 3, number: 4, ready: true },
         Command::Leave { name: "n1".into(), incarnation: 3 },
@@ -118,7 +118,7 @@
 
 fn replies() -> Vec<CommandResult> {
     vec![
-        CommandResult::Opened(6),
+        CommandResult::SessionOpened(6),
         CommandResult::Joined { incarnation: 3 },
         CommandResult::Wait { incarnation: 3 },
         CommandResult::Present { incarnation: 0 },
@@ -210,7 +210,7 @@
 fn request() {
     let mut requests = vec![
         Request::Hello,
-        Request::Command(CommandRequest { session: Some((6, 1)), command: Command::Open }),
+        Request::Command(CommandRequest { session: Some((6, 1)), command: Command::OpenSession }),
         Request::Renew,
         Request::Read { stale: true, prefix: "drain/".into(), members: false },
         Request::Watch { cluster_id: ClusterId(5), after: 12, prefix: "drain/".into() },
@@ -308,7 +308,7 @@
     has_every_variant!(
         commands,
         Command,
-        Command::Open,
+        Command::OpenSession,
         Command::Join { .. },
         Command::Report { .. },
         Command::Leave { .. },
@@ -318,7 +318,7 @@
     );
     assert_golden("command.jsonl", &commands);
     let calls = [
-        CommandRequest { session: None, command: Command::Open },
+        CommandRequest { session: None, command: Command::OpenSession },
         CommandRequest { session: Some((6, 1)), command: Command::Forget { name: "n1".into() } },
     ];
     assert_golden("call.jsonl", &calls);
@@ -350,7 +350,7 @@
     has_every_variant!(
         replies,
         CommandResult,
-        CommandResult::Opened(_),
+        CommandResult::SessionOpened(_),
         CommandResult::Joined { .. },
         CommandResult::Wait { .. },
         CommandResult::Present { .. },
@@ -542,7 +542,7 @@
     for n in 0..70 {
         apply(None, put("note/many", &n.to_string()));
     }
-    assert_eq!(apply(None, Command::Open), CommandResult::Opened(80));
+    assert_eq!(apply(None, Command::OpenSession), CommandResult::SessionOpened(80));
     let conflict = Txn { checks: vec![Check::Absent("note/many".into())], writes: Vec::new() };
     assert_eq!(apply(Some((80, 1)), Command::Write(conflict)), CommandResult::Conflict { check: 0 });
     apply(None, put("drain/s1", "{\"number\":4,\"by\":\"anna\",\"why\":\"disk\"}"));
@@ -642,7 +642,7 @@
     }
     let mut answers = Vec::new();
     for command in [
-        Command::Open,
+        Command::OpenSession,
         joining(0),
         Command::Write(Txn { checks: vec![Check::Absent("note/a".into())], writes: writes() }),
     ] {
@@ -652,8 +652,9 @@
     node.submit(now, Operation::Replace { add: Some((12, peer("c2"))), remove: None });
     answers.extend(node.advance(&mut disk, now).expect("worked").results);
     let answers: Vec<OperationResult> = answers.into_iter().map(|(_, answer)| answer).collect();
-    let done = [CommandResult::Opened(1), CommandResult::Joined { incarnation: 2 }, CommandResult::Done(3)]
-        .map(OperationResult::Reply);
+    let done =
+        [CommandResult::SessionOpened(1), CommandResult::Joined { incarnation: 2 }, CommandResult::Done(3)]
+            .map(OperationResult::Reply);
     assert_eq!(answers, [&done[..], &[OperationResult::Replaced]].concat());
     (disk.image, node.state().clone())
 }
--- a/crates/coordination/tests/state.rs
+++ b/crates/coordination/tests/state.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_repeated_command_is_executed_once() {
     let (mut state, bounds) = (state(), Limits::default());
-    let CommandResult::Opened(session) = state.apply(&call(Command::Open), &bounds) else {
+    let CommandResult::SessionOpened(session) = state.apply(&call(Command::OpenSession), &bounds) else {
         panic!("no session")
     };
     let first = CommandRequest { session: Some((session, 1)), command: put("note/a", "1") };
@@ -150,8 +150,8 @@
     let tighter = Limits { state_bytes: 10, ..bounds.clone() };
     assert!(matches!(state.apply(&call(put("note/a", "x")), &tighter), CommandResult::Done(_)));
     // The least recently used session is dropped, but never that of a living member.
-    let open = |state: &mut State| match state.apply(&call(Command::Open), &bounds) {
-        CommandResult::Opened(session) => session,
+    let open = |state: &mut State| match state.apply(&call(Command::OpenSession), &bounds) {
+        CommandResult::SessionOpened(session) => session,
         other => panic!("{other:?}"),
     };
     let first = open(&mut state);
--- a/crates/lab/src/processes/rig.rs
+++ b/crates/lab/src/processes/rig.rs
@@ -284,9 +284,11 @@
     /// The next command under the session, which is opened if there is none.
     async fn call(&mut self, command: Command) -> Option<Request> {
         if self.session.is_none() {
-            let open = Request::Command(CommandRequest { session: None, command: Command::Open });
+            let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
             match self.settled(&open, PATIENCE).await {
-                Some(Response::Reply(CommandResult::Opened(session), _)) => self.session = Some(session),
+                Some(Response::Reply(CommandResult::SessionOpened(session), _)) => {
+                    self.session = Some(session)
+                }
                 _ => return None,
             }
         }
--- a/crates/lab/src/processes/world/clients.rs
+++ b/crates/lab/src/processes/world/clients.rs
@@ -14,7 +14,10 @@
                 return self.client_request(at);
             }
             if client.session.is_none() {
-                return Some(Request::Command(CommandRequest { session: None, command: Command::Open }));
+                return Some(Request::Command(CommandRequest {
+                    session: None,
+                    command: Command::OpenSession,
+                }));
             }
         }
         if self.healed {
@@ -56,7 +59,7 @@
         let now = self.now;
         let Role::Client(client) = &mut self.processes[at].role else { return };
         let Some((key, op, called)) = client.now.clone() else {
-            if let Some(Response::Reply(CommandResult::Opened(session), _)) = response {
+            if let Some(Response::Reply(CommandResult::SessionOpened(session), _)) = response {
                 client.session = Some(session);
             }
             return;
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -176,7 +176,7 @@
             return None;
         }
         if drainer.session.is_none() {
-            return Some(Request::Command(CommandRequest { session: None, command: Command::Open }));
+            return Some(Request::Command(CommandRequest { session: None, command: Command::OpenSession }));
         }
         Some(Request::Read { stale: false, prefix: String::new(), members: true })
     }
@@ -188,7 +188,9 @@
         drainer.next_at = now;
         match response {
             None => {}
-            Some(Response::Reply(CommandResult::Opened(session), _)) => drainer.session = Some(session),
+            Some(Response::Reply(CommandResult::SessionOpened(session), _)) => {
+                drainer.session = Some(session)
+            }
             Some(Response::Read(view)) => self.drainer_reads(at, &view),
             Some(Response::Reply(reply, _)) => {
                 drainer.asked = None;
