--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -44,8 +44,10 @@
         let writes = vec![Write::Put(format!("note/{n}"), format!("\"value {n}\""))];
         Command::Write(Txn { checks, writes })
     };
-    let mut commands =
-        vec![Command::OpenSession, Command::Join { name, nonce: 71, follows: 0, site, version, address }];
+    let mut commands = vec![
+        Command::OpenSession,
+        Command::Join { name, nonce: 71, previous_incarnation: 0, site, version, address },
+    ];
     commands.extend((0..10).map(put));
     commands
 }
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -45,7 +45,7 @@
     info: MemberInfo,
     nonce: u64,
     /// The last incarnation of its name that it knows of, 0 for none.
-    follows: Incarnation,
+    previous_incarnation: Incarnation,
     incarnation: Option<Incarnation>,
     last_report: u64,
     lease: LeaseState,
@@ -68,7 +68,7 @@
         LeaseHolder {
             info,
             nonce,
-            follows: 0,
+            previous_incarnation: 0,
             incarnation: None,
             last_report: 0,
             lease: LeaseState::default(),
@@ -183,7 +183,7 @@
                 self.session = SessionState::Member;
                 self.reported_ready = false;
             }
-            CommandResult::Present { incarnation } => self.follows = *incarnation,
+            CommandResult::IncarnationMismatch { incarnation } => self.previous_incarnation = *incarnation,
             // A report that was believed lost was applied after all, and then its repetition arrived.
             CommandResult::Outdated => {}
             CommandResult::Wait { .. } => {
@@ -217,7 +217,7 @@
     /// The lease has expired: the process joins anew, as another one in the eyes of the service.
     fn handle_expiry(&mut self, now: Time, pause: Time) {
         self.lease.release();
-        self.follows = self.incarnation.take().unwrap_or(self.follows);
+        self.previous_incarnation = self.incarnation.take().unwrap_or(self.previous_incarnation);
         self.session = SessionState::Ended;
         self.nonce = next_nonce(self.nonce);
         self.next_request_at = now + pause.max(TAKEOVER_RETRY_INTERVAL);
@@ -233,8 +233,8 @@
 
     fn join_request(&self) -> Request {
         let MemberInfo { name, site, version, address } = self.info.clone();
-        let (nonce, follows) = (self.nonce, self.follows);
-        command_request(Command::Join { name, nonce, follows, site, version, address })
+        let (nonce, previous_incarnation) = (self.nonce, self.previous_incarnation);
+        command_request(Command::Join { name, nonce, previous_incarnation, site, version, address })
     }
 
     fn report_request(&mut self, incarnation: Incarnation) -> Request {
--- a/crates/coordination/src/state/command.rs
+++ b/crates/coordination/src/state/command.rs
@@ -24,7 +24,7 @@
         /// The last incarnation of the name that the process knows of, 0 for none. A command that arrives late, when the name
         /// has another incarnation, has no effect.
         #[serde(rename = "after")]
-        follows: Incarnation,
+        previous_incarnation: Incarnation,
         /// The site it runs at.
         site: String,
         /// The version of its program.
@@ -90,7 +90,8 @@
         incarnation: Incarnation,
     },
     /// The name has another incarnation than the command states. Nothing was done.
-    Present {
+    #[serde(rename = "present")]
+    IncarnationMismatch {
         /// The name's incarnation, 0 for none.
         incarnation: Incarnation,
     },
@@ -144,9 +145,9 @@
                 self.revision += 1;
                 CommandResult::SessionOpened(self.open_session(limits))
             }
-            Command::Join { name, nonce, follows, site, version, address } => {
-                let (nonce, follows) = (*nonce, *follows);
-                self.join(&JoinRequest { name, nonce, follows, site, version, address }, limits)
+            Command::Join { name, nonce, previous_incarnation, site, version, address } => {
+                let (nonce, previous_incarnation) = (*nonce, *previous_incarnation);
+                self.join(&JoinRequest { name, nonce, previous_incarnation, site, version, address }, limits)
             }
             Command::Report { name, incarnation, number, ready } => {
                 self.report(name, *incarnation, *number, *ready, limits)
--- a/crates/coordination/src/state/member.rs
+++ b/crates/coordination/src/state/member.rs
@@ -64,7 +64,7 @@
 pub(super) struct JoinRequest<'a> {
     pub(super) name: &'a str,
     pub(super) nonce: u64,
-    pub(super) follows: Incarnation,
+    pub(super) previous_incarnation: Incarnation,
     pub(super) site: &'a str,
     pub(super) version: &'a str,
     pub(super) address: &'a str,
@@ -112,8 +112,8 @@
     /// The result of a join that makes no new member.
     fn obstacle_to_join(&mut self, request: &JoinRequest<'_>, limits: &Limits) -> Option<CommandResult> {
         let Some(member) = self.members.get(request.name) else {
-            if request.follows != 0 {
-                return Some(CommandResult::Present { incarnation: 0 });
+            if request.previous_incarnation != 0 {
+                return Some(CommandResult::IncarnationMismatch { incarnation: 0 });
             }
             let is_full = self.members.len() >= limits.members;
             return is_full
@@ -127,8 +127,8 @@
                 _ => CommandResult::NotLiving,
             });
         }
-        if incarnation != request.follows {
-            return Some(CommandResult::Present { incarnation });
+        if incarnation != request.previous_incarnation {
+            return Some(CommandResult::IncarnationMismatch { incarnation });
         }
         match member.status {
             MemberStatus::Living => {
--- a/crates/coordination/tests/components.rs
+++ b/crates/coordination/tests/components.rs
@@ -108,8 +108,15 @@
 
     fn join(&mut self, name: &str, nonce: u64) -> u64 {
         let [site, version, address] = ["east", "1", ""].map(String::from);
-        let follows = self.0.members.get(name).map_or(0, |member| member.incarnation);
-        match self.run(Command::Join { name: name.into(), nonce, follows, site, version, address }) {
+        let previous_incarnation = self.0.members.get(name).map_or(0, |member| member.incarnation);
+        match self.run(Command::Join {
+            name: name.into(),
+            nonce,
+            previous_incarnation,
+            site,
+            version,
+            address,
+        }) {
             CommandResult::Joined { incarnation } => incarnation,
             other => panic!("{other:?}"),
         }
--- a/crates/coordination/tests/state.rs
+++ b/crates/coordination/tests/state.rs
@@ -21,7 +21,7 @@
 
 fn join_after(name: &str, nonce: u64, after: u64) -> CommandRequest {
     let [site, version, address] = ["east", "1", "127.0.0.1:1"].map(String::from);
-    call(Command::Join { name: name.into(), nonce, follows: after, site, version, address })
+    call(Command::Join { name: name.into(), nonce, previous_incarnation: after, site, version, address })
 }
 
 fn put(key: &str, value: &str) -> Command {
@@ -90,7 +90,10 @@
     let (mut state, bounds) = (state(), Limits::default());
     let first = incarnation(&state.apply(&join("n1", 1), &bounds));
     assert_eq!(incarnation(&state.apply(&join("n1", 1), &bounds)), first, "a repeat is known by its nonce");
-    assert_eq!(state.apply(&join("n1", 2), &bounds), CommandResult::Present { incarnation: first });
+    assert_eq!(
+        state.apply(&join("n1", 2), &bounds),
+        CommandResult::IncarnationMismatch { incarnation: first }
+    );
     assert_eq!(state.members["n1"].status, MemberStatus::Living, "whoever does not know of it takes nothing");
     assert_eq!(state.apply(&join_after("n1", 2, first), &bounds), CommandResult::Wait { incarnation: first });
     assert_eq!(state.members["n1"].status, MemberStatus::Superseded);
@@ -107,7 +110,7 @@
     assert!(second > first);
     // Joins that arrive late, of the former process and of one that is gone, have no effect.
     for late in [join("n1", 1), join_after("n1", 9, first)] {
-        assert_eq!(state.apply(&late, &bounds), CommandResult::Present { incarnation: second });
+        assert_eq!(state.apply(&late, &bounds), CommandResult::IncarnationMismatch { incarnation: second });
     }
     assert_eq!(state.members["n1"].status, MemberStatus::Living, "it is not displaced by one of them");
     let report =
--- a/crates/disruption/tests/common/mod.rs
+++ b/crates/disruption/tests/common/mod.rs
@@ -23,7 +23,8 @@
         let nonce = self.0.revision + 1;
         let [site, version, address] = [site, "1", ""].map(String::from);
         let after = self.0.members.get(name).map_or(0, |member| member.incarnation);
-        let joining = Command::Join { name: name.into(), nonce, follows: after, site, version, address };
+        let joining =
+            Command::Join { name: name.into(), nonce, previous_incarnation: after, site, version, address };
         let incarnation = match self.apply(joining) {
             CommandResult::Joined { incarnation } => incarnation,
             other => panic!("{other:?}"),
--- a/crates/disruption/tests/disruption.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -87,7 +87,7 @@
     let join = |nonce| Command::Join {
         name: "n3".into(),
         nonce,
-        follows: agents[2],
+        previous_incarnation: agents[2],
         site: "east".into(),
         version: "2".into(),
         address: String::new(),
