--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -117,8 +117,8 @@
                 continue;
             }
             let response =
-                Link::new(*address).request(&self.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
-            if let Ok(Response::Hello(identity)) = response {
+                Link::new(*address).request(&self.envelope(), &Request::Identify, HELLO_TIMEOUT).await;
+            if let Ok(Response::Identity(identity)) = response {
                 identities.insert(name.clone(), identity);
             }
         }
--- a/crates/agent/src/fleet/coordinator/requests.rs
+++ b/crates/agent/src/fleet/coordinator/requests.rs
@@ -34,8 +34,8 @@
         if let Err(refusal) = check_envelope(&envelope, &self.config.fleet) {
             return Response::Refused(refusal);
         }
-        if request == Request::Hello {
-            return Response::Hello(self.current_identity());
+        if request == Request::Identify {
+            return Response::Identity(self.current_identity());
         }
         let (sender, receiver) = oneshot::channel();
         let caller = match self.submit(&envelope, request, sender) {
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -117,10 +117,10 @@
 fn bodies_of_requests_and_the_head_of_a_batch() {
     let envelope =
         Envelope { fleet: "gulf".into(), protocol: PROTOCOL, from: "c1".into(), incarnation: 0, term: 0 };
-    let asked = ClientRequest { envelope: envelope.clone(), request: Request::Hello };
+    let asked = ClientRequest { envelope: envelope.clone(), request: Request::Identify };
     assert_eq!(serde_json::to_string(&asked).expect("written"), golden_text("ask-hello.json"));
     let read: ClientRequest = serde_json::from_str(&golden_text("ask-hello.json")).expect("read");
-    assert_eq!((read.envelope, read.request), (envelope.clone(), Request::Hello));
+    assert_eq!((read.envelope, read.request), (envelope.clone(), Request::Identify));
     let address = ADVERTISED.parse().expect("an address");
     let frame = Frame { envelope: envelope.clone(), node_id: OWN_NUMBER, address };
     assert_eq!(serde_json::to_string(&frame).expect("written"), golden_text("raft-frame.json"));
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/tools.rs
@@ -241,8 +241,8 @@
 }
 
 async fn copy(path: &Path, at: &Where) -> Result<String, ToolError> {
-    match client(at)?.ask(&Request::Copy).await? {
-        Response::Copy(text) => {
+    match client(at)?.ask(&Request::Backup).await? {
+        Response::Backup(text) => {
             std::fs::write(path, &text).map_err(|source| ToolError::Copy { path: path.into(), source })?;
             Ok(format!("{}: {} bytes\n", path.display(), text.len()))
         }
@@ -260,9 +260,9 @@
 /// The id and the address of the process that listens at an address, which must not belong to a cluster.
 async fn new_process(client: &Client, address: SocketAddr) -> Result<(u64, Peer), ToolError> {
     let no_answer = |why| ToolError::NewProcess { address, why };
-    let response = Link::new(address).request(&client.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
+    let response = Link::new(address).request(&client.envelope(), &Request::Identify, HELLO_TIMEOUT).await;
     let identity = match response.map_err(|error| no_answer(error.to_string()))? {
-        Response::Hello(identity) => identity,
+        Response::Identity(identity) => identity,
         other => return Err(no_answer(format!("{other:?}"))),
     };
     if identity.cluster.is_some_and(|cluster| cluster.peers.contains_key(&identity.node_id)) {
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -99,7 +99,7 @@
         let operation = match &request {
             Request::Command(request) => Operation::Command(request.clone()),
             Request::Renew => Operation::Renew(envelope.from.clone(), envelope.incarnation),
-            Request::Read { stale: false, .. } | Request::Copy => Operation::Read,
+            Request::Read { stale: false, .. } | Request::Backup => Operation::Read,
             Request::Replace { add, remove } => Operation::Replace { add: add.clone(), remove: *remove },
             Request::Read { stale: true, prefix, members } => {
                 let view = self.view(prefix, *members, self.node.max_staleness());
@@ -111,7 +111,7 @@
                 let watch = Watch { caller, after: *after, prefix: prefix.clone(), deadline };
                 return self.add_watch(*cluster_id, watch);
             }
-            Request::Hello => {
+            Request::Identify => {
                 let reason = "a council is formed already".into();
                 return self.respond(caller, Response::Refused(Refusal::Impossible(reason)));
             }
@@ -245,7 +245,9 @@
 
     fn read_response(&self, request: &Request) -> Response {
         match request {
-            Request::Copy => Response::Copy(String::from_utf8(self.node.export_state()).unwrap_or_default()),
+            Request::Backup => {
+                Response::Backup(String::from_utf8(self.node.export_state()).unwrap_or_default())
+            }
             Request::Read { prefix, members, .. } => Response::Read(self.view(prefix, *members, Some(0))),
             _ => Response::Refused(Refusal::Unknown),
         }
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -32,7 +32,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Request {
     /// Asks for the identity of a process that is not part of a cluster yet.
-    Hello,
+    #[serde(rename = "hello")]
+    Identify,
     /// Changes the replicated state.
     Command(CommandRequest),
     /// Renews the sender's lease.
@@ -66,7 +67,8 @@
         remove: Option<NodeId>,
     },
     /// Asks for a backup of the whole state.
-    Copy,
+    #[serde(rename = "copy")]
+    Backup,
 }
 
 /// The response to a request.
@@ -74,7 +76,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Response {
     /// The identity of the process.
-    Hello(Identity),
+    #[serde(rename = "hello")]
+    Identity(Identity),
     /// The result of a command, and the terms of leases.
     Reply(CommandResult, LeaseTerms),
     /// The lease is renewed.
@@ -99,7 +102,8 @@
     /// The processes of the cluster have been changed.
     Replaced,
     /// The whole state as JSON.
-    Copy(String),
+    #[serde(rename = "copy")]
+    Backup(String),
     /// The request is refused.
     Refused(Refusal),
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -209,7 +209,7 @@
 #[test]
 fn request() {
     let mut requests = vec![
-        Request::Hello,
+        Request::Identify,
         Request::Command(CommandRequest { session: Some((6, 1)), command: Command::OpenSession }),
         Request::Renew,
         Request::Read { stale: true, prefix: "drain/".into(), members: false },
@@ -217,19 +217,19 @@
         Request::Status,
         Request::Replace { add: Some((13, peer("c3"))), remove: Some(12) },
         Request::Replace { add: None, remove: None },
-        Request::Copy,
+        Request::Backup,
     ];
     has_every_variant!(
         requests,
         Request,
-        Request::Hello,
+        Request::Identify,
         Request::Command(_),
         Request::Renew,
         Request::Read { .. },
         Request::Watch { .. },
         Request::Status,
         Request::Replace { .. },
-        Request::Copy,
+        Request::Backup,
     );
     let command = |command| Request::Command(CommandRequest { session: None, command });
     requests.extend(commands().into_iter().map(command));
@@ -241,7 +241,7 @@
     let [empty, full] = <[View; 2]>::try_from(views()).expect("two");
     let [leader, without_leader] = <[NodeStatus; 2]>::try_from(standpoints()).expect("two");
     let silent = BTreeMap::from([("n1".into(), 250_000)]);
-    let mut responses: Vec<Response> = identities().into_iter().map(Response::Hello).collect();
+    let mut responses: Vec<Response> = identities().into_iter().map(Response::Identity).collect();
     responses.extend(replies().into_iter().map(|reply| Response::Reply(reply, terms())));
     responses.extend([
         Response::Renewed(terms()),
@@ -254,13 +254,13 @@
         Response::Status(leader, silent),
         Response::Status(without_leader, BTreeMap::new()),
         Response::Replaced,
-        Response::Copy("{\"history\":5}".into()),
+        Response::Backup("{\"history\":5}".into()),
     ]);
     responses.extend(refusals().into_iter().map(Response::Refused));
     has_every_variant!(
         responses,
         Response,
-        Response::Hello(_),
+        Response::Identity(_),
         Response::Reply(..),
         Response::Renewed(_),
         Response::Expired,
@@ -269,7 +269,7 @@
         Response::Changes { .. },
         Response::Status(..),
         Response::Replaced,
-        Response::Copy(_),
+        Response::Backup(_),
         Response::Refused(_),
     );
     assert_golden("response.jsonl", &responses);
