--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/link.rs
@@ -311,7 +311,7 @@
         Refusal::Unknown
             | Refusal::NotFormed(_)
             | Refusal::LimitExceeded(_)
-            | Refusal::OtherFleet { .. }
-            | Refusal::OtherProtocol { .. }
+            | Refusal::FleetMismatch { .. }
+            | Refusal::ProtocolMismatch { .. }
     )
 }
--- a/crates/agent/tests/fleet/main.rs
+++ b/crates/agent/tests/fleet/main.rs
@@ -252,14 +252,14 @@
     let mut stranger = client.only(address);
     stranger.fleet = "other".into();
     let refused = stranger.once(&Request::Read { stale: true, prefix: String::new(), members: true });
-    assert!(matches!(refused, Some(Response::Refused(Refusal::OtherFleet { .. }))), "{refused:?}");
+    assert!(matches!(refused, Some(Response::Refused(Refusal::FleetMismatch { .. }))), "{refused:?}");
     assert_eq!(post(address, "/v1/ask", b"{").0, 400);
     assert_eq!(post(address, "/v1/raft", b"junk").0, 400);
     assert_eq!(post(address, "/other", b"").0, 404);
     assert_eq!(post(address, "/v1/ask", &vec![b' '; (1 << 20) + 1]).0, 413);
     let expire = Command::Expire(vec![("n1".into(), 1)]);
     let refused = client.settled(&Request::Command(CommandRequest { session: None, command: expire }));
-    assert!(matches!(refused, Response::Refused(Refusal::Impossible(_))), "{refused:?}");
+    assert!(matches!(refused, Response::Refused(Refusal::FailedPrecondition(_))), "{refused:?}");
     client.done(put("note/a", "1"));
 }
 
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -113,7 +113,7 @@
             }
             Request::Identify => {
                 let reason = "a council is formed already".into();
-                return self.respond(caller, Response::Refused(Refusal::Impossible(reason)));
+                return self.respond(caller, Response::Refused(Refusal::FailedPrecondition(reason)));
             }
         };
         let id = self.node.submit(now, operation);
@@ -238,7 +238,7 @@
                 Refusal::NotLeader { leader: leader.and_then(|id| peers.get(&id).cloned()) }
             }
             OperationResult::Unknown => Refusal::Unknown,
-            OperationResult::Refused(reason) => Refusal::Impossible(reason),
+            OperationResult::Refused(reason) => Refusal::FailedPrecondition(reason),
         };
         Response::Refused(refusal)
     }
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -132,20 +132,26 @@
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
     /// The sender belongs to another fleet.
-    #[error("this is fleet {own:?}; the message is of {theirs:?}")]
-    OtherFleet {
+    #[error("this is fleet {expected:?}; the message is of {received:?}")]
+    #[serde(rename = "other_fleet")]
+    FleetMismatch {
         /// The fleet of this process.
-        own: String,
+        #[serde(rename = "own")]
+        expected: String,
         /// The sender's.
-        theirs: String,
+        #[serde(rename = "theirs")]
+        received: String,
     },
     /// The sender speaks another version of the protocol.
-    #[error("this process speaks version {own}; the message is of {theirs}")]
-    OtherProtocol {
+    #[error("this process speaks version {expected}; the message is of {received}")]
+    #[serde(rename = "other_protocol")]
+    ProtocolMismatch {
         /// The version of this process.
-        own: u32,
+        #[serde(rename = "own")]
+        expected: u32,
         /// The sender's.
-        theirs: u32,
+        #[serde(rename = "theirs")]
+        received: u32,
     },
     /// A newer process has the sender's name.
     #[error("{name} has a newer incarnation, {newer}")]
@@ -183,20 +189,21 @@
     NotFormed(String),
     /// The request cannot be carried out, for this reason.
     #[error("{0}")]
-    Impossible(String),
+    #[serde(rename = "impossible")]
+    FailedPrecondition(String),
 }
 
 /// Checks that a request is of this fleet and this version of the protocol.
 ///
 /// # Errors
 ///
-/// [`Refusal::OtherFleet`] or [`Refusal::OtherProtocol`].
+/// [`Refusal::FleetMismatch`] or [`Refusal::ProtocolMismatch`].
 pub fn check_envelope(envelope: &Envelope, fleet: &str) -> Result<(), Refusal> {
     if envelope.fleet != fleet {
-        return Err(Refusal::OtherFleet { own: fleet.into(), theirs: envelope.fleet.clone() });
+        return Err(Refusal::FleetMismatch { expected: fleet.into(), received: envelope.fleet.clone() });
     }
     if envelope.protocol != PROTOCOL {
-        return Err(Refusal::OtherProtocol { own: PROTOCOL, theirs: envelope.protocol });
+        return Err(Refusal::ProtocolMismatch { expected: PROTOCOL, received: envelope.protocol });
     }
     Ok(())
 }
--- a/crates/coordination/tests/components.rs
+++ b/crates/coordination/tests/components.rs
@@ -254,6 +254,6 @@
     assert_eq!(refusal.to_string(), "this is fleet \"gulf\"; the message is of \"other\"");
     assert!(matches!(
         check_envelope(&envelope("gulf", 9), "gulf"),
-        Err(Refusal::OtherProtocol { theirs: 9, .. })
+        Err(Refusal::ProtocolMismatch { received: 9, .. })
     ));
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -186,8 +186,8 @@
 
 fn refusals() -> Vec<Refusal> {
     vec![
-        Refusal::OtherFleet { own: "gulf".into(), theirs: "lake".into() },
-        Refusal::OtherProtocol { own: 1, theirs: 2 },
+        Refusal::FleetMismatch { expected: "gulf".into(), received: "lake".into() },
+        Refusal::ProtocolMismatch { expected: 1, received: 2 },
         Refusal::OlderIncarnation { name: "n1".into(), newer: 8 },
         Refusal::NotLeader { leader: None },
         Refusal::NotLeader { leader: Some(peer("c2")) },
@@ -195,7 +195,7 @@
         Refusal::LimitExceeded(excess()),
         Refusal::Compacted { cluster_id: ClusterId(5), oldest: 9 },
         Refusal::NotFormed("it waits for c2".into()),
-        Refusal::Impossible("why".into()),
+        Refusal::FailedPrecondition("why".into()),
     ]
 }
 
@@ -287,15 +287,15 @@
     has_every_variant!(
         refusals,
         Refusal,
-        Refusal::OtherFleet { .. },
-        Refusal::OtherProtocol { .. },
+        Refusal::FleetMismatch { .. },
+        Refusal::ProtocolMismatch { .. },
         Refusal::OlderIncarnation { .. },
         Refusal::NotLeader { .. },
         Refusal::Unknown,
         Refusal::LimitExceeded(_),
         Refusal::Compacted { .. },
         Refusal::NotFormed(_),
-        Refusal::Impossible(_),
+        Refusal::FailedPrecondition(_),
     );
     assert_golden("refusal.jsonl", &refusals);
     assert_golden("excess.jsonl", &[excess()]);
