--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -55,8 +55,8 @@
             let own = self.identity.borrow().clone();
             let reason = match bootstrap::next_step(&own, &peers, &responses, new_id) {
                 BootstrapStep::Form(cluster) => return self.form_cluster(own, cluster),
-                BootstrapStep::Outside { is_replaced, .. } => {
-                    let reason = self.outside_reason(is_replaced);
+                BootstrapStep::Excluded { is_disk_replaced, .. } => {
+                    let reason = self.outside_reason(is_disk_replaced);
                     tracing::warn!(target: LOG_TARGET, "{reason}");
                     *self.not_serving_reason.borrow_mut() = reason;
                     return Ok(stored);
--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -46,11 +46,11 @@
     Form(ClusterInfo),
     /// Its disk is empty, and a cluster exists without it. It does not vote and forms no other cluster; an operator has to
     /// add it.
-    Outside {
+    Excluded {
         /// The existing cluster.
         cluster_id: ClusterId,
         /// The cluster knows its name by another disk.
-        is_replaced: bool,
+        is_disk_replaced: bool,
     },
 }
 
@@ -89,8 +89,8 @@
     if cluster.peers.contains_key(&own.node_id) {
         return BootstrapStep::Form(cluster.clone());
     }
-    let is_replaced = cluster.peers.values().any(|peer| peer.name == own.name);
-    BootstrapStep::Outside { cluster_id: cluster.cluster_id, is_replaced }
+    let is_disk_replaced = cluster.peers.values().any(|peer| peer.name == own.name);
+    BootstrapStep::Excluded { cluster_id: cluster.cluster_id, is_disk_replaced }
 }
 
 /// What each node of a new cluster stores first; the same on all nodes.
--- a/crates/coordination/tests/components.rs
+++ b/crates/coordination/tests/components.rs
@@ -45,11 +45,11 @@
     let lost = identity(99, "c3", None);
     assert_eq!(
         next_step(&lost, &peers, &responses(&[known.clone(), c2]), ClusterId(7)),
-        BootstrapStep::Outside { cluster_id: ClusterId(5), is_replaced: true }
+        BootstrapStep::Excluded { cluster_id: ClusterId(5), is_disk_replaced: true }
     );
     assert_eq!(
         next_step(&identity(98, "c9", None), &peers, &responses(&[known]), ClusterId(7)),
-        BootstrapStep::Outside { cluster_id: ClusterId(5), is_replaced: false }
+        BootstrapStep::Excluded { cluster_id: ClusterId(5), is_disk_replaced: false }
     );
 }
 
