--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -70,7 +70,7 @@
         node.submit(now, Operation::Command(CommandRequest { session: None, command }));
         node.advance(&mut store, now).expect("worked");
     }
-    node.submit(now, Operation::Replace { add: Some((12, peer("c2"))), remove: None });
+    node.submit(now, Operation::ChangePeers { add: Some((12, peer("c2"))), remove: None });
     node.advance(&mut store, now).expect("worked");
 }
 
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/tools.rs
@@ -277,8 +277,8 @@
     add: Option<(u64, Peer)>,
     remove: Option<u64>,
 ) -> Result<(), ClientError> {
-    match client.ask(&Request::Replace { add, remove }).await? {
-        Response::Replaced => Ok(()),
+    match client.ask(&Request::ChangePeers { add, remove }).await? {
+        Response::PeersChanged => Ok(()),
         other => Err(ClientError::unexpected("not done", other)),
     }
 }
--- a/crates/coordination/src/node/apply.rs
+++ b/crates/coordination/src/node/apply.rs
@@ -46,7 +46,7 @@
         let change = ConfChangeV2::parse_from_bytes(&entry.data).unwrap_or_default();
         let operation = self.apply_membership_change(&change)?;
         if let Some(id) = operation.filter(|_| entry.context == self.origin().encode()) {
-            self.finish(id, OperationResult::Replaced);
+            self.finish(id, OperationResult::PeersChanged);
         }
         Ok(())
     }
--- a/crates/coordination/src/node/operation.rs
+++ b/crates/coordination/src/node/operation.rs
@@ -24,7 +24,7 @@
     /// Renews the lease of this member and incarnation. Only the leader takes it.
     Renew(String, Incarnation),
     /// Adds a process to the cluster, removes one, or both at once. Only the leader takes it.
-    Replace {
+    ChangePeers {
         /// The process to add.
         add: Option<(NodeId, Peer)>,
         /// The process to remove.
@@ -46,7 +46,7 @@
     /// A newer process has the name, or waits for it.
     Superseded,
     /// The processes of the cluster have been changed.
-    Replaced,
+    PeersChanged,
     /// This node is not the leader; that one is, if any is known.
     NotLeader(Option<NodeId>),
     /// The outcome is unknown: the operation may have been carried out, or may still be.
@@ -81,7 +81,7 @@
                 self.next_round.renewals.push(renewal);
             }
             Operation::Command(request) => self.submit_command(id, &request),
-            Operation::Replace { add, remove } => self.propose_replacement(id, add, remove),
+            Operation::ChangePeers { add, remove } => self.propose_replacement(id, add, remove),
         }
         id
     }
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -100,7 +100,9 @@
             Request::Command(request) => Operation::Command(request.clone()),
             Request::Renew => Operation::Renew(envelope.from.clone(), envelope.incarnation),
             Request::Read { stale: false, .. } | Request::Backup => Operation::Read,
-            Request::Replace { add, remove } => Operation::Replace { add: add.clone(), remove: *remove },
+            Request::ChangePeers { add, remove } => {
+                Operation::ChangePeers { add: add.clone(), remove: *remove }
+            }
             Request::Read { stale: true, prefix, members } => {
                 let view = self.view(prefix, *members, self.node.max_staleness());
                 return self.respond(caller, Response::Read(view));
@@ -229,7 +231,7 @@
             OperationResult::Renewed => return Response::Renewed(self.node.lease_terms()),
             OperationResult::Expired => return Response::Expired,
             OperationResult::Superseded => return Response::Superseded,
-            OperationResult::Replaced => return Response::Replaced,
+            OperationResult::PeersChanged => return Response::PeersChanged,
             OperationResult::Reply(CommandResult::LimitExceeded(limit))
             | OperationResult::LimitExceeded(limit) => Refusal::LimitExceeded(limit),
             OperationResult::Reply(result) => return Response::Reply(result, self.node.lease_terms()),
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -60,7 +60,8 @@
     /// Asks for the status of this process.
     Status,
     /// Adds a process to the cluster, removes one, or both at once.
-    Replace {
+    #[serde(rename = "replace")]
+    ChangePeers {
         /// The process to add.
         add: Option<(NodeId, Peer)>,
         /// The process to remove.
@@ -100,7 +101,8 @@
     /// The status of the process and, if it leads, the microseconds since each member renewed its lease.
     Status(NodeStatus, BTreeMap<String, Time>),
     /// The processes of the cluster have been changed.
-    Replaced,
+    #[serde(rename = "replaced")]
+    PeersChanged,
     /// The whole state as JSON.
     #[serde(rename = "copy")]
     Backup(String),
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -215,8 +215,8 @@
         Request::Read { stale: true, prefix: "drain/".into(), members: false },
         Request::Watch { cluster_id: ClusterId(5), after: 12, prefix: "drain/".into() },
         Request::Status,
-        Request::Replace { add: Some((13, peer("c3"))), remove: Some(12) },
-        Request::Replace { add: None, remove: None },
+        Request::ChangePeers { add: Some((13, peer("c3"))), remove: Some(12) },
+        Request::ChangePeers { add: None, remove: None },
         Request::Backup,
     ];
     has_every_variant!(
@@ -228,7 +228,7 @@
         Request::Read { .. },
         Request::Watch { .. },
         Request::Status,
-        Request::Replace { .. },
+        Request::ChangePeers { .. },
         Request::Backup,
     );
     let command = |command| Request::Command(CommandRequest { session: None, command });
@@ -253,7 +253,7 @@
         Response::Changes { changes: Vec::new(), upto: 0 },
         Response::Status(leader, silent),
         Response::Status(without_leader, BTreeMap::new()),
-        Response::Replaced,
+        Response::PeersChanged,
         Response::Backup("{\"history\":5}".into()),
     ]);
     responses.extend(refusals().into_iter().map(Response::Refused));
@@ -268,7 +268,7 @@
         Response::Read(_),
         Response::Changes { .. },
         Response::Status(..),
-        Response::Replaced,
+        Response::PeersChanged,
         Response::Backup(_),
         Response::Refused(_),
     );
@@ -649,13 +649,13 @@
         node.submit(now, Operation::Command(call(None, command)));
         answers.extend(node.advance(&mut disk, now).expect("worked").results);
     }
-    node.submit(now, Operation::Replace { add: Some((12, peer("c2"))), remove: None });
+    node.submit(now, Operation::ChangePeers { add: Some((12, peer("c2"))), remove: None });
     answers.extend(node.advance(&mut disk, now).expect("worked").results);
     let answers: Vec<OperationResult> = answers.into_iter().map(|(_, answer)| answer).collect();
     let done =
         [CommandResult::SessionOpened(1), CommandResult::Joined { incarnation: 2 }, CommandResult::Done(3)]
             .map(OperationResult::Reply);
-    assert_eq!(answers, [&done[..], &[OperationResult::Replaced]].concat());
+    assert_eq!(answers, [&done[..], &[OperationResult::PeersChanged]].concat());
     (disk.image, node.state().clone())
 }
 
--- a/crates/lab/src/processes/world/askers.rs
+++ b/crates/lab/src/processes/world/askers.rs
@@ -209,7 +209,7 @@
                     if let Some((add, remove, peer)) = wanted.first() {
                         asks.push((
                             0,
-                            Request::Replace { add: Some((*add, peer.clone())), remove: Some(*remove) },
+                            Request::ChangePeers { add: Some((*add, peer.clone())), remove: Some(*remove) },
                         ));
                     }
                 }
--- a/crates/lab/src/processes/world/operators.rs
+++ b/crates/lab/src/processes/world/operators.rs
@@ -172,7 +172,7 @@
     }
 
     pub(super) fn warden_told(&mut self, response: Option<&Response>) {
-        if !matches!(response, Some(Response::Replaced)) {
+        if !matches!(response, Some(Response::PeersChanged)) {
             return;
         }
         let warden = self.processes.iter_mut().find_map(|process| match &mut process.role {
