--- a/crates/agent/src/fleet/member/lease.rs
+++ b/crates/agent/src/fleet/member/lease.rs
@@ -2,7 +2,7 @@
 
 use super::{Member, CHECK_INTERVAL, LOG_TARGET, MIN_PAUSE};
 use crate::fleet::link::{CoordinationClient, Unsettled};
-use heronhoist_coordination::lease_holder::SessionState;
+use heronhoist_coordination::lease_holder::MembershipState;
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
 use heronhoist_coordination::wire::{Request, Response};
 use std::rc::Rc;
@@ -12,15 +12,15 @@
 /// Where the member stands with the service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LeaseStatus {
-    session: SessionState,
+    session: MembershipState,
     is_lease_held: bool,
 }
 
 impl LeaseStatus {
     /// Whether the member has just joined: its first renewal is still to come, which is no event.
     fn has_just_joined(self, previous: Option<LeaseStatus>) -> bool {
-        let was_member = previous.is_some_and(|status| status.session == SessionState::Member);
-        self.session == SessionState::Member && !self.is_lease_held && !was_member
+        let was_member = previous.is_some_and(|status| status.session == MembershipState::Member);
+        self.session == MembershipState::Member && !self.is_lease_held && !was_member
     }
 }
 
@@ -69,7 +69,7 @@
     }
 
     fn lease_status(&self) -> LeaseStatus {
-        let session = self.lease_holder.borrow().session();
+        let session = self.lease_holder.borrow().membership_state();
         LeaseStatus { session, is_lease_held: self.held_incarnation().is_some() }
     }
 
@@ -77,23 +77,23 @@
         let member = &*self.fleet.member;
         let incarnation = self.lease_holder.borrow().incarnation();
         match status.session {
-            SessionState::Member if status.is_lease_held => {
+            MembershipState::Member if status.is_lease_held => {
                 tracing::info!(target: LOG_TARGET, member, incarnation, "takes part in the fleet");
             }
-            SessionState::Member => {
+            MembershipState::Member => {
                 let text = "the lease has run out; serving goes on, nothing rests on it";
                 tracing::warn!(target: LOG_TARGET, member, incarnation, "{text}");
             }
-            SessionState::Joining => tracing::info!(target: LOG_TARGET, member, "joins the fleet"),
-            SessionState::Waiting => {
+            MembershipState::Joining => tracing::info!(target: LOG_TARGET, member, "joins the fleet"),
+            MembershipState::Waiting => {
                 let text = "waits for the lease of an older process of its name to end";
                 tracing::info!(target: LOG_TARGET, member, "{text}");
             }
-            SessionState::Ended => {
+            MembershipState::Ended => {
                 let text = "the council counts the lease as ended; it joins anew";
                 tracing::warn!(target: LOG_TARGET, member, "{text}");
             }
-            SessionState::Superseded => {
+            MembershipState::Superseded => {
                 let text = "a newer process has its name; this one has left the fleet and serves on";
                 tracing::warn!(target: LOG_TARGET, member, "{text}");
             }
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -26,7 +26,7 @@
 
 /// Where a process stands with the coordination service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SessionState {
+pub enum MembershipState {
     /// It has not joined yet.
     Joining,
     /// An older process of its name may still hold a lease.
@@ -49,7 +49,7 @@
     incarnation: Option<Incarnation>,
     last_report: u64,
     lease: LeaseState,
-    session: SessionState,
+    membership_state: MembershipState,
     ready: bool,
     /// The readiness that the service has acknowledged.
     reported_ready: bool,
@@ -72,7 +72,7 @@
             incarnation: None,
             last_report: 0,
             lease: LeaseState::default(),
-            session: SessionState::Joining,
+            membership_state: MembershipState::Joining,
             ready: false,
             reported_ready: false,
             ready_in_flight: false,
@@ -93,8 +93,8 @@
     }
 
     /// Where it stands with the service.
-    pub fn session(&self) -> SessionState {
-        self.session
+    pub fn membership_state(&self) -> MembershipState {
+        self.membership_state
     }
 
     /// The incarnation under which it may act now, if it holds a lease. Call it right before the action.
@@ -111,7 +111,7 @@
     /// Sets whether it can serve; a change is reported with the next request.
     pub fn set_ready(&mut self, ready: bool, now: Time) {
         self.ready = ready;
-        if self.reported_ready != ready && self.session == SessionState::Member {
+        if self.reported_ready != ready && self.membership_state == MembershipState::Member {
             self.next_request_at = self.next_request_at.min(now);
         }
     }
@@ -128,7 +128,9 @@
         }
         self.requested_at = Some(now);
         Some(match self.incarnation {
-            Some(incarnation) if self.session == SessionState::Superseded => self.leave_request(incarnation),
+            Some(incarnation) if self.membership_state == MembershipState::Superseded => {
+                self.leave_request(incarnation)
+            }
             None => self.join_request(),
             Some(incarnation) if self.reported_ready != self.ready && self.lease.is_held(now) => {
                 self.report_request(incarnation)
@@ -147,7 +149,7 @@
         random: f64,
     ) -> bool {
         let Some(sent_at) = self.requested_at.take() else { return false };
-        if self.session == SessionState::Superseded {
+        if self.membership_state == MembershipState::Superseded {
             return self.handle_response_to_leave(now, response, pause);
         }
         match response {
@@ -158,7 +160,7 @@
             Some(Response::Superseded | Response::Refused(Refusal::OlderIncarnation { .. })) => {
                 // The newer process only waits for this one to leave.
                 self.lease.release();
-                self.session = SessionState::Superseded;
+                self.membership_state = MembershipState::Superseded;
                 self.next_request_at = now;
             }
             Some(Response::Reply(result, _)) => return self.handle_command_result(result, now, pause),
@@ -180,14 +182,14 @@
             CommandResult::Joined { incarnation } => {
                 // Only a renewal grants the lease: this result may repeat that of a join long ago.
                 self.incarnation = Some(*incarnation);
-                self.session = SessionState::Member;
+                self.membership_state = MembershipState::Member;
                 self.reported_ready = false;
             }
             CommandResult::IncarnationMismatch { incarnation } => self.previous_incarnation = *incarnation,
             // A report that was believed lost was applied after all, and then its repetition arrived.
             CommandResult::Outdated => {}
             CommandResult::Wait { .. } => {
-                self.session = SessionState::Waiting;
+                self.membership_state = MembershipState::Waiting;
                 self.next_request_at = now + TAKEOVER_RETRY_INTERVAL;
             }
             // A report does not renew the lease; a renewal follows.
@@ -218,7 +220,7 @@
     fn handle_expiry(&mut self, now: Time, pause: Time) {
         self.lease.release();
         self.previous_incarnation = self.incarnation.take().unwrap_or(self.previous_incarnation);
-        self.session = SessionState::Ended;
+        self.membership_state = MembershipState::Ended;
         self.nonce = next_nonce(self.nonce);
         self.next_request_at = now + pause.max(TAKEOVER_RETRY_INTERVAL);
     }
@@ -227,7 +229,7 @@
     pub fn leave(&mut self) -> Option<Request> {
         self.lease.release();
         let incarnation = self.incarnation.take()?;
-        self.session = SessionState::Ended;
+        self.membership_state = MembershipState::Ended;
         Some(self.leave_request(incarnation))
     }
 
--- a/crates/lab/src/processes/world/askers.rs
+++ b/crates/lab/src/processes/world/askers.rs
@@ -98,7 +98,7 @@
                     _ => belief.replace(Belief { name, incarnation, from: now, to }),
                 }
             }
-            None if holder.session() != SessionState::Member => belief.take(),
+            None if holder.membership_state() != MembershipState::Member => belief.take(),
             None => None,
         };
         self.keep_belief(ended);
@@ -150,7 +150,8 @@
                 if can[0] {
                     asks.extend(agent.holder.next_request(local).map(|request| (0, request)));
                 }
-                let member = agent.holder.session() == SessionState::Member && now >= agent.ready_at;
+                let member =
+                    agent.holder.membership_state() == MembershipState::Member && now >= agent.ready_at;
                 if can[1] && member && now >= agent.look_at && self.plan.operators > 0 {
                     agent.look_at = now + LOOK;
                     asks.push((1, Request::Read { stale: false, prefix: "budget/".into(), members: true }));
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -15,7 +15,7 @@
 use disk::{After, MemoryDisk};
 use heronhoist_coordination::backoff::Backoff;
 use heronhoist_coordination::bootstrap::{initial_state, ClusterInfo};
-use heronhoist_coordination::lease_holder::{LeaseHolder, MemberInfo, SessionState};
+use heronhoist_coordination::lease_holder::{LeaseHolder, MemberInfo, MembershipState};
 use heronhoist_coordination::log::{Disk, DiskError, DurableState, WriteBatch};
 use heronhoist_coordination::node::{Node, NodeError, NodeSettings};
 use heronhoist_coordination::permit::{self, PermitDenial};
@@ -477,9 +477,9 @@
         let late = self.processes.iter().filter(|process| !self.is_right(process));
         let about = |process: &Process| match &process.role {
             Role::Operator(operator) => {
-                format!("{} ({:?}, {:?})", process.name, operator.holder.session(), operator.doing)
+                format!("{} ({:?}, {:?})", process.name, operator.holder.membership_state(), operator.doing)
             }
-            Role::Agent(agent) => format!("{} ({:?})", process.name, agent.holder.session()),
+            Role::Agent(agent) => format!("{} ({:?})", process.name, agent.holder.membership_state()),
             Role::Drainer(drainer) => format!("{} ({drainer:?})", process.name),
             _ => process.name.clone(),
         };
@@ -504,7 +504,7 @@
                 // One that holds no lease may only not have heard yet that it has ended.
                 let local = process.clock.local(self.now);
                 process.life == Life::Down
-                    || agent.holder.session() == SessionState::Superseded
+                    || agent.holder.membership_state() == MembershipState::Superseded
                     || agent.holder.held_incarnation(local).is_some()
             }
             Role::Client(client) => client.now.is_none(),
