--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn list(items: &[&str]) -> Vec<String> {
+fn strings(items: &[&str]) -> Vec<String> {
     items.iter().map(std::string::ToString::to_string).collect()
 }
 
@@ -9,37 +9,37 @@
 }
 
 fn classes(items: &[&str]) -> Conditions {
-    Conditions { classes: list(items), ..Conditions::default() }
+    Conditions { classes: strings(items), ..Conditions::default() }
 }
 
 fn tenants(items: &[&str]) -> Conditions {
-    Conditions { tenants: list(items), ..Conditions::default() }
+    Conditions { tenants: strings(items), ..Conditions::default() }
 }
 
 fn paths(items: &[&str]) -> Conditions {
-    Conditions { paths: list(items), ..Conditions::default() }
+    Conditions { paths: strings(items), ..Conditions::default() }
 }
 
 #[test]
-fn the_first_rule_that_matches_names_the_pool() {
+fn the_first_matching_rule_selects_the_pool() {
     let mut east = classes(&["read"]);
-    east.labels.insert("x-region".into(), list(&["east", "north"]));
+    east.labels.insert("x-region".into(), strings(&["east", "north"]));
     let table =
         Table::new(vec![rule("east", 2, east), rule("reads", 1, classes(&["read", "find"]))], Some(0))
             .unwrap();
-    let of = |class: &str, region: &str| {
+    let route = |class: &str, region: &str| {
         let labels = |name: &str| (name == "x-region").then_some(region);
         table.route(&Attributes { front: "http", class, labels: Some(&labels), ..Attributes::default() })
     };
-    assert_eq!(of("read", "east"), Some(2));
-    assert_eq!(of("read", "west"), Some(1));
-    assert_eq!(of("find", "east"), Some(1));
-    assert_eq!(of("copy", "east"), Some(0));
+    assert_eq!(route("read", "east"), Some(2));
+    assert_eq!(route("read", "west"), Some(1));
+    assert_eq!(route("find", "east"), Some(1));
+    assert_eq!(route("copy", "east"), Some(0));
     assert_eq!(Table::new(vec![], None).unwrap().route(&Attributes::default()), None);
 }
 
 #[test]
-fn a_path_pattern_ends_at_a_border() {
+fn a_path_pattern_matches_whole_segments() {
     for (pattern, path, matches) in [
         ("/a", "/a", true),
         ("/a", "/a/b", false),
@@ -52,9 +52,9 @@
     }
 }
 
-/// Also where several rules only together take everything, and where a wider one of higher priority does.
+/// A rule is unreachable if several rules together match all of its requests, or if one with a higher priority does.
 #[test]
-fn a_rule_that_nothing_reaches_is_found() {
+fn an_unreachable_rule_is_reported() {
     let unreachable = |rules: Vec<Rule>| match &Table::new(rules, None).unwrap_err()[..] {
         [TableError::Unreachable { rule, shadowed_by }] => (rule.1.clone(), shadowed_by.clone()),
         other => panic!("{other:?}"),
@@ -64,19 +64,19 @@
         rule("b", 1, classes(&["b"])),
         rule("both", 1, classes(&["a", "b"])),
     ];
-    assert_eq!(unreachable(split), ("both".into(), list(&["a", "b"])));
+    assert_eq!(unreachable(split), ("both".into(), strings(&["a", "b"])));
     let wide = Rule { priority: 1, ..rule("all", 0, Conditions::default()) };
-    assert_eq!(unreachable(vec![rule("some", 1, tenants(&["t"])), wide]), ("some".into(), list(&["all"])));
-    let below = vec![rule("top", 1, paths(&["/a/*"])), rule("leaf", 2, paths(&["/a/b"]))];
-    assert_eq!(unreachable(below).0, "leaf");
-    // The other way round the first is a special case, and both are reached.
+    assert_eq!(unreachable(vec![rule("some", 1, tenants(&["t"])), wide]), ("some".into(), strings(&["all"])));
+    let parent_first = vec![rule("top", 1, paths(&["/a/*"])), rule("leaf", 2, paths(&["/a/b"]))];
+    assert_eq!(unreachable(parent_first).0, "leaf");
+    // In the reverse order the first rule is a special case of the second, and both are reachable.
     assert!(
         Table::new(vec![rule("leaf", 2, paths(&["/a/b"])), rule("top", 1, paths(&["/a/*"]))], None).is_ok()
     );
 }
 
 #[test]
-fn rules_that_disagree_are_found_unless_one_has_priority_or_they_agree() {
+fn overlapping_rules_are_reported_unless_priorities_or_pools_resolve_them() {
     let rules = vec![rule("reads", 1, classes(&["read"])), rule("court", 2, tenants(&["court"]))];
     match &Table::new(rules.clone(), None).unwrap_err()[..] {
         [TableError::Overlap { first, second, example }] => {
@@ -85,19 +85,19 @@
         }
         other => panic!("{other:?}"),
     }
-    let mut first = rules.clone();
-    first[1].priority = 1;
-    let table = Table::new(first, None).unwrap();
+    let mut prioritized = rules.clone();
+    prioritized[1].priority = 1;
+    let table = Table::new(prioritized, None).unwrap();
     assert_eq!(table.rules()[0].name, "court");
-    let mut agree = rules;
-    agree[1].pool = 1;
-    assert!(Table::new(agree, None).is_ok());
+    let mut same_pool = rules;
+    same_pool[1].pool = 1;
+    assert!(Table::new(same_pool, None).is_ok());
 }
 
 #[test]
-fn more_cases_than_can_be_checked_are_refused() {
-    let many: Vec<String> = (0..600).map(|n| n.to_string()).collect();
-    let wide = Conditions { classes: many.clone(), tenants: many, ..Conditions::default() };
+fn rules_with_too_many_cases_are_refused() {
+    let values: Vec<String> = (0..600).map(|number| number.to_string()).collect();
+    let wide = Conditions { classes: values.clone(), tenants: values, ..Conditions::default() };
     assert!(matches!(
         Table::new(vec![rule("wide", 0, wide)], None).unwrap_err()[..],
         [TableError::TooManyCases { .. }]
