--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,11 +1,11 @@
-//! The engine: it stands between a frontend, which owes each client exactly one final response, and the servers that a
-//! decision module selects. It knows time and tasks, and no protocol.
+//! The engine connects a frontend, which must give each client exactly one final response, with the servers that a
+//! decision module selects. It manages time and tasks and is independent of any protocol.
 //!
-//! A [`Pool`] is one fleet of servers with one decision module, one [`Upstream`] that speaks to the servers and one
-//! [`EndpointSource`] that lists them. A frontend hands a [`NewRequest`] to [`Pool::submit`] and awaits
-//! [`PendingResponse::wait`]; a pending response that is dropped counts as a client that has disconnected. Where a
-//! process has several pools, a [`Quota`] shares what the process may hold, so that a fleet that hangs can't starve the
-//! others.
+//! A [`Pool`] combines one fleet of servers with one decision module, one [`Upstream`] that communicates with the
+//! servers and one [`EndpointSource`] that lists them. A frontend passes a [`NewRequest`] to [`Pool::submit`] and
+//! awaits [`PendingResponse::wait`]. Dropping a pending response means that the client has disconnected. If a process
+//! has several pools, a [`Quota`] divides the resources of the process between them, so that a fleet that hangs can't
+//! starve the others.
 //!
 //! Everything runs on one thread, in a [`tokio::task::LocalSet`].
 
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,48 +1,50 @@
-//! What the process may hold of a resource (descriptors, bytes, requests), shared between the parts of the process.
-//! Each share is guaranteed half of an equal part; the other half of the resource goes to whoever comes first. So a
-//! share that hangs with all that it could get leaves the others able to go on, and a single share may hold everything.
+//! A limit on how much of a resource (descriptors, bytes, requests) the process may hold, divided between parts of
+//! the process. Each share is guaranteed half of an equal part; the rest is allocated first come, first served. A
+//! share that hangs with everything it could get therefore leaves the others able to work, and a single share may
+//! hold everything.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 
-/// An amount of a resource, and the shares that hold it.
+/// A limit on a resource, and the shares that hold it.
 pub struct Quota {
     limit: Cell<usize>,
     shares: RefCell<Vec<Weak<QuotaShare>>>,
 }
 
-/// One holder of a [`Quota`].
+/// One share of a [`Quota`].
 pub struct QuotaShare {
     quota: Rc<Quota>,
     in_use: Cell<usize>,
 }
 
-/// An amount that a [`QuotaShare`] holds; given back when dropped.
-#[must_use = "the amount is given back when this is dropped"]
+/// An amount that a [`QuotaShare`] holds; it is released on drop.
+#[must_use = "the amount is released when this is dropped"]
 pub struct Reservation {
     share: Rc<QuotaShare>,
     amount: usize,
 }
 
 impl Quota {
-    /// A quota of `limit` units over all shares.
+    /// Creates a quota of `limit` units over all shares.
     #[must_use]
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Quota { limit: Cell::new(limit), shares: RefCell::default() })
     }
 
-    /// A quota of `limit` units with a single share.
+    /// Creates a quota of `limit` units with a single share.
     #[must_use]
     pub fn single_share(limit: usize) -> Rc<QuotaShare> {
         Quota::new(limit).share()
     }
 
-    /// Changes the limit. What is held beyond a lower one is given back as its holders drop it.
+    /// Changes the limit. An amount held in excess of a lowered limit is released only as its reservations are
+    /// dropped.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// Adds a share, which lasts until it and all its reservations are dropped.
+    /// Adds a share, which exists until it and all its reservations are dropped.
     #[must_use]
     pub fn share(self: &Rc<Self>) -> Rc<QuotaShare> {
         let share = Rc::new(QuotaShare { quota: Rc::clone(self), in_use: Cell::new(0) });
@@ -54,20 +56,20 @@
         self.shares.borrow().len()
     }
 
-    /// How much each share is guaranteed: half of an equal part.
+    /// Returns the amount that each share is guaranteed: half of an equal part.
     fn guaranteed(&self) -> usize {
         self.limit.get() / (2 * self.share_count())
     }
 
-    /// The sum over all shares of a function of what each holds.
-    fn sum(&self, of_in_use: impl Fn(usize) -> usize) -> usize {
+    /// Returns the sum over all shares of a function of the amount that each holds.
+    fn sum(&self, function: impl Fn(usize) -> usize) -> usize {
         let shares = self.shares.borrow();
-        shares.iter().filter_map(Weak::upgrade).map(|share| of_in_use(share.in_use.get())).sum()
+        shares.iter().filter_map(Weak::upgrade).map(|share| function(share.in_use.get())).sum()
     }
 }
 
 impl QuotaShare {
-    /// How much more this share may take now.
+    /// Returns how much more this share can reserve now.
     #[must_use]
     pub fn available(&self) -> usize {
         let limit = self.quota.limit.get();
@@ -76,36 +78,37 @@
             return limit.saturating_sub(self.in_use.get());
         }
         let guaranteed = self.quota.guaranteed();
-        let common = limit - guaranteed * count;
+        let unguaranteed = limit - guaranteed * count;
         let borrowed = self.quota.sum(|in_use| in_use.saturating_sub(guaranteed));
-        guaranteed.saturating_sub(self.in_use.get()) + common.saturating_sub(borrowed)
+        guaranteed.saturating_sub(self.in_use.get()) + unguaranteed.saturating_sub(borrowed)
     }
 
-    /// How much this share holds.
+    /// Returns how much this share holds.
     #[must_use]
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
 
-    /// How much all shares together hold beyond the limit, as after the limit was lowered.
+    /// Returns how much all shares together hold in excess of the limit, for example after the limit was lowered.
     #[must_use]
     pub fn excess(&self) -> usize {
         self.quota.sum(|in_use| in_use).saturating_sub(self.quota.limit.get())
     }
 
-    /// Whether this share holds more than it is guaranteed, so that what it gives back serves the others.
+    /// Returns whether this share holds more than it is guaranteed, so that the other shares can use what it
+    /// releases.
     #[must_use]
     pub fn has_borrowed(&self) -> bool {
         self.quota.share_count() > 1 && self.in_use.get() > self.quota.guaranteed()
     }
 
-    /// Reserves an amount whether it is available or not: for a caller that is about to give back as much.
+    /// Reserves an amount even if it is not available, for a caller that is about to release as much.
     pub fn force_reserve(self: &Rc<Self>, amount: usize) -> Reservation {
         self.in_use.set(self.in_use.get() + amount);
         Reservation { share: Rc::clone(self), amount }
     }
 
-    /// Reserves an amount until the reservation is dropped; `None` if this share may not take so much.
+    /// Reserves an amount until the reservation is dropped; `None` if the amount is not available.
     #[must_use]
     pub fn try_reserve(self: &Rc<Self>, amount: usize) -> Option<Reservation> {
         if amount > self.available() {
--- a/crates/engine/src/quota/tests.rs
+++ b/crates/engine/src/quota/tests.rs
@@ -10,15 +10,15 @@
     drop(first);
     assert!(share.try_reserve(8).is_none() && share.try_reserve(7).is_some());
     drop(second);
-    let whole = share.try_reserve(10);
+    let full = share.try_reserve(10);
     quota.set_limit(5);
-    assert!(whole.is_some() && share.try_reserve(1).is_none() && share.excess() == 5);
-    drop(whole);
+    assert!(full.is_some() && share.try_reserve(1).is_none() && share.excess() == 5);
+    drop(full);
     assert!(share.try_reserve(6).is_none() && share.try_reserve(5).is_some());
 }
 
-/// A share that takes all it can get and gives nothing back leaves each other share what it is guaranteed, at any number of
-/// shares, and together they never hold more than the limit.
+/// A share that reserves all it can get and releases nothing must leave every other share its guaranteed amount, for
+/// any number of shares, and together they must never exceed the limit.
 #[test]
 fn a_share_that_hangs_leaves_the_others_their_guarantee() {
     for share_count in 2..=9 {
@@ -29,8 +29,8 @@
             let guaranteed = limit / (2 * share_count);
             assert_eq!(greedy.len(), limit - guaranteed * (share_count - 1));
             for share in &shares[1..] {
-                let own: Vec<_> = std::iter::from_fn(|| share.try_reserve(1)).collect();
-                assert_eq!(own.len(), guaranteed, "{share_count} shares of {limit}");
+                let reservations: Vec<_> = std::iter::from_fn(|| share.try_reserve(1)).collect();
+                assert_eq!(reservations.len(), guaranteed, "{share_count} shares of {limit}");
             }
             assert!(
                 shares[0].excess() == 0 && shares[0].has_borrowed() == (limit > guaranteed * share_count)
@@ -39,9 +39,10 @@
     }
 }
 
-/// What a dropped share held is counted until it is given back, and its guarantee goes to the others.
+/// The reservations of a dropped share count until they are released; then its guaranteed amount is available to the
+/// others.
 #[test]
-fn a_dropped_share_frees_its_guarantee() {
+fn a_dropped_share_releases_its_guarantee() {
     let quota = Quota::new(100);
     let (first, second) = (quota.share(), quota.share());
     let reservation = second.try_reserve(30);
--- a/crates/engine/src/timing.rs
+++ b/crates/engine/src/timing.rs
@@ -1,8 +1,9 @@
-//! Timeouts that read what has arrived before they expire.
+//! Timeouts that process data that has already arrived before they expire.
 //!
-//! A process that was held up finds all its timers due when it goes on, and what came meanwhile unread in its sockets.
-//! tokio serves timers in the same turn of the event loop as sockets, or before them, so that a plain timeout throws away
-//! a response that arrived long ago. The timeouts here give the sockets and the tasks that read them their turn first.
+//! When a stalled process resumes, all its timers are due, and the data that arrived meanwhile is unread in its
+//! sockets. tokio processes timers in the same iteration of the event loop as sockets, or before them, so a plain
+//! timeout discards a response that arrived long ago. The timeouts in this module let the sockets and the tasks that
+//! read them run first.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -12,37 +13,41 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// How often a process that watches its event loop calls [`heartbeat`].
+/// The interval at which a process that monitors its event loop calls [`heartbeat`].
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// An event loop that is later than this has stalled. As long as a heartbeat, so that a turn with much to do is no stall.
+/// A heartbeat or timeout that is later than this means that the event loop has stalled. It equals the heartbeat
+/// interval, so that one busy iteration does not count as a stall.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(100);
-/// Turns of the event loop that are given to what has arrived when a timeout is due: one in which the sockets are
-/// looked at, and some for the tasks between a socket and whoever waits for what it brings.
-const MIN_CATCH_UP_TURNS: u32 = 4;
-/// The same after a stall, when there is much to read: a list of thousands of lines comes in dozens of pieces.
-const MAX_CATCH_UP_TURNS: u32 = 128;
+/// Number of times that a due timeout yields to the event loop: once to poll the sockets, and more for the tasks
+/// between a socket and the task that waits for its data.
+const MIN_CATCH_UP_YIELDS: u32 = 4;
+/// The same after a stall, when there is more to read: a list of thousands of entries arrives in dozens of chunks.
+const MAX_CATCH_UP_YIELDS: u32 = 128;
 
 thread_local! {
-    /// When the event loop of this thread was last known to run and to have read what there was; `None` without heartbeats.
+    /// When the event loop of this thread last ran and had read all available data; `None` if there are no
+    /// heartbeats.
     static LAST_HEARTBEAT: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// Records that the event loop runs. To be called every [`HEARTBEAT_INTERVAL`]; returns once what arrived during a stall
-/// has had its turn.
+/// Records that the event loop is running. Must be called every [`HEARTBEAT_INTERVAL`]. Returns once the data that
+/// arrived during a stall has been processed.
 pub async fn heartbeat() {
     catch_up().await;
     LAST_HEARTBEAT.set(Some(Instant::now()));
 }
 
-/// Since when the event loop has stalled, until what arrived meanwhile has been read; `None` while it runs.
+/// Returns since when the event loop has been stalled; `None` while it is running. A stall ends with the next
+/// heartbeat, once the data that arrived meanwhile has been read.
 #[must_use]
 pub fn stalled_since() -> Option<Instant> {
     LAST_HEARTBEAT.get().filter(|last| last.elapsed() > HEARTBEAT_INTERVAL + MAX_HEARTBEAT_DELAY)
 }
 
-/// Returns at once while the event loop runs; after a stall, once what arrived meanwhile has had its turn.
+/// Returns at once while the event loop is running; after a stall, once the data that arrived meanwhile has been
+/// processed.
 pub async fn catch_up() {
-    for _ in 0..MAX_CATCH_UP_TURNS {
+    for _ in 0..MAX_CATCH_UP_YIELDS {
         if stalled_since().is_none() {
             return;
         }
@@ -50,40 +55,40 @@
     }
 }
 
-/// Gives what has arrived its turn, at the end of a wait that was to end at `due`.
-async fn settle(due: Instant) {
+/// Lets the tasks process the data that has arrived, at the end of a wait that was due at `due`.
+async fn yield_to_event_loop(due: Instant) {
     let has_stalled = due.elapsed() > MAX_HEARTBEAT_DELAY || stalled_since().is_some();
-    let turns = if has_stalled { MAX_CATCH_UP_TURNS } else { MIN_CATCH_UP_TURNS };
-    for _ in 0..turns {
+    let yields = if has_stalled { MAX_CATCH_UP_YIELDS } else { MIN_CATCH_UP_YIELDS };
+    for _ in 0..yields {
         yield_now().await;
     }
 }
 
-/// Sleeps until a time, and until what had arrived by then has had its turn.
+/// Sleeps until `due`, and then until the data that had arrived by then has been processed.
 pub async fn sleep_until_caught_up(due: Instant) {
     sleep_until(due).await;
-    settle(due).await;
+    yield_to_event_loop(due).await;
 }
 
-/// A timeout has expired, and what was waited for has not come.
+/// The error of a timeout that expired before its future was ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the time is over")]
+#[error("deadline has elapsed")]
 pub struct Elapsed;
 
-/// As [`tokio::time::timeout`], except that what had arrived by then counts.
+/// Like [`tokio::time::timeout`], but processes data that arrived before the timeout before it expires.
 ///
 /// # Errors
 ///
-/// [`Elapsed`] if the future is not ready in time.
+/// Returns [`Elapsed`] if the future is not ready in time.
 pub async fn timeout<F: Future>(limit: Duration, future: F) -> Result<F::Output, Elapsed> {
     timeout_at(Instant::now() + limit, future).await
 }
 
-/// As [`tokio::time::timeout_at`], except that what had arrived by then counts.
+/// Like [`tokio::time::timeout_at`], but processes data that arrived before `due` before it expires.
 ///
 /// # Errors
 ///
-/// [`Elapsed`] if the future is not ready in time.
+/// Returns [`Elapsed`] if the future is not ready in time.
 pub async fn timeout_at<F: Future>(due: Instant, future: F) -> Result<F::Output, Elapsed> {
     let future = pin!(future);
     tokio::select! {
@@ -93,31 +98,31 @@
     }
 }
 
-/// A deadline that is polled by hand, and set anew for each wait.
+/// A deadline for use in `poll` functions, which can be reset for each wait.
 pub struct DeadlineTimer {
     sleep: Pin<Box<Sleep>>,
-    settling: Option<Pin<Box<dyn Future<Output = ()>>>>,
+    catching_up: Option<Pin<Box<dyn Future<Output = ()>>>>,
 }
 
 impl DeadlineTimer {
-    /// A timer that expires at `due`.
+    /// Creates a timer that expires at `due`.
     #[must_use]
     pub fn new(due: Instant) -> Self {
-        DeadlineTimer { sleep: Box::pin(sleep_until(due)), settling: None }
+        DeadlineTimer { sleep: Box::pin(sleep_until(due)), catching_up: None }
     }
 
-    /// Lets it expire at `due` instead.
+    /// Changes the time at which the timer expires to `due`.
     pub fn reset(&mut self, due: Instant) {
         self.sleep.as_mut().reset(due);
-        self.settling = None;
+        self.catching_up = None;
     }
 
-    /// Ready once the deadline has passed and what had arrived by then has had its turn: what is waited for has to be
-    /// polled first.
+    /// Is ready once the deadline has passed and the data that had arrived by then has been processed. The caller
+    /// must poll the future that it waits for before this.
     pub fn poll_expired(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.sleep.as_mut().poll(cx));
         let due = self.sleep.deadline();
-        self.settling.get_or_insert_with(|| Box::pin(settle(due))).as_mut().poll(cx)
+        self.catching_up.get_or_insert_with(|| Box::pin(yield_to_event_loop(due))).as_mut().poll(cx)
     }
 }
 
--- a/crates/engine/src/timing/tests.rs
+++ b/crates/engine/src/timing/tests.rs
@@ -1,5 +1,5 @@
-//! Time is the runtime's own and moves only when the tests say so; bytes go over real sockets, and tasks stand between them and
-//! whoever waits.
+//! Time is simulated and advances only when the tests advance it. Bytes go over real sockets, and tasks forward them
+//! from the sockets to the waiting task.
 
 use super::*;
 use crate::endpoint_source::{EndpointInfo, EndpointList, EndpointState};
@@ -11,7 +11,7 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::advance;
 
-const LIMIT: Duration = Duration::from_secs(4);
+const TIMEOUT: Duration = Duration::from_secs(4);
 
 fn run<T>(test: impl Future<Output = T>) -> T {
     LAST_HEARTBEAT.set(None);
@@ -19,46 +19,46 @@
     LocalSet::new().block_on(&runtime.unwrap(), test)
 }
 
-/// Both ends of a connection.
+/// Returns the client end and the server end of a connection.
 async fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let near = TcpStream::connect(listener.local_addr().unwrap());
-    let (near, far) = tokio::join!(near, listener.accept());
-    (near.unwrap(), far.unwrap().0)
+    let client = TcpStream::connect(listener.local_addr().unwrap());
+    let (client, server) = tokio::join!(client, listener.accept());
+    (client.unwrap(), server.unwrap().0)
 }
 
-/// A byte that two tasks pass on, one after the other, as a connection and a call on it do.
-fn handed_on(mut near: TcpStream) -> oneshot::Receiver<u8> {
-    let (first, passed) = oneshot::channel();
-    let (last, end) = oneshot::channel();
+/// Returns a receiver of a byte that two tasks forward one after the other, like a connection and a request on it.
+fn forwarded_byte(mut client: TcpStream) -> oneshot::Receiver<u8> {
+    let (read_sender, read_receiver) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     spawn_local(async move {
-        if let Ok(byte) = near.read_u8().await {
-            let _ = first.send(byte);
+        if let Ok(byte) = client.read_u8().await {
+            let _ = read_sender.send(byte);
         }
     });
     spawn_local(async move {
-        if let Ok(byte) = passed.await {
-            let _ = last.send(byte);
+        if let Ok(byte) = read_receiver.await {
+            let _ = sender.send(byte);
         }
     });
-    end
+    receiver
 }
 
-/// The event loop stalls from here on, and a byte arrives meanwhile.
-fn stall(far: &TcpStream) {
-    assert_eq!(far.try_write(&[7]).unwrap(), 1);
+/// Writes a byte that arrives while the event loop is stalled. The caller then advances the time without yielding.
+fn write_during_stall(server: &TcpStream) {
+    assert_eq!(server.try_write(&[7]).unwrap(), 1);
 }
 
 #[test]
 fn what_arrived_during_a_stall_is_read_before_the_timeout_expires() {
     run(async {
-        let (near, far) = connection().await;
-        let end = handed_on(near);
-        let waiting = spawn_local(timeout(LIMIT, end));
+        let (client, server) = connection().await;
+        let byte = forwarded_byte(client);
+        let waiting = spawn_local(timeout(TIMEOUT, byte));
         yield_now().await;
-        stall(&far);
-        // The timer is served before the sockets are looked at.
-        advance(LIMIT * 2).await;
+        write_during_stall(&server);
+        // tokio processes the timer before it polls the sockets.
+        advance(TIMEOUT * 2).await;
         assert_eq!(waiting.await.unwrap(), Ok(Ok(7)));
     });
 }
@@ -66,88 +66,88 @@
 #[test]
 fn a_timeout_without_an_arrival_expires_on_time() {
     run(async {
-        let (near, far) = connection().await;
+        let (client, server) = connection().await;
         let started_at = Instant::now();
-        assert_eq!(timeout(LIMIT, handed_on(near)).await, Err(Elapsed));
-        assert!(started_at.elapsed() < LIMIT + Duration::from_millis(10), "{:?}", started_at.elapsed());
-        drop(far);
+        assert_eq!(timeout(TIMEOUT, forwarded_byte(client)).await, Err(Elapsed));
+        assert!(started_at.elapsed() < TIMEOUT + Duration::from_millis(10), "{:?}", started_at.elapsed());
+        drop(server);
     });
 }
 
 #[test]
-fn a_polled_deadline_reads_first_too() {
+fn a_deadline_timer_also_expires_only_after_data_is_read() {
     run(async {
-        let (near, far) = connection().await;
-        let mut end = pin!(handed_on(near));
-        let mut limit = DeadlineTimer::new(Instant::now());
-        limit.reset(Instant::now() + LIMIT);
-        let waiting = std::future::poll_fn(|cx| match end.as_mut().poll(cx) {
-            Poll::Ready(byte) => Poll::Ready(byte.ok()),
-            Poll::Pending => limit.poll_expired(cx).map(|()| None),
+        let (client, server) = connection().await;
+        let mut byte = pin!(forwarded_byte(client));
+        let mut deadline = DeadlineTimer::new(Instant::now());
+        deadline.reset(Instant::now() + TIMEOUT);
+        let waiting = std::future::poll_fn(|cx| match byte.as_mut().poll(cx) {
+            Poll::Ready(received) => Poll::Ready(received.ok()),
+            Poll::Pending => deadline.poll_expired(cx).map(|()| None),
         });
-        let stall = async {
+        let stalled = async {
             yield_now().await;
-            stall(&far);
-            advance(LIMIT * 2).await;
+            write_during_stall(&server);
+            advance(TIMEOUT * 2).await;
         };
-        assert_eq!(tokio::join!(waiting, stall).0, Some(7));
+        assert_eq!(tokio::join!(waiting, stalled).0, Some(7));
     });
 }
 
-/// Nobody watches the event loop of a simulation or a tool: it never stalls, and nothing waits for it.
+/// Simulations and tools send no heartbeats: their event loop must never count as stalled.
 #[test]
-fn without_heartbeats_nothing_has_stalled() {
+fn without_heartbeats_there_is_no_stall() {
     run(async {
-        advance(LIMIT).await;
+        advance(TIMEOUT).await;
         assert_eq!(stalled_since(), None);
     });
 }
 
-/// After a stall whoever asks waits until what arrived has been read, and what is read meanwhile may be as old as the last
-/// heartbeat.
+/// After a stall, `catch_up` must wait until the data that arrived has been read. Until the next heartbeat, data that
+/// is read may be as old as the last heartbeat.
 #[test]
-fn after_a_stall_all_wait_until_what_arrived_is_read() {
+fn after_a_stall_catch_up_waits_until_arrived_data_is_read() {
     run(async {
-        let (near, far) = connection().await;
-        let end = handed_on(near);
+        let (client, server) = connection().await;
+        let byte = forwarded_byte(client);
         heartbeat().await;
         let last_heartbeat = Instant::now();
         advance(HEARTBEAT_INTERVAL + MAX_HEARTBEAT_DELAY / 2).await;
-        assert_eq!(stalled_since(), None, "a turn that is a little late is none");
-        stall(&far);
-        advance(LIMIT).await;
+        assert_eq!(stalled_since(), None, "a small delay is no stall");
+        write_during_stall(&server);
+        advance(TIMEOUT).await;
         assert_eq!(stalled_since(), Some(last_heartbeat));
-        let read = Rc::new(Cell::new(false));
-        let reader = Rc::clone(&read);
+        let has_read = Rc::new(Cell::new(false));
+        let has_read_setter = Rc::clone(&has_read);
         spawn_local(async move {
-            let _ = end.await;
-            reader.set(true);
+            let _ = byte.await;
+            has_read_setter.set(true);
         });
         catch_up().await;
-        assert!(read.get());
-        assert_eq!(stalled_since(), Some(last_heartbeat), "only a heartbeat ends it");
+        assert!(has_read.get());
+        assert_eq!(stalled_since(), Some(last_heartbeat), "only a heartbeat ends the stall");
         heartbeat().await;
         assert_eq!(stalled_since(), None);
     });
 }
 
-/// A drain that is read after a stall may have been published right after the last turn before it; otherwise it counts from
-/// the time at which it is read.
+/// A drain that is read after a stall may have been published right after the stall began, so its grace period counts
+/// from there. Without a stall it counts from the time at which it is read.
 #[test]
-fn a_drain_read_after_a_stall_counts_from_its_beginning() {
+fn a_drain_read_after_a_stall_counts_from_the_beginning_of_the_stall() {
     const GRACE: Duration = Duration::from_secs(1);
     run(async {
         heartbeat().await;
-        for (stall, still_sent_to) in [(Duration::ZERO, true), (GRACE, false)] {
+        for (stall, may_send) in [(Duration::ZERO, true), (GRACE, false)] {
             let mut servers = Servers::new(&ServerNames::default());
             let serving = EndpointInfo::serving("s", ());
             let draining = EndpointInfo { state: EndpointState::Draining, ..serving.clone() };
-            let [first, second] = [serving, draining].map(|member| vec![member]);
-            let lines =
+            let [first, second] = [serving, draining].map(|endpoint| vec![endpoint]);
+            let listed =
                 servers.apply(EndpointList { version: 1, is_complete: true, endpoints: first }, |_| {});
             advance(stall).await;
             servers.apply(EndpointList { version: 2, is_complete: true, endpoints: second }, |_| {});
-            assert_eq!(servers.may_send(lines[0].server, GRACE), still_sent_to, "{stall:?}");
+            assert_eq!(servers.may_send(listed[0].server, GRACE), may_send, "{stall:?}");
         }
     });
 }
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What the engine asks of the side that speaks to servers in their own protocol.
+//! The interface between the engine and the code that communicates with servers in their protocol.
 
 use heronhoist_decision::{DialectId, Outcome, ServerId};
 use std::cell::Cell;
@@ -7,75 +7,76 @@
 use std::pin::Pin;
 use tokio::time::Instant;
 
-/// Counts the restarts and moves of one server, and the changes of its dialect. What belongs to an earlier incarnation,
-/// such as an idle connection, must not be used for a later one.
+/// Counts the restarts, address changes and dialect changes of one server. Resources of an earlier incarnation, such
+/// as an idle connection, must not be used for a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation after this one.
+    /// Returns the next incarnation.
     #[must_use]
     pub fn next(self) -> Self {
         Incarnation(self.0 + 1)
     }
 }
 
-/// Where a server is reached, and in which incarnation.
+/// The address of a server, and the incarnation that listens on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointAddress<A> {
-    /// The server.
+    /// The server's id.
     pub server: ServerId,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: A,
-    /// The incarnation that listens there.
+    /// The incarnation that listens on the address.
     pub incarnation: Incarnation,
     /// The dialect that this incarnation speaks.
     pub dialect: DialectId,
 }
 
-/// How far a streaming request body has arrived.
+/// How much of a streaming request body has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyProgress {
-    /// More of it is to come.
+    /// More of the body is expected.
     Incomplete,
-    /// Its last byte arrived at this time.
+    /// The last byte arrived at this time.
     Complete(Instant),
-    /// The rest of it will never arrive.
+    /// The rest of the body will never arrive.
     Failed,
 }
 
-/// The body of a request that was submitted before its last byte had arrived.
+/// The body of a request that was submitted before the body's last byte had arrived.
 pub trait StreamingBody {
-    /// How far it has arrived.
+    /// Returns how much of the body has arrived.
     fn progress(&self) -> BodyProgress;
 
-    /// Whether an attempt has consumed a part that is no longer buffered, so that the request can't be sent again.
+    /// Returns whether an attempt has consumed a part that is no longer buffered, so that the request can't be sent
+    /// again.
     fn is_consumed(&self) -> bool;
 
-    /// Since when the client may have sent the whole body while nobody reads it. `None` once somebody has read on, or
-    /// if the body is too long to be under way whole.
+    /// Returns the time from which the client may have sent the complete body without anyone reading it. `None` once
+    /// someone has read more of it, or if the body is too long to fit completely into the transport's buffers.
     fn unread_since(&self) -> Option<Instant> {
         None
     }
 
-    /// Waits until the last byte has arrived or it is certain that it never will.
+    /// Waits until the last byte has arrived or will certainly never arrive.
     fn finished(&self) -> Pin<Box<dyn Future<Output = BodyProgress> + '_>>;
 }
 
-/// All that the engine asks of a request.
+/// What the engine needs to know about a request.
 pub trait RequestPayload {
-    /// The body, if it had not arrived whole when the request was submitted.
+    /// Returns the body if it had not completely arrived when the request was submitted.
     fn streaming_body(&self) -> Option<&dyn StreamingBody> {
         None
     }
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Debug)]
 pub struct AttemptResult<R> {
-    /// The outcome in the decision module's terms.
+    /// The outcome as reported to the decision module.
     pub outcome: Outcome,
-    /// The server's load report, if a readable one came; its values in the order of the settings.
+    /// The values of the server's load report in the order of the settings, if a valid report was received.
     pub load_report: Option<Vec<f64>>,
     /// The response, if the outcome is a success.
     pub response: Option<R>,
@@ -87,7 +88,8 @@
     }
 }
 
-/// The send gate: an attempt asks it right before its first byte, and tells it if that byte was not written after all.
+/// The send gate. An attempt opens it right before it writes its first byte, and reports to it if no byte was
+/// written.
 pub struct Gate<'a> {
     is_sent: &'a Cell<bool>,
     may_send: &'a dyn Fn() -> bool,
@@ -96,38 +98,39 @@
 }
 
 impl<'a> Gate<'a> {
-    /// A gate that opens while `may_send` holds. `is_sent` shows whether a byte counts as written.
+    /// Creates a gate that opens if `may_send` returns true. `is_sent` records whether a byte counts as written.
     pub fn new(is_sent: &'a Cell<bool>, may_send: &'a dyn Fn() -> bool, deadline: Instant) -> Self {
         Gate { is_sent, may_send, deadline }
     }
 
-    /// Whether the first byte may be written now. If so, it counts as written from here on.
+    /// Returns whether the first byte may be written now. If so, it counts as written from now on.
     ///
-    /// To be asked when the connection is up, because while it was being made the server may have begun to drain, the
-    /// client may have disconnected, and the time in which a retry is deduplicated may have passed.
+    /// Must be called when the connection is established: in the meantime the server may have begun to drain, the
+    /// client may have disconnected, or the deduplication window for a retry may have ended.
     pub fn open(&self) -> bool {
         let may_send = (self.may_send)();
         self.is_sent.set(may_send);
         may_send
     }
 
-    /// Takes [`open`](Gate::open) back: no byte was written after all.
+    /// Records that no byte was written after [`open`](Gate::open).
     pub fn mark_unsent(&self) {
         self.is_sent.set(false);
     }
 }
 
-/// Speaks to servers in their own protocol. Dropping the future of an attempt or a health check cancels it at once.
+/// Communicates with servers in their protocol. Dropping the future of an attempt or a health check cancels it at
+/// once.
 pub trait Upstream: 'static {
-    /// How a server is reached.
+    /// The address of a server.
     type Address: Clone + PartialEq + Debug + 'static;
-    /// A request.
+    /// A request to a server.
     type Request: RequestPayload + 'static;
     /// A server's response.
     type Response: 'static;
 
-    /// Sends one attempt, once `gate` is [open](Gate::open). Its outcome decides whether the request may be sent
-    /// again, so an outcome that [never ran](Outcome::never_ran) needs proof.
+    /// Sends one attempt once [`Gate::open`] has returned true. The outcome determines whether the request may be
+    /// sent again, so an outcome for which [`Outcome::never_ran`] holds requires proof that the request did not run.
     fn attempt(
         &self,
         endpoint: EndpointAddress<Self::Address>,
@@ -135,7 +138,7 @@
         gate: Gate<'_>,
     ) -> impl Future<Output = AttemptResult<Self::Response>>;
 
-    /// Checks a server's health; ends within a bounded time.
+    /// Checks a server's health. Must end within a bounded time.
     fn health_check(
         &self,
         endpoint: EndpointAddress<Self::Address>,
@@ -144,7 +147,7 @@
     /// Closes the idle connections to a server.
     fn close_idle(&self, server: ServerId);
 
-    /// Closes the idle connections to servers that no longer serve in the incarnation that they were made to, as
-    /// `is_current` tells. Called periodically.
+    /// Closes the idle connections for which `is_current` returns false: their server is no longer serving, or no
+    /// longer in the incarnation that they were opened to. Called periodically.
     fn close_stale(&self, is_current: &dyn Fn(ServerId, Incarnation) -> bool);
 }
