--- a/crates/engine/src/servers/mod.rs
+++ b/crates/engine/src/servers/mod.rs
@@ -6,42 +6,42 @@
 use crate::endpoint_source::{EndpointInfo, EndpointList, EndpointState};
 use crate::upstream::{EndpointAddress, Incarnation};
 use heronhoist_decision::{CellId, Dialects, Endpoint, MachineTypeId, Outcome, ServerId, Time, ZoneId};
-use name_numbers::NameNumbers;
+use name_numbers::NameInterner;
 use rustc_hash::FxHashMap;
 use server::Server;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Servers that a pool knows at any time, those that were removed lately among them. Lines of endpoint lists beyond it
-/// are left out, with a line in the log.
+/// The maximum number of servers that a pool tracks, including recently removed ones. Further entries of endpoint
+/// lists are ignored, which is logged.
 pub const MAX_SERVERS: usize = 4096;
 
-/// The names that the settings number.
+/// The names that the ids in the settings refer to.
 #[derive(Debug, Clone, Default)]
 pub struct ServerNames {
-    /// Zones, in the order of their numbers.
+    /// The zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// Machine types, in the order of their numbers.
+    /// The machine types, in the order of their ids.
     pub machine_types: Vec<String>,
 }
 
-/// A server that lacks some of its capacity, as far as this process can tell.
+/// A server that is missing some of its capacity, as seen by this process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MissingCapacity {
     /// The server's name.
     pub server: String,
-    /// The share of its capacity that it lacks, above 0 and up to 1.
+    /// The share of its capacity that is missing, above 0 and up to 1.
     pub share: f64,
 }
 
-/// All servers that a pool knows.
+/// All servers that a pool tracks.
 pub(crate) struct Servers<A> {
     servers: FxHashMap<ServerId, Server<A>>,
     ids: HashMap<String, ServerId>,
-    /// The next server's number. No number is given twice, so that nothing of a removed server falls to another.
+    /// The id of the next new server. Ids are never reused, so that no state of a removed server applies to another.
     next_id: u32,
-    zones: NameNumbers,
-    machine_types: NameNumbers,
+    zones: NameInterner,
+    machine_types: NameInterner,
 }
 
 impl<A: Clone + PartialEq> Servers<A> {
@@ -50,14 +50,14 @@
             servers: FxHashMap::default(),
             ids: HashMap::new(),
             next_id: 0,
-            zones: NameNumbers::new(&names.zones),
-            machine_types: NameNumbers::new(&names.machine_types),
+            zones: NameInterner::new(&names.zones),
+            machine_types: NameInterner::new(&names.machine_types),
         }
     }
 
-    /// The number of a zone by its name, whichever settings named it first.
+    /// Returns the id of a zone, which stays the same when the settings change.
     pub(crate) fn zone_id(&mut self, name: &str) -> ZoneId {
-        ZoneId(self.zones.number_of(name))
+        ZoneId(self.zones.intern(name))
     }
 
     fn serving(&self) -> impl Iterator<Item = &Server<A>> {
@@ -68,35 +68,35 @@
         self.serving().next().is_some()
     }
 
-    /// The dialects that the serving servers speak.
+    /// Returns the dialects that the serving servers speak.
     pub(crate) fn serving_dialects(&self) -> Dialects {
         self.serving().fold(Dialects::NONE, |dialects, server| dialects.with(server.endpoint.dialect))
     }
 
-    /// How many servers are in the list.
+    /// Returns the number of servers in the endpoint list.
     pub(crate) fn listed_count(&self) -> usize {
         self.servers.values().filter(|server| !server.is_removed).count()
     }
 
-    /// Whether a server serves and still is in this incarnation.
+    /// Returns whether a server is serving and still in this incarnation.
     pub(crate) fn is_current(&self, server: ServerId, incarnation: Incarnation) -> bool {
         let server = self.servers.get(&server);
         server.is_some_and(|server| server.is_serving && server.endpoint.incarnation == incarnation)
     }
 
-    /// Whether something new may still be written to a server: in a drain the first byte of an attempt counts.
+    /// Returns whether the first byte of an attempt may still be written to a server.
     pub(crate) fn may_send(&self, server: ServerId, drain_grace: Duration) -> bool {
         self.servers.get(&server).is_some_and(|server| server.may_send(drain_grace))
     }
 
-    /// Whether nothing is in flight to the server of this name and nothing will be sent to it. An unknown server is
-    /// drained.
+    /// Returns whether nothing is in flight to the server of this name and nothing will be sent to it. An unknown
+    /// server counts as drained.
     pub(crate) fn is_drained(&self, name: &str, drain_grace: Duration) -> bool {
         let server = self.ids.get(name).and_then(|id| self.servers.get(id));
         server.is_none_or(|server| server.is_drained(drain_grace))
     }
 
-    /// Counts an attempt or a health check as in flight to a server; `None` if the server is not known any more.
+    /// Counts an attempt or a health check as in flight to a server; `None` if the server is no longer tracked.
     pub(crate) fn begin_use(&mut self, server: ServerId) -> Option<EndpointAddress<A>> {
         let server = self.servers.get_mut(&server)?;
         server.in_flight += 1;
@@ -111,8 +111,9 @@
         }
     }
 
-    /// The listed servers that lack some of their capacity. One that drains, or that has not answered several times in a
-    /// row, lacks all of it; `capacity_share` gives the share, from 0 to 1, that a server has that started at a time.
+    /// Returns the listed servers that are missing some of their capacity. A server that is draining or unreachable
+    /// is missing all of it. `capacity_share` returns the share of capacity, from 0 to 1, of a server that started at
+    /// the given time.
     pub(crate) fn missing_capacity(&self, capacity_share: impl Fn(Time) -> f64) -> Vec<MissingCapacity> {
         let known = self.ids.iter().filter_map(|(name, id)| Some((name, self.servers.get(id)?)));
         let listed = known.filter(|(_, server)| !server.is_removed);
@@ -123,8 +124,8 @@
             .collect()
     }
 
-    /// Forgets the servers that were removed at least `retention` ago and have nothing in flight. Servers that are
-    /// replaced under ever new names would fill the memory.
+    /// Deletes the servers that were removed at least `retention` ago and have nothing in flight. Otherwise servers
+    /// that are continually replaced under new names would exhaust memory.
     pub(crate) fn remove_expired(&mut self, retention: Duration) {
         let count_before = self.servers.len();
         self.servers.retain(|_, server| !server.is_expired(retention));
@@ -133,25 +134,26 @@
         }
     }
 
-    /// Applies an endpoint list and returns its lines in the decision module's terms. `close_idle` is called for each
-    /// server whose idle connections lead nowhere from now on, or to a server that takes nothing new.
+    /// Applies an endpoint list and returns its entries for the decision module. `close_idle` is called for each
+    /// server that is no longer serving or has begun a new incarnation, because its idle connections must not be used
+    /// any more.
     pub(crate) fn apply(
         &mut self,
         list: EndpointList<A>,
         mut close_idle: impl FnMut(ServerId),
     ) -> Vec<Endpoint> {
-        let named_count = list.endpoints.len();
-        let mut endpoints = Vec::with_capacity(named_count);
+        let entry_count = list.endpoints.len();
+        let mut endpoints = Vec::with_capacity(entry_count);
         for info in list.endpoints {
             endpoints.extend(self.apply_endpoint(info, &mut close_idle));
         }
-        if endpoints.len() < named_count {
+        if endpoints.len() < entry_count {
             tracing::warn!(
                 target: "heronhoist::membership",
                 version = list.version,
-                left_out = named_count - endpoints.len(),
+                ignored = entry_count - endpoints.len(),
                 known = self.servers.len(),
-                "a list names more servers than are taken"
+                "an endpoint list exceeds the maximum number of servers; further entries were ignored"
             );
         }
         if list.is_complete {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// `None` for a new server beyond [`MAX_SERVERS`].
+    /// Applies one entry of an endpoint list. Returns `None` for a new server beyond [`MAX_SERVERS`].
     fn apply_endpoint(
         &mut self,
         info: EndpointInfo<A>,
@@ -188,8 +190,8 @@
         }
         Some(Endpoint {
             server: id,
-            zone: ZoneId(self.zones.number_of(&info.zone)),
-            machine_type: MachineTypeId(self.machine_types.number_of(&info.machine_type)),
+            zone: ZoneId(self.zones.intern(&info.zone)),
+            machine_type: MachineTypeId(self.machine_types.intern(&info.machine_type)),
             cell: CellId(info.cell),
             dialect: info.dialect,
             status: info.state.into(),
@@ -198,7 +200,8 @@
         })
     }
 
-    /// The number of the server of this name, a new one for a new server; `None` if there is no room for another.
+    /// Returns the id of the server of this name, assigning a new id to a new server; `None` if [`MAX_SERVERS`] is
+    /// reached.
     fn id_of(&mut self, name: &str) -> Option<ServerId> {
         if let Some(id) = self.ids.get(name) {
             return Some(*id);
--- a/crates/engine/src/servers/name_numbers.rs
+++ b/crates/engine/src/servers/name_numbers.rs
@@ -1,26 +1,26 @@
-//! Numbers for the names of zones and machine types.
+//! Numeric ids for the names of zones and machine types.
 
 use std::collections::HashMap;
 
-/// How many names have a number of their own. Names that the settings don't hold are few in practice; past this bound
-/// they share one number, so that ever new names in endpoint lists don't fill the memory.
-pub(super) const MAX_NUMBERED_NAMES: u32 = 1000;
+/// The highest id that is assigned to a single name. Names that are not in the settings are few in practice; all
+/// further names share one id, so that endless new names in endpoint lists don't exhaust memory.
+pub(super) const MAX_INTERNED_NAMES: u32 = 1000;
 
-/// Numbers for names in the order in which they are met; the settings' names come first.
-pub(super) struct NameNumbers(pub(super) HashMap<String, u32>);
+/// Assigns ids to names in the order in which they appear; the names in the settings come first.
+pub(super) struct NameInterner(pub(super) HashMap<String, u32>);
 
-impl NameNumbers {
+impl NameInterner {
     pub(super) fn new(names: &[String]) -> Self {
-        NameNumbers(names.iter().zip(0..).map(|(name, number)| (name.clone(), number)).collect())
+        NameInterner(names.iter().zip(0..).map(|(name, id)| (name.clone(), id)).collect())
     }
 
-    /// The number of a name; a new one for a name that is met for the first time.
-    pub(super) fn number_of(&mut self, name: &str) -> u32 {
-        if let Some(number) = self.0.get(name) {
-            return *number;
+    /// Returns the id of a name, assigning a new id to a new name.
+    pub(super) fn intern(&mut self, name: &str) -> u32 {
+        if let Some(id) = self.0.get(name) {
+            return *id;
         }
         let next = self.0.len() as u32;
-        if next <= MAX_NUMBERED_NAMES {
+        if next <= MAX_INTERNED_NAMES {
             self.0.insert(name.to_string(), next);
         }
         next
