--- a/crates/engine/src/drainable_source.rs
+++ b/crates/engine/src/drainable_source.rs
@@ -1,4 +1,4 @@
-//! Servers that are drained from here, whatever their source says: the stricter of the two holds.
+//! An endpoint source whose servers can also be drained by a second authority. A server is drained if either says so.
 
 use crate::clock::Clock;
 use crate::endpoint_source::{
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// An endpoint source of which some servers are drained by a second authority. A server whose drain by it has ended
-/// counts as started at that moment: it has to warm up.
+/// An endpoint source whose servers can also be drained by a second authority. When that authority ends a drain, the
+/// server counts as started at that moment and has to warm up.
 pub struct DrainableSource<A> {
     source: Box<dyn EndpointSource<A>>,
     drained: watch::Receiver<BTreeSet<String>>,
@@ -22,7 +22,8 @@
 }
 
 impl<A> DrainableSource<A> {
-    /// Wraps a source whose list was last `known` so; `drained` holds the names of the servers that are drained here.
+    /// Wraps a source. `known` is its last known list, and `drained` holds the names of the servers that the second
+    /// authority drains.
     #[must_use]
     pub fn new(
         source: Box<dyn EndpointSource<A>>,
@@ -36,16 +37,16 @@
     }
 }
 
-/// Sits between the source and the pool and drains servers in the lists that pass.
+/// Applies the second authority's drains to the lists that the source publishes to the pool.
 struct DrainFilter<A> {
     observer: Rc<dyn EndpointObserver<A>>,
     drained: watch::Receiver<BTreeSet<String>>,
     version: Cell<i64>,
-    /// The servers as the source lists them.
+    /// The servers as listed by the source.
     endpoints: RefCell<BTreeMap<String, EndpointInfo<A>>>,
-    /// The drained servers of which the pool has been notified.
+    /// The drained servers that the pool has been notified of.
     notified: RefCell<BTreeSet<String>>,
-    /// When drains ended, by the server's name.
+    /// The time at which a server's last drain ended, by the server's name.
     drain_ended_at: RefCell<BTreeMap<String, Time>>,
     clock: Clock,
 }
@@ -68,8 +69,8 @@
         })
     }
 
-    /// A server as the pool gets to see it.
-    fn effective(&self, endpoint: &EndpointInfo<A>) -> EndpointInfo<A> {
+    /// Returns a server as it is published to the pool, with the second authority's drain applied.
+    fn with_drain_applied(&self, endpoint: &EndpointInfo<A>) -> EndpointInfo<A> {
         let mut endpoint = endpoint.clone();
         if endpoint.state == EndpointState::Serving && self.drained.borrow().contains(&endpoint.name) {
             endpoint.state = EndpointState::Draining;
@@ -80,12 +81,12 @@
         endpoint
     }
 
-    /// Notifies the pool of the drains that have begun or ended since the last call.
+    /// Notifies the pool of the drains that began or ended since the last call.
     fn apply_drains(&self) {
         let drained = self.drained.borrow().clone();
         let notified = self.notified.replace(drained.clone());
         self.record_ended_drains(notified.difference(&drained));
-        let changed = self.effective_endpoints(notified.symmetric_difference(&drained));
+        let changed = self.endpoints_with_drains(notified.symmetric_difference(&drained));
         if !changed.is_empty() {
             let version = self.version.get();
             self.observer.on_endpoints(EndpointList { version, is_complete: false, endpoints: changed });
@@ -99,14 +100,14 @@
         }
     }
 
-    fn effective_endpoints<'a>(&self, names: impl Iterator<Item = &'a String>) -> Vec<EndpointInfo<A>> {
+    fn endpoints_with_drains<'a>(&self, names: impl Iterator<Item = &'a String>) -> Vec<EndpointInfo<A>> {
         let endpoints = self.endpoints.borrow();
         let listed = names.filter_map(|name| endpoints.get(name));
-        listed.map(|endpoint| self.effective(endpoint)).collect()
+        listed.map(|endpoint| self.with_drain_applied(endpoint)).collect()
     }
 
-    /// Remembers a list as the source has it, so that a later change of the drains can be published with its data.
-    fn remember(&self, list: &EndpointList<A>) {
+    /// Stores a list as published by the source; a later change of the drains is published with its data.
+    fn store(&self, list: &EndpointList<A>) {
         let mut endpoints = self.endpoints.borrow_mut();
         if list.is_complete {
             endpoints.clear();
@@ -125,8 +126,8 @@
 impl<A: Clone> EndpointObserver<A> for DrainFilter<A> {
     fn on_endpoints(&self, list: EndpointList<A>) {
         self.version.set(list.version);
-        self.remember(&list);
-        let endpoints = list.endpoints.iter().map(|endpoint| self.effective(endpoint)).collect();
+        self.store(&list);
+        let endpoints = list.endpoints.iter().map(|endpoint| self.with_drain_applied(endpoint)).collect();
         self.observer.on_endpoints(EndpointList { endpoints, ..list });
     }
 
@@ -138,7 +139,7 @@
 impl<A: Clone + 'static> EndpointSource<A> for DrainableSource<A> {
     fn run(self: Box<Self>, sink: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>> {
         let DrainableSource { source, mut drained, mut known } = *self;
-        sink.settle_saved(&mut known);
+        sink.resolve_saved(&mut known);
         let filter = DrainFilter::new(&sink, drained.clone(), known);
         let sink = sink.with_observer(Rc::clone(&filter) as Rc<dyn EndpointObserver<A>>);
         Box::pin(async move {
--- a/crates/engine/src/drainable_source/tests.rs
+++ b/crates/engine/src/drainable_source/tests.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 use tokio::task::yield_now;
 
+/// The name and state of a published endpoint, and whether it has a start time.
 type Published = (String, EndpointState, bool);
 
 #[derive(Default)]
@@ -25,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn the_stricter_state_holds_and_an_undrained_server_warms_up() {
+async fn a_drain_by_either_authority_applies_and_an_undrained_server_warms_up() {
     use EndpointState::{Draining, Serving};
     let observer = Rc::new(RecordingObserver::default());
     let (sender, drained) = watch::channel(BTreeSet::from(["a".to_string()]));
@@ -33,25 +34,25 @@
         |state| vec![EndpointInfo { state, ..EndpointInfo::serving("a", 1) }, EndpointInfo::serving("b", 2)];
     let (list_sender, lists) = watch::channel(endpoints(Serving));
     let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(None))));
-    let feed =
+    let sink =
         EndpointSink::new(Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts, None);
-    let run = Box::new(DrainableSource::new(Box::new(StaticEndpoints::new(lists)), drained, &[])).run(feed);
-    let expect = async |wanted: Vec<(bool, Vec<Published>)>| {
-        while observer.0.borrow().len() < wanted.len() {
+    let run = Box::new(DrainableSource::new(Box::new(StaticEndpoints::new(lists)), drained, &[])).run(sink);
+    let expect = async |expected: Vec<(bool, Vec<Published>)>| {
+        while observer.0.borrow().len() < expected.len() {
             yield_now().await;
         }
         yield_now().await;
-        assert_eq!(observer.0.take(), wanted);
+        assert_eq!(observer.0.take(), expected);
     };
     let change = async {
         expect(vec![(true, vec![published("a", Draining, false), published("b", Serving, false)])]).await;
         sender.send_replace(BTreeSet::from(["b".to_string(), "unknown".to_string()]));
         expect(vec![(false, vec![published("a", Serving, true), published("b", Draining, false)])]).await;
-        // Its source drains it too: that the drain here ends changes nothing.
         sender.send_replace(BTreeSet::from(["a".to_string()]));
         expect(vec![(false, vec![published("a", Draining, true), published("b", Serving, true)])]).await;
         list_sender.send_replace(endpoints(Draining));
         expect(vec![(true, vec![published("a", Draining, true), published("b", Serving, true)])]).await;
+        // The source drains the server too, so the end of the second authority's drain does not make it serve.
         sender.send_replace(BTreeSet::new());
         expect(vec![(false, vec![published("a", Draining, true)])]).await;
     };
@@ -59,31 +60,31 @@
 }
 
 /// A source that never publishes anything.
-struct Silent;
+struct SilentSource;
 
-impl EndpointSource<u16> for Silent {
-    fn run(self: Box<Self>, feed: EndpointSink<u16>) -> Pin<Box<dyn Future<Output = ()>>> {
+impl EndpointSource<u16> for SilentSource {
+    fn run(self: Box<Self>, sink: EndpointSink<u16>) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
-            let _feed = feed;
+            let _sink = sink;
             std::future::pending::<()>().await;
         })
     }
 }
 
-/// While the source has not published yet, drains are applied to the list that is known: by the pool's clock, and with the
-/// start times that the pool has settled in it.
+/// Before the source has published, drains must be applied to the saved list by the pool's clock, with the start
+/// times that the pool has resolved for it.
 #[tokio::test(start_paused = true)]
-async fn before_the_first_list_the_known_starts_are_those_that_were_settled() {
+async fn before_the_first_list_drains_use_the_resolved_start_times() {
     let (epoch, hour) = (Time(1_800_000_000_000_000), Span::from_ms(3.6e6));
     let observer = Rc::new(StartObserver::default());
     let known = EndpointInfo { started_at: Some(epoch + hour), ..EndpointInfo::serving("a", 1) };
     let starts = Rc::new(RefCell::new(StartTimes::new(Clock::new(Some(epoch)))));
-    starts.borrow_mut().settle_saved(&mut [known.clone()]);
+    starts.borrow_mut().resolve_saved(&mut [known.clone()]);
     tokio::time::advance(Duration::from_secs(1)).await;
-    let feed =
+    let sink =
         EndpointSink::new(Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>, Rc::default(), starts, None);
     let (sender, drained) = watch::channel(BTreeSet::new());
-    let run = Box::new(DrainableSource::new(Box::new(Silent), drained, &[known])).run(feed);
+    let run = Box::new(DrainableSource::new(Box::new(SilentSource), drained, &[known])).run(sink);
     let change = async {
         yield_now().await;
         for (count, names) in [(1, BTreeSet::from(["a".to_string()])), (2, BTreeSet::new())] {
--- a/crates/engine/src/endpoint_source/mod.rs
+++ b/crates/engine/src/endpoint_source/mod.rs
@@ -1,4 +1,4 @@
-//! Which servers there are: versioned endpoint lists, and the sources that they come from.
+//! Versioned endpoint lists, which name the servers of a pool, and the sources that publish them.
 
 mod sink;
 mod static_endpoints;
@@ -12,14 +12,14 @@
 use std::future::Future;
 use std::pin::Pin;
 
-/// The states of a server.
+/// The state of a server in an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// The server accepts requests.
     Serving,
-    /// Finishes the requests that it has and takes no new ones.
+    /// The server finishes the requests that it has and accepts no new ones.
     Draining,
-    /// Is no longer in the list.
+    /// The server is no longer in the list.
     Removed,
 }
 
@@ -36,29 +36,29 @@
 /// One server in an endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointInfo<A> {
-    /// The server's name. Another name is another server, whatever its address.
+    /// The server's name. A different name means a different server, even at the same address.
     pub name: String,
-    /// Where it is reached.
+    /// The address that it listens on.
     pub address: A,
     /// The name of its zone.
     pub zone: String,
     /// The name of its machine type.
     pub machine_type: String,
-    /// The group of servers that deduplicate each other's requests.
+    /// The group of servers that it belongs to; the servers of a cell deduplicate each other's requests.
     pub cell: u32,
-    /// What it speaks. A change of it is a new incarnation of the server.
+    /// The dialect that it speaks. A change of dialect begins a new incarnation of the server.
     pub dialect: DialectId,
-    /// What it does at present.
+    /// Its current state.
     pub state: EndpointState,
-    /// Its size relative to the others, if the list says.
+    /// Its capacity relative to the other servers, if the list contains it.
     pub weight: Option<f64>,
-    /// When it last started, if that was lately: by the source's clock until its list has passed the [`EndpointSink`],
-    /// and in the pool's time from there on.
+    /// When it last started, if that was recent. The time is by the source's clock until the [`EndpointSink`]
+    /// converts it to the pool's time.
     pub started_at: Option<Time>,
 }
 
 impl<A> EndpointInfo<A> {
-    /// A server that serves, without zone, machine type, cell, weight and start time of its own.
+    /// Creates a serving endpoint with default values for zone, machine type, cell, dialect, weight and start time.
     #[must_use]
     pub fn serving(name: &str, address: A) -> Self {
         EndpointInfo {
@@ -75,27 +75,27 @@
     }
 }
 
-/// An endpoint list, or what has changed in one.
+/// A complete endpoint list, or the changes to one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointList<A> {
-    /// Grows with each change at the source.
+    /// The version of the list, which increases with each change at the source.
     pub version: i64,
-    /// Whether this is the whole list, so that a server that it lacks has been removed.
+    /// Whether the list is complete; servers that are not in a complete list have been removed.
     pub is_complete: bool,
     /// The servers.
     pub endpoints: Vec<EndpointInfo<A>>,
 }
 
-/// Receives what an endpoint source publishes.
+/// Receives the endpoint lists that an endpoint source publishes.
 pub trait EndpointObserver<A> {
-    /// A list has come, no older than the one before it.
+    /// Called with each list, which is no older than the one before.
     fn on_endpoints(&self, list: EndpointList<A>);
 
-    /// What the decision module asked of the source failed.
+    /// Called when a fetch or a subscription that the decision module requested has failed.
     fn on_failure(&self);
 }
 
-/// A source of endpoint lists. It runs for as long as its pool does.
+/// A source of endpoint lists. It runs as long as its pool.
 pub trait EndpointSource<A> {
     /// Publishes lists to `sink` until dropped.
     fn run(self: Box<Self>, sink: EndpointSink<A>) -> Pin<Box<dyn Future<Output = ()>>>;
--- a/crates/engine/src/endpoint_source/sink.rs
+++ b/crates/engine/src/endpoint_source/sink.rs
@@ -1,4 +1,4 @@
-//! Where an endpoint source publishes its lists, on their way to its pool.
+//! The sink that an endpoint source publishes its lists to.
 
 use super::{EndpointInfo, EndpointList, EndpointObserver, Subscription};
 use crate::clock::Clock;
@@ -6,8 +6,8 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The way from an endpoint source to its pool. It lets no list pass that is older than one that has passed before, so
-/// that no decision rests on one, and settles when servers started.
+/// Passes lists from an endpoint source to its pool. It drops a list that is older than one already published, so
+/// that no decision is based on outdated data, and converts the start times of servers to the pool's time.
 pub struct EndpointSink<A> {
     observer: Rc<dyn EndpointObserver<A>>,
     subscription: Rc<Subscription>,
@@ -25,77 +25,77 @@
         EndpointSink { observer, subscription, start_times, version: Cell::new(version) }
     }
 
-    /// The pool's clock.
+    /// Returns the pool's clock.
     pub(crate) fn clock(&self) -> Clock {
         self.start_times.borrow().clock()
     }
 
-    /// Settles the start times in a list that was known before the source's first one.
-    pub(crate) fn settle_saved(&self, endpoints: &mut [EndpointInfo<A>]) {
-        self.start_times.borrow_mut().settle_saved(endpoints);
+    /// Resolves the start times in a list that was saved before the source's first one.
+    pub(crate) fn resolve_saved(&self, endpoints: &mut [EndpointInfo<A>]) {
+        self.start_times.borrow_mut().resolve_saved(endpoints);
     }
 
-    /// Who receives the lists.
+    /// Returns the observer that receives the lists.
     pub(crate) fn observer(&self) -> Rc<dyn EndpointObserver<A>> {
         Rc::clone(&self.observer)
     }
 
-    /// The same sink with another observer, which passes lists on to the one so far.
+    /// Returns this sink with another observer, which has to forward the lists to the previous one.
     pub(crate) fn with_observer(self, observer: Rc<dyn EndpointObserver<A>>) -> EndpointSink<A> {
         EndpointSink { observer, ..self }
     }
 
-    /// The version of the newest list; `None` before the first one of a source.
+    /// Returns the version of the newest list; `None` before the first list of a source.
     #[must_use]
     pub fn version(&self) -> Option<i64> {
         self.version.get()
     }
 
-    /// Announces that the following lists come from another source, whose versions don't continue those before.
+    /// Starts a new source: the versions of its lists are not compared with those of earlier lists.
     pub fn reset_source(&self) {
         self.version.set(None);
         self.start_times.borrow_mut().reset_source();
     }
 
-    /// Publishes a list. Returns false, and drops the list, if it is older than the newest one.
+    /// Publishes a list. If it is older than the newest list, drops it and returns false.
     pub fn publish(&self, mut list: EndpointList<A>) -> bool {
         if self.version.get().is_some_and(|newest| list.version < newest) {
             tracing::warn!(
                 target: "heronhoist::membership",
                 version = list.version,
-                stands = self.version.get(),
+                newest = self.version.get(),
                 "an older list was left out"
             );
             return false;
         }
         self.version.set(Some(list.version));
-        self.start_times.borrow_mut().settle_list(&mut list);
+        self.start_times.borrow_mut().resolve_list(&mut list);
         self.observer.on_endpoints(list);
         true
     }
 
-    /// Reports that what the decision module asked for failed.
+    /// Reports that a fetch or a subscription that the decision module requested has failed.
     pub fn report_failure(&self) {
         self.observer.on_failure();
     }
 
-    /// Reports that the subscription broke. It is inactive until the decision module subscribes again.
+    /// Reports that the subscription was lost. It stays inactive until the decision module subscribes again.
     pub fn report_subscription_lost(&self) {
         self.subscription.set_active(false);
         self.observer.on_failure();
     }
 
-    /// Makes the subscription active without the decision module: for a source that pushes its lists.
+    /// Activates the subscription without a request of the decision module, for a source that pushes its lists.
     pub fn subscribe(&self) {
         self.subscription.set_active(true);
     }
 
-    /// Waits until the subscription is active, or is not.
+    /// Waits until the subscription is active (`true`) or inactive (`false`).
     pub async fn wait_for_subscription(&self, is_active: bool) {
         self.subscription.wait_for_active(is_active).await;
     }
 
-    /// Waits until the decision module requests the whole list.
+    /// Waits until the decision module requests the complete list.
     pub async fn fetch_requested(&self) {
         self.subscription.fetch_requested().await;
     }
--- a/crates/engine/src/endpoint_source/static_endpoints.rs
+++ b/crates/engine/src/endpoint_source/static_endpoints.rs
@@ -1,15 +1,15 @@
-//! An endpoint list that only its owner changes, such as one in a file.
+//! An endpoint source for a list that changes only locally, such as one in a file.
 
 use super::{EndpointInfo, EndpointList, EndpointSink, EndpointSource};
 use std::future::Future;
 use std::pin::Pin;
 use tokio::sync::watch;
 
-/// An endpoint list that only its owner changes, such as one in a file.
+/// An endpoint source for a list that changes only through a local channel, such as one in a file.
 pub struct StaticEndpoints<A>(watch::Receiver<Vec<EndpointInfo<A>>>);
 
 impl<A: Clone + PartialEq> StaticEndpoints<A> {
-    /// Publishes the channel's value, and each change of it.
+    /// Creates a source that publishes the channel's current value and each change of it.
     #[must_use]
     pub fn new(endpoints: watch::Receiver<Vec<EndpointInfo<A>>>) -> Self {
         StaticEndpoints(endpoints)
@@ -25,7 +25,7 @@
                 sink.publish(EndpointList { version, is_complete: true, endpoints });
                 tokio::select! {
                     biased;
-                    // An owner that is gone changes nothing any more; its last list stays.
+                    // Once the sender is dropped the list no longer changes, and the last one stays in effect.
                     changed = self.0.changed() => if changed.is_err() { std::future::pending::<()>().await },
                     () = sink.fetch_requested() => {}
                 }
--- a/crates/engine/src/endpoint_source/subscription.rs
+++ b/crates/engine/src/endpoint_source/subscription.rs
@@ -1,8 +1,8 @@
-//! What a pool's decision module wants of the pool's endpoint source.
+//! The requests of a pool's decision module to the pool's endpoint source.
 
 use tokio::sync::{watch, Notify};
 
-/// Whether the decision module is subscribed to changes, and its requests for the whole list.
+/// Whether the decision module is subscribed to changes, and its requests for the complete list.
 #[derive(Default)]
 pub(crate) struct Subscription {
     is_active: watch::Sender<bool>,
@@ -14,17 +14,17 @@
         self.is_active.send_replace(is_active);
     }
 
-    /// Requests the whole list; several requests that nobody has taken yet are one.
+    /// Requests the complete list; several pending requests count as one.
     pub(crate) fn request_fetch(&self) {
         self.fetch.notify_one();
     }
 
-    /// Waits until the subscription is active, or is not.
+    /// Waits until the subscription is active (`true`) or inactive (`false`).
     pub(super) async fn wait_for_active(&self, is_active: bool) {
         let _ = self.is_active.subscribe().wait_for(|active| *active == is_active).await;
     }
 
-    /// Waits for a request for the whole list, and takes it.
+    /// Waits for a request for the complete list, and consumes it.
     pub(super) async fn fetch_requested(&self) {
         self.fetch.notified().await;
     }
--- a/crates/engine/src/endpoint_source/tests.rs
+++ b/crates/engine/src/endpoint_source/tests.rs
@@ -23,9 +23,10 @@
     Rc::new(RefCell::new(StartTimes::new(Clock::new(None))))
 }
 
-/// A watch and a fetch can cross: a list that is older than the newest one must not undo a drain.
+/// The results of a watch and a fetch can arrive out of order: a list older than the newest one must not undo a
+/// drain.
 #[test]
-fn an_older_list_does_not_pass_but_another_sources_does() {
+fn an_older_list_is_dropped_unless_it_comes_from_a_new_source() {
     let observer = Rc::new(RecordingObserver::default());
     let sink = EndpointSink::new(
         Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>,
@@ -45,7 +46,7 @@
     assert_eq!(observer.1.get(), 1);
 }
 
-/// Records the start times in the lists that it observes.
+/// Records the start times in the lists that it receives.
 #[derive(Default)]
 pub(crate) struct StartObserver(pub(crate) RefCell<Vec<Option<Time>>>);
 
@@ -56,9 +57,9 @@
     fn on_failure(&self) {}
 }
 
-/// A list that is dropped bounds no start, and what another source reports first is bounded by none of this one's lists.
+/// Neither a dropped list nor the lists of a previous source may bound a reported start time.
 #[tokio::test(start_paused = true)]
-async fn starts_are_bounded_by_the_lists_that_passed_from_the_same_source() {
+async fn starts_are_bounded_only_by_published_lists_of_the_same_source() {
     let observer = Rc::new(StartObserver::default());
     let sink = EndpointSink::new(
         Rc::clone(&observer) as Rc<dyn EndpointObserver<u16>>,
@@ -66,21 +67,25 @@
         start_times(),
         None,
     );
-    let publish = |version, name: &str, started| {
-        let members = vec![EndpointInfo { started_at: started, ..EndpointInfo::serving(name, 1) }];
-        sink.publish(EndpointList { version, is_complete: false, endpoints: members })
+    let publish = |version, name: &str, reported| {
+        let endpoints = vec![EndpointInfo { started_at: reported, ..EndpointInfo::serving(name, 1) }];
+        sink.publish(EndpointList { version, is_complete: false, endpoints })
     };
     let started_at = sink.clock().now();
     publish(6, "a", None);
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(!publish(5, "a", None));
-    let (now, between, before) = (sink.clock().now(), started_at + Span(1_000_000), Time(started_at.0 - 1));
-    publish(7, "b", Some(between));
-    publish(8, "c", Some(between));
+    let (now, after_first_list, before_first_list) =
+        (sink.clock().now(), started_at + Span(1_000_000), Time(started_at.0 - 1));
+    publish(7, "b", Some(after_first_list));
+    publish(8, "c", Some(after_first_list));
     sink.reset_source();
-    publish(1, "d", Some(before));
-    publish(2, "e", Some(before));
-    assert_eq!(*observer.0.borrow(), [None, Some(between), Some(now), Some(before), Some(now)]);
+    publish(1, "d", Some(before_first_list));
+    publish(2, "e", Some(before_first_list));
+    assert_eq!(
+        *observer.0.borrow(),
+        [None, Some(after_first_list), Some(now), Some(before_first_list), Some(now)]
+    );
 }
 
 #[tokio::test]
--- a/crates/engine/src/pool/attempts.rs
+++ b/crates/engine/src/pool/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, cancelled, and reported to the decision module once they have ended.
+//! Sends attempts, cancels them, and reports them to the decision module when they have ended.
 
 use super::pending_response::FinalResponse;
 use super::requests::InFlightAttempt;
@@ -28,19 +28,20 @@
     started_at: Instant,
 }
 
-/// The times that bound an attempt.
+/// The time limits of an attempt.
 #[derive(Debug, Clone, Copy)]
 struct AttemptDeadlines {
-    /// The last time at which its first byte may be written.
+    /// The latest time at which its first byte may be written.
     begin_by: Time,
     /// When it times out.
     timeout_at: Instant,
-    /// How long the client waits once the request has arrived whole.
+    /// How long the client waits after the complete request has arrived.
     client_timeout: Duration,
 }
 
 impl<U: Upstream> Pool<U> {
-    /// Starts an attempt. Each one that the decision module asks for is reported back, also one that is not sent.
+    /// Starts an attempt. Each attempt that the decision module requests is reported back to it, even if it is not
+    /// sent.
     pub(super) fn send(&self, request_id: RequestId, server: ServerId, timeout_at: Time, begin_by: Time) {
         let started_at = Instant::now();
         let mut state = self.0.state.borrow_mut();
@@ -55,7 +56,7 @@
         let timeout_at = self.0.clock.instant(timeout_at);
         let latest = open.deadline.map(|deadline| deadline - attempt_reserve(client_timeout));
         let timeout_at = latest.map_or(timeout_at, |latest| timeout_at.min(latest));
-        // Nothing is sent for a request that has its response, nor beyond the attempts or the time it has.
+        // Nothing is sent if the request has its response, or if its attempts or its time are used up.
         let is_allowed = open.is_pending() && number.0 < open.max_attempts && timeout_at > started_at;
         let endpoint = if is_allowed { state.servers.begin_use(server) } else { None };
 
@@ -75,8 +76,8 @@
         });
     }
 
-    /// Cancels an attempt. It stays in flight until it has been reported, because its request must not be forgotten
-    /// before.
+    /// Cancels an attempt. It stays in flight until its outcome has been reported, because its request must not be
+    /// removed before.
     pub(super) fn cancel(&self, request: RequestId, number: AttemptNumber) {
         let mut state = self.0.state.borrow_mut();
         let Some(open) = state.requests.get_mut(&request) else { return };
@@ -98,14 +99,14 @@
         let (is_sent, server) = (Cell::new(false), endpoint.server);
         let may_send = || self.may_send(request_id, server, deadlines.begin_by);
         let gate = Gate::new(&is_sent, &may_send, deadlines.timeout_at);
-        // Pinned here, so that it is dropped only after `is_sent` has been read.
+        // Pinned here so that it is dropped only after `is_sent` has been read.
         let attempt = pin!(self.0.upstream.attempt(endpoint, request, gate));
-        let attempt = self.guarded(&is_sent, attempt);
+        let attempt = self.catch_panic(&is_sent, attempt);
         tokio::select! {
             biased;
             result = attempt => result,
-            () = timed_out(request, deadlines) => {
-                // Without a first byte the time was used up by waiting for a connection.
+            () = wait_for_timeout(request, deadlines) => {
+                // If no byte was sent, the time was spent waiting for a connection.
                 let outcome = if is_sent.get() { Outcome::TimedOut } else { Outcome::NotSent };
                 outcome.into()
             }
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Whether the first byte of an attempt may be written now. A connection may take long to come up: by then the client
-    /// may have disconnected or have its response, and servers may have forgotten the attempt that this one repeats.
+    /// Returns whether the first byte of an attempt may be written now. Connecting may take long: by then the client
+    /// may have disconnected or received its response, and the deduplication window for a retry may have ended.
     fn may_send(&self, request: RequestId, server: ServerId, begin_by: Time) -> bool {
         let state = self.0.state.borrow();
         let is_pending = state.requests.get(&request).is_some_and(super::requests::OpenRequest::is_pending);
@@ -123,9 +124,9 @@
             && state.servers.may_send(server, self.0.settings.get().drain_grace)
     }
 
-    /// Turns a panic of an attempt into an outcome. A panic costs this attempt and no more: without an outcome its request
-    /// would wait until its deadline.
-    async fn guarded(
+    /// Converts a panic of an attempt into an outcome, so that it affects only this attempt. Without an outcome the
+    /// request would wait until its deadline.
+    async fn catch_panic(
         &self,
         is_sent: &Cell<bool>,
         mut attempt: Pin<&mut impl Future<Output = AttemptResult<U::Response>>>,
@@ -140,26 +141,26 @@
         .await
     }
 
-    /// Reports an attempt that has ended. A request that was served has its final response at once, whatever the decision
-    /// module makes of it.
+    /// Reports an attempt that has ended. If it has a response, the client receives it at once, before the decision
+    /// module handles the outcome.
     fn finish_attempt(&self, attempt: Attempt, result: AttemptResult<U::Response>) {
-        let (is_request_finished, is_body_consumed, since, class) = {
+        let (is_request_finished, is_body_consumed, measured_from, class) = {
             let mut state = self.0.state.borrow_mut();
             let Some(open) = state.requests.get_mut(&attempt.request) else { return };
             open.in_flight.retain(|in_flight| in_flight.number != attempt.number);
             if let Some(response) = result.response {
-                if let Some(reply) = open.reply.take() {
-                    reply.send(FinalResponse::Success(response));
+                if let Some(responder) = open.responder.take() {
+                    responder.send(FinalResponse::Success(response));
                 }
             }
             let body = open.request.streaming_body();
             let is_body_consumed = body.is_some_and(super::super::upstream::StreamingBody::is_consumed);
-            // A server can't answer before it has the whole request.
-            let since = match body.map(super::super::upstream::StreamingBody::progress) {
+            // A server can't respond before it has the complete request.
+            let measured_from = match body.map(super::super::upstream::StreamingBody::progress) {
                 Some(BodyProgress::Complete(at)) => at.max(attempt.started_at),
                 _ => attempt.started_at,
             };
-            (!open.is_pending(), is_body_consumed, since, open.class)
+            (!open.is_pending(), is_body_consumed, measured_from, open.class)
         };
         tracing::debug!(
             target: "heronhoist::attempt",
@@ -169,25 +170,25 @@
             attempt = attempt.number.0,
             server = attempt.server.0,
             outcome = ?result.outcome,
-            elapsed_us = since.elapsed().as_micros() as u64,
+            elapsed_us = measured_from.elapsed().as_micros() as u64,
             "attempt ended"
         );
         self.handle_event(Event::AttemptEnded {
             request: attempt.request,
             attempt: attempt.number,
             outcome: result.outcome,
-            elapsed: span(since.elapsed()),
+            elapsed: span(measured_from.elapsed()),
             report: result.load_report,
             is_request_finished,
             is_body_consumed,
         });
-        self.forget_if_finished(attempt.request);
+        self.remove_if_finished(attempt.request);
     }
 }
 
-/// Waits until an attempt times out. While the request still arrives nothing is late; from its last byte on the client's
-/// time runs too.
-async fn timed_out(request: &impl RequestPayload, deadlines: AttemptDeadlines) {
+/// Waits until an attempt times out. While the request body is still arriving, the attempt does not time out. Once it
+/// is complete, the attempt is limited by the client's timeout too.
+async fn wait_for_timeout(request: &impl RequestPayload, deadlines: AttemptDeadlines) {
     let Some(body) = request.streaming_body() else {
         return sleep_until_caught_up(deadlines.timeout_at).await;
     };
@@ -197,7 +198,7 @@
             let latest = at + client_timeout - attempt_reserve(client_timeout);
             sleep_until_caught_up(latest.min(deadlines.timeout_at)).await;
         }
-        // The attempt sees that too, and knows what it means.
+        // The attempt notices this too and ends with a suitable outcome.
         BodyProgress::Incomplete | BodyProgress::Failed => std::future::pending().await,
     }
 }
--- a/crates/engine/src/pool/endpoint_lists.rs
+++ b/crates/engine/src/pool/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists are applied to the pool's servers and passed to the decision module.
+//! Applies endpoint lists to the pool's servers and passes them to the decision module.
 
 use super::Pool;
 use crate::endpoint_source::{EndpointList, EndpointObserver};
@@ -6,7 +6,7 @@
 use heronhoist_decision::{Endpoint, EndpointUpdate, Event};
 
 impl<U: Upstream> Pool<U> {
-    /// Applies a list and returns its lines in the decision module's terms.
+    /// Applies a list and returns its entries for the decision module.
     pub(super) fn apply_endpoint_list(&self, list: EndpointList<U::Address>) -> Vec<Endpoint> {
         let (version, is_complete) = (list.version, list.is_complete);
         let logged_names = logged_names(&list);
@@ -39,7 +39,7 @@
     }
 }
 
-/// The names of a list's servers if its lines go to the log; they are not copied in vain.
+/// Returns the names of a list's servers if its entries are logged; otherwise nothing, to avoid the copies.
 fn logged_names<A>(list: &EndpointList<A>) -> Vec<String> {
     if !tracing::enabled!(target: "heronhoist::membership", tracing::Level::DEBUG) {
         return Vec::new();
--- a/crates/engine/src/pool/events.rs
+++ b/crates/engine/src/pool/events.rs
@@ -1,4 +1,4 @@
-//! Events are handed to the decision module, and the actions that it decides on are carried out.
+//! Passes events to the decision module and carries out the actions that it returns.
 
 use super::pending_response::FinalResponse;
 use super::Pool;
@@ -7,8 +7,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 impl<U: Upstream> Pool<U> {
-    /// Hands an event to the decision module and carries out its actions. A panic of the module costs that event and no
-    /// more: the requests that it loses track of are answered at their deadline.
+    /// Passes an event to the decision module and carries out its actions. A panic of the module affects only that
+    /// event; requests that the module loses as a result get their response at their deadline.
     pub(super) fn handle_event(&self, event: Event) {
         let mut actions = self.0.action_buffer.take();
         let now = self.0.clock.now();
@@ -22,7 +22,7 @@
         self.0.action_buffer.set(actions);
     }
 
-    /// Carries out actions in their order.
+    /// Carries out actions in order.
     pub(super) fn perform(&self, actions: impl IntoIterator<Item = Action>) {
         for action in actions {
             self.perform_one(action);
--- a/crates/engine/src/pool/health_checks.rs
+++ b/crates/engine/src/pool/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers.
+//! Runs the health checks of servers.
 
 use super::Pool;
 use crate::clock::span;
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 impl<U: Upstream> Pool<U> {
-    /// Starts a health check. The decision module waits for the result of each one, also of a server that is not known
-    /// any more.
+    /// Starts a health check. The decision module waits for the result of each health check, even if the server is no
+    /// longer tracked.
     pub(super) fn check_health(&self, server: ServerId) {
         let endpoint = self.0.state.borrow_mut().servers.begin_use(server);
         let (pool, started_at) = (self.clone(), Instant::now());
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -1,5 +1,5 @@
-//! One fleet of servers and the requests in flight to it. A pool owns the decision module, turns what happens into events
-//! for it, and carries out the actions that it decides on.
+//! A pool: one fleet of servers and the requests in flight to it. A pool owns the decision module, passes events to
+//! it, and carries out the actions that it returns.
 
 mod attempts;
 mod endpoint_lists;
@@ -29,7 +29,7 @@
 use heronhoist_decision::{
     Action, Balancer, ClassId, Dialects, EndpointUpdate, Event, RequestId, Settings, SettingsError,
 };
-use options::SettingsInForce;
+use options::EngineSettings;
 use requests::OpenRequest;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -41,16 +41,17 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::sleep;
 
-/// How long after the drain grace a removed server is still known: whatever was decided before has ended by then.
+/// How long after its grace period a removed server is kept. Everything decided before its removal has ended by then.
 const REMOVED_SERVER_RETENTION: Duration = Duration::from_secs(1);
-/// How often stale connections are closed and removed servers forgotten. Neither is urgent: no request uses them.
+/// The interval at which stale connections are closed and removed servers deleted. No request uses either, so neither
+/// is urgent.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What changes with each event.
+/// The mutable state of a pool.
 struct PoolState<U: Upstream> {
     balancer: Balancer,
     requests: FxHashMap<RequestId, OpenRequest<U>>,
-    /// Those of the open requests that have one.
+    /// The correlation ids of the open requests that have one.
     correlation_ids: HashSet<Rc<[u8]>>,
     next_request: u64,
     /// The decision module's timers, the earliest first.
@@ -75,11 +76,11 @@
     name: String,
     clock: Clock,
     state: RefCell<PoolState<U>>,
-    settings: Cell<SettingsInForce>,
-    /// The buffer for the decision module's actions, kept from one event to the next.
+    settings: Cell<EngineSettings>,
+    /// The buffer for the decision module's actions, reused for each event.
     action_buffer: Cell<Vec<Action>>,
     timers_changed: Notify,
-    /// Whether an endpoint list is known, be it a saved one.
+    /// Whether an endpoint list, possibly a saved one, is known.
     has_endpoint_list: Cell<bool>,
     /// Whether the endpoint source has published a list.
     has_published: watch::Sender<bool>,
@@ -88,10 +89,10 @@
     upstream: U,
     subscription: Rc<Subscription>,
     start_times: Rc<RefCell<StartTimes>>,
-    /// The version that the source's first list must not be older than.
+    /// The minimum version of the source's first list.
     initial_version: Option<i64>,
     request_quota: Rc<QuotaShare>,
-    /// What the serving servers speak.
+    /// The dialects that the serving servers speak.
     serving_dialects: Cell<Dialects>,
 }
 
@@ -105,20 +106,21 @@
 }
 
 impl<U: Upstream> Pool<U> {
-    /// Starts a decision module with the initial endpoint list. Nothing runs by itself until [`Pool::run`] does.
+    /// Creates a pool and starts its decision module with the initial endpoint list. Timers and the endpoint source
+    /// run only in [`Pool::run`].
     ///
     /// # Errors
     ///
-    /// The settings are not valid.
+    /// Returns an error if the settings are invalid.
     pub fn new(options: PoolOptions<U>) -> Result<Self, SettingsError> {
         let clock = Clock::new(options.epoch);
         let mut start_times = StartTimes::new(clock);
         let mut initial_list = options.initial_list;
         if let Some(list) = &mut initial_list {
-            start_times.settle_saved(&mut list.endpoints);
+            start_times.resolve_saved(&mut list.endpoints);
         }
         let continued_list = initial_list.as_ref().filter(|_| options.continues_versions);
-        let settings = SettingsInForce::from(&options.settings);
+        let settings = EngineSettings::from(&options.settings);
         let balancer = Balancer::new(options.settings, options.seed)?;
         let pool = Pool(Rc::new(PoolInner {
             name: options.name,
@@ -152,21 +154,21 @@
         self.perform(actions);
     }
 
-    /// Runs the timers, follows the endpoint source and looks after idle connections, until the pool is
+    /// Runs the timers, receives endpoint lists from the source and closes stale connections, until the pool is
     /// [closed](Pool::close) and its last request and attempt have ended.
     pub async fn run(self, source: Box<dyn EndpointSource<U::Address>>) {
         let observer: Rc<dyn EndpointObserver<U::Address>> = Rc::new(self.clone());
         let (subscription, start_times) = (Rc::clone(&self.0.subscription), Rc::clone(&self.0.start_times));
         let sink = EndpointSink::new(observer, subscription, start_times, self.0.initial_version);
-        let follow_source = async {
+        let receive_lists = async {
             source.run(sink).await;
-            // The last list stays.
+            // The last list stays in effect when the source ends.
             std::future::pending::<()>().await;
         };
         tokio::select! {
             biased;
             () = self.run_timers() => {}
-            () = follow_source => {}
+            () = receive_lists => {}
             () = self.clean_up_periodically() => {}
             () = self.closed_and_idle() => {}
         }
@@ -176,7 +178,8 @@
         loop {
             sleep(CLEAN_UP_INTERVAL).await;
             let state = &mut *self.0.state.borrow_mut();
-            // A connection that was in use when its server began to drain, moved or was removed becomes idle after.
+            // A connection that was in use when its server began to drain, changed its address or was removed becomes
+            // idle only later.
             let servers = &state.servers;
             self.0.upstream.close_stale(&|server, incarnation| servers.is_current(server, incarnation));
             state.servers.remove_expired(self.0.settings.get().drain_grace + REMOVED_SERVER_RETENTION);
@@ -190,19 +193,19 @@
         }
     }
 
-    /// The pool's name.
+    /// Returns the pool's name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.0.name
     }
 
-    /// The side that speaks to the servers.
+    /// Returns the upstream that communicates with the servers.
     #[must_use]
     pub fn upstream(&self) -> &U {
         &self.0.upstream
     }
 
-    /// What the serving servers speak.
+    /// Returns the dialects that the serving servers speak.
     #[must_use]
     pub fn serving_dialects(&self) -> Dialects {
         self.0.serving_dialects.get()
@@ -213,16 +216,16 @@
         let _ = self.0.has_published.subscribe().wait_for(|has_published| *has_published).await;
     }
 
-    /// Takes nothing new from now on; requests that are open end under the rules that they began with.
+    /// Stops accepting requests. Open requests continue to their end as before.
     pub fn close(&self) {
         self.0.is_closed.send_replace(true);
     }
 
-    /// Puts new settings in force, with the numbers of their classes and the names of their zones. Requests that are
-    /// open keep the limits that they came with.
+    /// Applies new settings with the ids of their classes and the names of their zones. Open requests keep the limits
+    /// that were in effect when they were submitted.
     pub fn update_settings(&self, settings: Settings, classes: Vec<ClassId>, zones: &[String]) {
-        self.0.settings.set(SettingsInForce::from(&settings));
-        // The servers' zones are numbered as the first settings named them.
+        self.0.settings.set(EngineSettings::from(&settings));
+        // The pool keeps its zone ids, so the zone id in the new settings is translated by its name.
         let zone = zones
             .get(settings.zone.0 as usize)
             .map_or(settings.zone, |name| self.0.state.borrow_mut().servers.zone_id(name));
--- a/crates/engine/src/pool/options.rs
+++ b/crates/engine/src/pool/options.rs
@@ -1,4 +1,4 @@
-//! What a pool is made from, and what it needs itself of the decision module's settings.
+//! The options of a pool, and the settings that the engine itself uses.
 
 use crate::endpoint_source::EndpointList;
 use crate::quota::QuotaShare;
@@ -8,42 +8,42 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a pool is made from.
+/// The options that a pool is created with.
 pub struct PoolOptions<U: Upstream> {
     /// The pool's name, for the log.
     pub name: String,
     /// The decision module's settings.
     pub settings: Settings,
-    /// The seed of the decision module's draws.
+    /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// What the settings' numbers of zones and machine types mean.
+    /// The names of the zones and machine types whose ids the settings contain.
     pub server_names: ServerNames,
-    /// The endpoint list as it was last known; it may be old.
+    /// The last known endpoint list, which may be outdated.
     pub initial_list: Option<EndpointList<U::Address>>,
-    /// Whether the source's versions continue that list's.
+    /// Whether the source's versions continue those of the initial list.
     pub continues_versions: bool,
-    /// The Unix time at which the pool begins, for a simulation; `None` for the system's clock.
+    /// The Unix time at which the pool's clock starts, for simulations; `None` for the system's clock.
     pub epoch: Option<Time>,
-    /// Speaks to the servers.
+    /// Communicates with the servers.
     pub upstream: U,
-    /// How many requests may wait for their response in this pool.
+    /// The quota share for requests that wait for their response in this pool.
     pub request_quota: Rc<QuotaShare>,
 }
 
-/// What the engine itself needs of the settings.
+/// The part of the settings that the engine itself uses.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct SettingsInForce {
-    /// The most attempts of one request.
+pub(super) struct EngineSettings {
+    /// The maximum number of attempts for one request.
     pub(super) max_attempts: u32,
-    /// How long after the beginning of a drain something may still be sent to a server.
+    /// The grace period after the beginning of a drain in which requests may still be sent to a server.
     pub(super) drain_grace: Duration,
     /// How servers warm up.
     pub(super) slow_start: SlowStart,
 }
 
-impl From<&Settings> for SettingsInForce {
+impl From<&Settings> for EngineSettings {
     fn from(settings: &Settings) -> Self {
-        SettingsInForce {
+        EngineSettings {
             max_attempts: settings.max_attempts,
             drain_grace: settings.drain_grace.into(),
             slow_start: SlowStart {
@@ -54,7 +54,7 @@
     }
 }
 
-/// How servers warm up after their start.
+/// The parameters of slow start: how servers warm up after their start.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SlowStart {
     warm_up_time: Span,
@@ -62,11 +62,12 @@
 }
 
 impl SlowStart {
-    /// The share of its capacity, up to 1, that a server has which started so long ago. It grows linearly.
+    /// Returns the share of its capacity, up to 1, that a server of this age has. It grows linearly.
     pub(super) fn capacity_share(&self, age: Span) -> f64 {
         let initial = self.initial_capacity_share.min(1.0);
         let progress = age.as_ms() / self.warm_up_time.as_ms();
-        // In this order, because without a warm-up time the progress of a server that has just started is not a number.
+        // With a warm-up time of zero, the progress of a server that has just started is NaN, for which this
+        // comparison is false.
         if progress < 1.0 {
             initial + (1.0 - initial) * progress
         } else {
--- a/crates/engine/src/pool/rejection.rs
+++ b/crates/engine/src/pool/rejection.rs
@@ -1,33 +1,35 @@
-//! Why a request was not accepted.
+//! The reasons why a pool rejects a request.
 
 use heronhoist_decision::Span;
 
-/// When to retry with a pool that knows no server or has no capacity, in microseconds: a first list takes about 250 ms.
+/// The delay before a retry if a pool has no endpoint list or no capacity, in microseconds. A first list takes about
+/// 250 ms to arrive.
 pub(super) const RETRY_AFTER: Span = Span(250_000);
 
-/// Why a request was not accepted. Nothing of it has been sent; the frontend answers at once. The span is the time after
-/// which a retry makes sense.
+/// The reason why a pool rejects a request. Nothing of the request was sent, and the frontend responds at once. The
+/// `Span` is the delay before a useful retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// A request with its correlation id, or an attempt of one, is still open: servers could not tell the two apart.
+    /// A request with the same correlation id, or an attempt of one, is still open; servers could not distinguish the
+    /// two.
     #[error("a request with the same correlation id is open")]
     CorrelationIdInUse,
-    /// The pool knows no endpoint list yet.
-    #[error("no endpoint list is known yet")]
+    /// The pool has no endpoint list yet.
+    #[error("no endpoint list is available yet")]
     NoEndpoints(Span),
     /// No serving server speaks a dialect that the request can be written in.
     #[error("no serving server speaks the request's dialects")]
     NoCommonDialect(Span),
-    /// As many requests are open as the pool may hold.
-    #[error("the pool holds as many requests as it may")]
+    /// The pool has reached its maximum number of open requests.
+    #[error("the pool has reached its maximum number of open requests")]
     PoolFull(Span),
-    /// The pool takes no new requests any more.
+    /// The pool is closed and no longer accepts requests.
     #[error("the pool is closed")]
     PoolClosed(Span),
 }
 
 impl Rejection {
-    /// The time after which a retry makes sense, if it does.
+    /// Returns the delay before a retry, if a retry is useful.
     #[must_use]
     pub fn retry_after(self) -> Option<Span> {
         match self {
--- a/crates/engine/src/pool/requests.rs
+++ b/crates/engine/src/pool/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: submitted, answered, given up and forgotten.
+//! The life cycle of requests: they are submitted, get their final response and are removed.
 
 use super::pending_response::{FinalResponse, PendingResponse};
 use super::rejection::{Rejection, RETRY_AFTER};
@@ -14,39 +14,40 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
-/// A request that has no attempt at the ends of so many client timeouts in a row has been forgotten by the decision module,
-/// which may hold one that still arrives for a whole timeout. Only the ends are looked at, so that an attempt may have been
-/// in flight until just before the first of them.
+/// The number of consecutive client timeouts without an attempt after which the decision module must have lost a
+/// request. The module may hold a request that is still arriving for one full timeout. Attempts are checked only at
+/// the end of each timeout, so one may have been in flight until just before the first check.
 const MAX_IDLE_TIMEOUTS: u32 = 2;
 
-/// A request that a frontend hands over.
+/// A request that a frontend submits to a pool.
 #[derive(Debug)]
 pub struct NewRequest<R> {
     /// The request itself.
     pub request: R,
-    /// Identifies the request to servers that tell requests apart by an id; no other open request may have the same.
+    /// Identifies the request to servers that distinguish requests by an id; it must be unique among the open
+    /// requests.
     pub correlation_id: Option<Rc<[u8]>>,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that the request belongs to.
     pub tenant: Option<TenantId>,
-    /// What it concerns.
+    /// The key of the record that the request concerns.
     pub key: Option<KeyId>,
-    /// An estimate of its work, in microseconds.
+    /// An estimate of the work that the request causes, in microseconds.
     pub cost_hint: Option<Span>,
-    /// Whether the client says that it retries an earlier one.
+    /// Whether the client declares that this is a retry of an earlier request.
     pub is_retry: bool,
-    /// How long the client waits once the request has arrived whole.
+    /// How long the client waits after the complete request has arrived.
     pub client_timeout: Duration,
-    /// When the client stops waiting; `None` while more of the request is to come.
+    /// When the client stops waiting; `None` until the complete request has arrived.
     pub deadline: Option<Instant>,
-    /// The dialects that it can be written in.
+    /// The dialects that the request can be encoded in.
     pub dialects: Dialects,
 }
 
 impl<R> NewRequest<R> {
-    /// A whole request whose client waits for `client_timeout` from now on; without correlation id, tenant, key and hint,
-    /// in any dialect.
+    /// Creates a complete request whose client waits for `client_timeout` from now on. It has no correlation id,
+    /// tenant, key or cost hint, and can be encoded in any dialect.
     #[must_use]
     pub fn new(request: R, class: ClassId, client_timeout: Duration) -> Self {
         NewRequest {
@@ -69,23 +70,23 @@
     pub(super) request: Rc<U::Request>,
     pub(super) class: ClassId,
     correlation_id: Option<Rc<[u8]>>,
-    /// When the client stops waiting; `None` while more of the request is to come.
+    /// When the client stops waiting; `None` until the complete request has arrived.
     pub(super) deadline: Option<Instant>,
     pub(super) client_timeout: Duration,
-    /// `None` once the final response has been given or the client has disconnected.
-    pub(super) reply: Option<ReplySlot<U::Response>>,
-    /// How many attempts have been started; the next one's number.
+    /// `None` once the final response has been sent or the client has disconnected.
+    pub(super) responder: Option<Responder<U::Response>>,
+    /// The number of attempts that have been started, which is the number of the next attempt.
     pub(super) attempts_started: u32,
-    /// The most attempts, by the settings that were in force when the request came.
+    /// The maximum number of attempts, by the settings at the time of submission.
     pub(super) max_attempts: u32,
-    /// Few at any time.
+    /// The attempts in flight, which are few.
     pub(super) in_flight: Vec<InFlightAttempt>,
 }
 
 impl<U: Upstream> OpenRequest<U> {
-    /// Whether its client still waits for its final response.
+    /// Returns whether the client still waits for the final response.
     pub(super) fn is_pending(&self) -> bool {
-        self.reply.is_some()
+        self.responder.is_some()
     }
 
     fn is_finished(&self) -> bool {
@@ -93,14 +94,14 @@
     }
 }
 
-/// Where a final response goes, and the request's place in the pool's quota.
-pub(super) struct ReplySlot<R> {
+/// Sends the final response to a request, and holds the request's reservation in the pool's quota.
+pub(super) struct Responder<R> {
     sender: oneshot::Sender<FinalResponse<R>>,
     _reservation: Reservation,
 }
 
-impl<R> ReplySlot<R> {
-    /// A client that has disconnected meanwhile needs no response.
+impl<R> Responder<R> {
+    /// Sends the final response. It is discarded if the client has disconnected.
     pub(super) fn send(self, response: FinalResponse<R>) {
         let _ = self.sender.send(response);
     }
@@ -114,7 +115,7 @@
 }
 
 impl<U: Upstream> PoolState<U> {
-    /// Adds a request under a number that no other one of this pool has had.
+    /// Adds a request under a new id that was never used in this pool.
     fn add_request(&mut self, open: OpenRequest<U>) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -125,11 +126,12 @@
 }
 
 impl<U: Upstream> Pool<U> {
-    /// Accepts a request. From here on it gets one final response, unless the pending response is dropped first.
+    /// Submits a request. Once accepted, it gets exactly one final response unless the pending response is dropped
+    /// first.
     ///
     /// # Errors
     ///
-    /// The pool does not accept the request, and nothing of it has been sent.
+    /// Returns a [`Rejection`] if the pool does not accept the request. Nothing of it has been sent.
     pub fn submit(&self, new: NewRequest<U::Request>) -> Result<PendingResponse<U>, Rejection> {
         self.check_accepts(new.dialects)?;
         let (sender, response) = oneshot::channel();
@@ -146,7 +148,7 @@
                 correlation_id: new.correlation_id,
                 deadline: new.deadline,
                 client_timeout: new.client_timeout,
-                reply: Some(ReplySlot { sender, _reservation: reservation }),
+                responder: Some(Responder { sender, _reservation: reservation }),
                 attempts_started: 0,
                 max_attempts: self.0.settings.get().max_attempts,
                 in_flight: Vec::with_capacity(1),
@@ -175,7 +177,8 @@
         if !self.0.has_endpoint_list.get() {
             return Err(Rejection::NoEndpoints(RETRY_AFTER));
         }
-        // A request in any dialect may find a server that returns in time; the others would wait in vain.
+        // A request in any dialect can still succeed if a server returns in time. One that needs certain dialects is
+        // rejected while no serving server speaks them.
         let needs_certain_dialects = dialects != Dialects::ALL;
         if needs_certain_dialects && !dialects.intersects(self.serving_dialects()) {
             return Err(Rejection::NoCommonDialect(RETRY_AFTER));
@@ -183,7 +186,7 @@
         Ok(())
     }
 
-    /// The last part of a request has arrived: its client waits until `deadline`.
+    /// Records that a request has arrived completely, and that its client waits until `deadline`.
     pub(super) fn request_complete(&self, id: RequestId, deadline: Instant) {
         if let Some(open) = self.0.state.borrow_mut().requests.get_mut(&id) {
             open.deadline = Some(deadline);
@@ -192,8 +195,8 @@
         self.handle_event(Event::RequestComplete { request: id, time_left });
     }
 
-    /// Waits until a request has had no attempt in flight for all the time that the decision module may hold it. The
-    /// module must have panicked over it.
+    /// Waits until a request has had no attempt in flight for longer than the decision module may hold it. The module
+    /// must have lost the request in a panic.
     pub(super) async fn request_orphaned(&self, id: RequestId, client_timeout: Duration) {
         let mut idle_timeouts = 0;
         while idle_timeouts < MAX_IDLE_TIMEOUTS {
@@ -206,31 +209,32 @@
         }
     }
 
-    /// Nobody waits for a request's final response any more: its client has disconnected, or its time is up.
+    /// Records that nothing waits for a request's final response any more: its client has disconnected, or its
+    /// deadline was reached.
     pub(super) fn client_disconnected(&self, id: RequestId) {
         let was_pending = {
             let mut state = self.0.state.borrow_mut();
-            state.requests.get_mut(&id).is_some_and(|open| open.reply.take().is_some())
+            state.requests.get_mut(&id).is_some_and(|open| open.responder.take().is_some())
         };
         if was_pending {
             self.handle_event(Event::ClientDisconnected { request: id });
-            self.forget_if_finished(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Gives a request its final response; the first one is the only one.
+    /// Sends the final response to a request. Any later response to the same request is discarded.
     pub(super) fn respond(&self, id: RequestId, response: FinalResponse<U::Response>) {
-        let reply = {
+        let responder = {
             let mut state = self.0.state.borrow_mut();
-            state.requests.get_mut(&id).and_then(|open| open.reply.take())
+            state.requests.get_mut(&id).and_then(|open| open.responder.take())
         };
-        if let Some(reply) = reply {
-            reply.send(response);
+        if let Some(responder) = responder {
+            responder.send(response);
         }
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
     }
 
-    pub(super) fn forget_if_finished(&self, id: RequestId) {
+    pub(super) fn remove_if_finished(&self, id: RequestId) {
         let mut state = self.0.state.borrow_mut();
         if !state.requests.get(&id).is_some_and(OpenRequest::is_finished) {
             return;
--- a/crates/engine/src/pool/stats.rs
+++ b/crates/engine/src/pool/stats.rs
@@ -1,22 +1,22 @@
-//! What a pool reports about itself.
+//! Statistics of a pool.
 
 use super::Pool;
 use crate::servers::MissingCapacity;
 use crate::upstream::Upstream;
 
-/// The state of a pool at the moment of asking.
+/// A snapshot of a pool's statistics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Servers in the list.
+    /// The number of servers in the endpoint list.
     pub listed: usize,
-    /// Listed servers that the decision module avoids at present.
+    /// The number of listed servers that the decision module currently excludes.
     pub excluded: usize,
-    /// Requests that wait for their response or have an attempt in flight.
+    /// The number of requests that wait for their response or have an attempt in flight.
     pub open_requests: usize,
 }
 
 impl<U: Upstream> Pool<U> {
-    /// The pool's state now.
+    /// Returns the current statistics of the pool.
     #[must_use]
     pub fn stats(&self) -> PoolStats {
         let state = self.0.state.borrow();
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Whether there is a server to send to.
+    /// Returns whether at least one server is serving.
     #[must_use]
     pub fn has_serving_server(&self) -> bool {
         self.0.state.borrow().servers.has_serving()
     }
 
-    /// The servers that lack some of their capacity, as far as this process can tell.
+    /// Returns the servers that are missing some of their capacity, as seen by this process.
     #[must_use]
     pub fn missing_capacity(&self) -> Vec<MissingCapacity> {
         let slow_start = self.0.settings.get().slow_start;
@@ -42,8 +42,8 @@
         self.0.state.borrow().servers.missing_capacity(capacity_share)
     }
 
-    /// Whether nothing is in flight to the server of this name, and nothing will be sent to it until a list says that it
-    /// serves.
+    /// Returns whether nothing is in flight to the server of this name, and nothing will be sent to it until an
+    /// endpoint list contains it as serving.
     #[must_use]
     pub fn is_drained(&self, server: &str) -> bool {
         self.0.state.borrow().servers.is_drained(server, self.0.settings.get().drain_grace)
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -12,19 +12,19 @@
 use tokio::task::{yield_now, LocalSet};
 use tokio::time::Instant;
 
-struct Nothing;
-impl RequestPayload for Nothing {}
+struct EmptyRequest;
+impl RequestPayload for EmptyRequest {}
 
-/// Its servers never answer.
-struct Silent<R>(PhantomData<R>);
+/// An upstream whose servers never respond.
+struct SilentUpstream<R>(PhantomData<R>);
 
-impl<R> Default for Silent<R> {
+impl<R> Default for SilentUpstream<R> {
     fn default() -> Self {
-        Silent(PhantomData)
+        SilentUpstream(PhantomData)
     }
 }
 
-impl<R: RequestPayload + 'static> Upstream for Silent<R> {
+impl<R: RequestPayload + 'static> Upstream for SilentUpstream<R> {
     type Address = u16;
     type Request = R;
     type Response = ();
@@ -65,20 +65,20 @@
     Pool::new(options).expect("valid settings")
 }
 
-/// A pool of one server that never answers.
-fn silent_pool() -> Pool<Silent<Nothing>> {
-    pool_with(options(Silent::default(), &[SERVER]))
+/// Creates a pool with one server that never responds.
+fn silent_pool() -> Pool<SilentUpstream<EmptyRequest>> {
+    pool_with(options(SilentUpstream::default(), &[SERVER]))
 }
 
-fn request(name: &str) -> NewRequest<Nothing> {
+fn request(name: &str) -> NewRequest<EmptyRequest> {
     let name = Some(name.as_bytes().into());
-    NewRequest { correlation_id: name, ..NewRequest::new(Nothing, ClassId(0), Duration::from_secs(60)) }
+    NewRequest { correlation_id: name, ..NewRequest::new(EmptyRequest, ClassId(0), Duration::from_secs(60)) }
 }
 
-/// Guards the module's counts of what is in flight: a request that ends right after one of its attempts was cancelled must
-/// not be forgotten before that attempt's outcome is reported.
+/// A request that ends right after one of its attempts was cancelled must not be removed before the attempt's outcome
+/// is reported, or the decision module would miscount what is in flight.
 #[tokio::test]
-async fn a_cancelled_attempt_is_reported_though_its_request_has_ended() {
+async fn a_cancelled_attempt_is_reported_after_its_request_has_ended() {
     let test = async {
         let pool = silent_pool();
         let pending = pool.submit(request("id")).expect("accepted");
@@ -86,17 +86,20 @@
         let cancel = Action::Cancel { request: id, attempt: AttemptNumber(0) };
         pool.perform(vec![cancel, Action::Fail { request: id }]);
         assert!(matches!(pending.wait(|deadline| deadline).await, FinalResponse::Failed));
-        assert!(pool.0.state.borrow().requests.contains_key(&id), "its outcome has not been reported");
+        assert!(
+            pool.0.state.borrow().requests.contains_key(&id),
+            "the outcome of its attempt has not been reported"
+        );
         assert_eq!(pool.submit(request("id")).err(), Some(Rejection::CorrelationIdInUse));
         while pool.stats().open_requests > 0 {
             yield_now().await;
         }
-        assert!(pool.submit(request("id")).is_ok(), "its correlation id is free again");
+        assert!(pool.submit(request("id")).is_ok(), "the correlation id is available again");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// No client gets two responses, and nothing is kept of a finished request.
+/// No client may get two responses, and a finished request must be removed.
 #[tokio::test]
 async fn the_first_response_is_the_only_one() {
     let test = async {
@@ -113,38 +116,42 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A client that waits for 23 ms gets nearly all of them for its attempt, and its final response in time.
+/// The attempt of a client that waits for 23 ms must get most of that time, and the final response must still be in
+/// time.
 #[tokio::test(start_paused = true)]
-async fn a_short_client_timeout_is_not_spent_on_reserves() {
+async fn a_short_client_timeout_is_not_consumed_by_reserves() {
     let test = async {
         let (pool, started_at, client_timeout) = (silent_pool(), Instant::now(), Duration::from_millis(23));
         let mut settings = Settings::default();
         settings.classes[0].latency_objective = Span::from_ms(11.0);
         pool.update_settings(settings, vec![ClassId(1)], &[]);
-        let pending = pool.submit(NewRequest::new(Nothing, ClassId(1), client_timeout)).expect("accepted");
+        let pending =
+            pool.submit(NewRequest::new(EmptyRequest, ClassId(1), client_timeout)).expect("accepted");
         let response = pending.wait(|deadline| deadline).await;
         let waited = started_at.elapsed();
-        assert!(!matches!(response, FinalResponse::Success(())), "its server never answers");
+        assert!(!matches!(response, FinalResponse::Success(())), "the server never responds");
         assert!((Duration::from_millis(18)..client_timeout).contains(&waited), "{waited:?}");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// What can't be accepted is rejected at once, with a time after which to retry.
+/// A request that can't be accepted must be rejected at once, with a delay before the retry.
 #[tokio::test(start_paused = true)]
 async fn a_pool_without_endpoints_or_capacity_rejects_at_once() {
     let test = async {
-        let empty =
-            pool_with(PoolOptions { initial_list: None, ..options(Silent::<Nothing>::default(), &[]) });
+        let empty = pool_with(PoolOptions {
+            initial_list: None,
+            ..options(SilentUpstream::<EmptyRequest>::default(), &[])
+        });
         let rejection = empty.submit(request("a")).err().expect("rejected");
         assert_eq!(rejection, Rejection::NoEndpoints(RETRY_AFTER));
         assert!(rejection.retry_after().is_some());
         empty.on_endpoints(endpoint_list(&[SERVER]));
         assert!(empty.submit(request("a")).is_ok());
-        let one_request = Quota::single_share(1);
+        let single_request = Quota::single_share(1);
         let full = pool_with(PoolOptions {
-            request_quota: one_request,
-            ..options(Silent::<Nothing>::default(), &[SERVER])
+            request_quota: single_request,
+            ..options(SilentUpstream::<EmptyRequest>::default(), &[SERVER])
         });
         let first = full.submit(request("a")).expect("accepted");
         assert_eq!(full.submit(request("b")).err(), Some(Rejection::PoolFull(RETRY_AFTER)));
@@ -155,26 +162,28 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Its connections come up when it is notified; so many requests are then read and their connections reset.
-struct SlowToConnect {
+/// An upstream whose connections are established when `connected` is notified. The connections of the first `resets`
+/// attempts are then reset after the request has been sent.
+struct SlowUpstream {
     connected: Rc<Notify>,
     resets: Cell<u32>,
-    opened: Rc<RefCell<Vec<bool>>>,
+    /// For each attempt, whether the send gate gate_results.
+    gate_results: Rc<RefCell<Vec<bool>>>,
 }
 
-impl Upstream for SlowToConnect {
+impl Upstream for SlowUpstream {
     type Address = u16;
-    type Request = Nothing;
+    type Request = EmptyRequest;
     type Response = ();
-    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &EmptyRequest, gate: Gate<'_>) -> AttemptResult<()> {
         self.connected.notified().await;
-        let opens = gate.open();
-        self.opened.borrow_mut().push(opens);
+        let may_send = gate.open();
+        self.gate_results.borrow_mut().push(may_send);
         match self.resets.get() {
-            0 if opens => std::future::pending().await,
+            0 if may_send => std::future::pending().await,
             0 => Outcome::NotSent.into(),
-            left => {
-                self.resets.set(left - 1);
+            remaining => {
+                self.resets.set(remaining - 1);
                 Outcome::ConnectionReset.into()
             }
         }
@@ -186,47 +195,48 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// A pool whose class has this effect, what brings its connections up, and whether the gate opened for each.
-fn slow_pool(effect: Effect, resets: u32) -> (Pool<SlowToConnect>, Rc<Notify>, Rc<RefCell<Vec<bool>>>) {
-    let (connected, opened) = (Rc::new(Notify::new()), Rc::default());
-    let upstream = SlowToConnect {
+/// Creates a pool whose class has the given effect. Also returns the notification that establishes its connections,
+/// and for each attempt whether the send gate opened.
+fn slow_pool(effect: Effect, resets: u32) -> (Pool<SlowUpstream>, Rc<Notify>, Rc<RefCell<Vec<bool>>>) {
+    let (connected, gate_results) = (Rc::new(Notify::new()), Rc::default());
+    let upstream = SlowUpstream {
         connected: Rc::clone(&connected),
         resets: Cell::new(resets),
-        opened: Rc::clone(&opened),
+        gate_results: Rc::clone(&gate_results),
     };
     let mut options = options(upstream, &[SERVER, OTHER_SERVER]);
     options.settings.classes[0].effect = effect;
-    (pool_with(options), connected, opened)
+    (pool_with(options), connected, gate_results)
 }
 
-/// Nothing is sent for a client that has disconnected while a connection came up; for one that waits it is.
+/// Nothing may be sent for a client that has disconnected while a connection was being established.
 #[tokio::test(start_paused = true)]
-async fn no_attempt_begins_for_a_disconnected_client() {
+async fn no_attempt_is_sent_for_a_disconnected_client() {
     let test = async {
         for has_disconnected in [false, true] {
-            let (pool, connected, opened) = slow_pool(Effect::Idempotent, 0);
+            let (pool, connected, gate_results) = slow_pool(Effect::Idempotent, 0);
             let pending = pool.submit(request("id")).expect("accepted");
             yield_now().await;
             let kept_pending = (!has_disconnected).then_some(pending);
             connected.notify_one();
-            while opened.borrow().is_empty() {
+            while gate_results.borrow().is_empty() {
                 yield_now().await;
             }
-            assert_eq!(*opened.borrow(), [!has_disconnected]);
+            assert_eq!(*gate_results.borrow(), [!has_disconnected]);
             drop(kept_pending);
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Its attempts panic, some once they have been sent.
-struct Panicking(Cell<u32>);
+/// An upstream whose attempts panic: the first before it is sent, the others after.
+struct PanickingUpstream(Cell<u32>);
 
-impl Upstream for Panicking {
+impl Upstream for PanickingUpstream {
     type Address = u16;
-    type Request = Nothing;
+    type Request = EmptyRequest;
     type Response = ();
-    async fn attempt(&self, _: EndpointAddress<u16>, _: &Nothing, gate: Gate<'_>) -> AttemptResult<()> {
+    async fn attempt(&self, _: EndpointAddress<u16>, _: &EmptyRequest, gate: Gate<'_>) -> AttemptResult<()> {
         let number = self.0.replace(self.0.get() + 1);
         if number > 0 {
             gate.open();
@@ -241,27 +251,30 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// A panic of an attempt is an end of it like any other: its request has its final response long before its deadline, and
-/// nothing of it is left.
+/// A panic of an attempt must be handled like any other failure: the request gets its final response long before its
+/// deadline and is removed.
 #[tokio::test(start_paused = true)]
-async fn a_panic_of_an_attempt_ends_that_attempt_only() {
+async fn a_panic_of_an_attempt_ends_only_that_attempt() {
     let test = async {
-        let pool = pool_with(options(Panicking(Cell::new(0)), &[SERVER, OTHER_SERVER]));
-        let start = Instant::now();
+        let pool = pool_with(options(PanickingUpstream(Cell::new(0)), &[SERVER, OTHER_SERVER]));
+        let started_at = Instant::now();
         let pending = pool.submit(request("id")).expect("accepted");
         let response = pending.wait(|deadline| deadline).await;
         assert!(matches!(response, FinalResponse::Failed | FinalResponse::Rejected(_)), "{response:?}");
-        assert!(start.elapsed() < Duration::from_secs(1), "of a minute, by the test's own clock");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(1),
+            "the final response must not wait for the client timeout of 60 s"
+        );
         assert_eq!(pool.stats().open_requests, 0);
-        assert!(pool.submit(request("id")).is_ok(), "its correlation id is free again");
+        assert!(pool.submit(request("id")).is_ok(), "the correlation id is available again");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A request of which more is always to come.
-struct Endless;
+/// A request whose body never ends.
+struct EndlessRequest;
 
-impl StreamingBody for Endless {
+impl StreamingBody for EndlessRequest {
     fn progress(&self) -> BodyProgress {
         BodyProgress::Incomplete
     }
@@ -273,71 +286,71 @@
     }
 }
 
-impl RequestPayload for Endless {
+impl RequestPayload for EndlessRequest {
     fn streaming_body(&self) -> Option<&dyn StreamingBody> {
         Some(self)
     }
 }
 
-/// That each request gets its final response does not hang on the module, also while its body streams in: what the module
-/// forgets goes to no server, so nobody would read to its end. One that is being sent may take its time.
+/// A request must get its final response even if the decision module loses it while its body is arriving: it is sent
+/// to no server, so nothing reads its body to the end. A request that is being sent must not be ended by this.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_the_module_forgets_while_it_streams_in_is_answered() {
-    for forgets in [true, false] {
+async fn a_streaming_request_that_the_module_loses_gets_a_response() {
+    for is_lost in [true, false] {
         let test = async {
-            let pool = pool_with(options(Silent::<Endless>::default(), &[SERVER]));
+            let pool = pool_with(options(SilentUpstream::<EndlessRequest>::default(), &[SERVER]));
             let client_timeout = Duration::from_secs(60);
             let streaming =
-                NewRequest { deadline: None, ..NewRequest::new(Endless, ClassId(0), client_timeout) };
+                NewRequest { deadline: None, ..NewRequest::new(EndlessRequest, ClassId(0), client_timeout) };
             let pending = pool.submit(streaming).expect("accepted");
-            if forgets {
+            if is_lost {
                 pool.handle_event(Event::ClientDisconnected { request: pending.id });
                 pool.perform(vec![Action::Cancel { request: pending.id, attempt: AttemptNumber(0) }]);
             }
             let response = tokio::time::timeout(10 * client_timeout, pending.wait(|deadline| deadline)).await;
             match response {
                 Ok(response) => {
-                    assert!(forgets && matches!(response, FinalResponse::DeadlineExceeded), "{response:?}");
+                    assert!(is_lost && matches!(response, FinalResponse::DeadlineExceeded), "{response:?}");
                 }
-                Err(_) => assert!(!forgets, "no response"),
+                Err(_) => assert!(!is_lost, "no response"),
             }
         };
         LocalSet::new().run_until(test).await;
     }
 }
 
-/// The deduplication window runs on while the retry's connection comes up: nothing is sent after it.
+/// A retry must not be sent if the deduplication window ends while its connection is being established.
 #[tokio::test(start_paused = true)]
-async fn no_retry_begins_after_the_deduplication_window() {
+async fn no_retry_is_sent_after_the_deduplication_window() {
     let window = Span::from_ms(450.0);
     let test = async {
-        for (waited, begins) in [(449, true), (451, false)] {
-            let (pool, connected, opened) =
+        for (waited_ms, is_sent) in [(449, true), (451, false)] {
+            let (pool, connected, gate_results) =
                 slow_pool(Effect::Deduplicated { scope: DeduplicationScope::All, window }, 1);
             let pending = pool.submit(request("id")).expect("accepted");
             yield_now().await;
-            // Its server may have run it.
+            // The connection is reset, so the server may have run the request.
             connected.notify_one();
-            while opened.borrow().is_empty() {
+            while gate_results.borrow().is_empty() {
                 yield_now().await;
             }
-            // The retry has been decided on, in time.
+            // Wait until the retry has started, within the window.
             while pool.0.state.borrow().requests[&pending.id].attempts_started < 2 {
                 yield_now().await;
             }
-            tokio::time::advance(Duration::from_millis(waited)).await;
+            tokio::time::advance(Duration::from_millis(waited_ms)).await;
             connected.notify_one();
-            while opened.borrow().len() < 2 {
+            while gate_results.borrow().len() < 2 {
                 yield_now().await;
             }
-            assert_eq!(*opened.borrow(), [true, begins], "after {waited} ms");
+            assert_eq!(*gate_results.borrow(), [true, is_sent], "after {waited_ms} ms");
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A request that the process comes to late, as on a loaded machine, is a first try all the same: what its client said tells
-/// that, and not how much of its time is left.
+/// A request that the process handles late, as on a loaded machine, must still count as a first request. Whether it
+/// is a retry depends only on what the client declared, not on the client's remaining time.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_is_processed_late_is_no_retry() {
     let test = async {
@@ -346,12 +359,12 @@
         let ms = Span::from_ms;
         (settings.classes[0].latency_objective, settings.classes[0].deadline) = (ms(5000.0), ms(10_000.0));
         pool.update_settings(settings, vec![ClassId(1)], &[]);
-        for late in [0, 5] {
-            let request = NewRequest::new(Nothing, ClassId(1), Duration::from_secs(5));
-            tokio::time::advance(Duration::from_millis(late)).await;
+        for delay_ms in [0, 5] {
+            let request = NewRequest::new(EmptyRequest, ClassId(1), Duration::from_secs(5));
+            tokio::time::advance(Duration::from_millis(delay_ms)).await;
             let pending = pool.submit(request).expect("accepted");
             let attempts = pool.0.state.borrow().requests.get(&pending.id).map(|open| open.attempts_started);
-            assert_eq!(attempts, Some(1), "sent, {late} ms late");
+            assert_eq!(attempts, Some(1), "processed {delay_ms} ms late");
         }
     };
     LocalSet::new().run_until(test).await;
--- a/crates/engine/src/pool/timers.rs
+++ b/crates/engine/src/pool/timers.rs
@@ -1,4 +1,4 @@
-//! The decision module's timers.
+//! Runs the timers of the decision module.
 
 use super::Pool;
 use crate::upstream::Upstream;
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use tokio::time::sleep_until;
 
-/// A timer that has been set. Timers are ordered by the time at which they are due, and those of one time by their ids.
+/// A pending timer. Timers are ordered by the time at which they are due, then by their ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ScheduledTimer {
     at: Time,
@@ -19,7 +19,7 @@
         self.0.timers_changed.notify_one();
     }
 
-    /// Tells the decision module of each timer when it is due. Never returns.
+    /// Passes each timer to the decision module when it is due. Never returns.
     pub(super) async fn run_timers(&self) {
         loop {
             let next = self.0.state.borrow().timers.peek().map(|Reverse(timer)| timer.at);
