--- a/crates/engine/tests/line/line.rs
+++ b/crates/engine/tests/line/line.rs
@@ -1,5 +1,5 @@
-//! A small protocol of lines, over TCP: `NAME CLASS TEXT` to a server, `NAME ok TEXT` or `NAME busy` back. It stands for
-//! any protocol: its front, its upstream and its stand-in server know nothing of HTTP, and the engine nothing of them.
+//! A minimal line protocol over TCP. A request is `NAME CLASS`, a response `NAME ok` or `NAME busy`. It represents
+//! any protocol other than HTTP: the engine has no knowledge of its frontend, upstream and test server.
 
 use heronhoist_decision::{ClassId, Outcome, ServerId};
 use heronhoist_engine::*;
@@ -14,28 +14,28 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-/// Far beyond anything that a sound engine needs; nothing is judged by it.
-pub const BOUND: Duration = Duration::from_secs(20);
+/// A timeout far longer than a correct engine needs, so that a test fails instead of hanging.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct Line {
+pub struct LineRequest {
     pub name: String,
     pub class: usize,
 }
 
-impl RequestPayload for Line {}
+impl RequestPayload for LineRequest {}
 
-/// One connection an attempt; that is enough here.
-pub struct Lines;
+/// An upstream for the line protocol. It opens a connection for each attempt, which is sufficient for these tests.
+pub struct LineUpstream;
 
-impl Upstream for Lines {
+impl Upstream for LineUpstream {
     type Address = SocketAddr;
-    type Request = Line;
+    type Request = LineRequest;
     type Response = String;
 
     async fn attempt(
         &self,
         endpoint: EndpointAddress<SocketAddr>,
-        call: &Line,
+        request: &LineRequest,
         gate: Gate<'_>,
     ) -> AttemptResult<String> {
         let Ok(stream) = TcpStream::connect(endpoint.address).await else {
@@ -45,16 +45,17 @@
             return Outcome::NotSent.into();
         }
         let mut stream = BufReader::new(stream);
-        if stream.write_all(format!("{} {}\n", call.name, call.class).as_bytes()).await.is_err() {
+        if stream.write_all(format!("{} {}\n", request.name, request.class).as_bytes()).await.is_err() {
             return Outcome::ConnectionReset.into();
         }
-        let mut answer = String::new();
-        match stream.read_line(&mut answer).await {
-            Ok(n) if n > 0 && answer.ends_with('\n') => match answer.trim_end().split_once(' ') {
-                Some((name, text)) if name == call.name && text.starts_with("ok") => {
+        let mut response = String::new();
+        match stream.read_line(&mut response).await {
+            Ok(length) if length > 0 && response.ends_with('\n') => match response.trim_end().split_once(' ')
+            {
+                Some((name, text)) if name == request.name && text.starts_with("ok") => {
                     AttemptResult { response: Some(text.to_string()), ..Outcome::Success.into() }
                 }
-                Some((name, "busy")) if name == call.name => Outcome::Rejected.into(),
+                Some((name, "busy")) if name == request.name => Outcome::Rejected.into(),
                 _ => Outcome::ServerError.into(),
             },
             _ => Outcome::ConnectionReset.into(),
@@ -68,22 +69,25 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// What a stand-in does with a request that it has read whole, after it has recorded that it ran.
+/// How a test server handles a complete request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Behaviour {
-    Answer,
-    /// Rejected: it does not run.
-    Busy,
-    /// Runs, and the connection breaks before the answer.
-    Break,
-    /// Runs, and answers when the stand-in is told to go on.
+    /// Executes the request and responds.
+    Respond,
+    /// Rejects the request without executing it.
+    Reject,
+    /// Executes the request and closes the connection without a response.
+    Disconnect,
+    /// Executes the request and responds after [`TestServer::release_held`].
     Hold,
 }
 
-/// A server that keeps a ledger of what ran on it.
-pub struct StandIn {
+/// A server that records the requests that it has executed.
+pub struct TestServer {
     pub address: SocketAddr,
-    pub ran: Rc<RefCell<Vec<String>>>,
+    /// The names of the executed requests.
+    pub executed: Rc<RefCell<Vec<String>>>,
+    /// The number of requests that have been read.
     pub received: Rc<Cell<usize>>,
     pub behaviour: Rc<Cell<Behaviour>>,
     changed: Rc<Notify>,
@@ -91,24 +95,25 @@
     task: JoinHandle<()>,
 }
 
-impl StandIn {
-    pub async fn new(behaviour: Behaviour) -> StandIn {
+impl TestServer {
+    pub async fn new(behaviour: Behaviour) -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (ran, received, changed) = <(Rc<RefCell<Vec<String>>>, Rc<Cell<usize>>, Rc<Notify>)>::default();
+        let (executed, received, changed) =
+            <(Rc<RefCell<Vec<String>>>, Rc<Cell<usize>>, Rc<Notify>)>::default();
         let (behaviour, release) = (Rc::new(Cell::new(behaviour)), watch::Sender::new(false));
         let shared = (
-            Rc::clone(&ran),
+            Rc::clone(&executed),
             Rc::clone(&received),
             Rc::clone(&changed),
             Rc::clone(&behaviour),
             release.clone(),
         );
         let task = spawn_local(async move {
-            let mut open = tokio::task::JoinSet::new();
+            let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                let (ran, received, changed, behaviour, release) = shared.clone();
-                open.spawn_local(async move {
+                let (executed, received, changed, behaviour, release) = shared.clone();
+                connections.spawn_local(async move {
                     let mut stream = BufReader::new(stream);
                     let mut line = String::new();
                     if stream.read_line(&mut line).await.is_err() || !line.ends_with('\n') {
@@ -117,60 +122,65 @@
                     let name = line.split(' ').next().unwrap_or_default().to_string();
                     received.set(received.get() + 1);
                     let behaviour = behaviour.get();
-                    if behaviour != Behaviour::Busy {
-                        ran.borrow_mut().push(name.clone());
+                    if behaviour != Behaviour::Reject {
+                        executed.borrow_mut().push(name.clone());
                     }
                     changed.notify_waiters();
-                    let answer = match behaviour {
-                        Behaviour::Answer => format!("{name} ok\n"),
-                        Behaviour::Busy => format!("{name} busy\n"),
-                        Behaviour::Break => return,
+                    let response = match behaviour {
+                        Behaviour::Respond => format!("{name} ok\n"),
+                        Behaviour::Reject => format!("{name} busy\n"),
+                        Behaviour::Disconnect => return,
                         Behaviour::Hold => {
-                            let _ = release.subscribe().wait_for(|go| *go).await;
+                            let _ = release.subscribe().wait_for(|is_released| *is_released).await;
                             format!("{name} ok\n")
                         }
                     };
-                    let _ = stream.write_all(answer.as_bytes()).await;
+                    let _ = stream.write_all(response.as_bytes()).await;
                 });
             }
         });
-        StandIn { address, ran, received, behaviour, changed, release, task }
+        TestServer { address, executed, received, behaviour, changed, release, task }
     }
 
-    /// Waits until so many requests have been read.
-    pub async fn wait_for(&self, count: usize) {
-        let arrive = async {
+    /// Waits until this number of requests has been read.
+    pub async fn wait_for_received(&self, count: usize) {
+        let received = async {
             while self.received.get() < count {
                 self.changed.notified().await;
             }
         };
-        timeout(BOUND, arrive).await.expect("it comes");
+        timeout(TEST_TIMEOUT, received).await.expect("the requests arrive in time");
     }
 
+    /// Lets the server respond to held requests.
     pub fn release_held(&self) {
         self.release.send_replace(true);
     }
 
-    /// Dies with all its connections, as by kill -9.
+    /// Ends the server and all its connections at once, like kill -9.
     pub async fn kill(&mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
     }
 }
 
-/// How often each name ran on all of them.
-pub fn ledger(servers: &[&StandIn]) -> HashMap<String, usize> {
-    let mut runs = HashMap::new();
-    for name in servers.iter().flat_map(|s| s.ran.borrow().clone()) {
-        *runs.entry(name).or_insert(0) += 1;
+/// Returns how often each request was executed on all of the servers together.
+pub fn execution_counts(servers: &[&TestServer]) -> HashMap<String, usize> {
+    let mut counts = HashMap::new();
+    for name in servers.iter().flat_map(|server| server.executed.borrow().clone()) {
+        *counts.entry(name).or_insert(0) += 1;
     }
-    runs
+    counts
 }
 
-/// A minimal frontend: submits a line and waits for its final response.
-pub async fn call(pool: &Pool<Lines>, name: &str, class: usize) -> Result<FinalResponse<String>, Rejection> {
-    let call = Line { name: name.into(), class };
-    let request = NewRequest::new(call, ClassId(class), Duration::from_secs(5));
+/// A minimal frontend: submits a request and waits for its final response.
+pub async fn call(
+    pool: &Pool<LineUpstream>,
+    name: &str,
+    class: usize,
+) -> Result<FinalResponse<String>, Rejection> {
+    let payload = LineRequest { name: name.into(), class };
+    let request = NewRequest::new(payload, ClassId(class), Duration::from_secs(5));
     let pending = pool.submit(NewRequest { correlation_id: Some(name.as_bytes().into()), ..request })?;
-    Ok(timeout(BOUND, pending.wait(|deadline| deadline)).await.expect("an answer in time"))
+    Ok(timeout(TEST_TIMEOUT, pending.wait(|deadline| deadline)).await.expect("a final response in time"))
 }
--- a/crates/engine/tests/one_wall_clock.rs
+++ b/crates/engine/tests/one_wall_clock.rs
@@ -1,10 +1,10 @@
-//! The wall clock is read in one place: the pool's clock, once. All that is awaited, granted or measured is a span of the monotonic
-//! clock, so that a wall clock that is stepped moves none of it.
+//! Guards against further reads of the wall clock: only the pool's clock reads it, once. All timeouts and
+//! measurements use the monotonic clock, so that a step of the wall clock does not affect them.
 
 use std::path::Path;
 
-/// What reads a wall clock, or times that others took from one.
-const WORDS: [&str; 9] = [
+/// Names whose use reads a wall clock, or a time that was taken from one.
+const WALL_CLOCK_NAMES: [&str; 9] = [
     "SystemTime",
     "UNIX_EPOCH",
     "CLOCK_REALTIME",
@@ -16,35 +16,36 @@
     ".created()",
 ];
 
+/// Adds the uses of [`WALL_CLOCK_NAMES`] below a folder to `found`, and returns the number of files.
 fn search(folder: &Path, found: &mut Vec<String>) -> usize {
-    let mut files = 0;
-    for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
+    let mut file_count = 0;
+    for entry in std::fs::read_dir(folder).expect("readable folder").flatten() {
         if entry.path().is_dir() {
-            files += search(&entry.path(), found);
+            file_count += search(&entry.path(), found);
             continue;
         }
-        let text = std::fs::read_to_string(entry.path()).expect("a source");
-        files += 1;
-        let words = WORDS.iter().filter(|word| text.contains(*word));
-        found.extend(words.map(|word| format!("{}: {word}", entry.path().display())));
+        let text = std::fs::read_to_string(entry.path()).expect("readable source file");
+        file_count += 1;
+        let names = WALL_CLOCK_NAMES.iter().filter(|name| text.contains(*name));
+        found.extend(names.map(|name| format!("{}: {name}", entry.path().display())));
     }
-    files
+    file_count
 }
 
 #[test]
-fn the_wall_clock_is_read_by_the_clock_of_a_pool_alone() {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the crates");
-    let (mut found, mut files) = (Vec::new(), 0);
-    for entry in std::fs::read_dir(crates).expect("a folder").flatten() {
-        // The lab tells the starts of the servers that it plays, and is no part of the agent.
+fn only_the_clock_of_a_pool_reads_the_wall_clock() {
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the folder of the crates");
+    let (mut found, mut file_count) = (Vec::new(), 0);
+    for entry in std::fs::read_dir(crates).expect("readable folder").flatten() {
+        // The emulator reports the start times of the servers that it emulates, and is not part of the agent.
         if entry.file_name() != "lab" {
-            files += search(&entry.path().join("src"), &mut found);
+            file_count += search(&entry.path().join("src"), &mut found);
         }
     }
-    assert!(files > 80, "{files} sources");
+    assert!(file_count > 80, "{file_count} source files");
     let clock = crates.join("engine/src/clock.rs");
     found.retain(|line| !line.starts_with(&*clock.to_string_lossy()));
     assert_eq!(found, Vec::<String>::new());
-    let text = std::fs::read_to_string(clock).expect("a source");
-    assert_eq!(text.matches("SystemTime::now()").count(), 1, "read once");
+    let text = std::fs::read_to_string(clock).expect("readable source file");
+    assert_eq!(text.matches("SystemTime::now()").count(), 1, "it is read once");
 }
