--- a/crates/engine/src/servers/mod.rs
+++ b/crates/engine/src/servers/mod.rs
@@ -1,12 +1,12 @@
 //! The identities, states and incarnations of a pool's servers.
 
-mod name_numbers;
+mod name_interner;
 mod server;
 
 use crate::endpoint_source::{EndpointInfo, EndpointList, EndpointState};
 use crate::upstream::{EndpointAddress, Incarnation};
 use heronhoist_decision::{CellId, Dialects, Endpoint, MachineTypeId, Outcome, ServerId, Time, ZoneId};
-use name_numbers::NameInterner;
+use name_interner::NameInterner;
 use rustc_hash::FxHashMap;
 use server::Server;
 use std::collections::{HashMap, HashSet};
--- a/crates/engine/src/servers/tests.rs
+++ b/crates/engine/src/servers/tests.rs
@@ -1,4 +1,4 @@
-use super::name_numbers::MAX_INTERNED_NAMES;
+use super::name_interner::MAX_INTERNED_NAMES;
 use super::*;
 use heronhoist_decision::Status;
 
