--- a/crates/engine/src/pool/options.rs
+++ b/crates/engine/src/pool/options.rs
@@ -24,7 +24,7 @@
     pub continues_versions: bool,
     /// The Unix time at which the pool's clock starts, for simulations; `None` for the system's clock.
     pub epoch: Option<Time>,
-    /// Communicates with the servers.
+    /// The upstream that communicates with the servers.
     pub upstream: U,
     /// The quota share for requests that wait for their response in this pool.
     pub request_quota: Rc<QuotaShare>,
--- a/crates/engine/src/pool/rejection.rs
+++ b/crates/engine/src/pool/rejection.rs
@@ -17,7 +17,7 @@
     /// The pool has no endpoint list yet.
     #[error("no endpoint list is available yet")]
     NoEndpoints(Span),
-    /// No serving server speaks a dialect that the request can be written in.
+    /// No serving server speaks a dialect that the request can be encoded in.
     #[error("no serving server speaks the request's dialects")]
     NoCommonDialect(Span),
     /// The pool has reached its maximum number of open requests.
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -167,7 +167,7 @@
 struct SlowUpstream {
     connected: Rc<Notify>,
     resets: Cell<u32>,
-    /// For each attempt, whether the send gate gate_results.
+    /// For each attempt, whether the send gate opened.
     gate_results: Rc<RefCell<Vec<bool>>>,
 }
 
--- a/crates/engine/tests/line/line.rs
+++ b/crates/engine/tests/line/line.rs
@@ -1,4 +1,4 @@
-//! A minimal line protocol over TCP. A request is `NAME CLASS`, a response `NAME ok` or `NAME busy`. It represents
+//! A minimal protocol of lines over TCP. A request is `NAME CLASS`, a response `NAME ok` or `NAME busy`. It represents
 //! any protocol other than HTTP: the engine has no knowledge of its frontend, upstream and test server.
 
 use heronhoist_decision::{ClassId, Outcome, ServerId};
--- a/crates/engine/tests/starts.rs
+++ b/crates/engine/tests/starts.rs
@@ -148,7 +148,7 @@
         assert!(is_close(fixture.missing_share("a"), 0.4));
         advance(WARM_UP_TIME / 2).await;
         assert!(is_close(fixture.missing_share("a"), 0.0));
-        // A server warms up again when the second authority ends its drain.
+        // A server that the second authority drains warms up again when the drain ends.
         fixture.drained.send_replace(BTreeSet::from(["a".to_string()]));
         run_ready_tasks().await;
         assert!(is_close(fixture.missing_share("a"), 1.0));
