--- a/crates/decision/src/api/actions.rs
+++ b/crates/decision/src/api/actions.rs
@@ -1,11 +1,11 @@
-//! What a balancer asks its caller to do.
+//! Actions: what a balancer asks its caller to do.
 
 use super::{AttemptNumber, PeerId, RequestId, ServerId, Span, Time, TimerId};
 
-/// Something that the caller has to do for the balancer.
+/// An instruction to the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt; attempts of a request are numbered in the order of their sends.
+    /// Send an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         request: RequestId,
@@ -13,8 +13,8 @@
         server: ServerId,
         /// When the attempt times out.
         timeout_at: Time,
-        /// The latest time for its first byte; after that it must not be sent, because the servers may have
-        /// forgotten the idempotency key by then.
+        /// The latest time at which its first byte may be sent. Later, the servers may no longer recognize
+        /// its idempotency key.
         begin_by: Time,
     },
     /// Cancel an attempt.
@@ -24,26 +24,26 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Final response: rejected; a retry is safe.
+    /// Give the final response: rejected. The client can safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// When a retry is likely to succeed, if the client is to be advised.
+        /// After how long a retry is likely to succeed; `None` if the response has no Retry-After.
         retry_after: Option<Span>,
     },
-    /// Final response: failed; it may or may not have been executed.
+    /// Give the final response: failed. The request may or may not have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Deliver [`Event::Timer`](crate::Event::Timer) at this time; timers are never cancelled.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) at this time. Timers are never cancelled.
     SetTimer {
-        /// When it is due.
+        /// When the timer is due.
         at: Time,
         /// The identifier to deliver.
         timer: TimerId,
     },
-    /// Send a health check.
+    /// Send a health check to a server.
     HealthCheck {
         /// The server to check.
         server: ServerId,
@@ -62,12 +62,12 @@
     },
     /// Open or close the subscription to the endpoint list.
     Subscribe {
-        /// Whether it is to be open.
+        /// `true` opens the subscription, `false` closes it.
         active: bool,
     },
-    /// Poll the complete endpoint list once.
+    /// Fetch the complete endpoint list once.
     FetchEndpoints,
-    /// Write a line to the log for the engineers on call.
+    /// Write a line to the log for operators.
     Log {
         /// The text.
         text: String,
--- a/crates/decision/src/api/classes.rs
+++ b/crates/decision/src/api/classes.rs
@@ -1,52 +1,52 @@
-//! Request classes, what retrying a request of a class may do, and tenants.
+//! Request classes, whether their requests can be retried safely, and tenants.
 
 use super::Span;
 
-/// Whether a request can be executed more than once.
+/// Whether it is safe to execute a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Effect {
-    /// Safe to execute any number of times.
+    /// The request can be executed any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key: the servers of `scope` drop a duplicate within `window` of the first
-    /// attempt.
+    /// The request carries an idempotency key: the servers of `scope` drop duplicates that arrive within
+    /// `window` after the first attempt.
     Deduplicated {
-        /// Which servers recognise a duplicate.
+        /// The servers that recognize a duplicate.
         scope: DeduplicationScope,
-        /// How long they remember the key.
+        /// How long these servers remember the key.
         window: Span,
     },
-    /// Must not be executed twice.
+    /// The request must not be executed twice.
     AtMostOnce,
 }
 
-/// The servers that share their idempotency keys.
+/// The set of servers that recognize each other's idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DeduplicationScope {
     /// All servers.
     All,
-    /// The servers of one zone.
+    /// The servers of the same zone.
     Zone,
-    /// The servers of one cell.
+    /// The servers of the same cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Whether a request can be executed more than once.
+    /// Whether it is safe to execute a request more than once.
     pub effect: Effect,
-    /// A response within this time counts with the whole `priority_weight`; above zero.
+    /// A response within this time earns the full `priority_weight`. Must be greater than zero.
     pub latency_objective: Span,
-    /// The objective grows by this multiple of the request's own work, up to the deadline.
+    /// The latency objective is extended by this multiple of the request's own work, up to the deadline.
     pub objective_work_factor: f64,
-    /// How long a client waits in total, over all its retries; above zero.
+    /// How long a client waits in total, including all its retries. Must be greater than zero.
     pub deadline: Span,
-    /// The weight of a request that is answered within its latency objective; finite, not negative.
+    /// The weight of a response within the latency objective. Must be finite and not negative.
     pub priority_weight: f64,
-    /// The fraction of the weight that a response between objective and deadline keeps.
+    /// The fraction of `priority_weight` that a response between objective and deadline earns.
     pub late_weight_share: f64,
-    /// The response is a stream, announced by [`Event::FirstByte`](crate::Event::FirstByte).
+    /// Whether the response is a stream, announced by [`Event::FirstByte`](crate::Event::FirstByte).
     pub stream: bool,
 }
 
@@ -64,11 +64,11 @@
     }
 }
 
-/// A tenant with a quota of the service.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenant {
-    /// Its fraction of the service's traffic; finite, not negative.
+    /// The fraction of the service's traffic that is within its quota. Must be finite and not negative.
     pub quota_fraction: f64,
-    /// Requests per second, summed over all balancers, that are within its quota.
+    /// The requests per second, summed over all balancers, that are within its quota.
     pub quota_per_second: f64,
 }
--- a/crates/decision/src/api/dialects.rs
+++ b/crates/decision/src/api/dialects.rs
@@ -1,38 +1,38 @@
-//! What servers speak, and what a request can be sent in.
+//! The message dialects of servers, and the dialects in which a request can be sent.
 
-/// The dialect of a server, numbered by the caller; 0 where all servers speak the same.
+/// The dialect of a server, numbered by the caller. It is 0 if all servers use the same dialect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct DialectId(pub u8);
 
-/// A set of dialects, of the first 32.
+/// A set of dialects. It can hold the dialects numbered 0 to 31.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Dialects(u32);
 
 impl Dialects {
-    /// Every dialect.
+    /// All dialects.
     pub const ALL: Dialects = Dialects(u32::MAX);
     /// No dialect.
     pub const NONE: Dialects = Dialects(0);
 
-    /// The set of this dialect alone.
+    /// Returns the set that holds only `dialect`.
     #[must_use]
     pub fn only(dialect: DialectId) -> Self {
         Dialects::NONE.with(dialect)
     }
 
-    /// This set with `dialect` added; numbers above 31 add nothing.
+    /// Returns this set with `dialect` added. A number above 31 adds nothing.
     #[must_use]
     pub fn with(self, dialect: DialectId) -> Self {
         Dialects(self.0 | 1_u32.checked_shl(u32::from(dialect.0)).unwrap_or(0))
     }
 
-    /// Whether the two sets have a dialect in common.
+    /// Returns whether the two sets have a dialect in common.
     #[must_use]
     pub fn intersects(self, other: Dialects) -> bool {
         self.0 & other.0 != 0
     }
 
-    /// Whether `dialect` is in this set.
+    /// Returns whether `dialect` is in this set.
     #[must_use]
     pub fn contains(self, dialect: DialectId) -> bool {
         self.0 & Dialects::only(dialect).0 != 0
--- a/crates/decision/src/api/endpoints.rs
+++ b/crates/decision/src/api/endpoints.rs
@@ -5,11 +5,11 @@
 /// The status of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Status {
-    /// Accepts requests.
+    /// The server accepts requests.
     Serving,
-    /// Finishes its requests and must receive no new ones.
+    /// The server finishes the requests that it has and must receive no new ones.
     Draining,
-    /// No longer part of the fleet.
+    /// The server is no longer part of the fleet.
     Removed,
 }
 
@@ -24,13 +24,13 @@
     pub machine_type: MachineTypeId,
     /// Its cell.
     pub cell: CellId,
-    /// The dialect it speaks.
+    /// The dialect of its messages.
     pub dialect: DialectId,
     /// Its status.
     pub status: Status,
-    /// Its weight among the others; see [`Settings::weight_meaning`](crate::Settings::weight_meaning).
+    /// Its load-balancing weight; see [`Settings::weight_meaning`](crate::Settings::weight_meaning).
     pub weight: f64,
-    /// When it last started; `None` if that was long ago or is unknown.
+    /// When it last started; `None` if this is unknown or long enough ago that it has warmed up.
     pub started_at: Option<Time>,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Endpoint {
-    /// A serving, warmed-up server in zone 0 and cell 0, of machine type 0.
+    /// Returns the entry of a serving, warmed-up server of machine type 0, in zone 0 and cell 0.
     #[must_use]
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
@@ -57,15 +57,15 @@
     }
 }
 
-/// An update of the endpoint list.
+/// An update of the endpoint list, or the failure to get one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
-    /// Only the entries that have changed.
+    /// Only the entries that have changed; the others stay.
     Changes(Vec<Endpoint>),
-    /// The complete list: servers that it omits are removed.
+    /// The complete list. Servers that it omits are removed.
     Complete(Vec<Endpoint>),
-    /// The complete list as it was saved before a restart; possibly stale.
+    /// The complete list as it was saved before a restart. It may be stale.
     Saved(Vec<Endpoint>),
-    /// A poll or the subscription failed; the last known list stays in force.
+    /// A poll or the subscription failed. The last known list stays in effect.
     Failed,
 }
--- a/crates/decision/src/api/events.rs
+++ b/crates/decision/src/api/events.rs
@@ -1,27 +1,27 @@
-//! What a balancer is notified of.
+//! Events that a balancer is notified of.
 
 use super::{
     AttemptNumber, ClassId, EndpointUpdate, Outcome, PeerId, Request, RequestId, ServerId, Settings, Span,
     TimerId,
 };
 
-/// An event that the balancer is notified of.
+/// Something that happened and that the balancer has to know of.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A request has arrived.
     Request(Request),
-    /// A streaming response has begun; the request stays with this attempt.
+    /// A streaming response has begun. The request is bound to this attempt from now on.
     FirstByte {
         /// The request.
         request: RequestId,
-        /// The attempt that it stays with.
+        /// The attempt whose response has begun.
         attempt: AttemptNumber,
     },
-    /// The last part of a request has arrived; the client's timeout runs from here.
+    /// The last part of a request has arrived. The client's timeout runs from now on.
     RequestComplete {
         /// The request.
         request: RequestId,
-        /// How long the client waits for the response.
+        /// How long the client waits for the response from now on.
         time_left: Span,
     },
     /// An attempt has ended.
@@ -32,16 +32,17 @@
         attempt: AttemptNumber,
         /// How it ended.
         outcome: Outcome,
-        /// The time since it was sent, or since the request's last part arrived if that was later.
+        /// The time since the attempt was sent, or since the last part of the request arrived if that was
+        /// later.
         elapsed: Span,
         /// The server's load report, if it sent one.
         report: Option<Vec<f64>>,
-        /// The request has its final response; otherwise one is still pending.
+        /// Whether the request has its final response. If not, the balancer retries or finishes it.
         is_request_finished: bool,
-        /// Part of the request body is no longer held after this attempt: the request cannot be sent again.
+        /// Whether part of the request body has been discarded, so that the request cannot be sent again.
         is_body_consumed: bool,
     },
-    /// The client has disconnected; no response is pending any more.
+    /// The client has disconnected. The request needs no response any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -54,27 +55,27 @@
         server: ServerId,
         /// How the health check ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the health check was sent.
         elapsed: Span,
         /// The server's load report, if it sent one.
         report: Option<Vec<f64>>,
     },
-    /// The endpoint list has changed.
+    /// An update of the endpoint list has arrived or has failed.
     EndpointList(EndpointUpdate),
-    /// The settings have changed. Pending requests keep their class and the attempts that they had;
-    /// [`Settings::discovery`] does not change.
+    /// The settings have changed. Pending requests keep their class and their maximum number of attempts.
+    /// [`Settings::discovery`] keeps its first value.
     Settings {
         /// The new settings.
         settings: Box<Settings>,
-        /// The number of each class, in the order of [`Settings::classes`]. A class that is unchanged
-        /// keeps its number; any other gets a number that no class ever had.
+        /// The identifier of each class, in the order of [`Settings::classes`]. An unchanged class keeps its
+        /// identifier. Any other class gets an identifier that no class has had before.
         class_ids: Vec<ClassId>,
     },
-    /// A message of another balancer.
+    /// A message from another balancer has arrived.
     Gossip {
         /// The sender.
         from: PeerId,
-        /// Its content.
+        /// The content.
         payload: Vec<u8>,
     },
 }
--- a/crates/decision/src/api/ids.rs
+++ b/crates/decision/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers of requests, servers and everything else that events and actions name.
+//! Identifiers used in events and actions.
 
 macro_rules! id {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
@@ -9,27 +9,27 @@
 }
 
 id! {
-    /// A request, numbered by the caller; never reused within a balancer's lifetime.
+    /// Identifies a request. The caller assigns the numbers and never reuses one for the same balancer.
     RequestId(u64),
-    /// A server, numbered by the caller; stable for as long as it is the same machine.
+    /// Identifies a server. The caller assigns the numbers and keeps them as long as it is the same machine.
     ServerId(u32),
-    /// A request class: its index in the first [`Settings::classes`](crate::Settings::classes), or its number
-    /// in [`Event::Settings`](crate::Event::Settings).
+    /// Identifies a request class: its index in the initial [`Settings::classes`](crate::Settings::classes),
+    /// or the identifier that [`Event::Settings`](crate::Event::Settings) gives it.
     ClassId(usize),
-    /// A tenant: its index in [`Settings::tenants`](crate::Settings::tenants).
+    /// Identifies a tenant by its index in [`Settings::tenants`](crate::Settings::tenants).
     TenantId(usize),
-    /// A zone, as the endpoint list numbers them.
+    /// Identifies a zone, by its number in the endpoint list.
     ZoneId(u32),
-    /// A machine type, as the endpoint list numbers them.
+    /// Identifies a machine type, by its number in the endpoint list.
     MachineTypeId(u32),
-    /// A cell (servers that share idempotency keys), as the endpoint list numbers them.
+    /// Identifies a cell (servers that share idempotency keys), by its number in the endpoint list.
     CellId(u32),
-    /// What a request concerns; requests for the same thing carry the same key.
+    /// Identifies the object that a request concerns. Requests for the same object carry the same key.
     KeyId(u64),
-    /// An attempt of a request, counted from 0.
+    /// The number of an attempt within its request, counted from 0.
     AttemptNumber(u32),
-    /// A timer, numbered by the balancer.
+    /// Identifies a timer. The balancer assigns the numbers.
     TimerId(u64),
-    /// Another balancer of the same service.
+    /// Identifies another balancer of the same service.
     PeerId(u32),
 }
--- a/crates/decision/src/api/load_reports.rs
+++ b/crates/decision/src/api/load_reports.rs
@@ -3,13 +3,13 @@
 /// A field of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ReportField {
-    /// Requests in flight on the server.
+    /// The number of requests in flight on the server.
     InFlight,
-    /// Requests queued on the server.
+    /// The number of requests queued on the server.
     Queue,
-    /// The fraction of its cores that are busy.
+    /// The fraction of the server's cores that are busy.
     Utilisation,
-    /// Its recent service time in milliseconds, without queueing.
+    /// The server's recent service time in milliseconds, without queueing.
     ServiceTime,
     /// Responses per second.
     Rate,
@@ -19,17 +19,17 @@
     Other,
 }
 
-/// Where load reports come from.
+/// Which messages of a server carry its load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum ReportSource {
-    /// Servers send none.
+    /// None: servers send no load reports.
     #[default]
     None,
-    /// In responses and in health-check results.
+    /// Responses and health-check results.
     Responses,
-    /// In health-check results only.
+    /// Health-check results only.
     HealthChecks,
 }
 
-/// A server's load report: one value for each of [`Settings::report_fields`](crate::Settings::report_fields).
+/// A load report: one value for each of [`Settings::report_fields`](crate::Settings::report_fields).
 pub type LoadReport = [f64];
--- a/crates/decision/src/api/mod.rs
+++ b/crates/decision/src/api/mod.rs
@@ -1,5 +1,5 @@
 //! The interface of [`crate::Balancer`]: its settings, the events that it is notified of and the actions that
-//! it answers with.
+//! it returns.
 
 mod actions;
 mod classes;
--- a/crates/decision/src/api/requests.rs
+++ b/crates/decision/src/api/requests.rs
@@ -1,8 +1,8 @@
-//! Requests of clients.
+//! Client requests.
 
 use super::{ClassId, Dialects, KeyId, RequestId, Span, TenantId};
 
-/// A request of a client.
+/// A client's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     /// Its identifier.
@@ -11,26 +11,27 @@
     pub class: ClassId,
     /// The tenant that sent it.
     pub tenant: Option<TenantId>,
-    /// The key of what it concerns.
+    /// The key of the object that it concerns.
     pub key: Option<KeyId>,
-    /// An estimate of its work, in time on one core.
+    /// The client's estimate of its work, in time on one core.
     pub cost_hint: Option<Span>,
-    /// The client marks it as a retry.
+    /// Whether the client has marked it as a retry.
     pub is_retry: bool,
-    /// How long the client still waits; counted from
-    /// [`Event::RequestComplete`](crate::Event::RequestComplete) on while the request `is_streaming_in`.
+    /// How long the client still waits. If `is_streaming_in` is set, this is counted from
+    /// [`Event::RequestComplete`](crate::Event::RequestComplete).
     pub time_left: Span,
-    /// The client's own timeout, counted from when the whole request had arrived. At least `time_left`, as
-    /// some of it may have passed before the balancer is notified.
+    /// The client's timeout, counted from the arrival of the complete request. It is at least `time_left`,
+    /// because some of it may have passed before the balancer is notified.
     pub client_timeout: Span,
-    /// Its body is still arriving: it can be forwarded meanwhile, but no server starts to work on it.
+    /// Whether its body is still arriving. It can be forwarded already, but a server starts to execute it
+    /// only when it is complete.
     pub is_streaming_in: bool,
-    /// It can be forwarded only to servers that speak one of these.
+    /// The dialects in which it can be sent. It is sent only to servers of one of these.
     pub dialects: Dialects,
 }
 
 impl Request {
-    /// A complete first attempt of a client, without tenant, key or estimate.
+    /// Returns a complete request, not marked as a retry, without tenant, key or work estimate.
     #[must_use]
     pub fn new(id: RequestId, class: ClassId, time_left: Span) -> Self {
         Request {
--- a/crates/decision/src/api/settings.rs
+++ b/crates/decision/src/api/settings.rs
@@ -5,10 +5,10 @@
 /// How endpoint-list updates reach the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Discovery {
-    /// The caller delivers them unasked.
+    /// The caller delivers them without being asked.
     #[default]
     Pushed,
-    /// Only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// The caller delivers them only after [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
     OnRequest,
 }
@@ -16,25 +16,25 @@
 /// What [`Endpoint::weight`](crate::Endpoint::weight) means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum WeightMeaning {
-    /// Weights carry no information.
+    /// Nothing: weights carry no information.
     #[default]
     None,
-    /// The capacity of the machine, exactly or roughly.
+    /// The capacity of the machine, exact or approximate.
     Size,
-    /// The capacity divided by a load that was measured a while ago.
+    /// The capacity of the machine divided by its load, as measured some time ago.
     CapacityPerLoad,
 }
 
-/// How the service weighs the parts of its overall score; the weights need not sum to one.
+/// The weights of the parts of the service's overall score. They need not sum to one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScoreWeights {
-    /// Weight of all requests together.
+    /// Weight of the score over all requests.
     pub overall: f64,
-    /// Weight of the worst time window.
+    /// Weight of the score in the worst time window.
     pub worst_window: f64,
-    /// Weight of the class that is served worst.
+    /// Weight of the score of the class with the lowest score.
     pub worst_class: f64,
-    /// Weight of the tenant that is served worst within its quota.
+    /// Weight of the score of the tenant with the lowest score within its quota.
     pub worst_tenant: f64,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Costs of side effects, each as the fraction of the score lost if every request caused one.
+/// Costs of side effects. Each is the fraction of the score that is lost if every request causes one.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Costs {
     /// An attempt that leaves the balancer's zone.
@@ -53,9 +53,9 @@
     pub health_check: f64,
     /// A new connection.
     pub handshake: f64,
-    /// An open connection, per hundred servers.
+    /// An open connection, for each hundred servers.
     pub connection: f64,
-    /// Server work that led to no response.
+    /// Work of a server that led to no response.
     pub wasted_work: f64,
     /// A request that fails after its latency objective has passed.
     pub late_failure: f64,
@@ -72,52 +72,54 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its priority weight that a request over its tenant's quota keeps.
+    /// The fraction of its priority weight that a request over its tenant's quota earns.
     pub over_quota_weight: f64,
-    /// Priority weights apply to units of work instead of requests.
+    /// Whether priority weights apply to units of work instead of requests.
     pub weight_by_work: bool,
-    /// How the overall score is weighed.
+    /// The weights of the parts of the overall score.
     pub score_weights: ScoreWeights,
-    /// What side effects cost.
+    /// The costs of side effects.
     pub costs: Costs,
-    /// How endpoint-list updates arrive.
+    /// How endpoint-list updates reach the balancer.
     pub discovery: Discovery,
-    /// Without a subscription the endpoint list must be polled at least this often.
+    /// The longest time between two polls of the endpoint list when there is no subscription.
     pub poll_within: Span,
-    /// Where load reports come from.
+    /// Which messages of a server carry its load report.
     pub report_source: ReportSource,
     /// The fields of a load report, in order.
     pub report_fields: Vec<ReportField>,
     /// What the weights of the endpoint list mean.
     pub weight_meaning: WeightMeaning,
-    /// A server that has recently served a key serves it again with less work. The balancer makes no use of
-    /// this.
+    /// Whether a server that has recently served a key can serve it again with less work. The balancer does
+    /// not use this.
     pub key_affinity: bool,
-    /// The maximum number of attempts for one request; at least 1.
+    /// The maximum number of attempts for one request. Must be at least 1.
     pub max_attempts: u32,
-    /// A request may have several attempts in flight (hedged requests).
+    /// Whether a request may have several attempts in flight (hedged requests).
     pub hedging: bool,
-    /// [`Action::Cancel`](crate::Action::Cancel) is allowed.
+    /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancel: bool,
-    /// [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
+    /// Whether [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
     pub health_checks: bool,
-    /// [`Action::Gossip`](crate::Action::Gossip) is allowed.
+    /// Whether [`Action::Gossip`](crate::Action::Gossip) is allowed.
     pub gossip: bool,
-    /// Rejections carry a Retry-After for the client, in [`Action::Reject`](crate::Action::Reject).
+    /// Whether [`Action::Reject`](crate::Action::Reject) carries a Retry-After for the client.
     pub retry_after: bool,
     /// The longest Retry-After that clients honour.
     pub max_retry_after: Span,
-    /// How long after the update a draining or removed server may still receive new attempts.
+    /// How long after the update of the endpoint list a draining or removed server may still receive new
+    /// attempts.
     pub drain_grace: Span,
-    /// The fraction of its capacity, at least, with which a server starts.
+    /// The minimum fraction of its capacity that a server has when it starts.
     pub initial_capacity_share: f64,
-    /// How long after its start a server reaches its full capacity.
+    /// How long after its start a server has its full capacity.
     pub warm_up_time: Span,
-    /// The multiple of its present capacity above which a server that is warming up is overloaded.
+    /// A server that is warming up is overloaded above this multiple of its current capacity.
     pub overload_factor: f64,
-    /// How long a server that is warming up withstands an overload before it fails.
+    /// How long a server that is warming up tolerates an overload before it fails.
     pub overload_tolerance: Span,
-    /// The least time between two deliveries of events; timeouts that differ by no more count as equal.
+    /// The shortest time between two deliveries of events. Timeouts that differ by no more than this count as
+    /// equal.
     pub event_interval: Span,
 }
 
--- a/crates/decision/src/api/settings_validation.rs
+++ b/crates/decision/src/api/settings_validation.rs
@@ -1,15 +1,15 @@
-//! Which settings a balancer can work with. Faults name a setting by its key in configuration files.
+//! Validation of settings. Errors name a setting by its key in configuration files.
 
 use super::{Settings, Span};
 use thiserror::Error;
 
 impl Settings {
-    /// Checks that a balancer can work with these settings.
+    /// Checks that a balancer can be created with these settings.
     ///
     /// # Errors
     ///
-    /// The first fault found: no class, no attempt allowed, a time that must not be zero, or a number that is
-    /// negative or not finite.
+    /// Returns the first fault found: no class, no attempt allowed, a time that must not be zero, or a number
+    /// that is negative or not finite.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -25,7 +25,7 @@
                 return Err(SettingsError::ZeroSpan { setting: "deadline" });
             }
         }
-        let totals = [
+        let scalars = [
             ("cold_share", self.initial_capacity_share),
             ("overload_factor", self.overload_factor),
             ("over_share_worth", self.over_quota_weight),
@@ -35,7 +35,7 @@
             .iter()
             .flat_map(|class| [("worth", class.priority_weight), ("late_worth", class.late_weight_share)]);
         let fractions = self.tenants.iter().map(|tenant| ("fraction", tenant.quota_fraction));
-        for (setting, value) in totals.into_iter().chain(weights).chain(fractions) {
+        for (setting, value) in scalars.into_iter().chain(weights).chain(fractions) {
             if !value.is_finite() || value < 0.0 {
                 return Err(SettingsError::BadNumber { setting, value });
             }
@@ -44,28 +44,28 @@
     }
 }
 
-/// Why a balancer cannot work with some settings.
+/// Why settings are invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
     /// There is no request class.
-    #[error("settings name no request class; at least one is needed")]
+    #[error("settings name no request class; expected at least one")]
     NoClasses,
     /// A number is negative or not finite.
-    #[error("setting {setting} is {value}; a finite number of zero or more is needed")]
+    #[error("setting {setting} is {value}; expected a finite number that is not negative")]
     BadNumber {
-        /// The name of the setting.
+        /// The key of the setting.
         setting: &'static str,
         /// Its value.
         value: f64,
     },
-    /// A time that must be longer than zero is zero.
-    #[error("setting {setting} is zero; it must be longer")]
+    /// A time that must not be zero is zero.
+    #[error("setting {setting} is zero; expected a longer time")]
     ZeroSpan {
-        /// The name of the setting.
+        /// The key of the setting.
         setting: &'static str,
     },
     /// No attempt is allowed for a request.
-    #[error("settings allow no attempt for a request; at least one is needed")]
+    #[error("settings allow no attempt for a request; expected at least one")]
     NoAttempts,
 }
--- a/crates/decision/src/api/time.rs
+++ b/crates/decision/src/api/time.rs
@@ -1,4 +1,4 @@
-//! Points and lengths of time, in whole microseconds.
+//! Points in time and time spans, in whole microseconds.
 
 use std::ops::{Add, Mul, Sub};
 use std::time::Duration;
@@ -14,19 +14,19 @@
 pub struct Span(pub u64);
 
 impl Time {
-    /// The time `ms` milliseconds after the epoch; the epoch if `ms` is negative or not a number.
+    /// Returns the time `ms` milliseconds after the epoch, or the epoch if `ms` is negative or not a number.
     #[must_use]
     pub fn from_ms(ms: f64) -> Self {
         Time(Span::from_ms(ms).0)
     }
 
-    /// Milliseconds since the epoch.
+    /// Returns the milliseconds since the epoch.
     #[must_use]
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / MICROS_PER_MS
     }
 
-    /// The time that has passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time from `earlier` to this time, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
@@ -34,22 +34,22 @@
 }
 
 impl Span {
-    /// No time.
+    /// The empty span.
     pub const ZERO: Span = Span(0);
 
-    /// `ms` milliseconds; zero if `ms` is negative or not a number.
+    /// Returns a span of `ms` milliseconds, or zero if `ms` is negative or not a number.
     #[must_use]
     pub fn from_ms(ms: f64) -> Self {
         Span((ms * MICROS_PER_MS).round() as u64)
     }
 
-    /// The length in milliseconds.
+    /// Returns the length in milliseconds.
     #[must_use]
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / MICROS_PER_MS
     }
 
-    /// This span without `other`; zero if `other` is longer.
+    /// Returns this span minus `other`, or zero if `other` is longer.
     #[must_use]
     pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,9 +1,9 @@
 //! Client-side load-balancing decisions, without I/O.
 //!
-//! Each client process owns one [`Balancer`]. It is notified of what happens ([`Event`]) and when ([`Time`]),
-//! and answers with what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. For
-//! each request it compares the least loaded server that it remembers with fresh uniform draws, by its own
-//! requests in flight.
+//! Each client process owns one [`Balancer`]. The caller passes it events ([`Event`]) with their time
+//! ([`Time`]), and the balancer returns actions to carry out ([`Action`]). It never reads a clock, opens a
+//! socket or starts a thread. For each request it compares the server that it chose last with a few servers
+//! drawn uniformly at random, by the number of its own requests in flight to each.
 //!
 //! ```
 //! use heronhoist_decision::*;
@@ -22,7 +22,7 @@
 //! let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(servers)), &mut actions);
 //!
-//! // ... and then a request: the balancer says where to send it.
+//! // ... and then a request: the balancer chooses a server for it.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
@@ -33,7 +33,7 @@
 pub use api::*;
 pub use policy::Balancer;
 
-/// Compiles and runs the example of the README with the tests.
+/// Includes the README, so that its example is compiled and run as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
