--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -1,14 +1,14 @@
-//! Admission of requests, and their final responses.
+//! Admission of requests and their final responses.
 
 use super::requests::PendingRequest;
 use super::Balancer;
 use crate::api::{Action, ClassId, Request, RequestId, Span, Time};
 
-/// The fraction of its class's usual latency within which a response may still come.
+/// A response is expected to take at least this fraction of its class's usual latency.
 const MIN_LATENCY_FRACTION: f64 = 0.7;
 
 impl Balancer {
-    /// Takes a request in: counts it, and then dispatches, queues or rejects it.
+    /// Counts a new request, and then dispatches, queues or finishes it.
     pub(super) fn admit(&mut self, now: Time, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if !self.classes.contains_key(&request.class) {
@@ -21,8 +21,8 @@
         let pending = self.count_request(now, request);
         let cannot_meet_deadline = self.cannot_meet_deadline(now, &pending);
         self.requests.pending.insert(id, pending);
-        self.retry_budget.earn();
-        self.outliers.recovery_budget.earn();
+        self.retry_budget.deposit();
+        self.outliers.recovery_budget.deposit();
         if cannot_meet_deadline {
             self.finish(now, id, actions);
         } else if !self.dispatch(now, id, actions) {
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Counts a request as traffic of its class and tenant.
+    /// Counts a request as traffic of its class and tenant, and returns it as a pending request.
     fn count_request(&mut self, now: Time, request: Request) -> PendingRequest {
-        let state = self.classes.get_mut(&request.class).expect("its class was looked up");
+        let state = self.classes.get_mut(&request.class).expect("admit has checked that the class exists");
         let class = &state.class;
         let timeout = request.client_timeout;
         let is_first = state.usual_timeout.is_first_attempt(timeout, self.settings.event_interval);
-        // The latency objective runs from the client's first attempt on.
+        // The latency objective is counted from the client's first attempt.
         let elapsed = if is_first { Span::ZERO } else { class.deadline.saturating_sub(timeout) };
         let deadline = now + request.time_left;
         let objective_deadline = (now + class.latency_objective.saturating_sub(elapsed)).min(deadline);
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The last part of a request has arrived, perhaps long after it was dispatched: its time runs from now
-    /// on.
+    /// Restarts the deadlines of a request whose last part has arrived, which may be long after it was
+    /// dispatched.
     pub(super) fn request_complete(&mut self, now: Time, id: RequestId, time_left: Span) {
         let Some(pending) = self.requests.pending.get_mut(&id) else { return };
         pending.request.is_streaming_in = false;
@@ -71,16 +71,17 @@
         }
     }
 
-    /// Whether a request that is dispatched now would be answered too late to count.
+    /// Whether the response to a request that is dispatched now would be too late to count.
     pub(super) fn cannot_meet_deadline(&self, now: Time, pending: &PendingRequest) -> bool {
         let state = self.class_of(pending);
-        let least_latency = state.class.latency_objective * (MIN_LATENCY_FRACTION * state.latency_ratio);
+        let min_latency = state.class.latency_objective * (MIN_LATENCY_FRACTION * state.latency_ratio);
         let counts_when_late = state.class.late_weight_share > 0.0;
         let useful_until = if counts_when_late { pending.deadline } else { pending.objective_deadline };
-        now + least_latency >= useful_until
+        now + min_latency >= useful_until
     }
 
-    /// Gives the final response: a rejection if a retry is safe, or else a failure. Nothing else gives one.
+    /// Gives the final response: a rejection if the client can safely retry, and a failure otherwise. The
+    /// balancer gives final responses only here and for unknown classes.
     pub(super) fn finish(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.pending.remove(&id) else { return };
         if self.retry_rules(&pending, now).may_reject {
@@ -92,13 +93,13 @@
         }
     }
 
-    /// When a request of this class may find capacity: after a usual response, or, if all servers are
-    /// ejected, when the first is probed again.
+    /// After how long a request of this class is likely to find capacity: the usual latency or, if all
+    /// servers are ejected and this is longer, the time until the first recovery probe.
     fn retry_after(&self, now: Time, class: ClassId) -> Span {
         let usual_latency = Span::from_ms(self.classes[&class].usual_latency_ms());
         let ejection = |&server: &usize| self.endpoints[server].ejection.as_ref();
         let ejections = self.endpoints.serving.iter().map(ejection);
-        // `None` if a server is not ejected, or there is no server.
+        // `None` if there is no server, or if one of them is not ejected.
         let first_probe = ejections
             .map(|ejection| ejection.map(|ejection| ejection.next_probe_at.since(now)))
             .min()
--- a/crates/decision/src/policy/candidates.rs
+++ b/crates/decision/src/policy/candidates.rs
@@ -1,30 +1,32 @@
-//! The servers that are compared for a request: the remembered ones that are open to it, and fresh uniform
-//! draws from the subset.
+//! The servers that are compared for a request: the remembered ones that can be sent the request, and servers
+//! drawn uniformly at random from the subset.
 //!
-//! A draw of a server that is warming up, or of a slower machine type, is accepted only with a chance.
+//! A drawn server that is warming up or of a slower machine type is accepted only with a certain probability.
 
 use super::endpoints::ServerSlot;
 use super::selection::REMEMBERED;
 use super::Balancer;
 use crate::api::{RequestId, Time};
 
-/// Fresh draws for each pick; the algorithm asks for no fewer than the remembered ones.
+/// The number of servers drawn for each selection. The algorithm needs at least [`REMEMBERED`].
 const DRAWS: usize = 3;
-/// Tries for each draw to hit a server that is open; after that the whole list is gone through.
+/// The maximum number of random tries for each draw. After that, candidates are drawn from a list of the
+/// open servers.
 const MAX_TRIES: usize = 8;
-/// Up to this many balancers for each server they learn soon enough about one that is warming up.
-const MAX_LEARNING_BALANCERS: f64 = 20.0;
-/// The part of the load that a warming server withstands that more balancers than these send it at most, on
-/// average, if it wins every pick.
+/// Up to this many balancers per server, each balancer learns soon enough by its own requests how much load a
+/// server that is warming up can take.
+const MAX_BALANCERS_PER_SERVER: f64 = 20.0;
+/// With more balancers than that, a server that is warming up is sent on average at most this fraction of the
+/// load that it tolerates, even if every selection that draws it chooses it.
 const SAFE_OVERLOAD_FRACTION: f64 = 0.75;
 
-/// A selection under way.
+/// A selection in progress.
 struct Selection {
     request: RequestId,
     now: Time,
-    /// It is the first one for the request.
+    /// Whether it is the first selection for the request.
     is_first: bool,
-    /// The servers that the request was sent to before.
+    /// The servers to which the request has been sent before.
     tried: Vec<ServerSlot>,
 }
 
@@ -35,7 +37,8 @@
 }
 
 impl Balancer {
-    /// The candidates for a request. A server that it was sent to before is one only if there is no other.
+    /// Returns the candidates for a request. A server to which it has been sent before is a candidate only if
+    /// there is no other.
     pub(super) fn candidates(&mut self, now: Time, id: RequestId) -> Vec<ServerSlot> {
         let Some(pending) = self.requests.pending.get_mut(&id) else { return Vec::new() };
         let selection = Selection {
@@ -67,7 +70,7 @@
         self.remembered.iter().copied().filter(is_candidate).collect()
     }
 
-    /// Draws from the subset until a server is accepted and open.
+    /// Draws from the subset until a drawn server is accepted and open.
     fn draw_candidate(&mut self, selection: &Selection) -> Option<ServerSlot> {
         for try_number in 0..MAX_TRIES.min(self.subset.members.len()) {
             let server = self.subset.members[self.rng.usize(0..self.subset.members.len())];
@@ -79,62 +82,65 @@
         None
     }
 
-    /// Whether a drawn server stands. One that is warming up does only in the first try for a request that is
-    /// selected for the first time: what waits has no second chance.
+    /// Whether a drawn server is accepted. A server that is warming up is accepted only in the first try of
+    /// the first selection for a request: repeated tries would raise its share of the load.
     fn accepts_draw(&mut self, selection: &Selection, server: ServerSlot, try_number: usize) -> bool {
         let capacity_fraction = self.capacity_fraction(selection.now, server);
         if capacity_fraction < 1.0 {
-            let chance = self.warming_chance(capacity_fraction);
-            return selection.is_first && try_number == 0 && self.rng.f64() < chance;
+            let probability = self.warming_probability(capacity_fraction);
+            return selection.is_first && try_number == 0 && self.rng.f64() < probability;
         }
-        // Where requests in flight are mostly zero, ties are broken by chance, which would give a slow
-        // machine as much as a fast one.
+        // With many balancers, the requests in flight to a server are mostly zero and ties are broken at
+        // random, which would give a slow machine as much load as a fast one.
         let is_last_try = try_number + 1 >= MAX_TRIES;
         if is_last_try || !self.is_large_fleet() {
             return true;
         }
         let machine_type = self.endpoints[server].endpoint.machine_type;
-        self.rng.f64() < self.machine_types.chance(machine_type)
+        self.rng.f64() < self.machine_types.acceptance_probability(machine_type)
     }
 
-    /// The chance of a draw of a server that is warming up. All balancers together must not overload it: it
-    /// gets its capacity fraction of a warm server's load, even if it wins every pick that it is drawn for.
-    /// Where there are many balancers, most requests in flight are zero: there it wins no more than others,
-    /// and is never remembered.
+    /// The probability with which a drawn server that is warming up is accepted. All balancers together must
+    /// not overload it: it gets its capacity fraction of a warm server's load, even if every selection that
+    /// draws it chooses it. With many balancers, the requests in flight are mostly zero, so that it is chosen
+    /// no more often than the other candidates, and it is never remembered.
     ///
-    /// Each balancer learns about the server by its own requests. So many balancers that each sends few to a
-    /// server have all sent theirs before any has learned, and where others are full these win every pick.
-    fn warming_chance(&self, capacity_fraction: f64) -> f64 {
+    /// A balancer learns about the server only by its own requests. If there are so many balancers that each
+    /// sends it only a few, all have sent theirs before any of them learns that it is overloaded; and while
+    /// the other servers are full, it is chosen every time. The probability is limited further then.
+    fn warming_probability(&self, capacity_fraction: f64) -> f64 {
         let draws = DRAWS as f64;
-        let wins = if self.is_large_fleet() { draws / (DRAWS + REMEMBERED) as f64 } else { draws };
-        let learnable = MAX_LEARNING_BALANCERS * self.endpoints.serving.len() as f64;
-        let withstood = self.settings.overload_factor * SAFE_OVERLOAD_FRACTION / draws;
-        let is_unlearnable = f64::from(self.settings.balancers) > learnable;
-        let safe_factor = if is_unlearnable { withstood } else { f64::INFINITY };
-        (capacity_fraction / wins).min(capacity_fraction * safe_factor)
+        let relative_load = if self.is_large_fleet() { draws / (DRAWS + REMEMBERED) as f64 } else { draws };
+        let max_balancers = MAX_BALANCERS_PER_SERVER * self.endpoints.serving.len() as f64;
+        let overload_limit = self.settings.overload_factor * SAFE_OVERLOAD_FRACTION / draws;
+        let exceeds_max_balancers = f64::from(self.settings.balancers) > max_balancers;
+        let safe_factor = if exceeds_max_balancers { overload_limit } else { f64::INFINITY };
+        (capacity_fraction / relative_load).min(capacity_fraction * safe_factor)
     }
 
-    /// Few servers are open: draws the missing candidates from a list of them, of the subset if possible.
+    /// Adds the missing candidates when few servers are open: draws them from a list of the open servers, of
+    /// the subset if it has any.
     fn fill_candidates(&mut self, selection: &Selection, wanted: usize, candidates: &mut Vec<ServerSlot>) {
         let subset = &self.subset.members;
         let is_open = |server: &ServerSlot| self.is_open(selection, *server);
         let has_open = subset.iter().any(|server| is_open(server) && !selection.has_tried(*server));
         let servers = if has_open { subset } else { &self.endpoints.serving };
         let open = servers.iter().copied().filter(is_open);
-        let (tried, fresh): (Vec<_>, Vec<_>) = open.partition(|server| selection.has_tried(*server));
-        let mut pool = if fresh.is_empty() && candidates.is_empty() { tried } else { fresh };
+        let (tried, untried): (Vec<_>, Vec<_>) = open.partition(|server| selection.has_tried(*server));
+        let mut eligible = if untried.is_empty() && candidates.is_empty() { tried } else { untried };
         let are_all_warming = self.max_capacity_fraction(selection.now) < 1.0;
-        pool.retain(|&server| are_all_warming || !self.is_warming_up(selection.now, server));
+        eligible.retain(|&server| are_all_warming || !self.is_warming_up(selection.now, server));
         let missing = wanted - candidates.len();
-        for _ in 0..missing.min(pool.len()) {
-            candidates.push(pool[self.rng.usize(0..pool.len())]);
+        for _ in 0..missing.min(eligible.len()) {
+            candidates.push(eligible[self.rng.usize(0..eligible.len())]);
         }
     }
 
-    /// Whether the candidates are all warming up, and this request is not among the part that they may get.
+    /// Whether all candidates are warming up and this request exceeds their share of the load.
     ///
-    /// They stand in for ejected warm servers, each with its chance. Beside full ones, few balancers give
-    /// them their part of what is answered; their part of all requests would overload them.
+    /// If all warm servers are ejected, their only limit is the acceptance probability of each draw. If warm
+    /// servers are only full, a small number of balancers gives the warming ones their share of the answered
+    /// requests; their share of all requests would overload them.
     fn would_overload_warming(&mut self, now: Time, candidates: &[ServerSlot]) -> bool {
         let is_warming_up = |&server: &ServerSlot| self.is_warming_up(now, server);
         let is_warm = |&server: &ServerSlot| !self.endpoints[server].is_ejected() && !is_warming_up(&server);
@@ -142,15 +148,17 @@
         if !are_all_warming || !self.endpoints.serving.iter().any(is_warm) {
             return false;
         }
-        // Nobody can tell the part before traffic has been observed for a while.
+        // Only a small number of balancers gives them a share, and only once traffic has been observed for a
+        // while: before that the share is unknown.
         if self.is_large_fleet() || !self.demand.is_observed_long_enough() {
             return true;
         }
-        let part = self.demand.answered_fraction() / self.mean_capacity_fraction(now);
-        self.rng.f64() >= part
+        let share = self.demand.answered_fraction() / self.mean_capacity_fraction(now);
+        self.rng.f64() >= share
     }
 
-    /// Whether a server may be sent the request now: by rules, endpoint list, dialect, capacity and ejection.
+    /// Whether a server is open: whether the retry rules, the endpoint list, its dialect, its capacity and
+    /// its ejection allow sending it the request now.
     fn is_open(&self, selection: &Selection, slot: ServerSlot) -> bool {
         let (server, now) = (&self.endpoints[slot], selection.now);
         let pending = &self.requests.pending[&selection.request];
--- a/crates/decision/src/policy/class_stats.rs
+++ b/crates/decision/src/policy/class_stats.rs
@@ -1,4 +1,4 @@
-//! Request classes: their usual latency, and the changes of settings that add and retire them.
+//! Statistics of request classes, and settings changes, which add and retire classes.
 
 use super::concurrency_limit::TARGET_LATENCY_RATIO;
 use super::requests::PendingRequest;
@@ -7,36 +7,40 @@
 
 /// The weight of a new response in a moving average.
 const GAIN: f64 = 0.04;
-/// The weight of one that is slower than the average, so that congestion is not taken for the usual state.
+/// The weight of a new response that is slower than the average. It is lower, so that congestion is not taken
+/// for the normal state.
 const GAIN_SLOWER: f64 = GAIN / 4.0;
-/// The weight of a slower response in the least latency ratio: a network may have become slower.
+/// The weight of a slower response in the minimum latency ratio, which rises slowly in case the network has
+/// become slower.
 const MIN_RATIO_GAIN: f64 = 0.002;
-/// The target is this multiple of the least latency ratio ...
+/// The target latency ratio is this multiple of the minimum latency ratio ...
 const TARGET_OVER_MIN: f64 = 2.0;
-/// ... and at most this fraction of the latency objective.
+/// ... but at most this.
 const MAX_TARGET_LATENCY_RATIO: f64 = 0.6;
-/// The latency ratio that is assumed before the first response.
+/// The latency ratio that is assumed before any response.
 const INITIAL_LATENCY_RATIO: f64 = 0.2;
-/// The least usual latency, in milliseconds.
+/// The minimum usual latency, in milliseconds.
 const MIN_USUAL_LATENCY_MS: f64 = 0.001;
-/// The most votes for a usual timeout; as many deviations replace it.
+/// The maximum number of votes for a usual timeout. As many deviating timeouts replace it.
 const MAX_TIMEOUT_VOTES: u32 = 50;
-/// How long a class is known after new settings have left it out: a request may have been taken just before.
+/// How long a class is kept after new settings have removed it: a request of this class may have been
+/// accepted just before.
 const RETIRED_CLASS_RETENTION: Span = Span(60_000_000);
 
 /// A class and what is known about its requests.
 pub(super) struct ClassState {
     pub(super) class: Class,
-    /// Smoothed response time as a fraction of the latency objective, over all servers.
+    /// Smoothed latency as a fraction of the latency objective, over all servers.
     pub(super) latency_ratio: f64,
-    /// The least latency ratio of late: the round trip and the work itself, without queueing.
+    /// The recent minimum of the latency ratio: the round trip and the work itself, without queueing.
     min_latency_ratio: f64,
     pub(super) usual_timeout: UsualTimeout,
-    /// When new settings left the class out.
+    /// When new settings removed the class.
     retired_at: Option<Time>,
 }
 
-/// The timeout that clients' first attempts of a class have. Another one is what earlier attempts have left.
+/// The timeout of clients' first attempts in a class. A request with another timeout is taken for a client's
+/// retry, whose timeout is the time that earlier attempts have left.
 #[derive(Default)]
 pub(super) struct UsualTimeout {
     timeout: Span,
@@ -44,8 +48,8 @@
 }
 
 impl UsualTimeout {
-    /// Whether a request with this timeout is its client's first attempt; it votes for or against the usual
-    /// timeout.
+    /// Returns whether a request with this timeout is its client's first attempt, and counts its vote for or
+    /// against the usual timeout.
     pub(super) fn is_first_attempt(&mut self, timeout: Span, tolerance: Span) -> bool {
         if self.votes == 0 {
             *self = UsualTimeout { timeout, votes: 1 };
@@ -73,11 +77,11 @@
         }
     }
 
-    /// Counts a response; its latency ratio is at most 1.
+    /// Records the latency ratio of a response; it is at most 1.
     pub(super) fn record_response(&mut self, latency_ratio: f64) {
         move_towards(&mut self.latency_ratio, latency_ratio);
-        let slower = self.min_latency_ratio + MIN_RATIO_GAIN * (latency_ratio - self.min_latency_ratio);
-        self.min_latency_ratio = slower.min(latency_ratio);
+        let risen = self.min_latency_ratio + MIN_RATIO_GAIN * (latency_ratio - self.min_latency_ratio);
+        self.min_latency_ratio = risen.min(latency_ratio);
     }
 
     /// The fraction of the latency objective that a response should take.
@@ -109,7 +113,7 @@
         &self.classes[&pending.request.class]
     }
 
-    /// The classes that new requests may name.
+    /// The classes of the current settings.
     pub(super) fn current_classes(&self) -> impl Iterator<Item = &ClassState> {
         self.classes.values().filter(|class| !class.is_retired())
     }
@@ -120,8 +124,8 @@
         pending.request.cost_hint.map_or_else(usual_latency_ms, Span::as_ms)
     }
 
-    /// Takes over new settings; invalid ones change nothing. Pending requests keep their class and their
-    /// attempts; what was learned about servers, and about classes that go on, stands.
+    /// Applies new settings; invalid ones change nothing. Pending requests keep their class and their maximum
+    /// number of attempts. The statistics of servers and of unchanged classes are kept.
     pub(super) fn reconfigure(&mut self, now: Time, settings: Settings, class_ids: Vec<ClassId>) {
         if settings.validate().is_err() || class_ids.len() != settings.classes.len() {
             return;
--- a/crates/decision/src/policy/concurrency_limit.rs
+++ b/crates/decision/src/policy/concurrency_limit.rs
@@ -1,43 +1,45 @@
-//! How many requests may be in flight: to one server, by what its responses have taught, and from this
-//! balancer at all.
+//! Limits of the requests in flight: to each server, adapted to the latency of its responses, and of this
+//! balancer in total.
 
 use super::endpoints::{Server, ServerSlot};
 use super::requests::InFlightAttempt;
 use super::Balancer;
 use crate::api::Time;
 
-/// The fraction of its latency objective that a response should take, unless its class needs more.
+/// The fraction of its latency objective that a response should take, unless the usual latency of its class
+/// is too high for that.
 pub(super) const TARGET_LATENCY_RATIO: f64 = 0.25;
-/// A server's limit before anything is known about it, in requests.
+/// The concurrency limit of a server before its first response, in requests.
 pub(super) const INITIAL_LIMIT: f64 = 2.0;
 const MIN_LIMIT: f64 = 1.0;
 const MAX_LIMIT: f64 = 1000.0;
-/// The weight of a new response in a server's latency ratio: about the last eight responses count.
+/// The weight of a new response in a server's latency ratio, which then averages about the last eight
+/// responses.
 const LATENCY_GAIN: f64 = 0.12;
-/// What remains of the limit after a late response.
+/// A late response multiplies the limit by this.
 const LATE_FACTOR: f64 = 0.85;
-/// By how much a limit in full use grows in the time that it takes to use it once.
+/// A limit that is in full use grows by this many requests in the course of as many responses as its value.
 const GROWTH: f64 = 0.1;
-/// The fraction by which a limit shrinks with each response, for each unit of overshoot.
+/// The fraction by which each response reduces the limit, for each unit of overshoot.
 const SHRINK: f64 = 0.02;
-/// The most overshoot that counts.
+/// The maximum overshoot that counts.
 const MAX_OVERSHOOT: f64 = 2.0;
-/// A limit is in full use from this fraction on.
+/// A limit counts as in full use if at least this fraction of it is in flight.
 const FULL_USE: f64 = 0.7;
-/// What one of many balancers may always have in flight, in requests.
+/// The number of requests in flight below which one of many balancers is never limited.
 const MIN_FLEET_SHARE: f64 = 0.5;
 
-/// How long a response has taken.
+/// The latency of a response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ResponseLatency {
-    /// Over its class's target, scaled so that [`TARGET_LATENCY_RATIO`] is on target.
+    /// The latency relative to the target of its class, scaled so that [`TARGET_LATENCY_RATIO`] is on target.
     pub(super) target_ratio: f64,
-    /// It was no better than late.
+    /// Whether it took at least its latency objective, or counts as if it had.
     pub(super) is_late: bool,
 }
 
 impl Server {
-    /// Adapts the limit to a response.
+    /// Adapts the concurrency limit to the latency of a response.
     pub(super) fn adjust_limit(&mut self, latency: ResponseLatency) {
         let ratio = latency.target_ratio;
         if self.latency_ratio == 0.0 {
@@ -45,8 +47,9 @@
         } else {
             self.latency_ratio += LATENCY_GAIN * (ratio - self.latency_ratio);
         }
-        // The limit shrinks more slowly than the average forgets, or the lag would drive it down too far. A
-        // late response or a full queue is sure evidence and counts at once.
+        // The limit must shrink more slowly than the average recovers, or it would keep falling after the
+        // latency is already back on target. A late response or a rejection is certain evidence of overload
+        // and reduces the limit at once.
         let overshoot = (self.latency_ratio / TARGET_LATENCY_RATIO - 1.0).min(MAX_OVERSHOOT);
         let factor = if latency.is_late { LATE_FACTOR } else { 1.0 - SHRINK * overshoot.max(0.0) };
         self.concurrency_limit = (self.concurrency_limit * factor).max(MIN_LIMIT);
@@ -59,7 +62,8 @@
 }
 
 impl Balancer {
-    /// Whether a server may get another request; one that is warming up has a part of its limit.
+    /// Whether a server may be sent another request. The limit of a server that is warming up is scaled by
+    /// its capacity fraction.
     pub(super) fn has_capacity(&self, now: Time, server: ServerSlot) -> bool {
         let capacity_fraction = self.capacity_fraction(now, server);
         let server = &self.endpoints[server];
@@ -69,19 +73,22 @@
         !is_backing_off && f64::from(server.in_flight) < limit
     }
 
-    /// Whether one of many balancers has its part of the fleet's load in flight: Little's law with
-    /// square-root staffing. It is what is answered in the usual time and, as so few requests vary much by
-    /// chance, the root of that. By what arrives alone, with clients that retry, a fleet that has fallen
-    /// behind would be sent ever more, and one that is all warming up too much, by all balancers before any
-    /// of them has learned of it.
+    /// Whether this balancer, as one of many, has its share of the fleet's load in flight: the usual number
+    /// of requests in flight by Little's law, plus its square root (square-root staffing), because such small
+    /// numbers vary much by chance.
+    ///
+    /// The usual number is scaled by the fraction of requests that is answered: clients retry, so a fleet
+    /// that has fallen behind would otherwise be sent ever more. It is also scaled by the capacity fraction:
+    /// otherwise, all balancers together would overload a fleet that is all warming up before any of them
+    /// learns of it.
     pub(super) fn has_reached_fleet_share(&self, now: Time) -> bool {
         if !self.is_large_fleet() {
             return false;
         }
-        let counts = |attempt: &&InFlightAttempt| {
+        let is_load = |attempt: &&InFlightAttempt| {
             !attempt.is_streaming_in && !self.endpoints[attempt.server].is_ejected()
         };
-        let in_flight = self.requests.in_flight.values().filter(counts).count() as f64;
+        let in_flight = self.requests.in_flight.values().filter(is_load).count() as f64;
         let usual =
             self.demand.usual_in_flight() * self.demand.answered_fraction() * self.max_capacity_fraction(now);
         in_flight >= MIN_FLEET_SHARE + usual + usual.sqrt()
--- a/crates/decision/src/policy/endpoints.rs
+++ b/crates/decision/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list, and what is known about each.
+//! The servers of the endpoint list and their state.
 
 use super::concurrency_limit::INITIAL_LIMIT;
 use super::outlier_detection::Ejection;
@@ -7,56 +7,56 @@
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// The index of a server in [`EndpointTable`]. It stays the same until the server is dropped.
+/// The index of a server in [`EndpointTable`]. It is stable until the server is dropped.
 pub(super) type ServerSlot = usize;
 
-/// The servers that the endpoint list names, and removed ones that something still refers to.
+/// The servers of the endpoint list, and removed servers that are not dropped yet.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     servers: Vec<Server>,
     slots: BTreeMap<ServerId, ServerSlot>,
-    /// Slots of dropped servers, to be used again.
+    /// Slots of dropped servers, which are reused.
     free: Vec<ServerSlot>,
-    /// The servers that the list says are serving, in the order of their slots.
+    /// The servers with status `Serving`, in the order of their slots.
     pub(super) serving: Vec<ServerSlot>,
-    /// The servers that have left the list and are not dropped yet.
+    /// The removed servers that are not dropped yet.
     removed: Vec<ServerSlot>,
 }
 
-/// A server and what has been learned about it.
+/// A server's list entry and this balancer's statistics of it.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
-    /// This balancer's requests in flight there; without those whose body is still arriving.
+    /// The number of this balancer's requests in flight to it, without those whose body is still arriving.
     pub(super) in_flight: u32,
-    /// Smoothed response time over the usual of the class: how slow the machine is.
+    /// Smoothed latency relative to the usual latency of the class: how slow the machine is.
     pub(super) slowdown_ratio: f64,
-    /// Smoothed response time over the class's target; 0 before the first response.
+    /// Smoothed latency relative to the target of the class; 0 before the first response.
     pub(super) latency_ratio: f64,
     pub(super) consecutive_failures: u32,
     /// Smoothed fraction of responses that are failures.
     pub(super) failure_rate: f64,
     pub(super) last_response_at: Time,
-    /// How many requests of this balancer it may have in flight at full capacity.
+    /// The maximum number of this balancer's requests in flight to it, at full capacity.
     pub(super) concurrency_limit: f64,
-    /// Its place in this balancer's own random order; drawn when it is first needed.
+    /// Its rank in this balancer's random order, drawn when it is first needed.
     pub(super) rank: Option<u32>,
-    /// Present while it is ejected.
+    /// Set while it is ejected.
     pub(super) ejection: Option<Ejection>,
-    /// Its last reported load in requests, and what has been sent since.
+    /// The load that it last reported, in requests, plus the requests sent to it since.
     pub(super) reported_load: f64,
-    /// Present since it was overloaded while warming up.
+    /// Set when it is overloaded while warming up, until it serves a request.
     pub(super) backoff: Option<Backoff>,
-    /// When the list first said that it has left.
+    /// When the endpoint list first marked or omitted it as removed.
     removed_at: Option<Time>,
 }
 
-/// A server that is warming up was overloaded: it gets nothing until `until`, and then one request at a time
-/// until it has served one.
+/// The backoff of a server that was overloaded while warming up. It is sent nothing before `until`, and then
+/// one request at a time until it has served one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Backoff {
     pub(super) until: Time,
-    pub(super) pause: Span,
+    pub(super) duration: Span,
 }
 
 impl Server {
@@ -78,7 +78,7 @@
         self.ejection.is_some()
     }
 
-    /// Takes over a new list entry. After a restart, what was learned about the old process says nothing.
+    /// Replaces the list entry. After a restart of the server, the statistics of the old process are reset.
     fn update(&mut self, endpoint: Endpoint, now: Time) {
         let is_restarted = endpoint.started_at.is_some() && endpoint.started_at != self.endpoint.started_at;
         if !is_restarted {
@@ -112,12 +112,12 @@
         self.slots.get(&server).copied()
     }
 
-    /// Every server that is not dropped, ordered by its identifier.
+    /// All servers that are not dropped, ordered by identifier.
     pub(super) fn slots(&self) -> impl Iterator<Item = ServerSlot> + '_ {
         self.slots.values().copied()
     }
 
-    /// Takes over entries of the endpoint list. Servers that a complete list omits are removed.
+    /// Applies entries of the endpoint list. Servers that a complete list omits are removed.
     pub(super) fn apply(&mut self, now: Time, entries: Vec<Endpoint>, is_complete: bool) {
         if is_complete {
             for server in &mut self.servers {
@@ -155,7 +155,7 @@
         self.removed = self.slots().filter(|&slot| servers[slot].removed_at.is_some()).collect();
     }
 
-    /// The removed servers whose drain grace has passed.
+    /// The removed servers whose drain grace period has passed.
     fn long_removed(&self, now: Time, drain_grace: Span) -> Vec<ServerSlot> {
         let has_passed = |slot: &ServerSlot| {
             let removed_at = self.servers[*slot].removed_at;
@@ -174,8 +174,9 @@
 }
 
 impl Balancer {
-    /// Drops the servers that have left for good and that nothing refers to; one that is listed again starts
-    /// afresh. With ever new servers the table would grow without bound otherwise.
+    /// Drops the removed servers whose drain grace period has passed and to which no request refers.
+    /// Otherwise the table would grow without bound as servers are replaced. A dropped server that is listed
+    /// again starts with new statistics.
     pub(super) fn drop_removed_endpoints(&mut self, now: Time) {
         let mut dropped = self.endpoints.long_removed(now, self.settings.drain_grace);
         dropped.retain(|&server| !self.requests.refer_to_server(server));
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of the balancer. Its interface (settings, events, actions) is in `src/api`.
 //!
 //! A request is admitted (`admission`), sent to a server (`selection`, among `candidates`) or queued
-//! (`queue`), and possibly retried (`retry`, within `retry_rules`). What its attempts teach (`outcomes`) goes
-//! into the statistics of its class and server, the `concurrency_limit` and `outlier_detection`. `endpoints`
-//! keeps the endpoint list.
+//! (`queue`), and possibly retried (`retry`, within `retry_rules`). The outcomes of its attempts (`outcomes`)
+//! update the statistics of its class and server, the `concurrency_limit` and `outlier_detection`.
+//! `endpoints` keeps the endpoint list.
 mod admission;
 mod candidates;
 mod class_stats;
@@ -38,46 +38,46 @@
 use queue::RequestQueue;
 use requests::{AttemptKey, Requests};
 use resubscription::Resubscription;
-use retry::EarnedBudget;
+use retry::TokenBucket;
 use std::collections::BTreeMap;
 use subsetting::Subset;
 use tenant_quota::TenantUsage;
 
-/// Time between two rounds of periodic work while requests are queued.
+/// Interval of the periodic work while requests are queued.
 const TICK_INTERVAL_QUEUED: Span = Span(10_000);
-/// Time between two rounds of periodic work while none is.
+/// Interval of the periodic work while no request is queued.
 const TICK_INTERVAL: Span = Span(50_000);
 /// The only timer that the balancer sets.
 const TICK: TimerId = TimerId(0);
 
-/// The decisions of one client process about where, when and how often its requests are sent.
+/// Decides for one client process to which server, when and how often each request is sent.
 pub struct Balancer {
     settings: Settings,
-    /// The only source of chance. The order of draws is part of the balancer's behaviour.
+    /// The only source of randomness. The order of draws is part of the balancer's behaviour.
     rng: fastrand::Rng,
     endpoints: EndpointTable,
     resubscription: Resubscription,
     subset: Subset,
-    /// The servers that the latest picks went to, the latest first.
+    /// The servers that were selected most recently, the latest first.
     remembered: Vec<ServerSlot>,
     outliers: OutlierDetection,
     requests: Requests,
     queue: RequestQueue,
-    /// The classes of the present settings, and earlier ones that requests may still name.
+    /// The classes of the current settings, and earlier classes that requests may still name.
     classes: BTreeMap<ClassId, ClassState>,
     tenant_usage: TenantUsage,
     demand: Demand,
-    retry_budget: EarnedBudget,
+    retry_budget: TokenBucket,
     machine_types: MachineTypes,
     next_tick_at: Time,
 }
 
 impl Balancer {
-    /// A balancer with these settings. Equal seeds and equal events give equal actions.
+    /// Creates a balancer. Equal settings, seeds and events give equal actions.
     ///
     /// # Errors
     ///
-    /// If no decision can be made with the settings; see [`Settings::validate`].
+    /// Returns an error if the settings are invalid; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let classes = settings.classes.iter().cloned().map(ClassState::new);
@@ -93,14 +93,15 @@
             classes: (0..).map(ClassId).zip(classes).collect(),
             tenant_usage: TenantUsage::new(settings.tenants.len()),
             demand: Demand::default(),
-            retry_budget: EarnedBudget::default(),
+            retry_budget: TokenBucket::default(),
             machine_types: MachineTypes::default(),
             next_tick_at: Time::default(),
             settings,
         })
     }
 
-    /// To be called once, before the first event. Appends what is to be done to `actions`.
+    /// Starts the periodic work and, if needed, the subscription. Must be called once, before the first
+    /// event. Appends the actions to carry out to `actions`.
     pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::OnRequest {
             actions.push(Action::Subscribe { active: true });
@@ -108,7 +109,7 @@
         self.set_tick(now, TICK_INTERVAL, actions);
     }
 
-    /// Takes in what has happened by `now` and appends what is to be done about it to `actions`.
+    /// Handles an event that has happened at `now` and appends the actions to carry out to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => self.admit(now, request, actions),
@@ -123,7 +124,7 @@
                 is_request_finished,
                 is_body_consumed,
             } => {
-                self.requests.note_body_consumed(request, is_body_consumed);
+                self.requests.record_body_consumed(request, is_body_consumed);
                 let key = AttemptKey { request, attempt };
                 let result = AttemptResult { outcome, elapsed, report: report.as_deref() };
                 self.attempt_ended(now, key, result, is_request_finished, actions);
@@ -148,7 +149,8 @@
         actions.push(Action::SetTimer { at: self.next_tick_at, timer: TICK });
     }
 
-    /// The periodic work. Timers cannot be cancelled, so one that has been superseded comes too early.
+    /// Does the periodic work. Timers cannot be cancelled, so a timer that has been replaced by a later one
+    /// still fires; it is ignored.
     fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now < self.next_tick_at {
             return;
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -1,4 +1,5 @@
-//! What the end of an attempt teaches about its server and its class, and what happens to its request.
+//! Handles the end of attempts: updates the statistics of the server and the class, and retries or finishes
+//! the request.
 
 use super::class_stats::move_towards;
 use super::concurrency_limit::{ResponseLatency, TARGET_LATENCY_RATIO};
@@ -10,21 +11,22 @@
 
 /// The weight of a new response in a server's failure rate.
 const FAILURE_GAIN: f64 = 0.05;
-/// The weight of a new response in a server's slowdown ratio where there are many balancers: each sees few of
-/// them.
+/// The weight of a new response in a server's slowdown ratio if there are many balancers. It is higher,
+/// because each balancer sees few responses.
 const LARGE_FLEET_SLOWDOWN_GAIN: f64 = 0.2;
-/// The range of slowdown ratios that are believed.
+/// The range to which slowdown ratios are clamped.
 const MIN_SLOWDOWN_RATIO: f64 = 0.05;
 const MAX_SLOWDOWN_RATIO: f64 = 8.0;
-/// The least latency ratio of a class that a server is compared with.
+/// The minimum latency ratio of a class that a server is compared with.
 const MIN_CLASS_LATENCY_RATIO: f64 = 0.001;
-/// The least capacity fraction that a backoff is computed with.
+/// The minimum capacity fraction that a backoff is computed with.
 const MIN_BACKOFF_CAPACITY: f64 = 0.01;
-/// The longest backoff, as a fraction of the time for which a warming server withstands an overload.
+/// The maximum backoff, as a fraction of the time for which a server that is warming up tolerates an
+/// overload.
 const MAX_BACKOFF_FRACTION: f64 = 0.5;
 const BACKOFF_FACTOR: f64 = 2.0;
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptResult<'a> {
     pub(super) outcome: Outcome,
@@ -33,8 +35,8 @@
 }
 
 impl Balancer {
-    /// Takes in the end of an attempt: learns from it, and retries or ends its request if a response is still
-    /// pending.
+    /// Handles the end of an attempt: updates statistics, and retries or finishes its request unless that has
+    /// its final response.
     pub(super) fn attempt_ended(
         &mut self,
         now: Time,
@@ -48,7 +50,7 @@
         if let Some(report) = result.report {
             self.read_load_report(attempt.server, report);
         }
-        self.learn(now, &attempt, result, actions);
+        self.update_statistics(now, &attempt, result, actions);
         if is_request_finished {
             self.requests.pending.remove(&key.request);
         } else {
@@ -57,7 +59,7 @@
         self.dispatch_queued(now, actions);
     }
 
-    /// The request of an attempt, if it is still pending, has no final response yet.
+    /// Retries or finishes the request of a failed attempt, if it is still pending.
     fn attempt_failed(
         &mut self,
         now: Time,
@@ -72,16 +74,16 @@
         pending.attempts[key.attempt.0 as usize].state = state;
         let latency_objective = self.classes[&attempt.class].class.latency_objective;
         if pending.request.is_streaming_in {
-            // It waits for a server again, and no longer than if it had arrived as a whole.
+            // It waits for a server again. The wait is limited as if the request were complete.
             pending.restart_deadlines(now, pending.request.time_left, latency_objective);
         }
         let cost = retry_cost(result.outcome, result.elapsed, latency_objective);
         self.retry_or_finish(now, key.request, cost, actions);
     }
 
-    /// Updates what is known about the server and the class of an attempt, and ejects the server if it is an
+    /// Updates the statistics of the server and the class of an attempt, and ejects the server if it is an
     /// outlier.
-    fn learn(
+    fn update_statistics(
         &mut self,
         now: Time,
         attempt: &InFlightAttempt,
@@ -99,20 +101,20 @@
         server.record_outcome(now, outcome);
         if outcome == Outcome::Success {
             class.record_response(latency_ratio);
-            self.demand.record_answer(objective_ms);
+            self.demand.record_response(objective_ms);
             let slowdown_ratio = latency_ratio / class.latency_ratio.max(MIN_CLASS_LATENCY_RATIO);
             server.record_slowdown(slowdown_ratio, is_large_fleet);
         }
         let has_latency = matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Cancelled);
         if has_latency && is_warm && !server.is_ejected() {
-            self.machine_types.learn(server.endpoint.machine_type, elapsed, attempt.work_ms);
+            self.machine_types.record(server.endpoint.machine_type, elapsed, attempt.work_ms);
         }
         let is_overloaded = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
         if is_overloaded && capacity_fraction < 1.0 {
             let capacity = capacity_fraction.max(MIN_BACKOFF_CAPACITY);
-            let min_pause = Span::from_ms(class.usual_latency_ms()) * (1.0 / capacity);
-            let max_pause = self.settings.overload_tolerance * MAX_BACKOFF_FRACTION;
-            server.back_off(now, min_pause, max_pause, is_large_fleet);
+            let min_backoff = Span::from_ms(class.usual_latency_ms()) * (1.0 / capacity);
+            let max_backoff = self.settings.overload_tolerance * MAX_BACKOFF_FRACTION;
+            server.back_off(now, min_backoff, max_backoff, is_large_fleet);
         }
         let latency = ResponseLatency {
             target_ratio: latency_ratio * TARGET_LATENCY_RATIO / class.target_latency_ratio(),
@@ -122,14 +124,15 @@
             server.adjust_limit(latency);
         }
         if attempt.is_recovery_probe {
-            self.learn_from_recovery_probe(now, attempt, outcome, latency);
+            self.recovery_probe_ended(now, attempt, outcome, latency);
         } else if let Some(reason) = self.ejection_reason(attempt.server, outcome, is_warm) {
             self.eject(now, attempt.server, reason, actions);
         }
     }
 
-    /// A server that has recovered is judged by its newest response alone.
-    fn learn_from_recovery_probe(
+    /// Handles the end of a recovery probe. If the server has recovered, its statistics restart with this
+    /// response.
+    fn recovery_probe_ended(
         &mut self,
         now: Time,
         attempt: &InFlightAttempt,
@@ -146,9 +149,9 @@
     }
 }
 
-/// How long an attempt has taken, as a fraction of its latency objective: at most 1, as an expensive request
-/// must not weigh like ten, and 0 if it says nothing. A cancelled attempt counts as late; its server may work
-/// on.
+/// The latency of an attempt as a fraction of its latency objective. It is at most 1, so that one expensive
+/// request does not weigh as much as ten, and 0 if the outcome gives no latency. A cancelled attempt counts
+/// as late, because its server may still be executing it.
 fn latency_ratio(outcome: Outcome, elapsed: Span, objective_ms: f64) -> f64 {
     match outcome {
         Outcome::Success => (elapsed.as_ms() / objective_ms).min(1.0),
@@ -158,7 +161,8 @@
 }
 
 impl Server {
-    /// Counts successes and failures. A rejection is no failure: a full server is only sent less.
+    /// Counts successes and failures. A rejection is not counted as a failure: a full server is only sent
+    /// fewer requests.
     fn record_outcome(&mut self, now: Time, outcome: Outcome) {
         match outcome {
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
@@ -191,15 +195,15 @@
         }
     }
 
-    /// Leaves a warming server alone that was overloaded. Where there are many balancers, the pause doubles
-    /// each time.
-    fn back_off(&mut self, now: Time, min_pause: Span, max_pause: Span, is_large_fleet: bool) {
-        let pause = match self.backoff {
-            None => min_pause,
-            Some(backoff) if is_large_fleet && now >= backoff.until => backoff.pause * BACKOFF_FACTOR,
-            Some(backoff) => backoff.pause,
+    /// Starts or extends the backoff of a server that was overloaded while warming up. With many balancers,
+    /// the duration doubles each time.
+    fn back_off(&mut self, now: Time, min_backoff: Span, max_backoff: Span, is_large_fleet: bool) {
+        let duration = match self.backoff {
+            None => min_backoff,
+            Some(backoff) if is_large_fleet && now >= backoff.until => backoff.duration * BACKOFF_FACTOR,
+            Some(backoff) => backoff.duration,
         };
-        let pause = pause.min(max_pause).max(min_pause);
-        self.backoff = Some(Backoff { until: now + pause, pause });
+        let duration = duration.min(max_backoff).max(min_backoff);
+        self.backoff = Some(Backoff { until: now + duration, duration });
     }
 }
--- a/crates/decision/src/policy/queue.rs
+++ b/crates/decision/src/policy/queue.rs
@@ -1,21 +1,23 @@
-//! The queue of requests that no server has capacity for.
+//! The queue of requests for which no server has capacity.
 
 use super::requests::PendingRequest;
 use super::{Balancer, TICK_INTERVAL_QUEUED};
 use crate::api::{Action, RequestId, Time};
 
-/// The most requests in the queue.
+/// The maximum number of requests in the queue.
 const MAX_QUEUED: usize = 500;
-/// A queued request must have this multiple of its class's usual latency left ...
+/// A queued request is finished when less than this multiple of its class's usual latency remains until its
+/// objective deadline ...
 const MARGIN_OVER_LATENCY: f64 = 2.0;
-/// ... or this fraction of its latency objective, if that is less.
+/// ... or less than this fraction of its latency objective, if that is shorter.
 const MAX_MARGIN: f64 = 0.7;
-/// The longest that one of many balancers queues a request, as a fraction of its client's timeout.
+/// If there are many balancers, a request is queued for at most this fraction of the time that its client
+/// waits.
 const MAX_QUEUED_FRACTION: f64 = 0.4;
-/// Weights are compared as integers of this resolution.
+/// Weights are multiplied by this and compared as integers.
 const WEIGHT_RESOLUTION: f64 = 1e6;
 
-/// The queued requests: the newest first, within each priority.
+/// The queued requests, newest first within each priority.
 #[derive(Default)]
 pub(super) struct RequestQueue(Vec<RequestId>);
 
@@ -25,7 +27,7 @@
     }
 }
 
-/// The order of dispatch: the least first.
+/// The order in which queued requests are dispatched: the lowest value first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePriority {
     is_over_quota: bool,
@@ -33,22 +35,23 @@
 }
 
 impl Balancer {
-    /// Queues a request, or ends it if the queue is full.
+    /// Queues a request, or finishes it if the queue is full.
     pub(super) fn enqueue(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         if self.queue.0.len() >= MAX_QUEUED {
             self.finish(now, id, actions);
             return;
         }
         self.queue.0.insert(0, id);
-        // A tick that is due sooner is never put off: requests queued at each tick would put it off for ever.
+        // A tick that is due sooner is not postponed: otherwise requests that are queued at each tick would
+        // postpone it forever.
         if self.next_tick_at > now + TICK_INTERVAL_QUEUED {
             self.set_tick(now, TICK_INTERVAL_QUEUED, actions);
         }
     }
 
-    /// Dispatches the queued requests that a server has capacity for, the newest first, and ends those that
-    /// cannot be answered in time. First come, first served would let each wait until it is nearly late, and
-    /// then be late.
+    /// Dispatches the queued requests for which a server has capacity, newest first within each priority, and
+    /// finishes those that cannot be answered in time. In first-in, first-out order, each request would wait
+    /// until little of its time is left, and its response would be late.
     pub(super) fn dispatch_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -66,7 +69,8 @@
         self.queue.0 = queued;
     }
 
-    /// By weight for each unit of work; usual latency stands for work.
+    /// The priority of a request: its weight per unit of work, where the usual latency is the estimate of
+    /// work.
     fn priority(&self, pending: &PendingRequest) -> QueuePriority {
         let state = self.class_of(pending);
         let work = if self.settings.weight_by_work { 1.0 } else { state.usual_latency_ms() };
@@ -78,8 +82,8 @@
         let state = self.class_of(pending);
         let margin = (MARGIN_OVER_LATENCY * state.latency_ratio).min(MAX_MARGIN);
         let is_late = now + state.class.latency_objective * margin >= pending.objective_deadline;
-        let least_left = pending.request.time_left * (1.0 - MAX_QUEUED_FRACTION);
+        let min_time_left = pending.request.time_left * (1.0 - MAX_QUEUED_FRACTION);
         let is_unsent = pending.attempts.is_empty();
-        is_late || self.is_large_fleet() && is_unsent && now + least_left >= pending.deadline
+        is_late || self.is_large_fleet() && is_unsent && now + min_time_left >= pending.deadline
     }
 }
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -1,10 +1,11 @@
-//! The requests that have no final response yet, and the attempts in flight.
+//! Requests without a final response, and attempts in flight.
 
 use super::endpoints::ServerSlot;
 use crate::api::{AttemptNumber, CellId, ClassId, Request, RequestId, Span, Time, ZoneId};
 use std::collections::BTreeMap;
 
-/// Pending requests and attempts in flight. An attempt outlives its request if that ends first.
+/// Pending requests and attempts in flight. An attempt can remain in flight after its request has got its
+/// final response.
 #[derive(Default)]
 pub(super) struct Requests {
     pub(super) pending: BTreeMap<RequestId, PendingRequest>,
@@ -23,18 +24,18 @@
     pub(super) request: Request,
     /// When the client stops waiting.
     pub(super) deadline: Time,
-    /// When its latency objective has passed: a later response counts for less, or for nothing.
+    /// When its latency objective has passed. A later response earns less than its full weight, or nothing.
     pub(super) objective_deadline: Time,
     pub(super) attempts: Vec<AttemptRecord>,
-    /// A streaming response has begun: no other attempt can take over.
+    /// Whether a streaming response has begun, so that no other attempt is possible.
     pub(super) is_bound_to_stream: bool,
-    /// Part of its body is no longer held, so that it cannot be sent again.
+    /// Whether part of its body has been discarded, so that it cannot be sent again.
     pub(super) is_body_consumed: bool,
-    /// The number of attempts that the settings allowed when it arrived.
+    /// The maximum number of attempts in the settings when it arrived.
     pub(super) max_attempts: usize,
-    /// Its tenant had used up its quota when it arrived.
+    /// Whether it counted as over its tenant's quota when it arrived.
     pub(super) is_over_quota: bool,
-    /// Candidates have been drawn for it before.
+    /// Whether candidates have been drawn for it before.
     pub(super) had_selection: bool,
 }
 
@@ -61,29 +62,29 @@
     pub(super) server: ServerSlot,
     pub(super) class: ClassId,
     pub(super) sent_at: Time,
-    /// It tests whether an ejected server has recovered.
+    /// Whether it is a recovery probe of an ejected server.
     pub(super) is_recovery_probe: bool,
-    /// The request's body is still arriving, so the server has no work with it yet.
+    /// Whether the request's body is still arriving, so that it is no load for the server yet.
     pub(super) is_streaming_in: bool,
     /// Estimated work in milliseconds.
     pub(super) work_ms: f64,
 }
 
 impl Requests {
-    /// Stops other attempts for a request whose streaming response has begun.
+    /// Prevents further attempts for a request whose streaming response has begun.
     pub(super) fn bind_to_stream(&mut self, request: RequestId, attempt: AttemptNumber) {
         if let Some(pending) = self.pending.get_mut(&request) {
             pending.is_bound_to_stream = (attempt.0 as usize) < pending.attempts.len();
         }
     }
 
-    pub(super) fn note_body_consumed(&mut self, request: RequestId, is_body_consumed: bool) {
+    pub(super) fn record_body_consumed(&mut self, request: RequestId, is_body_consumed: bool) {
         if let Some(pending) = self.pending.get_mut(&request) {
             pending.is_body_consumed |= is_body_consumed;
         }
     }
 
-    /// The attempts in flight of one request.
+    /// The attempts in flight for a request.
     pub(super) fn attempts_in_flight_mut(
         &mut self,
         request: RequestId,
@@ -100,7 +101,7 @@
             || pending.any(|request| request.has_tried(server))
     }
 
-    /// Whether a pending request or an attempt in flight is of a class.
+    /// Whether a pending request or an attempt in flight belongs to a class.
     pub(super) fn refer_to_class(&self, class: ClassId) -> bool {
         self.pending.values().any(|pending| pending.request.class == class)
             || self.in_flight.values().any(|attempt| attempt.class == class)
@@ -108,7 +109,7 @@
 }
 
 impl PendingRequest {
-    /// Starts the client's timeout and the latency objective now.
+    /// Restarts the client's timeout and the latency objective at `now`.
     pub(super) fn restart_deadlines(&mut self, now: Time, time_left: Span, latency_objective: Span) {
         self.deadline = now + time_left;
         self.objective_deadline = (now + latency_objective).min(self.deadline);
--- a/crates/decision/src/policy/retry.rs
+++ b/crates/decision/src/policy/retry.rs
@@ -1,77 +1,79 @@
-//! The retry budget, and what follows when an attempt has failed.
+//! The retry budget, and the retry of requests after a failed attempt.
 
 use super::retry_rules::AllowedTargets;
 use super::Balancer;
 use crate::api::{Action, Outcome, RequestId, Span, Time};
 
-/// What each request earns.
-const EARNED_PER_REQUEST: f64 = 0.1;
-/// What can be saved up at most.
-const MAX_SAVED: f64 = 10.0;
-/// What a retry costs after a server was full or slow: more attempts would add to the load that caused it.
+/// The number of tokens that each request adds.
+const TOKENS_PER_REQUEST: f64 = 0.1;
+/// The capacity of a bucket, in tokens.
+const MAX_TOKENS: f64 = 10.0;
+/// The cost of a retry, in tokens, after a server was full or slow. It is higher, because more attempts would
+/// add to the load that caused this.
 pub(super) const RETRY_COST: f64 = 1.0;
-/// What a retry costs after a connection or a server broke.
-const RETRY_COST_AFTER_BREAK: f64 = 0.4;
-/// A connect that fails within this fraction of the latency objective was refused or reset. A later failure
-/// has been waited for, like a full server.
+/// The cost of a retry, in tokens, after a connection or a server failed.
+const RETRY_COST_AFTER_FAULT: f64 = 0.4;
+/// A connection attempt that fails within this fraction of the latency objective was refused or reset. A
+/// later failure counts like a full server, because the request has waited for it.
 const IMMEDIATE_CONNECT_FAILURE: f64 = 0.2;
 
-/// A token bucket that requests fill.
-pub(super) struct EarnedBudget {
-    saved: f64,
+/// A token bucket that is filled by requests.
+pub(super) struct TokenBucket {
+    tokens: f64,
 }
 
-impl Default for EarnedBudget {
+impl Default for TokenBucket {
     fn default() -> Self {
-        EarnedBudget { saved: MAX_SAVED }
+        TokenBucket { tokens: MAX_TOKENS }
     }
 }
 
-impl EarnedBudget {
-    /// Adds what one request earns.
-    pub(super) fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
+impl TokenBucket {
+    /// Adds the tokens of one request.
+    pub(super) fn deposit(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    pub(super) fn can_pay(&self, cost: f64) -> bool {
-        self.saved >= cost
+    pub(super) fn has_tokens(&self, cost: f64) -> bool {
+        self.tokens >= cost
     }
 
-    /// Takes `cost` out; the budget may become negative.
-    pub(super) fn pay(&mut self, cost: f64) {
-        self.saved -= cost;
+    /// Removes `cost` tokens. The number of tokens may become negative.
+    pub(super) fn withdraw(&mut self, cost: f64) {
+        self.tokens -= cost;
     }
 
-    /// How many times a cost of 1 can be paid.
-    pub(super) fn whole_units(&self) -> usize {
-        self.saved as usize
+    /// The number of whole tokens; 0 if it is negative.
+    pub(super) fn whole_tokens(&self) -> usize {
+        self.tokens as usize
     }
 }
 
-/// What a retry costs after an attempt that has ended like this.
+/// The cost of a retry, in tokens, after an attempt with this outcome.
 pub(super) fn retry_cost(outcome: Outcome, elapsed: Span, latency_objective: Span) -> f64 {
     let is_immediate = elapsed < latency_objective * IMMEDIATE_CONNECT_FAILURE;
     match outcome {
-        Outcome::ConnectionReset | Outcome::ServerError => RETRY_COST_AFTER_BREAK,
-        Outcome::ConnectFailed if is_immediate => RETRY_COST_AFTER_BREAK,
+        Outcome::ConnectionReset | Outcome::ServerError => RETRY_COST_AFTER_FAULT,
+        Outcome::ConnectFailed if is_immediate => RETRY_COST_AFTER_FAULT,
         _ => RETRY_COST,
     }
 }
 
 impl Balancer {
-    /// After a failed attempt: retries the request if that is allowed, useful and paid for, and ends it
-    /// otherwise. A rejected attempt pays too, or its request would go round a fleet of full servers.
+    /// Retries a request after a failed attempt if this is allowed, can meet the deadline and is within the
+    /// retry budget, and finishes it otherwise. A retry after a rejection has a cost too, or the request
+    /// would be sent to one full server after another.
     pub(super) fn retry_or_finish(&mut self, now: Time, id: RequestId, cost: f64, actions: &mut Vec<Action>) {
         let pending = &self.requests.pending[&id];
         if pending.has_attempt_in_flight() {
             return;
         }
         let is_allowed = self.retry_rules(pending, now).targets != AllowedTargets::Nowhere;
-        if !is_allowed || self.cannot_meet_deadline(now, pending) || !self.retry_budget.can_pay(cost) {
+        if !is_allowed || self.cannot_meet_deadline(now, pending) || !self.retry_budget.has_tokens(cost) {
             self.finish(now, id, actions);
             return;
         }
-        self.retry_budget.pay(cost);
+        self.retry_budget.withdraw(cost);
         if !self.dispatch(now, id, actions) {
             self.enqueue(now, id, actions);
         }
--- a/crates/decision/src/policy/retry_rules.rs
+++ b/crates/decision/src/policy/retry_rules.rs
@@ -1,10 +1,11 @@
-//! What may still be done with a request. That no effect happens twice is decided here and nowhere else.
+//! Which further attempts and which final response a request may have. Only these rules ensure that no effect
+//! happens twice.
 
 use super::requests::{AttemptState, PendingRequest};
 use super::Balancer;
 use crate::api::{CellId, DeduplicationScope, Effect, Endpoint, Time, ZoneId};
 
-/// Later than any time that an attempt is held to.
+/// A time later than any deadline of an attempt.
 pub(super) const NO_DEADLINE: Time = Time(u64::MAX);
 
 /// The servers to which a request may be sent.
@@ -27,13 +28,14 @@
     }
 }
 
-/// What may still be done with a request.
+/// Which further attempts and which final response a request may have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RetryRules {
     pub(super) targets: AllowedTargets,
-    /// An attempt has to begin by then: later, servers no longer recognise the request as a duplicate.
+    /// The latest time at which an attempt may begin. Later, servers no longer recognize the request as a
+    /// duplicate.
     pub(super) begin_by: Time,
-    /// It may be rejected: a client that retries it executes it no second time.
+    /// Whether it may be rejected, because a client's retry does not execute it a second time.
     pub(super) may_reject: bool,
 }
 
@@ -50,15 +52,16 @@
 }
 
 impl PendingRequest {
-    /// Whether another attempt is possible, whatever its class.
+    /// Whether another attempt is possible, regardless of the request's class.
     fn can_have_attempt(&self, now: Time, hedging: bool) -> bool {
         let has_attempts_left = self.attempts.len() < self.max_attempts;
-        let is_held = !self.is_bound_to_stream && !self.is_body_consumed;
-        let is_alone = hedging || !self.has_attempt_in_flight();
-        has_attempts_left && is_held && now < self.deadline && is_alone
+        let can_be_resent = !self.is_bound_to_stream && !self.is_body_consumed;
+        let has_no_conflict = hedging || !self.has_attempt_in_flight();
+        has_attempts_left && can_be_resent && now < self.deadline && has_no_conflict
     }
 
-    /// What the effect of its class allows: everything, until an attempt may have been executed.
+    /// What the effect of its class allows. There are no restrictions until an attempt may have been
+    /// executed.
     fn effect_rules(&self, effect: Effect) -> RetryRules {
         let maybe_executed = self.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted);
         let unrestricted =
@@ -75,7 +78,7 @@
                     DeduplicationScope::Zone => AllowedTargets::Zone(first.zone),
                     DeduplicationScope::Cell => AllowedTargets::Cell(first.cell),
                 };
-                // A client's retry may reach any server, so rejecting is safe only if all recognise
+                // A client's retry may reach any server, so a rejection is safe only if all servers recognize
                 // duplicates.
                 let may_reject = scope == DeduplicationScope::All;
                 RetryRules { targets, begin_by: first.sent_at + window, may_reject }
--- a/crates/decision/src/policy/selection.rs
+++ b/crates/decision/src/policy/selection.rs
@@ -1,5 +1,5 @@
-//! Selection: the remembered lightest servers are compared with fresh uniform draws, by this balancer's own
-//! requests in flight. Draws break ties.
+//! Selection: compares the remembered servers with servers drawn uniformly at random, by the number of this
+//! balancer's own requests in flight. Ties are broken at random.
 
 use super::endpoints::{Server, ServerSlot};
 use super::requests::{AttemptKey, AttemptRecord, AttemptState, InFlightAttempt};
@@ -7,22 +7,23 @@
 use super::{recovery, Balancer};
 use crate::api::{Action, AttemptNumber, RequestId, Time};
 
-/// How many servers are remembered: those of the latest picks.
+/// How many of the most recently selected servers are remembered.
 pub(super) const REMEMBERED: usize = 1;
-/// A server in another zone weighs this much more for each percent of a request that crossing zones costs.
+/// The load of a server in another zone is raised by this fraction for each percent that crossing zones
+/// costs.
 const CROSS_ZONE_WEIGHT: f64 = 0.25;
 const PERCENT: f64 = 100.0;
-/// The most that a server in another zone weighs: less than one request more at zero, so that the cost alone
-/// does not fill a zone.
+/// The maximum factor for the load of a server in another zone. It is below 2, so that an idle server there
+/// still ranks before a local server with one request in flight.
 const MAX_CROSS_ZONE_FACTOR: f64 = 1.8;
-/// Loads whose logarithms differ by less than this count as equal: a quarter is well within chance.
+/// The step to which logarithms of loads are rounded: a difference of a quarter is within random variation.
 const EQUAL_LOAD_LOG: f64 = 0.25;
-/// The most work of a request that counts, relative to its class's usual.
+/// The maximum work of a request that counts, relative to the usual work of its class.
 const MAX_RELATIVE_WORK: f64 = 9.0;
-/// How strongly a slow machine weighs, for a request of usual work.
+/// The exponent of the slowdown ratio in a server's load, for a request of usual work.
 const SLOWDOWN_EXPONENT: f64 = 0.5;
 
-/// What candidates are compared by: the least is chosen.
+/// The order of candidates: the lowest value is selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateOrder {
     load: i32,
@@ -31,7 +32,7 @@
 }
 
 impl Balancer {
-    /// Sends a request to the best candidate; `false` if no server has capacity for it.
+    /// Sends a request to the best candidate. Returns `false` if no server has capacity for it.
     pub(super) fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         if !self.requests.pending.contains_key(&id) {
             return true;
@@ -47,34 +48,35 @@
         true
     }
 
-    /// How heavy a request is: the root of its work over the usual, from 1 up.
+    /// The weight of a request's work: the square root of its work relative to the usual work of its class,
+    /// and at least 1.
     fn work_weight(&self, id: RequestId) -> f64 {
         let pending = &self.requests.pending[&id];
         let relative_work = self.estimated_work_ms(pending) / self.class_of(pending).usual_latency_ms();
         relative_work.clamp(1.0, MAX_RELATIVE_WORK).sqrt()
     }
 
-    /// The candidate with the least load: own requests in flight, scaled by slowdown and by the cost of
-    /// crossing zones.
+    /// Returns the candidate with the lowest load: this balancer's requests in flight to it, scaled by its
+    /// slowdown and by the cost of crossing zones.
     fn least_loaded(&mut self, candidates: &[ServerSlot], work_weight: f64) -> Option<ServerSlot> {
         let tie_breaks: Vec<u32> = candidates.iter().map(|_| self.rng.u32(..)).collect();
         let ordered = candidates.iter().copied().zip(tie_breaks);
-        let least = ordered.min_by_key(|&(server, tie_break)| {
+        let best = ordered.min_by_key(|&(server, tie_break)| {
             self.candidate_order(&self.endpoints[server], work_weight, tie_break)
         });
-        least.map(|(server, _)| server)
+        best.map(|(server, _)| server)
     }
 
     fn candidate_order(&self, server: &Server, work_weight: f64, tie_break: u32) -> CandidateOrder {
         let is_local = server.endpoint.zone == self.settings.zone;
         let zone_factor = if is_local { 1.0 } else { self.cross_zone_factor() };
-        // An ejected server that is a candidate for its recovery probe goes first: by its own record it would
-        // never be tried.
+        // An ejected server that is a candidate for its recovery probe is preferred: with its own statistics
+        // it would never be selected.
         let requests = if server.is_ejected() { 0.0 } else { f64::from(server.in_flight) + 1.0 };
         let slowdown = server.slowdown_ratio.powf(SLOWDOWN_EXPONENT * work_weight);
         let load = (requests * zone_factor * slowdown).ln();
-        // Where reports hardly ever come, the requests sent since the last one would make many balancers take
-        // turns, on slow and fast servers alike.
+        // With many balancers, each gets few load reports. The requests sent since the last report would then
+        // dominate, and slow servers would be selected as often as fast ones.
         let reported_load = if self.is_large_fleet() { 0.0 } else { server.reported_load.round() };
         CandidateOrder {
             load: (load / EQUAL_LOAD_LOG).round() as i32,
@@ -101,7 +103,7 @@
         let Some(pending) = self.requests.pending.get_mut(&id) else { return };
         let is_streaming_in = pending.request.is_streaming_in;
         if is_streaming_in {
-            // Its time runs from its last part on; the caller sees to it that parts go on arriving.
+            // Its deadlines start when its last part arrives. The caller checks that parts keep arriving.
             pending.deadline = NO_DEADLINE;
             pending.objective_deadline = NO_DEADLINE;
         }
@@ -109,7 +111,7 @@
         let is_recovery_probe = match &mut server.ejection {
             Some(ejection) => {
                 ejection.is_probing = true;
-                self.outliers.recovery_budget.pay(recovery::REQUEST_PROBE_COST);
+                self.outliers.recovery_budget.withdraw(recovery::REQUEST_PROBE_COST);
                 true
             }
             None => false,
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start: what fraction of its capacity a server surely has since it started.
+//! Slow start: the fraction of its capacity that a server is assumed to have while it warms up.
 
 use super::endpoints::{Server, ServerSlot};
 use super::Balancer;
 use crate::api::{Settings, Time};
 
 impl Server {
-    /// The fraction of its capacity that the server surely has; it grows linearly to 1 while it warms up.
+    /// The fraction of its capacity that the server has at least. It grows linearly to 1 while it warms up.
     pub(super) fn capacity_fraction(&self, now: Time, settings: &Settings) -> f64 {
         let Some(started_at) = self.endpoint.started_at else { return 1.0 };
         let age_ms = now.since(started_at).as_ms();
@@ -27,7 +27,7 @@
         self.capacity_fraction(now, server) < 1.0
     }
 
-    /// The highest capacity fraction of the serving servers. It looks no further than the first at full
+    /// The highest capacity fraction of the serving servers. The search stops at the first server with full
     /// capacity.
     pub(super) fn max_capacity_fraction(&self, now: Time) -> f64 {
         let mut max: f64 = 0.0;
@@ -41,10 +41,10 @@
         max
     }
 
-    /// The capacity of the serving servers, as a fraction of what it is once all have warmed up.
+    /// The total capacity of the serving servers, as a fraction of their capacity when all have warmed up.
     pub(super) fn mean_capacity_fraction(&self, now: Time) -> f64 {
         let serving = &self.endpoints.serving;
-        let all: f64 = serving.iter().map(|&server| self.capacity_fraction(now, server)).sum();
-        all / serving.len().max(1) as f64
+        let total: f64 = serving.iter().map(|&server| self.capacity_fraction(now, server)).sum();
+        total / serving.len().max(1) as f64
     }
 }
--- a/crates/decision/src/policy/subsetting.rs
+++ b/crates/decision/src/policy/subsetting.rs
@@ -1,26 +1,28 @@
-//! Subsetting: of many balancers each draws from a random part of the fleet of its own. Otherwise connections
-//! would grow as balancers times servers, and the requests in flight that each sees of a server would be
-//! zero.
+//! Subsetting: with many balancers, each draws from its own random subset of the fleet. Otherwise the number
+//! of connections would grow as balancers times servers, and each balancer would have almost no requests in
+//! flight to any one server, so that it could not compare servers.
 
 use super::endpoints::ServerSlot;
 use super::Balancer;
 use crate::api::Time;
 
-/// The least size of a subset, in servers at full capacity: at least as many as one pick compares.
+/// The minimum size of a subset, in servers at full capacity. It is at least the number of candidates that
+/// one selection compares.
 const MIN_CAPACITY: f64 = 4.0;
-/// Servers at full capacity that a subset has more, for each request that is usually in flight.
+/// The number of servers at full capacity that a subset has in addition, for each request that is usually in
+/// flight.
 const CAPACITY_PER_REQUEST: f64 = 6.0;
 
 /// The servers that this balancer draws from.
 #[derive(Default)]
 pub(super) struct Subset {
     pub(super) members: Vec<ServerSlot>,
-    /// The serving servers in this balancer's own random order. Only kept where there are many balancers.
+    /// The serving servers in this balancer's random order. It is used only with many balancers.
     ranking: Vec<RankedServer>,
     is_ranking_stale: bool,
 }
 
-/// A server in the random order; equal ranks are ordered by slot.
+/// A server in the random order. Equal ranks are ordered by slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RankedServer {
     rank: u32,
@@ -28,16 +30,16 @@
 }
 
 impl Subset {
-    /// To be called when the endpoint list has changed.
+    /// Marks the ranking as stale. Must be called when the endpoint list has changed.
     pub(super) fn invalidate_ranking(&mut self) {
         self.is_ranking_stale = true;
     }
 }
 
 impl Balancer {
-    /// Chooses the subset anew: the first servers of the random order, until their present capacity suffices
-    /// for what is usually in flight. Servers that are checked out of band are replaced by the next ones.
-    /// This runs in each tick, so it looks no further into the fleet than the subset reaches.
+    /// Rebuilds the subset: the first servers of the random order, until their current capacity suffices for
+    /// the usual number of requests in flight. Ejected servers that are probed by health checks are skipped.
+    /// This runs at each tick, so it does not visit servers beyond the subset.
     pub(super) fn refresh_subset(&mut self, now: Time) {
         if !self.is_large_fleet() {
             self.subset.members.clone_from(&self.endpoints.serving);
@@ -53,8 +55,9 @@
                 break;
             }
             let server = &self.endpoints[slot];
-            let is_checked = server.ejection.as_ref().is_some_and(|ejection| ejection.by_health_check);
-            if !is_checked {
+            let is_health_checked =
+                server.ejection.as_ref().is_some_and(|ejection| ejection.uses_health_checks);
+            if !is_health_checked {
                 self.subset.members.push(slot);
                 missing_capacity -= server.capacity_fraction(now, &self.settings);
             }
--- a/crates/decision/src/policy/tenant_quota.rs
+++ b/crates/decision/src/policy/tenant_quota.rs
@@ -1,14 +1,14 @@
-//! Tenants' use of their quotas.
+//! Tenants' usage of their quotas.
 
 use super::Balancer;
 use crate::api::{Request, TenantId};
 
-/// A tenant is over its quota at this multiple of its fraction: usage fluctuates without anyone flooding.
+/// A tenant is over its quota above this multiple of its quota fraction, as normal usage fluctuates.
 const QUOTA_TOLERANCE: f64 = 1.4;
-/// What a tenant may always have, in recent requests.
+/// The number of recent requests that is always within a tenant's quota.
 const MIN_QUOTA: f64 = 1.0;
 
-/// The recent requests of each tenant, decayed like [`Demand`](super::Demand).
+/// The number of recent requests of each tenant, decayed like [`Demand`](super::Demand).
 pub(super) struct TenantUsage {
     requests: Vec<f64>,
 }
@@ -18,14 +18,15 @@
         TenantUsage { requests: vec![0.0; tenants] }
     }
 
-    /// Starts counting anew if the number of tenants has changed, as their numbers mean others then.
+    /// Resets the counts if the number of tenants has changed, because their identifiers are indices and may
+    /// refer to other tenants then.
     pub(super) fn set_tenant_count(&mut self, tenants: usize) {
         if tenants != self.requests.len() {
             *self = TenantUsage::new(tenants);
         }
     }
 
-    /// Lets the counts decay and counts a request.
+    /// Multiplies all counts by `decay` and counts a request.
     pub(super) fn record_request(&mut self, tenant: Option<TenantId>, decay: f64) {
         self.requests.iter_mut().for_each(|count| *count *= decay);
         if let Some(count) = tenant.and_then(|tenant| self.requests.get_mut(tenant.0)) {
@@ -35,17 +36,17 @@
 }
 
 impl Balancer {
-    /// Whether a request counts as over its tenant's quota. Of a tenant that takes more than its fraction of
-    /// this balancer's traffic, the excess does, by chance. No balancer sees all traffic; its own is its
-    /// sample.
+    /// Whether a request counts as over its tenant's quota. If a tenant has more than its quota fraction of
+    /// this balancer's traffic, a random sample of its requests, as large as the excess, does. A balancer
+    /// sees only its own traffic and takes it as a sample of all traffic.
     pub(super) fn is_over_quota(&mut self, request: &Request) -> bool {
         let known = request.tenant.filter(|tenant| tenant.0 < self.settings.tenants.len());
         let Some(tenant) = known else { return false };
         if self.settings.over_quota_weight >= 1.0 {
             return false;
         }
-        let all: f64 = self.tenant_usage.requests.iter().sum();
-        let quota = QUOTA_TOLERANCE * self.settings.tenants[tenant.0].quota_fraction * all;
+        let total: f64 = self.tenant_usage.requests.iter().sum();
+        let quota = QUOTA_TOLERANCE * self.settings.tenants[tenant.0].quota_fraction * total;
         self.rng.f64() * self.tenant_usage.requests[tenant.0] > quota.max(MIN_QUOTA)
     }
 }
