--- a/crates/decision/tests/common/harness.rs
+++ b/crates/decision/tests/common/harness.rs
@@ -1,18 +1,18 @@
-//! A balancer under observation.
+//! A test harness around a balancer.
 
 use super::observer::Observer;
 use super::target_in;
 use heronhoist_decision::*;
 use std::collections::BTreeSet;
 
-/// A balancer under observation, with a clock that the test moves.
+/// A balancer with an observer and a clock that the test advances.
 pub struct Harness {
     pub balancer: Balancer,
     pub observer: Observer,
     pub now: Time,
     pub actions: Vec<Action>,
     timers: BTreeSet<(Time, TimerId)>,
-    next: u64,
+    next_id: u64,
 }
 
 impl Harness {
@@ -25,15 +25,15 @@
             now: Time::from_ms(50_000.0),
             actions: Vec::new(),
             timers: BTreeSet::new(),
-            next: 0,
+            next_id: 0,
         };
         let mut actions = Vec::new();
         harness.balancer.start(harness.now, &mut actions);
-        harness.take(actions);
+        harness.observe_actions(actions);
         harness
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn observe_actions(&mut self, actions: Vec<Action>) {
         for action in &actions {
             self.observer.action(self.now, action);
             if let Action::SetTimer { at, timer } = action {
@@ -43,16 +43,16 @@
         self.actions = actions;
     }
 
-    /// Hands over an event; the balancer's actions are in `actions` afterwards.
+    /// Passes an event to the balancer. Its actions are in `actions` afterwards.
     pub fn notify(&mut self, event: Event) -> &[Action] {
         self.observer.event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.take(actions);
+        self.observe_actions(actions);
         &self.actions
     }
 
-    /// Moves the clock forward and fires the timers that come due; returns all actions on the way.
+    /// Advances the clock and fires the timers that are due. Returns all their actions.
     pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -65,30 +65,31 @@
         all
     }
 
-    pub fn set_endpoints(&mut self, lines: Vec<Endpoint>) {
-        self.notify(Event::EndpointList(EndpointUpdate::Complete(lines)));
+    pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.notify(Event::EndpointList(EndpointUpdate::Complete(endpoints)));
     }
 
-    /// Submits a new request of a class; returns the server that it was sent to, if it was.
+    /// Submits a new request of a class. Returns its identifier and the server that it was sent to, if any.
     pub fn submit(&mut self, class: usize) -> (RequestId, Option<ServerId>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let left = self.observer.settings.classes[class].deadline;
-        self.notify(Event::Request(Request::new(id, ClassId(class), left)));
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let time_left = self.observer.settings.classes[class].deadline;
+        self.notify(Event::Request(Request::new(id, ClassId(class), time_left)));
         (id, self.target_of(id))
     }
 
-    /// Submits a request of class 0 that has `ms` milliseconds to be sent and is then answered; returns its server.
+    /// Submits a request of class 0 and ends its attempt with success after `ms` milliseconds. Returns the server
+    /// that it was sent to, if it was sent within that time.
     pub fn submit_and_answer(&mut self, ms: f64) -> Option<ServerId> {
-        let (id, sent) = self.submit(0);
-        let sent = sent.or(target_in(&self.advance(Span::from_ms(ms)), id));
-        if sent.is_some() {
+        let (id, server) = self.submit(0);
+        let server = server.or(target_in(&self.advance(Span::from_ms(ms)), id));
+        if server.is_some() {
             self.end_attempt(id, 0, Outcome::Success, ms);
         }
-        sent
+        server
     }
 
-    /// The server that the last actions sent a request to.
+    /// Returns the server to which the last actions sent a request.
     pub fn target_of(&self, id: RequestId) -> Option<ServerId> {
         target_in(&self.actions, id)
     }
@@ -118,6 +119,6 @@
 
     pub fn assert_no_violation(&self) {
         assert!(self.observer.violations.is_empty(), "{:#?}", self.observer.violations);
-        assert_eq!(self.observer.lost(self.now), 0, "requests without a final answer");
+        assert_eq!(self.observer.lost(self.now), 0, "requests without a final response");
     }
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: an observer that holds a balancer to the four rules, a harness around one, and fleets.
+//! Shared test helpers: an observer that checks the four rules of a balancer, a test harness, and endpoint lists.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 mod harness;
@@ -9,7 +9,7 @@
 
 use heronhoist_decision::*;
 
-/// The server that `actions` send a request to.
+/// Returns the server to which `actions` send a request.
 pub fn target_in(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { request, server, .. } if *request == id => Some(*server),
@@ -25,7 +25,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
 }
 
-/// `n` warm servers, server `i` in zone `i % zones` and cell `i % cells`.
+/// Returns `n` warm servers. Server `i` is in zone `i % zones` and cell `i % cells`.
 pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Endpoint> {
     (0..n)
         .map(|i| Endpoint {
@@ -36,12 +36,12 @@
         .collect()
 }
 
-/// `n` servers in zone 0 and cell 0 that have started at `started_at`.
+/// Returns `n` servers in zone 0 and cell 0 that started at `started_at`.
 pub fn warming_fleet(n: u32, started_at: Time) -> Vec<Endpoint> {
-    fleet(n, 1, 1).into_iter().map(|line| Endpoint { started_at: Some(started_at), ..line }).collect()
+    fleet(n, 1, 1).into_iter().map(|endpoint| Endpoint { started_at: Some(started_at), ..endpoint }).collect()
 }
 
-/// Default settings with one class of requests.
+/// Returns default settings with one request class.
 pub fn single_class(effect: Effect) -> Settings {
     Settings { classes: vec![class(effect)], ..Settings::default() }
 }
@@ -55,6 +55,6 @@
     }
 }
 
-pub fn deduplicated(group: DeduplicationScope, window_ms: f64) -> Effect {
-    Effect::Deduplicated { scope: group, window: Span::from_ms(window_ms) }
+pub fn deduplicated(scope: DeduplicationScope, window_ms: f64) -> Effect {
+    Effect::Deduplicated { scope, window: Span::from_ms(window_ms) }
 }
--- a/crates/decision/tests/common/observer.rs
+++ b/crates/decision/tests/common/observer.rs
@@ -1,14 +1,14 @@
-//! An observer that knows the four rules, and not how decisions are made.
+//! An observer that checks the four rules independently of how decisions are made.
 
 use heronhoist_decision::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long after the client's deadline a final response still counts.
+/// How long after the client's deadline a final response is still accepted.
 const GRACE: Span = Span(20_000);
 
 #[derive(Debug, Clone)]
 struct ObservedAttempt {
-    at: Time,
+    sent_at: Time,
     zone: ZoneId,
     cell: CellId,
     outcome: Option<Outcome>,
@@ -23,15 +23,16 @@
     dialects: Dialects,
     attempts: Vec<ObservedAttempt>,
     is_finished: bool,
-    is_bound: bool,
+    is_bound_to_stream: bool,
 }
 
-/// Watches events and actions and records every violation of a rule, without knowing how decisions are made.
+/// Observes events and actions and records every violation of a rule.
 pub struct Observer {
     pub(super) settings: Settings,
     requests: BTreeMap<RequestId, ObservedRequest>,
     servers: BTreeMap<ServerId, Endpoint>,
-    leaving: BTreeMap<ServerId, Time>,
+    /// Since when each server is draining or removed.
+    leaving_since: BTreeMap<ServerId, Time>,
     sends: VecDeque<(Time, ServerId, f64)>,
     warm: BTreeSet<ServerId>,
     warm_since: Time,
@@ -44,7 +45,7 @@
             settings: settings.clone(),
             requests: BTreeMap::new(),
             servers: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            leaving_since: BTreeMap::new(),
             sends: VecDeque::new(),
             warm: BTreeSet::new(),
             warm_since: Time(0),
@@ -58,29 +59,29 @@
 
     pub fn event(&mut self, now: Time, event: &Event) {
         match event {
-            Event::Request(r) => {
+            Event::Request(request) => {
                 let observed = ObservedRequest {
-                    class: r.class.0,
-                    work: r.cost_hint.map_or(1.0, |h| h.as_ms() / 40.0),
-                    deadline: now + r.time_left,
-                    dialects: r.dialects,
+                    class: request.class.0,
+                    work: request.cost_hint.map_or(1.0, |hint| hint.as_ms() / 40.0),
+                    deadline: now + request.time_left,
+                    dialects: request.dialects,
                     attempts: Vec::new(),
                     is_finished: false,
-                    is_bound: false,
+                    is_bound_to_stream: false,
                 };
-                self.requests.entry(r.id).or_insert(observed);
+                self.requests.entry(request.id).or_insert(observed);
             }
-            Event::AttemptEnded { request, attempt, outcome, is_request_finished: closed, .. } => {
+            Event::AttemptEnded { request, attempt, outcome, is_request_finished, .. } => {
                 if let Some(observed) = self.requests.get_mut(request) {
                     if let Some(attempt) = observed.attempts.get_mut(attempt.0 as usize) {
                         attempt.outcome.get_or_insert(*outcome);
                     }
-                    observed.is_finished |= *closed;
+                    observed.is_finished |= *is_request_finished;
                 }
             }
             Event::FirstByte { request, .. } => {
                 if let Some(observed) = self.requests.get_mut(request) {
-                    observed.is_bound = true;
+                    observed.is_bound_to_stream = true;
                 }
             }
             Event::ClientDisconnected { request } => {
@@ -89,122 +90,136 @@
                 }
             }
             Event::EndpointList(update) => {
-                let (lines, whole) = match update {
-                    EndpointUpdate::Changes(lines) => (lines, false),
-                    EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
+                let (entries, is_complete) = match update {
+                    EndpointUpdate::Changes(entries) => (entries, false),
+                    EndpointUpdate::Complete(entries) | EndpointUpdate::Saved(entries) => (entries, true),
                     EndpointUpdate::Failed => return,
                 };
-                let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
-                if whole {
-                    for server in self.servers.keys().filter(|s| !named.contains(s)) {
-                        self.leaving.entry(*server).or_insert(now);
+                let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
+                if is_complete {
+                    for server in self.servers.keys().filter(|server| !listed.contains(server)) {
+                        self.leaving_since.entry(*server).or_insert(now);
                     }
                 }
-                for line in lines {
-                    let before = self.servers.insert(line.server, line.clone());
-                    if before.is_some_and(|b| b.started_at != line.started_at) {
-                        // A new process: requests to the old one are no load for it.
-                        self.sends.retain(|(_, s, _)| *s != line.server);
+                for entry in entries {
+                    let previous = self.servers.insert(entry.server, entry.clone());
+                    if previous.is_some_and(|previous| previous.started_at != entry.started_at) {
+                        // The server has restarted: requests to the old process are no load for the new one.
+                        self.sends.retain(|(_, server, _)| *server != entry.server);
                     }
                 }
-                for server in named {
+                for server in listed {
                     if self.servers[&server].status == Status::Serving {
-                        self.leaving.remove(&server);
+                        self.leaving_since.remove(&server);
                     } else {
-                        self.leaving.entry(server).or_insert(now);
+                        self.leaving_since.entry(server).or_insert(now);
                     }
                 }
             }
-            Event::Settings { settings, class_ids: classes } => {
-                for (id, class) in classes.iter().zip(&settings.classes) {
-                    let known = &mut self.settings.classes;
-                    known.resize(known.len().max(id.0 + 1), Class::default());
-                    known[id.0] = class.clone();
+            Event::Settings { settings, class_ids } => {
+                for (id, class) in class_ids.iter().zip(&settings.classes) {
+                    let classes = &mut self.settings.classes;
+                    classes.resize(classes.len().max(id.0 + 1), Class::default());
+                    classes[id.0] = class.clone();
                 }
             }
             _ => {}
         }
     }
 
-    /// The zone and cell that a request which may have executed is bound to; `None` if it must not be sent at all.
+    /// Returns the zone and cell that a retry is restricted to, or `None` if the request must not be sent at all.
     fn allowed_placement(
         &self,
         observed: &ObservedRequest,
         now: Time,
     ) -> Option<(Option<ZoneId>, Option<CellId>)> {
-        let ran = observed.attempts.iter().find(|t| t.outcome.is_none_or(|o| !o.never_ran()));
-        let Some(ran) = ran else { return Some((None, None)) };
+        let maybe_executed = observed
+            .attempts
+            .iter()
+            .find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()));
+        let Some(first) = maybe_executed else { return Some((None, None)) };
         match self.settings.classes[observed.class].effect {
             Effect::Idempotent => Some((None, None)),
             Effect::AtMostOnce => None,
-            Effect::Deduplicated { window, .. } if now.since(ran.at) > window => None,
+            Effect::Deduplicated { window, .. } if now.since(first.sent_at) > window => None,
             Effect::Deduplicated { scope: DeduplicationScope::All, .. } => Some((None, None)),
-            Effect::Deduplicated { scope: DeduplicationScope::Zone, .. } => Some((Some(ran.zone), None)),
-            Effect::Deduplicated { scope: DeduplicationScope::Cell, .. } => Some((None, Some(ran.cell))),
+            Effect::Deduplicated { scope: DeduplicationScope::Zone, .. } => Some((Some(first.zone), None)),
+            Effect::Deduplicated { scope: DeduplicationScope::Cell, .. } => Some((None, Some(first.cell))),
         }
     }
 
     fn may_reject(&self, observed: &ObservedRequest) -> bool {
-        let ran = observed.attempts.iter().any(|t| t.outcome.is_none_or(|o| !o.never_ran()));
+        let maybe_executed = observed
+            .attempts
+            .iter()
+            .any(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()));
         match self.settings.classes[observed.class].effect {
             Effect::Idempotent => true,
-            Effect::AtMostOnce => !ran,
-            Effect::Deduplicated { scope: group, .. } => !ran || group == DeduplicationScope::All,
+            Effect::AtMostOnce => !maybe_executed,
+            Effect::Deduplicated { scope, .. } => !maybe_executed || scope == DeduplicationScope::All,
         }
     }
 
     pub fn action(&mut self, now: Time, action: &Action) {
         match action {
             Action::Send { request, server, timeout_at, .. } => {
-                let Some(line) = self.servers.get(server).cloned() else {
-                    return self.record(now, format!("sent to {server:?}, which no list names"));
+                let Some(endpoint) = self.servers.get(server).cloned() else {
+                    return self
+                        .record(now, format!("sent to {server:?}, which is not in the endpoint list"));
                 };
                 let Some(observed) = self.requests.get(request) else {
-                    return self.record(now, format!("sent {request:?}, which nobody asked for"));
+                    return self.record(now, format!("sent {request:?}, which was never submitted"));
                 };
                 let work = observed.work;
-                let out = observed.attempts.iter().any(|t| t.outcome.is_none());
-                let mut wrong = Vec::new();
-                if !observed.dialects.contains(line.dialect) {
-                    wrong.push("sent to a server that it can't be said to");
+                let has_attempt_in_flight = observed.attempts.iter().any(|attempt| attempt.outcome.is_none());
+                let mut messages = Vec::new();
+                if !observed.dialects.contains(endpoint.dialect) {
+                    messages.push("sent to a server of another dialect");
                 }
                 if observed.is_finished {
-                    wrong.push("sent after its end");
+                    messages.push("sent after its final response");
                 }
-                if observed.is_bound {
-                    wrong.push("sent though bound to a stream");
+                if observed.is_bound_to_stream {
+                    messages.push("sent although bound to a stream");
                 }
                 if observed.attempts.len() >= self.settings.max_attempts as usize {
-                    wrong.push("sent beyond the attempts allowed");
+                    messages.push("sent more often than max_attempts allows");
                 }
-                if out && !self.settings.hedging {
-                    wrong.push("two attempts at once");
+                if has_attempt_in_flight && !self.settings.hedging {
+                    messages.push("two attempts in flight without hedging");
                 }
                 if now > observed.deadline || *timeout_at > observed.deadline {
-                    wrong.push("sent past its deadline");
+                    messages.push("sent past its deadline");
                 }
                 match self.allowed_placement(observed, now) {
-                    None => wrong.push("may have run and must not go out again"),
+                    None => messages.push("sent again although it may have been executed"),
                     Some((zone, cell)) => {
-                        if zone.is_some_and(|z| z != line.zone) || cell.is_some_and(|c| c != line.cell) {
-                            wrong.push("repeated outside the group that drops repeats");
+                        if zone.is_some_and(|zone| zone != endpoint.zone)
+                            || cell.is_some_and(|cell| cell != endpoint.cell)
+                        {
+                            messages.push("retried outside its deduplication scope");
                         }
                     }
                 }
-                if self.leaving.get(server).is_some_and(|at| now > *at + self.settings.drain_grace) {
-                    wrong.push("sent to a draining or gone server");
+                if self
+                    .leaving_since
+                    .get(server)
+                    .is_some_and(|since| now > *since + self.settings.drain_grace)
+                {
+                    messages.push("sent to a draining or removed server");
                 }
-                for text in wrong {
+                for text in messages {
                     self.record(now, format!("{request:?}: {text}"));
                 }
-                let attempt = ObservedAttempt { at: now, zone: line.zone, cell: line.cell, outcome: None };
+                let attempt =
+                    ObservedAttempt { sent_at: now, zone: endpoint.zone, cell: endpoint.cell, outcome: None };
                 self.requests.get_mut(request).expect("looked up above").attempts.push(attempt);
                 self.sends.push_back((now, *server, work));
                 self.check_warming_server(now, *server);
             }
             Action::Reject { request, .. } => {
                 if self.requests.get(request).is_some_and(|observed| !self.may_reject(observed)) {
-                    self.record(now, format!("{request:?}: refused though it may have run"));
+                    self.record(now, format!("{request:?}: rejected although it may have been executed"));
                 }
                 self.finish(now, *request);
             }
@@ -215,11 +230,11 @@
 
     fn finish(&mut self, now: Time, request: RequestId) {
         let text = match self.requests.get_mut(&request) {
-            None => Some("ended, but nobody asked for it"),
-            Some(observed) if observed.is_finished => Some("ended twice"),
+            None => Some("finished, but it was never submitted"),
+            Some(observed) if observed.is_finished => Some("finished twice"),
             Some(observed) => {
                 observed.is_finished = true;
-                (now > observed.deadline + GRACE).then_some("ended too late")
+                (now > observed.deadline + GRACE).then_some("finished too late")
             }
         };
         if let Some(text) = text {
@@ -227,52 +242,63 @@
         }
     }
 
-    /// Compares what this balancer sends to a warming server with what it sends to the warm ones: its capacity
-    /// fraction, times the overload factor, with a margin for chance, as one balancer draws few.
+    /// Checks that this balancer sends a warming server at most the load of a warm one, times the capacity fraction
+    /// and the overload factor, plus a margin for random variation, because one balancer draws few servers.
     fn check_warming_server(&mut self, now: Time, server: ServerId) {
         let window = self.settings.overload_tolerance;
-        while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
+        while self.sends.front().is_some_and(|(sent_at, ..)| *sent_at + window < now) {
             self.sends.pop_front();
         }
-        let capacity_fraction = |line: &Endpoint| {
-            line.started_at.map_or(1.0, |s| {
-                let grown = (now.since(s).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
-                self.settings.initial_capacity_share + (1.0 - self.settings.initial_capacity_share) * grown
+        let capacity_fraction = |endpoint: &Endpoint| {
+            endpoint.started_at.map_or(1.0, |started_at| {
+                let progress = (now.since(started_at).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
+                self.settings.initial_capacity_share + (1.0 - self.settings.initial_capacity_share) * progress
             })
         };
-        let own = capacity_fraction(&self.servers[&server]);
+        let fraction = capacity_fraction(&self.servers[&server]);
         let warm: BTreeSet<ServerId> = self
             .servers
             .values()
-            .filter(|l| l.status == Status::Serving && capacity_fraction(l) >= 1.0)
-            .map(|l| l.server)
+            .filter(|endpoint| endpoint.status == Status::Serving && capacity_fraction(endpoint) >= 1.0)
+            .map(|endpoint| endpoint.server)
             .collect();
         if warm != self.warm {
-            // The fair part has changed: a whole window must pass before sends can be compared with it.
+            // The fair share has changed. A full window must pass before sends can be compared with it.
             self.warm = warm.clone();
             self.warm_since = now;
         }
-        let settled = now.since(self.warm_since) >= window || self.warm_since == Time(0);
-        if own >= 1.0 || warm.is_empty() || !settled {
+        let is_settled = now.since(self.warm_since) >= window || self.warm_since == Time(0);
+        if fraction >= 1.0 || warm.is_empty() || !is_settled {
             return;
         }
-        let to_warm = self.sends.iter().filter(|(_, s, _)| warm.contains(s)).map(|s| s.2).sum::<f64>();
-        let to_cold = self.sends.iter().filter(|(_, s, _)| *s == server).map(|s| s.2).sum::<f64>();
-        // Where warm ones are ejected or full, a warming one keeps its part of what a server of the whole fleet gets.
-        let serving = self.servers.values().filter(|l| l.status == Status::Serving).count();
-        let all = self.sends.iter().map(|s| s.2).sum::<f64>();
-        let fair = (to_warm / warm.len() as f64).max(all / serving as f64);
-        if to_cold > 6.0 + self.settings.overload_factor * own * fair {
-            self.record(now, format!("{server:?}: cold, sent {to_cold} where a warm one is sent {fair:.1}"));
+        let to_warm =
+            self.sends.iter().filter(|(_, to, _)| warm.contains(to)).map(|send| send.2).sum::<f64>();
+        let to_warming = self.sends.iter().filter(|(_, to, _)| *to == server).map(|send| send.2).sum::<f64>();
+        // If warm servers are ejected or full, a warming one may have its share of the average load over the fleet.
+        let serving = self.servers.values().filter(|endpoint| endpoint.status == Status::Serving).count();
+        let total = self.sends.iter().map(|send| send.2).sum::<f64>();
+        let fair_share = (to_warm / warm.len() as f64).max(total / serving as f64);
+        if to_warming > 6.0 + self.settings.overload_factor * fraction * fair_share {
+            self.record(
+                now,
+                format!("{server:?}: warming up, sent {to_warming}; a warm one is sent {fair_share:.1}"),
+            );
         }
     }
 
-    /// The number of requests whose final response is overdue.
+    /// Returns the number of requests whose final response is overdue.
     pub fn lost(&self, now: Time) -> usize {
-        self.requests.values().filter(|r| !r.is_finished && !r.is_bound && now > r.deadline + GRACE).count()
+        self.requests
+            .values()
+            .filter(|observed| {
+                !observed.is_finished && !observed.is_bound_to_stream && now > observed.deadline + GRACE
+            })
+            .count()
     }
 
     pub fn forget_finished(&mut self) {
-        self.requests.retain(|_, r| !r.is_finished || r.attempts.iter().any(|t| t.outcome.is_none()));
+        self.requests.retain(|_, observed| {
+            !observed.is_finished || observed.attempts.iter().any(|attempt| attempt.outcome.is_none())
+        });
     }
 }
--- a/crates/decision/tests/final_response.rs
+++ b/crates/decision/tests/final_response.rs
@@ -1,18 +1,18 @@
-//! Rule one: every admitted request gets exactly one final response, in time, and no attempt afterwards.
+//! Rule one: every admitted request gets exactly one final response, in time, and no attempt is sent afterwards.
 mod common;
 use common::*;
 use heronhoist_decision::*;
 
-fn plain() -> Settings {
+fn two_classes() -> Settings {
     Settings { classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)], ..Settings::default() }
 }
 
 #[test]
 fn empty_fleet_queues_then_rejects() {
-    let mut harness = Harness::new(plain(), 1);
-    let (id, sent) = harness.submit(0);
-    assert_eq!(sent, None);
-    assert!(!is_rejected(&harness.actions, id), "it waits for a server first");
+    let mut harness = Harness::new(two_classes(), 1);
+    let (id, server) = harness.submit(0);
+    assert_eq!(server, None);
+    assert!(!is_rejected(&harness.actions, id), "it must be queued first");
     let actions = harness.advance(Span::from_ms(800.0));
     assert!(is_rejected(&actions, id));
     harness.assert_no_violation();
@@ -20,7 +20,7 @@
 
 #[test]
 fn queued_request_is_dispatched_when_the_list_arrives() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(two_classes(), 1);
     let (id, _) = harness.submit(1);
     harness.set_endpoints(fleet(3, 1, 1));
     assert!(harness.target_of(id).is_some());
@@ -28,11 +28,11 @@
     harness.assert_no_violation();
 }
 
-/// Seen in a simulation: a client's last retry can arrive with none of its time left.
+/// A client's last retry can arrive when none of its time is left. This happened in a simulation.
 #[test]
 fn request_without_time_left_is_rejected_at_once() {
     for servers in [0, 3] {
-        let mut harness = Harness::new(plain(), 1);
+        let mut harness = Harness::new(two_classes(), 1);
         harness.set_endpoints(fleet(servers, 1, 1));
         let id = RequestId(77);
         harness.notify(Event::Request(Request::new(id, ClassId(0), Span::ZERO)));
@@ -43,7 +43,7 @@
 
 #[test]
 fn timed_out_non_idempotent_request_fails_at_its_deadline() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(two_classes(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let (id, _) = harness.submit(1);
     harness.advance(Span::from_ms(800.0));
@@ -54,7 +54,7 @@
 
 #[test]
 fn late_duplicate_and_unknown_events_are_ignored() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(two_classes(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let (id, _) = harness.submit(0);
     harness.end_attempt(id, 0, Outcome::Success, 20.0);
@@ -72,14 +72,14 @@
         };
         assert!(harness.notify(probe).is_empty());
     }
-    let (_, sent) = harness.submit(0);
-    assert!(sent.is_some());
+    let (_, server) = harness.submit(0);
+    assert!(server.is_some());
     harness.assert_no_violation();
 }
 
 #[test]
 fn nothing_is_sent_for_a_disconnected_client() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(two_classes(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let (id, _) = harness.submit(0);
     harness.notify(Event::ClientDisconnected { request: id });
@@ -89,34 +89,34 @@
 
 #[test]
 fn attempts_stay_within_max_attempts() {
-    for most in 1..4 {
-        let mut harness = Harness::new(Settings { max_attempts: most, ..plain() }, 5);
+    for max_attempts in 1..4 {
+        let mut harness = Harness::new(Settings { max_attempts, ..two_classes() }, 5);
         harness.set_endpoints(fleet(9, 1, 1));
         let (id, _) = harness.submit(0);
         let mut sends = 1;
-        for attempt in 0..most {
+        for attempt in 0..max_attempts {
             harness.end_attempt(id, attempt, Outcome::Rejected, 1.0);
             sends += u32::from(harness.target_of(id).is_some());
         }
-        assert_eq!(sends, most);
+        assert_eq!(sends, max_attempts);
         assert!(is_rejected(&harness.actions, id));
         harness.assert_no_violation();
     }
 }
 
-/// Seen in a simulation: a request that was queued in the very moment of a tick postponed the tick, so that a steady stream
-/// of them kept it from ever firing, and queued requests passed their deadline without a response.
+/// A request that was queued at the time of a tick used to postpone the tick. A steady stream of such requests kept the
+/// tick from ever firing, and queued requests passed their deadline without a response. This happened in a simulation.
 #[test]
 fn requests_that_arrive_with_each_tick_do_not_postpone_it() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(two_classes(), 1);
     let (first, _) = harness.submit(0);
-    let mut all = Vec::new();
+    let mut actions = Vec::new();
     for _ in 0..200 {
         harness.now = harness.now + Span::from_ms(5.0);
         harness.submit(0);
-        all.extend(harness.advance(Span::ZERO));
+        actions.extend(harness.advance(Span::ZERO));
     }
-    assert!(is_rejected(&all, first));
+    assert!(is_rejected(&actions, first));
     assert_eq!(harness.observer.lost(harness.now), 0);
     harness.assert_no_violation();
 }
--- a/crates/decision/tests/large_fleet.rs
+++ b/crates/decision/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! What one of a hundred balancers does differently, as it would be harmful if all of them did it.
+//! Decisions that differ when there are many balancers, because the same decision by all of them at once would be
+//! harmful.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -6,23 +7,23 @@
 const SERVERS: u32 = 60;
 const ZONES: u32 = 3;
 
-/// Settings of a fleet of balancers that may send health checks.
+/// Returns settings for `balancers` balancers, which may send health checks.
 fn settings(balancers: u32, effect: Effect) -> Settings {
-    let prices = Costs { health_check: 0.08, ..Costs::default() };
+    let costs = Costs { health_check: 0.08, ..Costs::default() };
     let report_fields = vec![ReportField::InFlight];
     Settings {
         balancers,
         classes: vec![class(effect)],
         health_checks: true,
         cancel: true,
-        costs: prices,
+        costs,
         report_fields,
         ..Settings::default()
     }
 }
 
-/// A harness in which requests have been answered for a while, so that the balancer knows its traffic.
-fn served(settings: Settings, seed: u64) -> Harness {
+/// Returns a harness in which requests have been answered for a while, so that the balancer has observed its traffic.
+fn harness_with_traffic(settings: Settings, seed: u64) -> Harness {
     let mut harness = Harness::new(settings, seed);
     harness.set_endpoints(fleet(SERVERS, ZONES, 1));
     for _ in 0..200 {
@@ -32,25 +33,27 @@
     harness
 }
 
-/// Submits requests one after the other to a fleet whose zone 2 is lost; how many attempts and health checks went there.
-fn lose_zone(harness: &mut Harness, requests: u32) -> (u32, u32) {
-    let (mut sent, mut probed) = (0, 0);
+/// Submits requests one after the other while the servers of zone 2 are unreachable. Returns the numbers of attempts and
+/// of health checks sent to that zone.
+fn serve_with_lost_zone(harness: &mut Harness, requests: u32) -> (u32, u32) {
+    let (mut sent, mut health_checks) = (0, 0);
     for _ in 0..requests {
         let (id, mut server) = harness.submit(0);
         let mut attempt = 0;
-        while let Some(to) = server {
-            let lost = to.0 % ZONES == 2;
-            let (outcome, ms) = if lost { (Outcome::ConnectFailed, 100.0) } else { (Outcome::Success, 30.0) };
-            sent += u32::from(lost);
-            let mut on_the_way = harness.advance(Span::from_ms(ms));
+        while let Some(target) = server {
+            let is_lost = target.0 % ZONES == 2;
+            let (outcome, ms) =
+                if is_lost { (Outcome::ConnectFailed, 100.0) } else { (Outcome::Success, 30.0) };
+            sent += u32::from(is_lost);
+            let mut actions = harness.advance(Span::from_ms(ms));
             harness.end_attempt(id, attempt, outcome, ms);
             server = harness.target_of(id);
             attempt += 1;
-            on_the_way.extend(harness.advance(Span::from_ms(10.0)));
-            for action in on_the_way {
+            actions.extend(harness.advance(Span::from_ms(10.0)));
+            for action in actions {
                 if let Action::HealthCheck { server } = action {
-                    probed += 1;
-                    assert_eq!(server.0 % ZONES, 2, "only suspects are probed");
+                    health_checks += 1;
+                    assert_eq!(server.0 % ZONES, 2, "health check of a server that is not ejected");
                     harness.notify(Event::HealthCheckResult {
                         server,
                         outcome: Outcome::TimedOut,
@@ -61,31 +64,37 @@
             }
         }
     }
-    (sent, probed)
+    (sent, health_checks)
 }
 
-/// With 20 servers in the lost zone, each of a hundred balancers would spend 20 requests to learn of it, and more on every
-/// recovery probe. One that draws from a subset meets few of them.
+/// The lost zone has 20 servers. If each of a hundred balancers drew from all servers, each would lose 20 requests before
+/// it has ejected them, and more to recovery probes. The subset of a balancer contains only a few of them.
 #[test]
 fn lost_zone_costs_each_of_many_balancers_few_requests_and_health_checks() {
     for seed in 1..=5 {
-        let mut harness = served(settings(100, Effect::Idempotent), seed);
-        let (sent, probed) = lose_zone(&mut harness, 300);
-        assert!(sent <= 8, "seed {seed}: {sent} requests went to the lost zone");
-        assert!((1..=40).contains(&probed), "seed {seed}: {probed} probes for 300 requests");
+        let mut harness = harness_with_traffic(settings(100, Effect::Idempotent), seed);
+        let (sent, health_checks) = serve_with_lost_zone(&mut harness, 300);
+        assert!(sent <= 8, "seed {seed}: {sent} attempts sent to the lost zone");
+        assert!(
+            (1..=40).contains(&health_checks),
+            "seed {seed}: {health_checks} health checks for 300 requests"
+        );
         harness.assert_no_violation();
-        let mut alone = served(settings(3, Effect::Idempotent), seed);
-        assert!(lose_zone(&mut alone, 300).0 > 20, "seed {seed}: few balancers learn by their own requests");
+        let mut few = harness_with_traffic(settings(3, Effect::Idempotent), seed);
+        assert!(
+            serve_with_lost_zone(&mut few, 300).0 > 20,
+            "seed {seed}: with few balancers, each probes by its own requests"
+        );
     }
 }
 
 /// An ejected server is used again when a health check shows that it has recovered.
 #[test]
 fn recovered_zone_is_used_again_after_health_checks() {
-    let mut harness = served(settings(100, Effect::Idempotent), 3);
-    lose_zone(&mut harness, 100);
-    assert!(harness.balancer.excluded_endpoints(harness.now) >= 1, "it has met one of the lost");
-    let mut probes = 0;
+    let mut harness = harness_with_traffic(settings(100, Effect::Idempotent), 3);
+    serve_with_lost_zone(&mut harness, 100);
+    assert!(harness.balancer.excluded_endpoints(harness.now) >= 1, "no server of the lost zone is ejected");
+    let mut health_checks = 0;
     for _ in 0..400 {
         let (id, server) = harness.submit(0);
         let actions = harness.advance(Span::from_ms(30.0));
@@ -94,17 +103,20 @@
         }
         for action in actions.into_iter().chain(harness.advance(Span::from_ms(40.0))) {
             if let Action::HealthCheck { server } = action {
-                probes += 1;
+                health_checks += 1;
                 let (outcome, elapsed, report) = (Outcome::Success, Span::from_ms(1.0), Some(vec![0.0]));
                 harness.notify(Event::HealthCheckResult { server, outcome, elapsed, report });
             }
         }
     }
-    assert_eq!(harness.balancer.excluded_endpoints(harness.now), 0, "after {probes} probes");
-    assert!(probes <= 30, "{probes} probes for a part of 20 servers");
+    assert_eq!(harness.balancer.excluded_endpoints(harness.now), 0, "after {health_checks} health checks");
+    assert!(
+        health_checks <= 30,
+        "{health_checks} health checks, although the subset has only some of 20 servers"
+    );
 }
 
-/// The only zone is never taken for lost.
+/// If all servers are in one zone and all attempts fail, the balancer must not eject most of them.
 #[test]
 fn fleet_in_one_zone_keeps_servers_whatever_fails() {
     let mut harness = Harness::new(settings(100, Effect::Idempotent), 9);
@@ -123,43 +135,47 @@
     );
 }
 
-/// Little's law: if a fleet stops answering, a hundred balancers would fill it with all arrivals. Each keeps to what arrives
-/// within a part of its latency objective, and rejects the rest long before half of the client's timeout.
+/// If a fleet stops responding, a hundred balancers would fill it with all requests that arrive. By Little's law, each
+/// limits its requests in flight to those that arrive within a fraction of the latency objective. It rejects the others
+/// before half of the client's timeout has passed.
 #[test]
 fn requests_in_flight_are_bounded_by_arrivals_and_the_rest_is_rejected_early() {
-    let mut harness = served(settings(100, Effect::Idempotent), 4);
-    let (mut out, mut refused) = (0, 0);
-    let mut asked = Vec::new();
+    let mut harness = harness_with_traffic(settings(100, Effect::Idempotent), 4);
+    let (mut sent, mut rejected) = (0, 0);
+    let mut submitted = Vec::new();
     for _ in 0..20 {
         let (id, server) = harness.submit(0);
-        out += u32::from(server.is_some());
-        asked.push((id, harness.now));
+        sent += u32::from(server.is_some());
+        submitted.push((id, harness.now));
         for action in harness.advance(Span::from_ms(25.0)) {
             if let Action::Reject { request, .. } = action {
-                let came = asked.iter().find(|(id, _)| *id == request).map(|a| a.1).unwrap_or_default();
-                assert!(harness.now.since(came).as_ms() < 400.0, "held for too long");
-                refused += 1;
+                let submitted_at =
+                    submitted.iter().find(|(id, _)| *id == request).map(|entry| entry.1).unwrap_or_default();
+                assert!(harness.now.since(submitted_at).as_ms() < 400.0, "queued for too long");
+                rejected += 1;
             }
         }
     }
-    assert!(out <= 4, "{out} of 20 requests went out within 500 ms");
-    assert!(refused >= 4, "{refused} given up");
-    let mut few = served(settings(3, Effect::Idempotent), 4);
-    let all = (0..20).filter(|_| few.submit(0).1.is_some()).count();
-    assert_eq!(all, 20, "few balancers go by their counts");
+    assert!(sent <= 4, "{sent} of 20 requests were sent within 500 ms");
+    assert!(rejected >= 4, "{rejected} requests were rejected");
+    let mut few = harness_with_traffic(settings(3, Effect::Idempotent), 4);
+    let sent_by_few = (0..20).filter(|_| few.submit(0).1.is_some()).count();
+    assert_eq!(sent_by_few, 20, "with few balancers, only the concurrency limit of each server applies");
 }
 
-/// Almost nothing is in flight; without what is known of machine types, ties give a slow machine as much as a fast one.
+/// Almost nothing is in flight, so ties are broken at random. Without the acceptance probability of its machine type, a
+/// slow machine would get as much load as a fast one.
 #[test]
 fn slow_machine_type_gets_less_even_with_nothing_in_flight() {
-    let kind = |line: Endpoint| Endpoint { machine_type: MachineTypeId(line.server.0 % 2), ..line };
-    let share = |balancers| {
+    let with_machine_type =
+        |endpoint: Endpoint| Endpoint { machine_type: MachineTypeId(endpoint.server.0 % 2), ..endpoint };
+    let share_of_slow = |balancers| {
         let mut harness = Harness::new(settings(balancers, Effect::Idempotent), 8);
-        harness.set_endpoints(fleet(SERVERS, 1, 1).into_iter().map(kind).collect());
+        harness.set_endpoints(fleet(SERVERS, 1, 1).into_iter().map(with_machine_type).collect());
         let mut slow = 0;
         for _ in 0..600 {
             let (id, server) = harness.submit(0);
-            let Some(server) = server else { panic!("an idle fleet") };
+            let Some(server) = server else { panic!("the fleet is idle") };
             let ms = if server.0 % 2 == 0 { 20.0 } else { 40.0 };
             slow += server.0 % 2;
             harness.advance(Span::from_ms(ms));
@@ -168,26 +184,26 @@
         }
         f64::from(slow) / 600.0
     };
-    let (many, few) = (share(100), share(3));
-    assert!(many < 0.3 && few > 0.35, "{many} of many, {few} of few");
+    let (many, few) = (share_of_slow(100), share_of_slow(3));
+    assert!(many < 0.3 && few > 0.35, "{many} with many balancers, {few} with few");
 }
 
-/// Only idempotent requests probe a server that fails fast.
+/// With many balancers, only idempotent requests may be used to probe a server that fails fast.
 #[test]
 fn non_idempotent_requests_are_not_used_as_recovery_probes() {
-    let mut both = settings(100, Effect::Idempotent);
-    both.classes.push(class(Effect::AtMostOnce));
-    let mut harness = Harness::new(both, 6);
+    let mut settings = settings(100, Effect::Idempotent);
+    settings.classes.push(class(Effect::AtMostOnce));
+    let mut harness = Harness::new(settings, 6);
     harness.set_endpoints(fleet(6, 1, 1));
-    let sick = ServerId(0);
-    let mut lost = 0;
+    let failing = ServerId(0);
+    let mut sent_to_failing = 0;
     for n in 0..1500 {
         let class = usize::from(n % 3 == 0);
         let (id, mut server) = harness.submit(class);
         let mut attempt = 0;
-        while let Some(to) = server {
-            let outcome = if to == sick { Outcome::ServerError } else { Outcome::Success };
-            lost += u32::from(to == sick && class == 1);
+        while let Some(target) = server {
+            let outcome = if target == failing { Outcome::ServerError } else { Outcome::Success };
+            sent_to_failing += u32::from(target == failing && class == 1);
             harness.advance(Span::from_ms(20.0));
             harness.end_attempt(id, attempt, outcome, 20.0);
             server = harness.target_of(id);
@@ -195,125 +211,141 @@
         }
         harness.advance(Span::from_ms(20.0));
     }
-    assert!(lost <= 3, "{lost} certified copies were lost to a server known to fail");
+    assert!(sent_to_failing <= 3, "{sent_to_failing} non-idempotent attempts sent to an ejected server");
     harness.assert_no_violation();
 }
 
-/// A hundred balancers together send a warming server its capacity fraction of a warm one's load: no more, or they overload
-/// it, and not much less, or the warm ones bear what it could. With nothing in flight it wins one pick in four that it is
-/// drawn for, so the chance that holds for balancers which go by their own requests would leave it a quarter of its part.
+/// A hundred balancers together must send a warming server its capacity fraction of a warm one's load. More would
+/// overload it, and much less would leave load to the warm ones that it could take. With nothing in flight, it is chosen
+/// in one of four selections that draw it, so the acceptance probability for few balancers would give it only a quarter
+/// of its share.
 #[test]
 fn warming_server_gets_its_capacity_fraction_from_many_balancers() {
-    let (mut cold, mut warm, rounds) = (0.0, 0.0, 40);
+    let (mut to_warming, mut to_warm, rounds) = (0.0, 0.0, 40);
     for seed in 0..100 {
-        let mut set = settings(100, Effect::Idempotent);
-        (set.initial_capacity_share, set.warm_up_time) = (0.3, Span::from_ms(60_000.0));
-        let mut harness = Harness::new(set, seed);
-        let started = Some(harness.now);
-        let line = |line: Endpoint| Endpoint { started_at: started.filter(|_| line.server.0 < 12), ..line };
-        harness.set_endpoints(fleet(SERVERS, ZONES, 1).into_iter().map(line).collect());
+        let mut settings = settings(100, Effect::Idempotent);
+        (settings.initial_capacity_share, settings.warm_up_time) = (0.3, Span::from_ms(60_000.0));
+        let mut harness = Harness::new(settings, seed);
+        let start = Some(harness.now);
+        let with_start = |endpoint: Endpoint| Endpoint {
+            started_at: start.filter(|_| endpoint.server.0 < 12),
+            ..endpoint
+        };
+        harness.set_endpoints(fleet(SERVERS, ZONES, 1).into_iter().map(with_start).collect());
         for _ in 0..rounds {
             match harness.submit_and_answer(30.0) {
-                Some(server) if server.0 < 12 => cold += 1.0 / 12.0,
-                Some(_) => warm += 1.0 / 48.0,
-                None => panic!("an idle fleet"),
+                Some(server) if server.0 < 12 => to_warming += 1.0 / 12.0,
+                Some(_) => to_warm += 1.0 / 48.0,
+                None => panic!("the fleet is idle"),
             }
             harness.advance(Span::from_ms(40.0));
         }
         harness.assert_no_violation();
     }
-    let part: f64 = cold / warm;
-    assert!((0.2..=0.36).contains(&part), "{part} of a warm one's load at a warmth of 0.3");
+    let share: f64 = to_warming / to_warm;
+    assert!((0.2..=0.36).contains(&share), "{share} of a warm server's load at a capacity fraction of 0.3");
 }
 
-/// Nine hundred balancers and two dozen servers: none meets a warming one twice before all have met it once, and beside warm
-/// ones that load has made slow it wins most picks that it is drawn for. It withstands three times its capacity fraction, of
-/// which half is left to retries, connections and chance.
+/// With 900 balancers and 24 servers, all balancers send to a warming server once before any sends to it a second time,
+/// so none learns in time that it is overloaded. While load has made the warm servers slow, most selections that draw the
+/// warming server choose it. It tolerates three times its capacity fraction, half of which is left for retries,
+/// connections and random variation.
 #[test]
 fn warming_server_beside_full_ones_is_not_overloaded_by_very_many_balancers() {
-    let (mut cold, mut warm) = (0.0, 0.0);
+    let (mut to_warming, mut to_warm) = (0.0, 0.0);
     for seed in 0..300 {
-        let mut set = settings(900, Effect::Idempotent);
-        (set.initial_capacity_share, set.warm_up_time) = (0.2, Span::from_ms(60_000.0));
-        set.overload_factor = 3.0;
-        let mut harness = Harness::new(set, seed);
+        let mut settings = settings(900, Effect::Idempotent);
+        (settings.initial_capacity_share, settings.warm_up_time) = (0.2, Span::from_ms(60_000.0));
+        settings.overload_factor = 3.0;
+        let mut harness = Harness::new(settings, seed);
         harness.set_endpoints(fleet(24, ZONES, 1));
-        for (rounds, ms, joined) in [(0..20, 20.0, false), (0..10, 110.0, true)] {
-            if joined {
-                let back = Endpoint { started_at: Some(harness.now), ..fleet(24, ZONES, 1).remove(5) };
-                harness.notify(Event::EndpointList(EndpointUpdate::Changes(vec![back])));
+        for (rounds, ms, has_joined) in [(0..20, 20.0, false), (0..10, 110.0, true)] {
+            if has_joined {
+                let joining = Endpoint { started_at: Some(harness.now), ..fleet(24, ZONES, 1).remove(5) };
+                harness.notify(Event::EndpointList(EndpointUpdate::Changes(vec![joining])));
             }
             for _ in rounds {
                 let server = harness.submit_and_answer(ms);
                 harness.advance(Span::from_ms(40.0));
-                match (server, joined) {
-                    (Some(ServerId(5)), true) => cold += 1.0,
-                    (Some(_), true) => warm += 1.0 / 23.0,
+                match (server, has_joined) {
+                    (Some(ServerId(5)), true) => to_warming += 1.0,
+                    (Some(_), true) => to_warm += 1.0 / 23.0,
                     _ => {}
                 }
             }
         }
     }
-    let part: f64 = cold / warm;
-    assert!((0.1..=0.3).contains(&part), "{part} of a warm one's load at a warmth of 0.2");
+    let share: f64 = to_warming / to_warm;
+    assert!((0.1..=0.3).contains(&share), "{share} of a warm server's load at a capacity fraction of 0.2");
 }
 
-/// The requests that one of `balancers` sends to each server, one after the other.
-fn spread(balancers: u32, seed: u64, requests: u32) -> Vec<u32> {
+/// Submits requests one after the other to one of `balancers` balancers. Returns the number of requests sent to each
+/// server.
+fn requests_per_server(balancers: u32, seed: u64, requests: u32) -> Vec<u32> {
     let mut harness = Harness::new(settings(balancers, Effect::Idempotent), seed);
     harness.set_endpoints(fleet(SERVERS, ZONES, 1));
     let mut sent = vec![0; SERVERS as usize];
     for _ in 0..requests {
-        sent[harness.submit_and_answer(30.0).expect("an idle fleet").0 as usize] += 1;
+        sent[harness.submit_and_answer(30.0).expect("the fleet is idle").0 as usize] += 1;
         harness.advance(Span::from_ms(40.0));
     }
     sent
 }
 
-/// Connections must not grow as balancers times servers: each of a hundred keeps to its subset, and together they load the
-/// fleet evenly.
+/// The number of connections must not grow as balancers times servers. Each of a hundred balancers must send only to its
+/// subset, and together they must load the fleet evenly.
 #[test]
-fn each_balancer_keeps_to_its_subset_and_all_together_load_the_fleet_evenly() {
-    let met = |sent: &[u32]| sent.iter().filter(|n| **n > 0).count();
-    let mut all = vec![0; SERVERS as usize];
+fn each_balancer_sends_to_its_subset_and_all_together_load_the_fleet_evenly() {
+    let servers_used = |sent: &[u32]| sent.iter().filter(|n| **n > 0).count();
+    let mut totals = vec![0; SERVERS as usize];
     for seed in 0..100 {
-        let sent = spread(100, seed, 100);
-        assert!((4..=12).contains(&met(&sent)), "seed {seed}: {} servers met", met(&sent));
-        all.iter_mut().zip(&sent).for_each(|(all, n)| *all += n);
+        let sent = requests_per_server(100, seed, 100);
+        assert!((4..=12).contains(&servers_used(&sent)), "seed {seed}: {} servers used", servers_used(&sent));
+        totals.iter_mut().zip(&sent).for_each(|(total, n)| *total += n);
     }
-    let mean = f64::from(all.iter().sum::<u32>()) / f64::from(SERVERS);
-    let most = f64::from(*all.iter().max().expect("servers")) / mean;
-    assert!(most < 2.0 && all.iter().all(|n| *n > 0), "{most} times the mean at most; {all:?}");
-    assert!(met(&spread(3, 1, 200)) > 50, "few balancers draw from all");
+    let mean = f64::from(totals.iter().sum::<u32>()) / f64::from(SERVERS);
+    let max_ratio = f64::from(*totals.iter().max().expect("servers")) / mean;
+    assert!(
+        max_ratio < 2.0 && totals.iter().all(|n| *n > 0),
+        "maximum {max_ratio} times the mean: {totals:?}"
+    );
+    assert!(
+        servers_used(&requests_per_server(3, 1, 200)) > 50,
+        "with few balancers, each draws from all servers"
+    );
 }
 
-/// A subset is refilled when its servers leave, and warming servers count with their present capacity.
+/// A subset is refilled when its servers leave. Warming servers count with their current capacity, so it takes more of
+/// them.
 #[test]
 fn subset_is_refilled_when_servers_leave_or_warm_up() {
-    let mut harness = served(settings(100, Effect::Idempotent), 5);
-    let mut met = std::collections::BTreeSet::new();
+    let mut harness = harness_with_traffic(settings(100, Effect::Idempotent), 5);
+    let mut old_subset = std::collections::BTreeSet::new();
     for _ in 0..100 {
-        met.extend(harness.submit_and_answer(30.0));
+        old_subset.extend(harness.submit_and_answer(30.0));
         harness.advance(Span::from_ms(40.0));
     }
-    let part = met.len();
-    let left: Vec<Endpoint> =
-        fleet(SERVERS, ZONES, 1).into_iter().filter(|l| !met.contains(&l.server)).collect();
-    let cold = |l: Endpoint| Endpoint { started_at: Some(harness.now), ..l };
-    let lines: Vec<Endpoint> = left.into_iter().map(cold).collect();
-    harness.set_endpoints(lines);
-    let mut others = std::collections::BTreeSet::new();
+    let old_size = old_subset.len();
+    let others: Vec<Endpoint> = fleet(SERVERS, ZONES, 1)
+        .into_iter()
+        .filter(|endpoint| !old_subset.contains(&endpoint.server))
+        .collect();
+    let warming = |endpoint: Endpoint| Endpoint { started_at: Some(harness.now), ..endpoint };
+    let endpoints: Vec<Endpoint> = others.into_iter().map(warming).collect();
+    harness.set_endpoints(endpoints);
+    let mut new_subset = std::collections::BTreeSet::new();
     for _ in 0..100 {
-        others.extend(harness.submit_and_answer(30.0));
+        new_subset.extend(harness.submit_and_answer(30.0));
         harness.advance(Span::from_ms(40.0));
     }
-    assert!(others.is_disjoint(&met), "what has left gets nothing");
-    assert!(others.len() > part, "{} cold ones stand for {part} warm ones", others.len());
+    assert!(new_subset.is_disjoint(&old_subset), "a removed server was sent a request");
+    assert!(new_subset.len() > old_size, "{} warming servers replace {old_size} warm ones", new_subset.len());
 }
 
-/// Little's law gives the mean; of so few requests chance alone brings more at once, and rejecting those serves nobody.
+/// Little's law gives only the mean number of requests in flight. With so few requests, more arrive at once by chance,
+/// and rejecting those would be pointless.
 #[test]
-fn small_bursts_by_chance_are_dispatched() {
+fn small_random_bursts_are_dispatched() {
     for seed in 1..=5 {
         let mut harness = Harness::new(settings(100, Effect::Idempotent), seed);
         harness.set_endpoints(fleet(SERVERS, ZONES, 1));
@@ -321,81 +353,85 @@
             assert!(harness.submit_and_answer(30.0).is_some());
             harness.advance(Span::from_ms(10.0));
         }
-        // One in 40 ms, an aim of 200 ms, of which a fifth: one is out in the mean, and its root is one more.
-        let out = (0..6).filter(|_| harness.submit(0).1.is_some()).count();
-        assert_eq!(out, 3, "seed {seed}");
+        // One request per 40 ms and a usual latency of a fifth of the 200 ms objective: the mean in flight is one, and
+        // its square root allows one more.
+        let sent = (0..6).filter(|_| harness.submit(0).1.is_some()).count();
+        assert_eq!(sent, 3, "seed {seed}");
     }
 }
 
-/// A health check for each request costs more than it shows, at any cost and for any number of balancers.
+/// Health checks are sent only to ejected servers, even if they cost nothing: one for each request would be a waste.
 #[test]
 fn no_health_check_is_sent_for_an_ordinary_request() {
-    let prices = Costs::default();
-    let mut harness = Harness::new(Settings { costs: prices, ..settings(1000, Effect::Idempotent) }, 2);
+    let costs = Costs::default();
+    let mut harness = Harness::new(Settings { costs, ..settings(1000, Effect::Idempotent) }, 2);
     harness.set_endpoints(fleet(6, 1, 1));
     for _ in 0..100 {
         let (id, server) = harness.submit(0);
-        assert!(server.is_some(), "it is sent at once");
+        assert!(server.is_some(), "it must be sent at once");
         assert!(!harness.actions.iter().any(|action| matches!(action, Action::HealthCheck { .. })));
-        let later = harness.advance(Span::from_ms(30.0));
-        assert!(!later.iter().any(|action| matches!(action, Action::HealthCheck { .. })));
+        let actions = harness.advance(Span::from_ms(30.0));
+        assert!(!actions.iter().any(|action| matches!(action, Action::HealthCheck { .. })));
         harness.end_attempt(id, 0, Outcome::Success, 30.0);
         harness.advance(Span::from_ms(30.0));
     }
 }
 
-/// A fleet that is all warming up has a part of its capacity, and no one of many balancers learns that in time: each has at
-/// most one request in flight, as all of them together would overload it with two.
+/// A fleet that is all warming up has only a fraction of its capacity, and none of many balancers learns in time that it
+/// is overloaded. Each may have only one request in flight, because two of each would overload the fleet.
 #[test]
 fn each_of_many_balancers_has_one_request_in_flight_to_a_fleet_that_is_all_warming_up() {
     for seed in 1..=5 {
-        let mut set = settings(300, Effect::Idempotent);
-        (set.initial_capacity_share, set.warm_up_time) = (0.2, Span::from_ms(60_000.0));
-        let out = |cold: bool| {
-            let mut harness = served(set.clone(), seed);
-            let started = Some(harness.now).filter(|_| cold);
+        let mut settings = settings(300, Effect::Idempotent);
+        (settings.initial_capacity_share, settings.warm_up_time) = (0.2, Span::from_ms(60_000.0));
+        let sent = |is_warming: bool| {
+            let mut harness = harness_with_traffic(settings.clone(), seed);
+            let started_at = Some(harness.now).filter(|_| is_warming);
             harness.set_endpoints(
-                fleet(SERVERS, ZONES, 1).into_iter().map(|l| Endpoint { started_at: started, ..l }).collect(),
+                fleet(SERVERS, ZONES, 1)
+                    .into_iter()
+                    .map(|endpoint| Endpoint { started_at, ..endpoint })
+                    .collect(),
             );
             (0..6).filter(|_| harness.submit(0).1.is_some()).count()
         };
-        let (cold, warm) = (out(true), out(false));
-        assert_eq!(cold, 1, "seed {seed}");
-        assert!(warm > 1, "seed {seed}: {warm} in a warm one");
+        let (to_warming, to_warm) = (sent(true), sent(false));
+        assert_eq!(to_warming, 1, "seed {seed}");
+        assert!(to_warm > 1, "seed {seed}: {to_warm} sent to a warm fleet");
     }
 }
 
-/// A fleet that has fallen behind is not sent all that clients ask for, as they retry: no more is in flight than is answered
-/// in time, or it would stay behind.
+/// A fleet that has fallen behind must not be sent all arriving requests, many of which are retries: it would never catch
+/// up. The requests in flight are limited to what it answers in time.
 #[test]
-fn little_is_dispatched_while_little_is_answered() {
+fn few_requests_are_dispatched_while_few_are_answered() {
     for seed in 1..=5 {
         let mut harness =
             Harness::new(Settings { max_attempts: 1, ..settings(100, Effect::Idempotent) }, seed);
         harness.set_endpoints(fleet(SERVERS, ZONES, 1));
         for n in 0..400 {
             let (id, server) = harness.submit(0);
-            assert!(server.is_some(), "nothing is out");
+            assert!(server.is_some(), "it must be sent, as nothing is in flight");
             harness.advance(Span::from_ms(30.0));
-            let behind = n >= 200 && n % 5 != 0;
-            harness.end_attempt(id, 0, if behind { Outcome::TimedOut } else { Outcome::Success }, 30.0);
+            let is_behind = n >= 200 && n % 5 != 0;
+            harness.end_attempt(id, 0, if is_behind { Outcome::TimedOut } else { Outcome::Success }, 30.0);
             harness.advance(Span::from_ms(10.0));
         }
-        let out = (0..6).filter(|_| harness.submit(0).1.is_some()).count();
-        assert!((1..=2).contains(&out), "seed {seed}: {out} out, as many as when all was answered");
+        let sent = (0..6).filter(|_| harness.submit(0).1.is_some()).count();
+        assert!((1..=2).contains(&sent), "seed {seed}: {sent} sent, as many as when all were answered");
     }
 }
 
-/// One of many balancers sees few responses of each server: one that has become slow must show in these.
+/// With many balancers, each sees few responses of a server. A few must suffice to detect that a server has become slow.
 #[test]
 fn slowed_server_is_chosen_less_after_a_few_responses() {
     for seed in 1..=5 {
-        let mut harness = served(settings(100, Effect::Idempotent), seed);
-        let mut share = |slow: Option<ServerId>| {
+        let mut harness = harness_with_traffic(settings(100, Effect::Idempotent), seed);
+        let mut requests_per_server = |slow: Option<ServerId>| {
             let mut sent = std::collections::BTreeMap::<ServerId, u32>::new();
             for _ in 0..100 {
                 let (id, server) = harness.submit(0);
-                let server = server.expect("an idle fleet");
+                let server = server.expect("the fleet is idle");
                 *sent.entry(server).or_default() += 1;
                 let ms = if Some(server) == slow { 120.0 } else { 30.0 };
                 harness.advance(Span::from_ms(ms));
@@ -404,27 +440,28 @@
             }
             sent
         };
-        let (server, before) = share(None).into_iter().max_by_key(|(_, n)| *n).expect("servers");
-        let after = share(Some(server)).get(&server).copied().unwrap_or_default();
-        assert!(after * 3 < before, "seed {seed}: {after} of 100 when slow, {before} before");
+        let (server, before) =
+            requests_per_server(None).into_iter().max_by_key(|(_, n)| *n).expect("servers");
+        let after = requests_per_server(Some(server)).get(&server).copied().unwrap_or_default();
+        assert!(after * 3 < before, "seed {seed}: sent {after} of 100 requests when slow, {before} before");
     }
 }
 
-/// When few balancers become many, the servers have been listed before: each balancer still has its own subset, or all would
-/// draw from the same few servers.
+/// The number of balancers grows from few to many after the servers have been listed. Each balancer must still get its
+/// own random subset. Otherwise all would draw from the same few servers.
 #[test]
-fn balancers_that_become_many_draw_from_different_subsets() {
-    let mut all = [0_u32; SERVERS as usize];
+fn balancers_whose_number_grows_draw_from_different_subsets() {
+    let mut totals = [0_u32; SERVERS as usize];
     for seed in 0..100 {
         let mut harness = Harness::new(settings(3, Effect::Idempotent), seed);
         harness.set_endpoints(fleet(SERVERS, ZONES, 1));
-        let more = Box::new(settings(100, Effect::Idempotent));
-        harness.notify(Event::Settings { settings: more, class_ids: vec![ClassId(0)] });
+        let settings = Box::new(settings(100, Effect::Idempotent));
+        harness.notify(Event::Settings { settings, class_ids: vec![ClassId(0)] });
         for _ in 0..50 {
             harness.advance(Span::from_ms(40.0));
-            all[harness.submit_and_answer(30.0).expect("an idle fleet").0 as usize] += 1;
+            totals[harness.submit_and_answer(30.0).expect("the fleet is idle").0 as usize] += 1;
         }
     }
-    let most = all.iter().max().copied().unwrap_or_default();
-    assert!(all.iter().all(|n| *n > 0) && most < 2 * 5000 / SERVERS, "{all:?}");
+    let max = totals.iter().max().copied().unwrap_or_default();
+    assert!(totals.iter().all(|n| *n > 0) && max < 2 * 5000 / SERVERS, "{totals:?}");
 }
--- a/crates/decision/tests/memory_does_not_grow.rs
+++ b/crates/decision/tests/memory_does_not_grow.rs
@@ -3,10 +3,10 @@
 use common::*;
 use heronhoist_decision::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not say.
-fn resident() -> Option<u64> {
+/// Returns the resident memory of this process in KiB, or `None` if the operating system does not report it.
+fn resident_kib() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
-    text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
+    text.lines().find(|line| line.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
@@ -38,35 +38,36 @@
         }
     };
     serve(0, 50_000);
-    let Some(before) = resident() else { return };
+    let Some(before) = resident_kib() else { return };
     serve(50_000, 400_000);
-    let grown = resident().expect("told before").saturating_sub(before);
-    assert!(grown < 16 * 1024, "{grown} KiB more after 400,000 further requests");
+    let grown = resident_kib().expect("it was reported before").saturating_sub(before);
+    assert!(grown < 16 * 1024, "memory grew by {grown} KiB in 400,000 requests");
 }
 
-/// Servers are replaced by ever new ones. A new server starts afresh, whatever was known of the one whose slot it takes.
+/// All servers are replaced again and again. A new server must start with new statistics, not with those of the dropped
+/// server whose slot it reuses.
 #[test]
 fn memory_does_not_grow_with_replaced_servers() {
     let settings = single_class(Effect::Idempotent);
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let (mut now, mut actions) = (Time::from_ms(1000.0), Vec::new());
     balancer.start(now, &mut actions);
-    let Some(before) = resident() else { return };
-    for turn in 0..50_000 {
+    let Some(before) = resident_kib() else { return };
+    for generation in 0..50_000 {
         actions.clear();
-        let lines = (0..4).map(|i| Endpoint::serving(ServerId(turn * 4 + i))).collect();
-        balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(lines)), &mut actions);
-        // The first timer looks after those that have left; the grace is over by then.
+        let endpoints = (0..4).map(|i| Endpoint::serving(ServerId(generation * 4 + i))).collect();
+        balancer.handle(now, Event::EndpointList(EndpointUpdate::Complete(endpoints)), &mut actions);
+        // The timer drops the removed servers, whose grace period has passed by then.
         now = now + Span::from_ms(1200.0);
         balancer.handle(now, Event::Timer(TimerId(0)), &mut actions);
-        let request = RequestId(u64::from(turn));
+        let request = RequestId(u64::from(generation));
         balancer.handle(
             now,
             Event::Request(Request::new(request, ClassId(0), Span::from_ms(800.0))),
             &mut actions,
         );
-        let server = target_in(&actions, request).expect("all are new and none is suspect");
-        assert_eq!(server.0 / 4, turn, "it is sent to one that is there");
+        let server = target_in(&actions, request).expect("all servers are new, so none is ejected");
+        assert_eq!(server.0 / 4, generation, "sent to a removed server");
         let (attempt, outcome, elapsed) = (AttemptNumber(0), Outcome::ConnectionReset, Span::from_ms(1.0));
         let outcome = Event::AttemptEnded {
             request,
@@ -79,6 +80,6 @@
         };
         balancer.handle(now, outcome, &mut actions);
     }
-    let grown = resident().expect("told before").saturating_sub(before);
-    assert!(grown < 8 * 1024, "{grown} KiB more after 200,000 servers");
+    let grown = resident_kib().expect("it was reported before").saturating_sub(before);
+    assert!(grown < 8 * 1024, "memory grew by {grown} KiB with 200,000 servers");
 }
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: late responses, standing queues, retry storms and unfair rejections.
+//! Overload must not lead to late responses, standing queues, retry storms or unfair rejections.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -8,35 +8,38 @@
     Settings { classes: vec![class(Effect::Idempotent)], max_attempts: 6, ..Settings::default() }
 }
 
-/// Submits `count` requests to a fleet of one server; those dispatched and those queued.
+/// Submits `count` requests to a fleet of one server. Returns the dispatched requests and the queued ones.
 fn fill(harness: &mut Harness, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
     harness.set_endpoints(fleet(1, 1, 1));
-    let asked: Vec<_> = (0..count)
+    let submitted: Vec<_> = (0..count)
         .map(|_| {
             harness.advance(Span::from_ms(1.0));
             harness.submit(0)
         })
         .collect();
-    let sent = asked.iter().filter(|a| a.1.is_some()).map(|a| a.0).collect();
-    (sent, asked.iter().filter(|a| a.1.is_none()).map(|a| a.0).collect())
+    let sent = submitted.iter().filter(|request| request.1.is_some()).map(|request| request.0).collect();
+    (sent, submitted.iter().filter(|request| request.1.is_none()).map(|request| request.0).collect())
 }
 
-/// A latency objective that leaves little over the least latency is no sign of congestion, so the limit opens all the same.
-/// Latency far above the least one is.
+/// A latency objective only a little above the minimum latency is not a sign of congestion, so the concurrency limit must
+/// still grow. A latency far above the minimum is such a sign, and the limit must stay low.
 #[test]
-fn tight_latency_objective_does_not_close_the_concurrency_limit() {
-    let served = |quiet: f64, crowded: f64| {
+fn tight_latency_objective_does_not_reduce_the_concurrency_limit() {
+    let served_in_last_second = |first_ms: f64, later_ms: f64| {
         let mut harness = Harness::new(settings(), 1);
         harness.set_endpoints(fleet(1, 1, 1));
-        let mut out: Vec<(Time, RequestId)> = Vec::new();
+        let mut in_flight: Vec<(Time, RequestId)> = Vec::new();
         let mut last_second = 0;
         for round in 0..400 {
-            let ms = if round < 100 { quiet } else { crowded };
-            let mut sent =
-                vec![harness.submit(0)].into_iter().filter_map(|(id, to)| to.map(|_| id)).collect::<Vec<_>>();
+            let ms = if round < 100 { first_ms } else { later_ms };
+            let mut sent = vec![harness.submit(0)]
+                .into_iter()
+                .filter_map(|(id, server)| server.map(|_| id))
+                .collect::<Vec<_>>();
             let now = harness.now;
-            let done: Vec<_> = out.iter().filter(|o| o.0 <= now).map(|o| o.1).collect();
-            out.retain(|o| o.0 > now);
+            let due: Vec<_> =
+                in_flight.iter().filter(|attempt| attempt.0 <= now).map(|attempt| attempt.1).collect();
+            in_flight.retain(|attempt| attempt.0 > now);
             let sends = |actions: &[Action]| -> Vec<RequestId> {
                 let id = |action: &Action| match action {
                     Action::Send { request, .. } => Some(*request),
@@ -44,49 +47,49 @@
                 };
                 actions.iter().filter_map(id).collect()
             };
-            for id in done {
+            for id in due {
                 last_second += u32::from(round >= 300);
                 sent.extend(sends(harness.end_attempt(id, 0, Outcome::Success, ms)));
             }
             sent.extend(sends(&harness.advance(Span::from_ms(10.0))));
-            out.extend(sent.into_iter().map(|id| (now + Span::from_ms(ms), id)));
+            in_flight.extend(sent.into_iter().map(|id| (now + Span::from_ms(ms), id)));
         }
         last_second
     };
-    let (tight, crowd) = (served(70.0, 70.0), served(10.0, 70.0));
-    assert!(tight > 90, "{tight} of 100 a second where answers take a third of their aim with nobody about");
-    assert!(crowd < 60, "{crowd} of 100 where they take seven times what they take with nobody about");
+    let (tight, congested) = (served_in_last_second(70.0, 70.0), served_in_last_second(10.0, 70.0));
+    assert!(tight > 90, "{tight} of 100 served if the minimum latency is a third of the latency objective");
+    assert!(congested < 60, "{congested} of 100 served if the latency is seven times the minimum");
 }
 
-/// First come, first served would make every queued request late.
+/// In first-in, first-out order, every queued request would wait until its response is late.
 #[test]
 fn queued_requests_are_dispatched_newest_first() {
     let mut harness = Harness::new(settings(), 1);
-    let (sent, held) = fill(&mut harness, 12);
-    assert!(!sent.is_empty() && held.len() > 4);
+    let (sent, queued) = fill(&mut harness, 12);
+    assert!(!sent.is_empty() && queued.len() > 4);
     harness.end_attempt(sent[0], 0, Outcome::Success, 20.0);
-    assert!(harness.target_of(*held.last().unwrap()).is_some());
-    assert!(harness.target_of(held[0]).is_none());
+    assert!(harness.target_of(*queued.last().unwrap()).is_some());
+    assert!(harness.target_of(queued[0]).is_none());
 }
 
 #[test]
 fn queued_requests_are_rejected_before_their_latency_objective_has_passed() {
     let mut harness = Harness::new(settings(), 1);
-    let (_, held) = fill(&mut harness, 12);
+    let (_, queued) = fill(&mut harness, 12);
     let start = harness.now;
-    let mut refusals = 0;
+    let mut rejections = 0;
     while harness.now.since(start) < Span::from_ms(200.0) {
-        refusals += harness
+        rejections += harness
             .advance(Span::from_ms(10.0))
             .iter()
             .filter(|a| matches!(a, Action::Reject { .. }))
             .count();
-        if refusals == held.len() {
+        if rejections == queued.len() {
             break;
         }
     }
-    assert_eq!(refusals, held.len());
-    assert!(harness.now.since(start) < Span::from_ms(200.0), "in time for the client's next try");
+    assert_eq!(rejections, queued.len());
+    assert!(harness.now.since(start) < Span::from_ms(200.0), "too late for a useful retry of the client");
 }
 
 #[test]
@@ -94,53 +97,53 @@
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(2, 1, 1));
     let mut round = |ms: f64| {
-        let mut out = Vec::new();
-        let held = loop {
+        let mut in_flight = Vec::new();
+        let queued = loop {
             match harness.submit(0) {
-                (id, Some(_)) => out.push(id),
+                (id, Some(_)) => in_flight.push(id),
                 (id, None) => break id,
             }
         };
-        let now = out.len();
+        let limit = in_flight.len();
         harness.advance(Span::from_ms(ms));
-        let mut late = None;
-        for id in out {
-            late = late.or(target_in(harness.end_attempt(id, 0, Outcome::Success, ms), held));
+        let mut target = None;
+        for id in in_flight {
+            target = target.or(target_in(harness.end_attempt(id, 0, Outcome::Success, ms), queued));
         }
-        if late.is_some() {
-            harness.end_attempt(held, 0, Outcome::Success, ms);
+        if target.is_some() {
+            harness.end_attempt(queued, 0, Outcome::Success, ms);
         }
         harness.advance(Span::from_ms(250.0));
-        now
+        limit
     };
-    let first = round(20.0);
+    let initial = round(20.0);
     for _ in 0..10 {
         round(210.0);
     }
-    let crowded = round(210.0);
-    assert!(crowded < first, "{crowded} after late answers, {first} before");
+    let reduced = round(210.0);
+    assert!(reduced < initial, "{reduced} in flight after late responses, {initial} before");
     for _ in 0..60 {
         round(15.0);
     }
-    assert!(round(15.0) > crowded + 2, "limits must grow again, from one and a half too");
+    assert!(round(15.0) > reduced + 2, "the limits must grow again, also from their minimum");
 }
 
-/// A rejected attempt must not go round the fleet at once, again and again.
+/// A request whose attempts are rejected must not be sent at once to one full server after another.
 #[test]
-fn rejected_attempts_are_not_retried_round_and_round() {
+fn rejected_attempts_are_retried_only_within_the_retry_budget() {
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let mut sends = 0;
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     for _ in 0..200 {
         harness.submit(0);
-        let mut todo = harness.actions.clone();
-        todo.extend(harness.advance(Span::from_ms(5.0)));
-        while let Some(action) = todo.pop() {
+        let mut actions = harness.actions.clone();
+        actions.extend(harness.advance(Span::from_ms(5.0)));
+        while let Some(action) = actions.pop() {
             if let Action::Send { request, .. } = action {
                 sends += 1;
                 let attempt = attempts.entry(request).or_insert(0);
-                todo.extend_from_slice(harness.end_attempt(request, *attempt, Outcome::Rejected, 1.0));
+                actions.extend_from_slice(harness.end_attempt(request, *attempt, Outcome::Rejected, 1.0));
                 *attempt += 1;
             }
         }
@@ -150,85 +153,93 @@
     harness.assert_no_violation();
 }
 
-/// A client's retry is known by its unusual timeout; when its latency objective has passed, serving it is wasted.
+/// A client's retry is recognized by its unusual timeout. If its latency objective has already passed, it must be
+/// rejected, because a response would be of no use.
 #[test]
 fn client_retry_past_its_latency_objective_is_rejected() {
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(9, 1, 1));
-    let mut ask = |id: u64, left: f64| {
-        let request = Request::new(RequestId(1000 + id), ClassId(0), Span::from_ms(left));
+    let mut is_sent = |id: u64, time_left_ms: f64| {
+        let request = Request::new(RequestId(1000 + id), ClassId(0), Span::from_ms(time_left_ms));
         harness.notify(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
     };
     for id in 0..10 {
-        assert!(ask(id, 500.0), "first tries of a class wait alike, here for 500 of 800 ms");
+        assert!(is_sent(id, 500.0), "a timeout of 500 ms is the usual one, although the deadline is 800 ms");
     }
-    assert!(ask(10, 700.0), "100 ms spent: half of the aim is left");
-    assert!(!ask(11, 580.0), "220 ms spent: past the aim of 200");
+    assert!(is_sent(10, 700.0), "100 ms have passed, half of the latency objective");
+    assert!(!is_sent(11, 580.0), "220 ms have passed, more than the latency objective of 200 ms");
 }
 
-fn pressed(settings: Settings, ask: impl Fn(u32) -> Request) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
+/// Submits more requests than two servers can serve. Returns the numbers of submitted and of served requests, by class
+/// and tenant.
+fn serve_under_overload(
+    settings: Settings,
+    new_request: impl Fn(u32) -> Request,
+) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
     let mut harness = Harness::new(settings, 3);
     harness.set_endpoints(fleet(2, 1, 1));
-    let mut out: Vec<(Time, Request)> = Vec::new();
-    let mut tally: BTreeMap<_, (u32, u32)> = BTreeMap::new();
+    let mut pending: Vec<(Time, Request)> = Vec::new();
+    let mut counts: BTreeMap<_, (u32, u32)> = BTreeMap::new();
     for i in 0..6000 {
-        let request = ask(i);
-        let entry = tally.entry((request.class.0, request.tenant.map(|t| t.0))).or_default();
-        entry.0 += 1;
+        let request = new_request(i);
+        let count = counts.entry((request.class.0, request.tenant.map(|tenant| tenant.0))).or_default();
+        count.0 += 1;
         let mut actions = harness.notify(Event::Request(request.clone())).to_vec();
-        out.push((Time(u64::MAX), request));
+        pending.push((Time(u64::MAX), request));
         actions.extend(harness.advance(Span::from_ms(2.0)));
-        let due: Vec<_> = out.iter().filter(|o| o.0 <= harness.now).map(|o| o.1.id).collect();
+        let due: Vec<_> =
+            pending.iter().filter(|request| request.0 <= harness.now).map(|request| request.1.id).collect();
         for id in due {
             actions.extend_from_slice(harness.end_attempt(id, 0, Outcome::Success, 40.0));
-            let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).unwrap());
-            tally.get_mut(&(r.class.0, r.tenant.map(|t| t.0))).unwrap().1 += 1;
+            let (_, served) =
+                pending.swap_remove(pending.iter().position(|request| request.1.id == id).unwrap());
+            counts.get_mut(&(served.class.0, served.tenant.map(|tenant| tenant.0))).unwrap().1 += 1;
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
-                if let Some(o) = out.iter_mut().find(|o| o.1.id == request) {
-                    o.0 = harness.now + Span::from_ms(40.0);
+                if let Some(sent) = pending.iter_mut().find(|sent| sent.1.id == request) {
+                    sent.0 = harness.now + Span::from_ms(40.0);
                 }
             }
         }
     }
-    tally
+    counts
 }
 
-fn share(tally: &(u32, u32)) -> f64 {
-    f64::from(tally.1) / f64::from(tally.0)
+fn served_fraction(count: &(u32, u32)) -> f64 {
+    f64::from(count.1) / f64::from(count.0)
 }
 
 #[test]
 fn overload_spares_the_class_with_the_highest_weight_for_its_work() {
-    let worth = |worth| Class { priority_weight: worth, ..class(Effect::Idempotent) };
-    let goal = ScoreWeights { overall: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let class_of_weight = |priority_weight| Class { priority_weight, ..class(Effect::Idempotent) };
+    let score_weights = ScoreWeights { overall: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
     let settings = Settings {
-        classes: vec![worth(1.0), worth(3.0), worth(10.0)],
-        score_weights: goal,
+        classes: vec![class_of_weight(1.0), class_of_weight(3.0), class_of_weight(10.0)],
+        score_weights,
         ..Settings::default()
     };
-    let tally = pressed(settings, |i| {
+    let counts = serve_under_overload(settings, |i| {
         Request::new(RequestId(u64::from(i)), ClassId((i % 3) as usize), Span::from_ms(800.0))
     });
-    let served: Vec<f64> = tally.values().map(share).collect();
+    let served: Vec<f64> = counts.values().map(served_fraction).collect();
     assert!(served[2] > served[1] + 0.05 && served[1] > served[0] + 0.05, "{served:?}");
-    assert!(served[0] > 0.5, "none is starved: {served:?}");
+    assert!(served[0] > 0.5, "no class must be starved: {served:?}");
 }
 
 #[test]
 fn tenant_over_its_quota_is_shed_first() {
-    let tenant = |fraction| Tenant { quota_fraction: fraction, quota_per_second: 100.0 };
+    let tenant = |quota_fraction| Tenant { quota_fraction, quota_per_second: 100.0 };
     let settings = Settings {
         tenants: vec![tenant(0.3), tenant(0.7)],
         over_quota_weight: 0.1,
         classes: vec![class(Effect::Idempotent)],
         ..Settings::default()
     };
-    let tally = pressed(settings, |i| Request {
+    let counts = serve_under_overload(settings, |i| Request {
         tenant: Some(TenantId(usize::from(i % 5 == 0))),
         ..Request::new(RequestId(u64::from(i)), ClassId(0), Span::from_ms(800.0))
     });
-    let served: Vec<f64> = tally.values().map(share).collect();
-    assert!(served[1] > served[0] + 0.05, "the one within its share: {served:?}");
+    let served: Vec<f64> = counts.values().map(served_fraction).collect();
+    assert!(served[1] > served[0] + 0.05, "the tenant within its quota must be served better: {served:?}");
 }
--- a/crates/decision/tests/random_walk.rs
+++ b/crates/decision/tests/random_walk.rs
@@ -1,12 +1,12 @@
-//! Random walks: the four rules hold in any order of events, and equal events give equal actions.
+//! Random walks: the four rules hold for random sequences of events, and equal events give equal actions.
 mod common;
 use common::*;
 use heronhoist_decision::*;
 use std::collections::BTreeMap;
 
-fn settings(pick: u64) -> Settings {
+fn settings(seed: u64) -> Settings {
     Settings {
-        balancers: 1 + (pick % 7) as u32,
+        balancers: 1 + (seed % 7) as u32,
         classes: vec![
             class(Effect::Idempotent),
             class(Effect::AtMostOnce),
@@ -15,79 +15,80 @@
             class(deduplicated(DeduplicationScope::Cell, 600.0)),
             Class { late_weight_share: 0.3, stream: true, ..class(Effect::Idempotent) },
         ],
-        hedging: pick % 2 == 0,
-        cancel: pick % 3 != 0,
-        retry_after: pick % 5 == 0,
-        health_checks: pick % 4 == 0,
-        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
+        hedging: seed % 2 == 0,
+        cancel: seed % 3 != 0,
+        retry_after: seed % 5 == 0,
+        health_checks: seed % 4 == 0,
+        report_source: if seed % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
         report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
-        discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
+        discovery: if seed % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
         initial_capacity_share: 0.2,
         warm_up_time: Span::from_ms(4000.0),
         ..Settings::default()
     }
 }
 
-struct Out {
+struct Attempt {
     request: RequestId,
     attempt: u32,
-    sent: Time,
-    deadline: Time,
-    streaming: bool,
+    sent_at: Time,
+    timeout_at: Time,
+    is_streaming: bool,
 }
 
-/// Plays `steps` random events; the balancer's actions as text.
-fn walk(pick: u64, steps: u32) -> (Harness, Vec<String>) {
-    let mut rng = fastrand::Rng::with_seed(pick);
-    let settings = settings(pick);
+/// Runs `steps` random events. Returns the harness and the balancer's actions at each step as text.
+fn walk(seed: u64, steps: u32) -> (Harness, Vec<String>) {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let settings = settings(seed);
     let classes = settings.classes.clone();
-    let mut harness = Harness::new(settings, pick ^ 0x5eed);
-    let mut lines = fleet(1 + rng.u32(0..9), 3, 3);
-    let mut out: Vec<Out> = Vec::new();
+    let mut harness = Harness::new(settings, seed ^ 0x5eed);
+    let mut endpoints = fleet(1 + rng.u32(0..9), 3, 3);
+    let mut in_flight: Vec<Attempt> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
-    let mut said = Vec::new();
-    let mut probing: Vec<ServerId> = Vec::new();
-    harness.notify(Event::EndpointList(EndpointUpdate::Saved(lines.clone())));
+    let mut all_actions = Vec::new();
+    let mut health_checks: Vec<ServerId> = Vec::new();
+    harness.notify(Event::EndpointList(EndpointUpdate::Saved(endpoints.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
             0..=39 => {
                 let class = rng.usize(0..classes.len());
-                let left = classes[class].deadline * (rng.f64() * 1.2).min(1.0);
-                let mut request = Request::new(RequestId(u64::from(step)), ClassId(class), left);
+                let time_left = classes[class].deadline * (rng.f64() * 1.2).min(1.0);
+                let mut request = Request::new(RequestId(u64::from(step)), ClassId(class), time_left);
                 request.key = rng.bool().then(|| KeyId(rng.u64(0..5)));
                 request.cost_hint = rng.bool().then(|| Span::from_ms(rng.f64() * 80.0));
                 actions.extend_from_slice(harness.notify(Event::Request(request)));
             }
-            40..=79 if !out.is_empty() => {
-                let o = out.swap_remove(rng.usize(0..out.len()));
+            40..=79 if !in_flight.is_empty() => {
+                let ended = in_flight.swap_remove(rng.usize(0..in_flight.len()));
                 let outcome = match rng.u32(0..10) {
-                    _ if harness.now >= o.deadline && !o.streaming => Outcome::TimedOut,
+                    _ if harness.now >= ended.timeout_at && !ended.is_streaming => Outcome::TimedOut,
                     0 => Outcome::ServerError,
-                    1 if !o.streaming => Outcome::Rejected,
-                    2 if !o.streaming => Outcome::ConnectFailed,
+                    1 if !ended.is_streaming => Outcome::Rejected,
+                    2 if !ended.is_streaming => Outcome::ConnectFailed,
                     3 => Outcome::ConnectionReset,
-                    4 if !o.streaming => Outcome::NotSent,
+                    4 if !ended.is_streaming => Outcome::NotSent,
                     _ => Outcome::Success,
                 };
                 let report =
                     rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
-                let closed = outcome == Outcome::Success || o.streaming;
+                let is_request_finished = outcome == Outcome::Success || ended.is_streaming;
                 actions.extend_from_slice(harness.notify(Event::AttemptEnded {
-                    request: o.request,
-                    attempt: AttemptNumber(o.attempt),
+                    request: ended.request,
+                    attempt: AttemptNumber(ended.attempt),
                     outcome,
-                    elapsed: harness.now.since(o.sent),
+                    elapsed: harness.now.since(ended.sent_at),
                     report,
-                    is_request_finished: closed,
+                    is_request_finished,
                     is_body_consumed: false,
                 }));
             }
-            80..=83 if !out.is_empty() => {
-                let i = rng.usize(0..out.len());
-                let o = &mut out[i];
-                o.streaming = true;
-                let event = Event::FirstByte { request: o.request, attempt: AttemptNumber(o.attempt) };
+            80..=83 if !in_flight.is_empty() => {
+                let i = rng.usize(0..in_flight.len());
+                let begun = &mut in_flight[i];
+                begun.is_streaming = true;
+                let event =
+                    Event::FirstByte { request: begun.request, attempt: AttemptNumber(begun.attempt) };
                 actions.extend_from_slice(harness.notify(event));
             }
             84..=86 => {
@@ -95,21 +96,21 @@
                 actions.extend_from_slice(harness.notify(Event::ClientDisconnected { request }));
             }
             87..=90 => {
-                let i = rng.usize(0..lines.len());
-                lines[i].status =
+                let i = rng.usize(0..endpoints.len());
+                endpoints[i].status =
                     [Status::Serving, Status::Serving, Status::Draining, Status::Removed][rng.usize(0..4)];
-                if rng.bool() && lines[i].status == Status::Serving {
-                    lines[i].started_at = Some(harness.now);
+                if rng.bool() && endpoints[i].status == Status::Serving {
+                    endpoints[i].started_at = Some(harness.now);
                 }
                 let update = match rng.u32(0..6) {
                     0 => EndpointUpdate::Failed,
-                    1 => EndpointUpdate::Complete(lines.clone()),
-                    _ => EndpointUpdate::Changes(vec![lines[i].clone()]),
+                    1 => EndpointUpdate::Complete(endpoints.clone()),
+                    _ => EndpointUpdate::Changes(vec![endpoints[i].clone()]),
                 };
                 actions.extend_from_slice(harness.notify(Event::EndpointList(update)));
             }
             _ => {
-                for server in std::mem::take(&mut probing) {
+                for server in std::mem::take(&mut health_checks) {
                     let outcome = [Outcome::Success, Outcome::Success, Outcome::Rejected][rng.usize(0..3)];
                     let report = (outcome == Outcome::Success).then(|| vec![rng.f64() * 4.0, f64::NAN]);
                     let elapsed = Span::from_ms(1.0);
@@ -119,71 +120,86 @@
                 actions.extend(harness.advance(Span::from_ms(rng.f64() * 15.0)));
             }
         }
-        // What has run past its deadline comes back as the caller's network would bring it.
-        while let Some(i) = out.iter().position(|o| harness.now >= o.deadline && !o.streaming) {
-            let o = out.swap_remove(i);
-            actions.extend_from_slice(harness.end_attempt(o.request, o.attempt, Outcome::TimedOut, 800.0));
+        // Attempts past their timeout end, as they would in the caller's network.
+        while let Some(i) =
+            in_flight.iter().position(|attempt| harness.now >= attempt.timeout_at && !attempt.is_streaming)
+        {
+            let ended = in_flight.swap_remove(i);
+            actions.extend_from_slice(harness.end_attempt(
+                ended.request,
+                ended.attempt,
+                Outcome::TimedOut,
+                800.0,
+            ));
         }
         for action in &actions {
             match action {
                 Action::Send { request, timeout_at, .. } => {
                     let number = attempts.entry(*request).or_insert(0);
-                    let (attempt, sent, deadline) = (*number, harness.now, *timeout_at);
+                    let (attempt, sent_at, timeout_at) = (*number, harness.now, *timeout_at);
                     *number += 1;
-                    out.push(Out { request: *request, attempt, sent, deadline, streaming: false });
+                    in_flight.push(Attempt {
+                        request: *request,
+                        attempt,
+                        sent_at,
+                        timeout_at,
+                        is_streaming: false,
+                    });
                 }
                 Action::Cancel { request, attempt } => {
-                    let hit = |o: &Out| o.request == *request && o.attempt == attempt.0 && !o.streaming;
-                    if let Some(o) = out.iter_mut().find(|o| hit(o)) {
-                        // It ends soon, as a time-out would; the outcome's name is all that differs.
-                        o.deadline = harness.now;
+                    let is_cancelled = |sent: &Attempt| {
+                        sent.request == *request && sent.attempt == attempt.0 && !sent.is_streaming
+                    };
+                    if let Some(cancelled) = in_flight.iter_mut().find(|sent| is_cancelled(sent)) {
+                        // It ends in the next step, with `TimedOut` instead of `Cancelled`.
+                        cancelled.timeout_at = harness.now;
                     }
                 }
-                Action::HealthCheck { server } => probing.push(*server),
+                Action::HealthCheck { server } => health_checks.push(*server),
                 _ => {}
             }
         }
-        said.push(format!("{actions:?}"));
+        all_actions.push(format!("{actions:?}"));
     }
-    (harness, said)
+    (harness, all_actions)
 }
 
 #[test]
 fn random_walks_violate_no_rule() {
-    for pick in 0..120 {
-        let (harness, said) = walk(pick, 1500);
-        assert!(harness.observer.violations.is_empty(), "walk {pick}: {:#?}", harness.observer.violations);
-        assert_eq!(harness.observer.lost(harness.now), 0, "walk {pick}");
-        let sends = said.iter().filter(|s| s.contains("Send")).count();
-        assert!(sends > 50, "walk {pick} sent only {sends} times and so shows little");
+    for seed in 0..120 {
+        let (harness, all_actions) = walk(seed, 1500);
+        assert!(harness.observer.violations.is_empty(), "seed {seed}: {:#?}", harness.observer.violations);
+        assert_eq!(harness.observer.lost(harness.now), 0, "seed {seed}");
+        let steps_with_sends = all_actions.iter().filter(|actions| actions.contains("Send")).count();
+        assert!(steps_with_sends > 50, "seed {seed}: attempts were sent in only {steps_with_sends} steps");
     }
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
-    for pick in 0..10 {
-        assert_eq!(walk(pick, 800).1, walk(pick, 800).1);
+    for seed in 0..10 {
+        assert_eq!(walk(seed, 800).1, walk(seed, 800).1);
     }
 }
 
 #[test]
 fn different_seeds_give_different_actions() {
-    let with = |seed| {
+    let actions_with = |seed| {
         let mut harness = Harness::new(settings(2), seed);
         harness.set_endpoints(fleet(9, 3, 3));
         (0..20).map(|_| harness.submit(0).1).collect::<Vec<_>>()
     };
-    assert_ne!(with(1), with(2));
+    assert_ne!(actions_with(1), actions_with(2));
 }
 
-/// Two balancers that get events in turn act as each does alone: they share nothing.
+/// Two balancers that handle events in turn return the same actions as each does alone, because they share no state.
 #[test]
 fn interleaved_balancers_are_independent() {
     let step = |harness: &mut Harness, i: u32| {
-        let (id, sent) = harness.submit((i % 3) as usize);
+        let (id, server) = harness.submit((i % 3) as usize);
         let mut actions = harness.actions.clone();
         actions.extend(harness.advance(Span::from_ms(3.0)));
-        if sent.is_some() && i % 4 != 0 {
+        if server.is_some() && i % 4 != 0 {
             actions.extend_from_slice(harness.end_attempt(id, 0, Outcome::Success, 3.0));
         }
         actions
@@ -197,11 +213,11 @@
         let mut harness = start(seed);
         (0..300).map(|i| step(&mut harness, i)).collect::<Vec<_>>()
     };
-    let (mut a, mut b) = (start(3), start(8));
-    let (mut from_a, mut from_b) = (Vec::new(), Vec::new());
+    let (mut first, mut second) = (start(3), start(8));
+    let (mut first_actions, mut second_actions) = (Vec::new(), Vec::new());
     for i in 0..300 {
-        from_a.push(step(&mut a, i));
-        from_b.push(step(&mut b, i));
+        first_actions.push(step(&mut first, i));
+        second_actions.push(step(&mut second, i));
     }
-    assert_eq!((from_a, from_b), (alone(3), alone(8)));
+    assert_eq!((first_actions, second_actions), (alone(3), alone(8)));
 }
--- a/crates/decision/tests/retry_rules.rs
+++ b/crates/decision/tests/retry_rules.rs
@@ -1,4 +1,4 @@
-//! Rule two: no effect happens twice, and nothing that may have executed is rejected.
+//! Rule two: no effect happens twice, and no request that may have been executed is rejected unless a retry is safe.
 mod common;
 use common::*;
 use heronhoist_decision::*;
@@ -13,7 +13,8 @@
     Outcome::NotSent,
 ];
 
-/// The whole table: effect, outcome of the first attempt, deduplication scope, inside or past the window.
+/// Checks every combination of effect, outcome of the first attempt, deduplication scope, and time inside or past the
+/// deduplication window, with and without hedging.
 #[test]
 fn retries_allowed_after_a_first_attempt() {
     let effects = [
@@ -23,40 +24,39 @@
         deduplicated(DeduplicationScope::Zone, 100.0),
         deduplicated(DeduplicationScope::Cell, 100.0),
     ];
-    for copies in [false, true] {
+    for hedging in [false, true] {
         for effect in effects {
             for outcome in OUTCOMES {
                 for ms in [5.0, 120.0] {
-                    let settings =
-                        Settings { classes: vec![class(effect)], hedging: copies, ..Settings::default() };
+                    let settings = Settings { classes: vec![class(effect)], hedging, ..Settings::default() };
                     let mut harness = Harness::new(settings, 3);
                     harness.set_endpoints(fleet(12, 3, 4));
                     let (id, first) = harness.submit(0);
-                    let first = first.expect("an idle fleet takes a request").0;
+                    let first = first.expect("the fleet is idle").0;
                     harness.advance(Span::from_ms(ms));
                     harness.end_attempt(id, 0, outcome, ms);
                     let (next, actions) = (harness.target_of(id), harness.actions.clone());
-                    let case = format!("{effect:?} {outcome:?} after {ms} ms, copies {copies}");
-                    let proven = outcome.never_ran();
-                    let inside = ms < 100.0;
+                    let case = format!("{effect:?} {outcome:?} after {ms} ms, hedging {hedging}");
+                    let never_ran = outcome.never_ran();
+                    let is_inside_window = ms < 100.0;
                     match effect {
                         Effect::Idempotent => assert!(next.is_some(), "{case}"),
                         Effect::AtMostOnce => {
-                            assert_eq!(next.is_some(), proven, "{case}");
-                            assert_eq!(is_failed(&actions, id), !proven, "{case}");
+                            assert_eq!(next.is_some(), never_ran, "{case}");
+                            assert_eq!(is_failed(&actions, id), !never_ran, "{case}");
                         }
-                        Effect::Deduplicated { scope: group, .. } => {
-                            assert_eq!(next.is_some(), proven || inside, "{case}");
-                            let next = next.map_or(first, |s| s.0);
-                            match group {
-                                _ if proven => {}
+                        Effect::Deduplicated { scope, .. } => {
+                            assert_eq!(next.is_some(), never_ran || is_inside_window, "{case}");
+                            let next = next.map_or(first, |server| server.0);
+                            match scope {
+                                _ if never_ran => {}
                                 DeduplicationScope::All => {
-                                    assert_eq!(is_rejected(&actions, id), !inside, "{case}");
+                                    assert_eq!(is_rejected(&actions, id), !is_inside_window, "{case}");
                                 }
                                 DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
                             }
-                            if !proven && !inside && group != DeduplicationScope::All {
+                            if !never_ran && !is_inside_window && scope != DeduplicationScope::All {
                                 assert!(is_failed(&actions, id), "{case}");
                             }
                         }
@@ -68,7 +68,8 @@
     }
 }
 
-/// Window and scope are those of the first attempt that may have executed, not of the first or the last.
+/// The deduplication window and scope are those of the first attempt that may have been executed, which may be neither
+/// the first attempt nor the last.
 #[test]
 fn deduplication_scope_is_that_of_the_first_attempt_that_may_have_executed() {
     let settings = Settings {
@@ -81,17 +82,17 @@
         harness.set_endpoints(fleet(9, 3, 3));
         let (id, _) = harness.submit(0);
         harness.end_attempt(id, 0, Outcome::ConnectFailed, 1.0);
-        let second = harness.target_of(id).expect("never ran: anywhere").0;
+        let second = harness.target_of(id).expect("not executed, so any server is allowed").0;
         harness.end_attempt(id, 1, Outcome::ConnectionReset, 1.0);
-        let third = harness.target_of(id).expect("inside the window: same zone").0;
+        let third = harness.target_of(id).expect("inside the window, so the same zone is allowed").0;
         assert_eq!(third % 3, second % 3);
         harness.assert_no_violation();
     }
 }
 
-/// Proof that an attempt was not executed does not clear an earlier one that may have been.
+/// If a later attempt was certainly not executed, an earlier one may still have been.
 #[test]
-fn later_proof_does_not_clear_an_earlier_attempt() {
+fn attempt_that_never_ran_does_not_lift_the_rules_for_an_earlier_one() {
     let settings = Settings {
         classes: vec![class(deduplicated(DeduplicationScope::Cell, 5000.0))],
         ..Settings::default()
@@ -102,8 +103,8 @@
     harness.end_attempt(id, 0, Outcome::ServerError, 1.0);
     assert!(harness.target_of(id).is_some());
     harness.end_attempt(id, 1, Outcome::Rejected, 1.0);
-    let third = harness.target_of(id).map(|s| s.0 % 4);
+    let third = harness.target_of(id).map(|server| server.0 % 4);
     assert_eq!(third.unwrap_or(first.unwrap().0 % 4), first.unwrap().0 % 4);
-    assert!(!is_rejected(&harness.actions, id), "it may have run in the first attempt");
+    assert!(!is_rejected(&harness.actions, id), "it may have been executed in the first attempt");
     harness.assert_no_violation();
 }
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -1,35 +1,41 @@
-//! Invalid settings, and settings that lack whatever a decision could use.
+//! Invalid settings, and settings without any optional feature.
 mod common;
 use common::*;
 use heronhoist_decision::*;
 
 #[test]
 fn invalid_settings_are_errors_and_not_panics() {
-    let with = |change: fn(&mut Settings)| {
+    let error_with = |change: fn(&mut Settings)| {
         let mut settings = Settings::default();
         change(&mut settings);
         Balancer::new(settings, 1).err()
     };
-    assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(error_with(|settings| settings.classes.clear()), Some(SettingsError::NoClasses));
+    assert_eq!(error_with(|settings| settings.max_attempts = 0), Some(SettingsError::NoAttempts));
     assert_eq!(
-        with(|s| s.classes[0].latency_objective = Span::ZERO),
+        error_with(|settings| settings.classes[0].latency_objective = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "aim" })
     );
     assert_eq!(
-        with(|s| s.classes[0].deadline = Span::ZERO),
+        error_with(|settings| settings.classes[0].deadline = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "deadline" })
     );
-    assert!(matches!(with(|s| s.initial_capacity_share = f64::NAN), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
     assert!(matches!(
-        with(|s| s.classes[0].priority_weight = f64::INFINITY),
+        error_with(|settings| settings.initial_capacity_share = f64::NAN),
         Some(SettingsError::BadNumber { .. })
     ));
-    assert_eq!(with(|_| ()), None);
+    assert!(matches!(
+        error_with(|settings| settings.overload_factor = -1.0),
+        Some(SettingsError::BadNumber { .. })
+    ));
+    assert!(matches!(
+        error_with(|settings| settings.classes[0].priority_weight = f64::INFINITY),
+        Some(SettingsError::BadNumber { .. })
+    ));
+    assert_eq!(error_with(|_| ()), None);
 }
 
-/// Without reports, keys, tenants, health checks, cancellation, Retry-After and score weights requests are served all the same.
+/// Requests are served without load reports, keys, tenants, health checks, cancellation, Retry-After and score weights.
 #[test]
 fn a_class_is_the_only_setting_needed() {
     let settings = Settings {
@@ -42,8 +48,8 @@
     let mut harness = Harness::new(settings, 1);
     harness.set_endpoints(fleet(3, 1, 1));
     for _ in 0..100 {
-        let (id, sent) = harness.submit(0);
-        assert!(sent.is_some());
+        let (id, server) = harness.submit(0);
+        assert!(server.is_some());
         harness.advance(Span::from_ms(10.0));
         harness.end_attempt_with_report(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
     }
--- a/crates/decision/tests/settings_changes.rs
+++ b/crates/decision/tests/settings_changes.rs
@@ -1,10 +1,11 @@
-//! New settings hold for what comes after them; pending requests keep their class.
+//! New settings apply to later requests. Pending requests keep their class and their maximum number of attempts.
 mod common;
 use common::*;
 use heronhoist_decision::*;
 
 const READ: ClassId = ClassId(0);
-const LATER: ClassId = ClassId(1);
+/// The identifier of the class that replaces `READ`.
+const REPLACEMENT: ClassId = ClassId(1);
 
 fn new_settings(class: Class, max_attempts: u32, id: ClassId) -> Event {
     let settings = Settings { classes: vec![class], max_attempts, ..Settings::default() };
@@ -18,17 +19,17 @@
     harness
 }
 
-/// A class turns non-idempotent while a request is pending: that one may still be retried, the next may not.
+/// A class becomes non-idempotent while a request is pending. That request may still be retried; later ones may not.
 #[test]
 fn pending_request_keeps_its_effect() {
     let mut harness = harness(3);
     let (before, server) = harness.submit(READ.0);
     assert!(server.is_some());
-    harness.notify(new_settings(class(Effect::AtMostOnce), 3, LATER));
-    let (after, server) = harness.submit(LATER.0);
+    harness.notify(new_settings(class(Effect::AtMostOnce), 3, REPLACEMENT));
+    let (after, server) = harness.submit(REPLACEMENT.0);
     assert!(server.is_some());
     harness.end_attempt(before, 0, Outcome::ServerError, 5.0);
-    assert!(harness.target_of(before).is_some(), "it came while its class was safe to repeat");
+    assert!(harness.target_of(before).is_some(), "its class was idempotent when it arrived");
     harness.end_attempt(after, 0, Outcome::ServerError, 5.0);
     assert!(is_failed(&harness.actions.clone(), after));
     harness.assert_no_violation();
@@ -46,21 +47,22 @@
     assert!(harness.target_of(after).is_none() && is_rejected(&harness.actions.clone(), after));
 }
 
-/// A request of a class that has just been retired was taken before and is served; long after, it is rejected.
+/// A request of a class that has just been retired may have been accepted before and must be served. Long after that,
+/// requests of the class are rejected.
 #[test]
 fn retired_class_is_served_for_a_while_and_then_dropped() {
     let mut harness = harness(3);
-    let (open, _) = harness.submit(READ.0);
-    harness.notify(new_settings(class(Effect::Idempotent), 3, LATER));
-    let (taken, server) = harness.submit(READ.0);
-    assert!(server.is_some(), "its head came before the new settings did");
-    harness.end_attempt(open, 0, Outcome::Success, 5.0);
-    harness.end_attempt(taken, 0, Outcome::Success, 5.0);
+    let (pending, _) = harness.submit(READ.0);
+    harness.notify(new_settings(class(Effect::Idempotent), 3, REPLACEMENT));
+    let (accepted, server) = harness.submit(READ.0);
+    assert!(server.is_some(), "a class is still served just after it was retired");
+    harness.end_attempt(pending, 0, Outcome::Success, 5.0);
+    harness.end_attempt(accepted, 0, Outcome::Success, 5.0);
     harness.advance(Span::from_ms(120_000.0));
     let (late, server) = harness.submit(READ.0);
     assert!(server.is_none() && is_rejected(&harness.actions.clone(), late));
-    assert!(harness.submit(LATER.0).1.is_some());
-    // And it may come back.
+    assert!(harness.submit(REPLACEMENT.0).1.is_some());
+    // A dropped class can be added again.
     harness.notify(new_settings(class(Effect::Idempotent), 3, READ));
     assert!(harness.submit(READ.0).1.is_some());
 }
@@ -69,41 +71,42 @@
 fn invalid_settings_change_nothing() {
     let mut harness = harness(3);
     harness.notify(new_settings(class(Effect::AtMostOnce), 0, READ));
-    harness.notify(Event::Settings { settings: Box::default(), class_ids: vec![READ, LATER] });
+    harness.notify(Event::Settings { settings: Box::default(), class_ids: vec![READ, REPLACEMENT] });
     let (id, _) = harness.submit(READ.0);
     harness.end_attempt(id, 0, Outcome::ServerError, 5.0);
     assert!(harness.target_of(id).is_some());
 }
 
-/// The random order of the servers is made when it is first needed, and again after each list.
+/// The random order of the servers is created when the number of balancers first requires it, and again after each new
+/// endpoint list.
 #[test]
 fn subsetting_follows_the_number_of_balancers() {
     let few = Settings { classes: vec![class(Effect::Idempotent)], balancers: 1, ..Settings::default() };
     let many = Settings { balancers: 300, ..few.clone() };
     let mut harness = Harness::new(few.clone(), 5);
     harness.set_endpoints(fleet(60, 1, 1));
-    let asked_of = |harness: &mut Harness| {
+    let servers_used = |harness: &mut Harness| {
         let servers: std::collections::BTreeSet<_> =
             (0..400).filter_map(|_| harness.submit_and_answer(50.0)).collect();
         servers.len()
     };
-    let by_few = asked_of(&mut harness);
-    let tell = |harness: &mut Harness, settings: &Settings| {
+    let with_few = servers_used(&mut harness);
+    let apply_settings = |harness: &mut Harness, settings: &Settings| {
         let event = Event::Settings { settings: Box::new(settings.clone()), class_ids: vec![ClassId(0)] };
         harness.notify(event);
         harness.advance(Span::from_ms(100.0));
     };
-    tell(&mut harness, &many);
-    let by_many = asked_of(&mut harness);
-    // All others, and the old ones again.
+    apply_settings(&mut harness, &many);
+    let with_many = servers_used(&mut harness);
+    // A list of other servers, and then the first list again.
     harness.set_endpoints(fleet(120, 1, 1).split_off(60));
-    let after_a_list = asked_of(&mut harness);
+    let after_other_list = servers_used(&mut harness);
     harness.set_endpoints(fleet(60, 1, 1));
-    let after_the_old_list = asked_of(&mut harness);
-    tell(&mut harness, &few);
-    let by_few_again = asked_of(&mut harness);
-    let parts = [by_many, after_a_list, after_the_old_list];
-    assert!(parts.iter().all(|n| (4..20).contains(n)), "{parts:?} of 60");
-    assert!(by_few > 40 && by_few_again > 40, "{by_few}, {by_few_again} of 60");
+    let after_first_list = servers_used(&mut harness);
+    apply_settings(&mut harness, &few);
+    let with_few_again = servers_used(&mut harness);
+    let subsets = [with_many, after_other_list, after_first_list];
+    assert!(subsets.iter().all(|n| (4..20).contains(n)), "{subsets:?} of 60 servers used");
+    assert!(with_few > 40 && with_few_again > 40, "{with_few} and {with_few_again} of 60 servers used");
     harness.assert_no_violation();
 }
