--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,25 +1,26 @@
-//! The settings object as it stands on the wire.
+//! The JSON form of the settings object. The names of fields and variants are the keys and values of the
+//! JSON.
 
 use serde::Deserialize;
 
-/// An instance's settings. Absent keys take the values of [`Default`]; unknown ones are skipped.
+/// The settings object. Absent keys have the values of [`Default`], and unknown keys are ignored.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Params {
+pub struct SettingsObject {
     pub balancers: Option<u32>,
-    pub classes: Vec<ClassParams>,
+    pub classes: Vec<ClassObject>,
     pub discovery: Option<Discovery>,
-    pub family_info: FamilyInfo,
-    pub feedback: Feedback,
-    pub goal: Goal,
+    pub family_info: Affinity,
+    pub feedback: LoadReports,
+    pub goal: ScoreWeights,
     pub limits: Limits,
     pub over_share_worth: Option<f64>,
-    pub parties: Vec<Party>,
-    pub penalties: Penalties,
+    pub parties: Vec<TenantObject>,
+    pub penalties: Costs,
     pub period_ms: Option<f64>,
     pub rules: Rules,
-    pub weights: Option<Weights>,
-    pub worth_by: Option<WorthBy>,
+    pub weights: Option<WeightMeaning>,
+    pub worth_by: Option<WeightUnit>,
     pub zone: u32,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -27,13 +28,13 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct ClassParams {
+pub struct ClassObject {
     pub name: String,
     pub aim_stretch: Option<f64>,
     pub aim_ms: f64,
     pub deadline_ms: f64,
     pub effect: Effect,
-    pub group: Option<Group>,
+    pub group: Option<Scope>,
     pub late_worth: f64,
     pub stream: bool,
     pub dedup_window_ms: f64,
@@ -51,7 +52,7 @@
 
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Group {
+pub enum Scope {
     All,
     Zone,
     Cell,
@@ -66,7 +67,7 @@
 
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Weights {
+pub enum WeightMeaning {
     Silent,
     Nominal,
     Rough,
@@ -75,14 +76,14 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum WorthBy {
+pub enum WeightUnit {
     Request,
     Work,
 }
 
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Source {
+pub enum ReportSource {
     Piggyback,
     Pull,
     #[default]
@@ -91,20 +92,20 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct FamilyInfo {
+pub struct Affinity {
     pub warm_keys: bool,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Feedback {
+pub struct LoadReports {
     pub fields: Vec<String>,
-    pub source: Source,
+    pub source: ReportSource,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Goal {
+pub struct ScoreWeights {
     pub whole: f64,
     pub worst_class: f64,
     pub worst_tenant: f64,
@@ -128,7 +129,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Party {
+pub struct TenantObject {
     pub name: String,
     pub allowance_per_s: f64,
     pub fraction: f64,
@@ -136,7 +137,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Penalties {
+pub struct Costs {
     pub connection: f64,
     pub cross_zone: f64,
     pub handshake: f64,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn what_is_absent_keeps_the_default_and_names_stand_in_order() {
+fn absent_keys_keep_their_defaults_and_names_keep_their_order() {
     let text = r#"{"classes":[{"name":"read","aimMs":200.0,"deadlineMs":400.0,"effect":"deduplicated","group":"zone",
             "dedupWindowMs":900.0}],"parties":[{"name":"courts","fraction":0.5,"allowancePerS":10.0}],"zones":["a","b"],
             "zone":1,"feedback":{"fields":["qps","queue"],"source":"piggyback"},"limits":{"keepaliveMs":10000.0},"new":[1]}"#;
-    let file: SettingsFile = serde_json::from_str(text).expect("readable");
+    let file: SettingsFile = serde_json::from_str(text).expect("a valid settings object");
     let settings = file.settings();
     assert_eq!(settings.zone, ZoneId(1));
     assert_eq!(settings.max_attempts, Settings::default().max_attempts);
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Every key and every word of the settings object, as deployments write them. All values differ from the defaults and from one
-//! another, so that a key or word that is no longer understood shows in what it sets.
+//! Reads a settings object with every key and every named value that deployments use. All values differ from the defaults
+//! and from each other, so that a key or value that is no longer recognized changes the result.
 
 use heronhoist_decision::*;
 use heronhoist_settings::SettingsFile;
@@ -8,17 +8,17 @@
 const OBJECT: &str = include_str!("golden/settings.json");
 
 fn read(object: &Value) -> SettingsFile {
-    serde_json::from_value(object.clone()).expect("a settings object")
+    serde_json::from_value(object.clone()).expect("a valid settings object")
 }
 
 fn object() -> Value {
-    serde_json::from_str(OBJECT).expect("JSON")
+    serde_json::from_str(OBJECT).expect("valid JSON")
 }
 
-/// The object with one key set to another word.
-fn settings_with(pointer: &str, word: &str) -> Settings {
+/// Returns the settings of the object with one key set to another value.
+fn settings_with(pointer: &str, value: &str) -> Settings {
     let mut object = object();
-    *object.pointer_mut(pointer).expect("a key of the object") = json!(word);
+    *object.pointer_mut(pointer).expect("a key of the object") = json!(value);
     read(&object).settings()
 }
 
@@ -58,12 +58,13 @@
     let costs = &settings.costs;
     assert_eq!([costs.connection, costs.cross_zone, costs.handshake], [0.51, 0.52, 0.53]);
     assert_eq!([costs.late_failure, costs.health_check, costs.wasted_work], [0.54, 0.55, 0.56]);
-    let tenants: Vec<_> = settings.tenants.iter().map(|t| (t.quota_per_second, t.quota_fraction)).collect();
+    let tenants: Vec<_> =
+        settings.tenants.iter().map(|tenant| (tenant.quota_per_second, tenant.quota_fraction)).collect();
     assert_eq!(tenants, [(41.0, 0.42), (43.0, 0.44)]);
 }
 
 #[test]
-fn classes_are_read_by_their_keys_and_words() {
+fn classes_are_read_by_their_keys_and_named_values() {
     let classes = read(&object()).settings().classes;
     let deduplicated = |scope, ms| Effect::Deduplicated { scope, window: Span::from_ms(ms) };
     let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn names_and_what_only_the_agent_uses_are_read_by_their_keys() {
+fn names_and_settings_of_the_agent_are_read_by_their_keys() {
     let file = read(&object());
     assert_eq!(file.class_names(), ["read", "once", "all", "zone", "cell"]);
     assert_eq!(file.tenant_names(), ["courts", "clerks"]);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn each_word_of_a_choice_keeps_its_meaning() {
+fn each_named_value_keeps_its_meaning() {
     let settings = read(&object()).settings();
     let fields = [
         ReportField::InFlight,
@@ -113,23 +114,23 @@
         ReportField::Other,
     ];
     assert_eq!(settings.report_fields, fields);
-    for (word, meaning) in [("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)] {
-        assert_eq!(settings_with("/discovery", word).discovery, meaning, "{word}");
+    for (value, meaning) in [("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)] {
+        assert_eq!(settings_with("/discovery", value).discovery, meaning, "{value}");
     }
-    for (word, meaning) in [
+    for (value, meaning) in [
         ("piggyback", ReportSource::Responses),
         ("pull", ReportSource::HealthChecks),
         ("silent", ReportSource::None),
     ] {
-        assert_eq!(settings_with("/feedback/source", word).report_source, meaning, "{word}");
+        assert_eq!(settings_with("/feedback/source", value).report_source, meaning, "{value}");
     }
-    for (word, meaning) in [
+    for (value, meaning) in [
         ("silent", WeightMeaning::None),
         ("nominal", WeightMeaning::Size),
         ("rough", WeightMeaning::Size),
         ("live", WeightMeaning::CapacityPerLoad),
     ] {
-        assert_eq!(settings_with("/weights", word).weight_meaning, meaning, "{word}");
+        assert_eq!(settings_with("/weights", value).weight_meaning, meaning, "{value}");
     }
     assert!(settings_with("/worthBy", "work").weight_by_work);
     assert!(!settings_with("/worthBy", "request").weight_by_work);
