--- a/crates/decision/src/policy/machine_types.rs
+++ b/crates/decision/src/policy/machine_types.rs
@@ -28,7 +28,7 @@
 }
 
 impl MachineTypes {
-    /// Records a response of a server of slowness type, which took `elapsed` for `work_ms` milliseconds of
+    /// Records a response of a server of this type, which took `elapsed` for `work_ms` milliseconds of
     /// work.
     pub(super) fn record(&mut self, machine_type: MachineTypeId, elapsed: Span, work_ms: f64) {
         // The logarithm keeps a response that took ten times as long from weighing as much as ten responses.
@@ -38,11 +38,9 @@
         slowness.mean_log += (log - slowness.mean_log) / slowness.samples;
     }
 
-    /// The probability with which a drawn server of slowness type is accepted: 1 for the fastest type.
+    /// The probability with which a drawn server of this type is accepted: 1 for the fastest type.
     pub(super) fn acceptance_probability(&self, machine_type: MachineTypeId) -> f64 {
-        let Some(slowness) = self.0.get(&machine_type).filter(|slowness| slowness.is_known()) else {
-            return 1.0;
-        };
+        let Some(slowness) = self.0.get(&machine_type).filter(|found| found.is_known()) else { return 1.0 };
         let known = self.0.values().filter(|slowness| slowness.is_known());
         let fastest = known.map(|slowness| slowness.mean_log).fold(f64::INFINITY, f64::min);
         (SLOWNESS_EXPONENT * (fastest - slowness.mean_log)).exp().max(MIN_ACCEPTANCE_PROBABILITY)
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -57,8 +57,14 @@
         last_second
     };
     let (tight, congested) = (served_in_last_second(70.0, 70.0), served_in_last_second(10.0, 70.0));
-    assert!(tight > 90, "{tight} of 100 served if the minimum latency is a third of the latency objective");
-    assert!(congested < 60, "{congested} of 100 served if the latency is seven times the minimum");
+    assert!(
+        tight > 90,
+        "{tight} of 100 served in a second if the minimum latency is a third of the latency objective"
+    );
+    assert!(
+        congested < 60,
+        "{congested} of 100 served in a second if the latency is seven times the minimum"
+    );
 }
 
 /// In first-in, first-out order, every queued request would wait until its response is late.
@@ -125,7 +131,7 @@
     for _ in 0..60 {
         round(15.0);
     }
-    assert!(round(15.0) > reduced + 2, "the limits must grow again, also from their minimum");
+    assert!(round(15.0) > reduced + 2, "the limits must grow again, even from as low as 1.5");
 }
 
 /// A request whose attempts are rejected must not be sent at once to one full server after another.
--- a/crates/decision/tests/slow_start.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -186,8 +186,8 @@
         }
         harness.advance(Span::from_ms(10.0));
     }
-    assert!(sent > submitted / 10, "{sent} of {submitted} sent to the two warming servers");
-    assert!(sent < submitted * 2 / 3, "{sent} of {submitted} sent to the two warming servers");
+    assert!(sent > submitted / 10, "only {sent} of {submitted} sent to the two warming servers");
+    assert!(sent < submitted * 2 / 3, "as many as {sent} of {submitted} sent to the two warming servers");
     // No check for violations: the observer compares warming servers with warm ones, and the only warm one is down.
 }
 
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,5 +1,4 @@
-//! The JSON form of the settings object. The names of fields and variants are the keys and values of the
-//! JSON.
+//! The JSON form of the settings object. Its keys and values follow from the names of the fields and variants.
 
 use serde::Deserialize;
 
