--- a/crates/decision/src/api/outcomes.rs
+++ b/crates/decision/src/api/outcomes.rs
@@ -24,7 +24,7 @@
 impl Outcome {
     /// Returns whether this outcome proves that the request was not executed.
     #[must_use]
-    pub fn never_ran(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -69,7 +69,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(pending) = self.requests.pending.get_mut(&key.request) else { return };
-        let is_proved = result.outcome.never_ran();
+        let is_proved = result.outcome.proves_not_executed();
         let state = if is_proved { AttemptState::NotExecuted } else { AttemptState::MaybeExecuted };
         pending.attempts[key.attempt.0 as usize].state = state;
         let latency_objective = self.classes[&attempt.class].class.latency_objective;
--- a/crates/decision/tests/common/observer.rs
+++ b/crates/decision/tests/common/observer.rs
@@ -136,7 +136,7 @@
         let maybe_executed = observed
             .attempts
             .iter()
-            .find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()));
+            .find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.proves_not_executed()));
         let Some(first) = maybe_executed else { return Some((None, None)) };
         match self.settings.classes[observed.class].effect {
             Effect::Idempotent => Some((None, None)),
@@ -152,7 +152,7 @@
         let maybe_executed = observed
             .attempts
             .iter()
-            .any(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()));
+            .any(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.proves_not_executed()));
         match self.settings.classes[observed.class].effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => !maybe_executed,
--- a/crates/decision/tests/retry_rules.rs
+++ b/crates/decision/tests/retry_rules.rs
@@ -37,26 +37,26 @@
                     harness.end_attempt(id, 0, outcome, ms);
                     let (next, actions) = (harness.target_of(id), harness.actions.clone());
                     let case = format!("{effect:?} {outcome:?} after {ms} ms, hedging {hedging}");
-                    let never_ran = outcome.never_ran();
+                    let not_executed = outcome.proves_not_executed();
                     let is_inside_window = ms < 100.0;
                     match effect {
                         Effect::Idempotent => assert!(next.is_some(), "{case}"),
                         Effect::AtMostOnce => {
-                            assert_eq!(next.is_some(), never_ran, "{case}");
-                            assert_eq!(is_failed(&actions, id), !never_ran, "{case}");
+                            assert_eq!(next.is_some(), not_executed, "{case}");
+                            assert_eq!(is_failed(&actions, id), !not_executed, "{case}");
                         }
                         Effect::Deduplicated { scope, .. } => {
-                            assert_eq!(next.is_some(), never_ran || is_inside_window, "{case}");
+                            assert_eq!(next.is_some(), not_executed || is_inside_window, "{case}");
                             let next = next.map_or(first, |server| server.0);
                             match scope {
-                                _ if never_ran => {}
+                                _ if not_executed => {}
                                 DeduplicationScope::All => {
                                     assert_eq!(is_rejected(&actions, id), !is_inside_window, "{case}");
                                 }
                                 DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
                             }
-                            if !never_ran && !is_inside_window && scope != DeduplicationScope::All {
+                            if !not_executed && !is_inside_window && scope != DeduplicationScope::All {
                                 assert!(is_failed(&actions, id), "{case}");
                             }
                         }
@@ -92,7 +92,7 @@
 
 /// If a later attempt was certainly not executed, an earlier one may still have been.
 #[test]
-fn attempt_that_never_ran_does_not_lift_the_rules_for_an_earlier_one() {
+fn attempt_that_was_not_executed_does_not_lift_the_rules_for_an_earlier_one() {
     let settings = Settings {
         classes: vec![class(deduplicated(DeduplicationScope::Cell, 5000.0))],
         ..Settings::default()
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -127,7 +127,7 @@
     type Response: 'static;
 
     /// Sends one attempt, once `gate` is [open](Gate::open). Its outcome decides whether the request may be sent
-    /// again, so an outcome that [never ran](Outcome::never_ran) needs proof.
+    /// again, so an outcome that [rules out execution](Outcome::proves_not_executed) needs proof.
     fn attempt(
         &self,
         endpoint: EndpointAddress<Self::Address>,
--- a/crates/lab/src/planted.rs
+++ b/crates/lab/src/planted.rs
@@ -101,7 +101,7 @@
         }
         let answer = match outcome {
             Outcome::Success => Answer::Served,
-            outcome if outcome.never_ran() => Answer::Refused(None),
+            outcome if outcome.proves_not_executed() => Answer::Refused(None),
             _ => Answer::Failed,
         };
         if self.fault == Fault::AnswersTwice && ask.call % 50 == 7 {
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -185,7 +185,7 @@
             let attempt = self.ways[agent].attempt(server, &ask, &may_send);
             match timeout_at(deadline, attempt).await {
                 Ok(Outcome::Success) => return Reply::Answer(Answer::Served),
-                Ok(outcome) if outcome.never_ran() || repeats == Repeats::Harmless => {}
+                Ok(outcome) if outcome.proves_not_executed() || repeats == Repeats::Harmless => {}
                 Ok(_) | Err(_) => return Reply::Answer(Answer::Failed),
             }
             sleep(Duration::from_millis(1 << n.min(5))).await;
