--- a/crates/decision/src/api/settings.rs
+++ b/crates/decision/src/api/settings.rs
@@ -83,7 +83,7 @@
     /// How endpoint-list updates reach the balancer.
     pub discovery: Discovery,
     /// The longest time between two polls of the endpoint list when there is no subscription.
-    pub poll_within: Span,
+    pub max_poll_interval: Span,
     /// Which messages of a server carry its load report.
     pub report_source: ReportSource,
     /// The fields of a load report, in order.
@@ -135,7 +135,7 @@
             score_weights: ScoreWeights::default(),
             costs: Costs::default(),
             discovery: Discovery::Pushed,
-            poll_within: Span::from_ms(10_000.0),
+            max_poll_interval: Span::from_ms(10_000.0),
             report_source: ReportSource::None,
             report_fields: Vec::new(),
             weight_meaning: WeightMeaning::None,
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -171,7 +171,7 @@
     fn update_endpoints(&mut self, now: Time, update: EndpointUpdate, actions: &mut Vec<Action>) {
         let (entries, is_complete) = match update {
             EndpointUpdate::Failed => {
-                self.resubscription.schedule(now, self.rng.f64(), self.settings.poll_within);
+                self.resubscription.schedule(now, self.rng.f64(), self.settings.max_poll_interval);
                 return;
             }
             EndpointUpdate::Changes(entries) => (entries, false),
--- a/crates/decision/src/policy/resubscription.rs
+++ b/crates/decision/src/policy/resubscription.rs
@@ -25,9 +25,9 @@
 
 impl Resubscription {
     /// Schedules the next subscription after a failure. `draw` is a uniform random number from 0 to 1.
-    pub(super) fn schedule(&mut self, now: Time, draw: f64, poll_within: Span) {
+    pub(super) fn schedule(&mut self, now: Time, draw: f64, max_poll_interval: Span) {
         self.due_at = Some(now + self.backoff * (MIN_JITTER + draw));
-        let max_backoff = (poll_within * MAX_POLL_FRACTION).min(INITIAL_BACKOFF * MAX_BACKOFF_FACTOR);
+        let max_backoff = (max_poll_interval * MAX_POLL_FRACTION).min(INITIAL_BACKOFF * MAX_BACKOFF_FACTOR);
         self.backoff = (self.backoff * 2.0).min(max_backoff);
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -59,7 +59,7 @@
                 Some(schema::Discovery::OnRequest) => Discovery::OnRequest,
                 Some(schema::Discovery::Pushed) | None => Discovery::Pushed,
             },
-            poll_within: span(rules.ask_within_ms, default.poll_within),
+            max_poll_interval: span(rules.ask_within_ms, default.max_poll_interval),
             report_source: match object.feedback.source {
                 schema::ReportSource::Piggyback => ReportSource::Responses,
                 schema::ReportSource::Pull => ReportSource::HealthChecks,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -33,7 +33,7 @@
     assert!(settings.retry_after && settings.hedging);
     assert_eq!(settings.max_attempts, 7);
     assert_eq!(settings.max_retry_after, Span::from_ms(2004.0));
-    assert_eq!(settings.poll_within, Span::from_ms(3001.0));
+    assert_eq!(settings.max_poll_interval, Span::from_ms(3001.0));
     assert_eq!(settings.initial_capacity_share, 0.71);
     assert_eq!(settings.warm_up_time, Span::from_ms(3002.0));
     assert_eq!(settings.drain_grace, Span::from_ms(3003.0));
