--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -180,9 +180,12 @@
     let duration = |span: Option<Span>, other_ms| Duration::from(span.unwrap_or(Span::from_ms(other_ms)));
     let pool = PoolPlan {
         name: MAIN.into(),
-        names: ServerNames { zones: file.zone_names().to_vec(), machine_types: file.kind_names().to_vec() },
+        names: ServerNames {
+            zones: file.zone_names().to_vec(),
+            machine_types: file.machine_type_names().to_vec(),
+        },
         http: HttpTerms {
-            report_names: file.report_names().to_vec(),
+            report_names: file.report_field_names().to_vec(),
             has_reports: settings.report_source != ReportSource::None,
             connect_timeout: duration(file.connect_timeout(), 250.0),
             keepalive: duration(file.keepalive(), 10_000.0),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -107,12 +107,12 @@
     }
 
     /// Returns the names of the machine types, in the order of their numbers.
-    pub fn kind_names(&self) -> &[String] {
+    pub fn machine_type_names(&self) -> &[String] {
         &self.0.kinds
     }
 
     /// Returns the names of a load report's fields, in the order of [`Settings::report_fields`].
-    pub fn report_names(&self) -> &[String] {
+    pub fn report_field_names(&self) -> &[String] {
         &self.0.feedback.fields
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Returns the maximum number of requests that an agent may have open.
-    pub fn max_open(&self) -> Option<usize> {
+    pub fn max_open_requests(&self) -> Option<usize> {
         self.0.limits.max_open.map(|count| count as usize)
     }
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -94,11 +94,14 @@
     assert_eq!(file.class_names(), ["read", "once", "all", "zone", "cell"]);
     assert_eq!(file.tenant_names(), ["courts", "clerks"]);
     assert_eq!(file.zone_names(), ["north", "south", "west"]);
-    assert_eq!(file.kind_names(), ["small", "large"]);
-    assert_eq!(file.report_names(), ["inflight", "queue", "util", "latency_ms", "qps", "eps", "weather"]);
+    assert_eq!(file.machine_type_names(), ["small", "large"]);
+    assert_eq!(
+        file.report_field_names(),
+        ["inflight", "queue", "util", "latency_ms", "qps", "eps", "weather"]
+    );
     assert_eq!(file.connect_timeout(), Some(Span::from_ms(2001.0)));
     assert_eq!(file.keepalive(), Some(Span::from_ms(2002.0)));
-    assert_eq!(file.max_open(), Some(2003));
+    assert_eq!(file.max_open_requests(), Some(2003));
 }
 
 #[test]
