--- a/crates/decision/tests/dialects.rs
+++ b/crates/decision/tests/dialects.rs
@@ -20,7 +20,7 @@
     fleet(n, 2, 3).into_iter().map(|endpoint| Endpoint { dialect: dialect(&endpoint), ..endpoint }).collect()
 }
 
-/// Submits requests that can be sent in `dialects`, of whose attempts half fail. Returns the number of attempts sent to
+/// Submits requests that can be sent in `dialects`; half of their attempts fail. Returns the number of attempts sent to
 /// servers of the old dialect and to the others.
 fn sent(balancers: u32, dialects: Dialects, seed: u64) -> [usize; 2] {
     let mut harness = Harness::new(settings(balancers), seed);
