--- a/crates/coordination/src/node/operation.rs
+++ b/crates/coordination/src/node/operation.rs
@@ -24,7 +24,7 @@
     /// Renews the lease of this member and incarnation. Only the leader takes it.
     Renew(String, Incarnation),
     /// Adds a process to the cluster, removes one, or both at once. Only the leader takes it.
-    Replace {
+    ChangePeers {
         /// The process to add.
         add: Option<(NodeId, Peer)>,
         /// The process to remove.
@@ -42,17 +42,17 @@
     /// The lease is renewed, counted from when the operation was submitted.
     Renewed,
     /// The lease has expired, or is about to.
-    Ended,
+    Expired,
     /// A newer process has the name, or waits for it.
-    Displaced,
+    Superseded,
     /// The processes of the cluster have been changed.
-    Replaced,
+    PeersChanged,
     /// This node is not the leader; that one is, if any is known.
     NotLeader(Option<NodeId>),
     /// The outcome is unknown: the operation may have been carried out, or may still be.
     Unknown,
     /// A limit would be exceeded. Nothing was done.
-    Over(LimitExceeded),
+    LimitExceeded(LimitExceeded),
     /// The operation cannot be carried out, for this reason.
     Refused(String),
 }
@@ -65,7 +65,7 @@
         let max_in_flight = self.settings.limits.in_flight;
         if self.pending.len() >= max_in_flight {
             let limit = LimitExceeded::new("in_flight", max_in_flight);
-            self.results.push((id, OperationResult::Over(limit)));
+            self.results.push((id, OperationResult::LimitExceeded(limit)));
             return id;
         }
         self.pending.insert(id, now);
@@ -81,7 +81,7 @@
                 self.next_round.renewals.push(renewal);
             }
             Operation::Command(request) => self.submit_command(id, &request),
-            Operation::Replace { add, remove } => self.propose_replacement(id, add, remove),
+            Operation::ChangePeers { add, remove } => self.propose_replacement(id, add, remove),
         }
         id
     }
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -99,8 +99,10 @@
         let operation = match &request {
             Request::Command(request) => Operation::Command(request.clone()),
             Request::Renew => Operation::Renew(envelope.from.clone(), envelope.incarnation),
-            Request::Read { stale: false, .. } | Request::Copy => Operation::Read,
-            Request::Replace { add, remove } => Operation::Replace { add: add.clone(), remove: *remove },
+            Request::Read { stale: false, .. } | Request::Backup => Operation::Read,
+            Request::ChangePeers { add, remove } => {
+                Operation::ChangePeers { add: add.clone(), remove: *remove }
+            }
             Request::Read { stale: true, prefix, members } => {
                 let view = self.view(prefix, *members, self.node.max_staleness());
                 return self.respond(caller, Response::Read(view));
@@ -111,9 +113,9 @@
                 let watch = Watch { caller, after: *after, prefix: prefix.clone(), deadline };
                 return self.add_watch(*cluster_id, watch);
             }
-            Request::Hello => {
+            Request::Identify => {
                 let reason = "a council is formed already".into();
-                return self.respond(caller, Response::Refused(Refusal::Impossible(reason)));
+                return self.respond(caller, Response::Refused(Refusal::FailedPrecondition(reason)));
             }
         };
         let id = self.node.submit(now, operation);
@@ -152,7 +154,9 @@
                 self.watches.push(watch);
                 return;
             }
-            Ok(None) => Response::Refused(Refusal::Over(LimitExceeded::new("watchers", MAX_WATCHES))),
+            Ok(None) => {
+                Response::Refused(Refusal::LimitExceeded(LimitExceeded::new("watchers", MAX_WATCHES)))
+            }
             Err(refusal) => Response::Refused(refusal),
         };
         self.respond(watch.caller, response);
@@ -225,26 +229,27 @@
         let refusal = match result {
             OperationResult::Readable => return self.read_response(request),
             OperationResult::Renewed => return Response::Renewed(self.node.lease_terms()),
-            OperationResult::Ended => return Response::Ended,
-            OperationResult::Displaced => return Response::Displaced,
-            OperationResult::Replaced => return Response::Replaced,
-            OperationResult::Reply(CommandResult::Over(limit)) | OperationResult::Over(limit) => {
-                Refusal::Over(limit)
-            }
+            OperationResult::Expired => return Response::Expired,
+            OperationResult::Superseded => return Response::Superseded,
+            OperationResult::PeersChanged => return Response::PeersChanged,
+            OperationResult::Reply(CommandResult::LimitExceeded(limit))
+            | OperationResult::LimitExceeded(limit) => Refusal::LimitExceeded(limit),
             OperationResult::Reply(result) => return Response::Reply(result, self.node.lease_terms()),
             OperationResult::NotLeader(leader) => {
                 let peers = &self.node.state().peers;
                 Refusal::NotLeader { leader: leader.and_then(|id| peers.get(&id).cloned()) }
             }
             OperationResult::Unknown => Refusal::Unknown,
-            OperationResult::Refused(reason) => Refusal::Impossible(reason),
+            OperationResult::Refused(reason) => Refusal::FailedPrecondition(reason),
         };
         Response::Refused(refusal)
     }
 
     fn read_response(&self, request: &Request) -> Response {
         match request {
-            Request::Copy => Response::Copy(String::from_utf8(self.node.export_state()).unwrap_or_default()),
+            Request::Backup => {
+                Response::Backup(String::from_utf8(self.node.export_state()).unwrap_or_default())
+            }
             Request::Read { prefix, members, .. } => Response::Read(self.view(prefix, *members, Some(0))),
             _ => Response::Refused(Refusal::Unknown),
         }
