--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -130,7 +130,7 @@
     type Response: 'static;
 
     /// Sends one attempt once [`Gate::open`] has returned true. The outcome determines whether the request may be
-    /// sent again, so an outcome for which [`Outcome::never_ran`] holds requires proof that the request did not run.
+    /// sent again, so an outcome for which [`Outcome::proves_not_executed`] holds requires proof that the request did not run.
     fn attempt(
         &self,
         endpoint: EndpointAddress<Self::Address>,
