--- a/crates/agent/src/accept.rs
+++ b/crates/agent/src/accept.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 /// Pause after an accept that failed for want of descriptors or memory, or that fails at all times.
-pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// As many connections may wait in a queue, and so may have broken off there. More errors in a row are no connections'.
 const ABORTED_MOST: usize = 1024;
 
@@ -57,7 +57,7 @@
             kind => failed(&error, kind),
         }
         aborted = 0;
-        sleep(ACCEPT_PAUSE).await;
+        sleep(ACCEPT_RETRY_DELAY).await;
     }
 }
 
--- a/crates/agent/src/accept/tests.rs
+++ b/crates/agent/src/accept/tests.rs
@@ -80,7 +80,7 @@
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         let (failed, took) = accepted([errno, errno]).await;
         assert_eq!(failed, [(Some(errno), AcceptError::ResourceExhausted); 2]);
-        assert!(took >= 2 * ACCEPT_PAUSE, "{took:?}");
+        assert!(took >= 2 * ACCEPT_RETRY_DELAY, "{took:?}");
     }
 }
 
@@ -88,7 +88,7 @@
 async fn any_other_error_is_told_and_followed_by_a_pause() {
     let (failed, took) = accepted([Errno::INVAL]).await;
     assert_eq!(failed, [(Some(Errno::INVAL), AcceptError::Other)]);
-    assert!(took >= ACCEPT_PAUSE, "{took:?}");
+    assert!(took >= ACCEPT_RETRY_DELAY, "{took:?}");
 }
 
 /// More in a row than can have waited is no connection's fault; it must not cost the processor for ever.
@@ -97,7 +97,7 @@
     let row = std::iter::repeat_n(Errno::CONNABORTED, ABORTED_MOST + 1);
     let (failed, took) = accepted(row).await;
     assert_eq!(failed, [(Some(Errno::CONNABORTED), AcceptError::Other)]);
-    assert!(took >= ACCEPT_PAUSE, "{took:?}");
+    assert!(took >= ACCEPT_RETRY_DELAY, "{took:?}");
 }
 
 /// Everybody else has a turn between two of a row, the sockets too.
--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -1,13 +1,13 @@
 //! Attempts and probes: a message out, what comes back told as an outcome.
 
-use crate::connections::{Connections, EndpointAddress, Lease, LeaseUse};
+use crate::connections::{ConnectionUsage, Connections, EndpointAddress, PooledConnection};
 use crate::dialect::{NEW, OLD};
 use crate::download::{BodyLength, Download, Origin};
 use crate::idle_timeout::ConnectionEnd;
+use crate::metered_stream::StreamMonitor;
 use crate::metrics::ClassCounters;
-use crate::patience::{Patience, SHORT};
-use crate::upload::{Coming, Outgoing, Payload, BODY_MOST, HELD_MOST};
-use crate::wire::View;
+use crate::stall_timeout::{StallTimeout, BASE_TIMEOUT};
+use crate::upload::{AttemptBody, RequestBody, UploadState, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use bytes::{Bytes, BytesMut};
 use heronhoist_decision::{DialectId, Outcome, ServerId};
 use heronhoist_engine::timing::{catch_up, sleep_until_settled, timeout, timeout_at};
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 
 /// The most that is read for an answer that is held whole: a body in small chunks, its head, and what may come ahead.
-const ANSWER_MOST: u64 = 4 * HELD_MOST as u64;
+const ANSWER_MOST: u64 = 4 * MAX_BUFFERED_BYTES as u64;
 /// A backend that takes nothing of a request for this long gets no more of it.
 const STUCK_MOST: Duration = Duration::from_secs(3);
 /// How often that is looked at.
@@ -42,7 +42,7 @@
 const FIGURE_MOST: f64 = 1e5;
 
 /// A client's request as it goes to a backend.
-pub struct Call {
+pub struct UpstreamRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -50,21 +50,21 @@
     /// The headers that go on unchanged.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Payload,
+    pub body: RequestBody,
     /// The same for servers of the old dialect, if it can be said to them.
-    pub old: Option<Box<Said>>,
+    pub legacy: Option<Box<LegacyRequest>>,
     /// How long its client waits once all of it has come.
-    pub budget: Duration,
+    pub client_timeout: Duration,
     /// What counts its attempts; probes have none.
     pub counters: Option<Rc<ClassCounters>>,
     /// The connection of the client that waits for the answer; probes have none.
-    pub client: Option<View>,
+    pub client: Option<StreamMonitor>,
     /// The memory that the body holds.
     pub _reservation: Option<Reservation>,
 }
 
 /// A request as servers of the old dialect get it.
-pub struct Said {
+pub struct LegacyRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -74,21 +74,21 @@
     /// Its body.
     pub body: Bytes,
     /// How it was translated, and its answer will be; `None` if it is what the client sent.
-    pub by: Option<Rc<Mapping>>,
+    pub mapping: Option<Rc<Mapping>>,
 }
 
-impl Call {
+impl UpstreamRequest {
     /// How long an attempt that begins now may take, in whole milliseconds, if it is called off at `until`.
     fn left(&self, until: Instant) -> Duration {
         let unread_since = self.body.upload().and_then(|upload| upload.unread_since());
-        let until = unread_since.map_or(until, |since| until.min(since + self.budget));
-        let left = until.saturating_duration_since(Instant::now()).min(self.budget);
+        let until = unread_since.map_or(until, |since| until.min(since + self.client_timeout));
+        let left = until.saturating_duration_since(Instant::now()).min(self.client_timeout);
         Duration::from_millis(left.as_millis() as u64)
     }
 
     /// Fewer bytes than this are certainly not the whole message; `None` while its length is not known.
     fn least_bytes(&self, dialect: DialectId) -> Option<u64> {
-        let old = self.old.as_deref().filter(|_| dialect == OLD);
+        let old = self.legacy.as_deref().filter(|_| dialect == OLD);
         let (method, uri, headers) = match old {
             Some(old) => (&old.method, &old.uri, &old.headers),
             None => (&self.method, &self.uri, &self.headers),
@@ -96,17 +96,17 @@
         let headers: usize = headers.iter().map(|(n, v)| n.as_str().len() + v.len()).sum();
         let body = match (old, &self.body) {
             (Some(old), _) => old.body.len() as u64,
-            (None, Payload::Held(bytes)) => bytes.len() as u64,
-            (None, Payload::Coming(upload)) => upload.bytes()?,
+            (None, RequestBody::Buffered(bytes)) => bytes.len() as u64,
+            (None, RequestBody::Streaming(upload)) => upload.total_bytes()?,
         };
         Some((method.as_str().len() + uri.path().len() + headers) as u64 + body)
     }
 }
 
 /// A backend's 200, to be passed on unchanged.
-pub struct Served {
+pub struct UpstreamResponse {
     /// The body.
-    pub body: Content,
+    pub body: ResponseBody,
     /// What it is.
     pub content_type: Option<HeaderValue>,
     /// What the server spoke.
@@ -114,17 +114,17 @@
 }
 
 /// The body of an answer.
-pub enum Content {
+pub enum ResponseBody {
     /// All of it, and the memory that it holds.
-    Held(Bytes, Reservation),
+    Buffered(Bytes, Reservation),
     /// Its beginning; the rest is to come.
-    Coming(Box<Download>),
+    Streaming(Box<Download>),
 }
 
 /// How an attempt or a probe ended.
-pub type AttemptResult = heronhoist_engine::AttemptResult<Served>;
+pub type AttemptResult = heronhoist_engine::AttemptResult<UpstreamResponse>;
 
-impl heronhoist_engine::RequestPayload for Call {
+impl heronhoist_engine::RequestPayload for UpstreamRequest {
     fn streaming_body(&self) -> Option<&dyn StreamingBody> {
         self.body.upload().map(|upload| &**upload as &dyn StreamingBody)
     }
@@ -135,59 +135,64 @@
 struct AtWork<'a> {
     connections: &'a Connections,
     place: EndpointAddress,
-    usage: LeaseUse,
+    usage: ConnectionUsage,
     until: Instant,
     ended: bool,
 }
 
 impl<'a> AtWork<'a> {
-    fn new(connections: &'a Connections, place: EndpointAddress, lease: &Lease, until: Instant) -> Self {
-        AtWork { connections, place, usage: lease.usage(), until, ended: false }
+    fn new(
+        connections: &'a Connections,
+        place: EndpointAddress,
+        connection: &PooledConnection,
+        until: Instant,
+    ) -> Self {
+        AtWork { connections, place, usage: connection.usage(), until, ended: false }
     }
 
     /// The attempt has ended by itself, and has failed or not.
     fn end(mut self, failed: bool) {
         self.ended = true;
-        self.note(if failed { ConnectionEnd::Broken } else { ConnectionEnd::Answered });
+        self.note(if failed { ConnectionEnd::Broken } else { ConnectionEnd::Responded });
     }
 
     fn note(&self, end: ConnectionEnd) {
-        let end = if self.usage.is_unanswered() { end } else { ConnectionEnd::Answered };
-        self.connections.note(self.place, &self.usage, end);
+        let end = if self.usage.has_received_nothing() { end } else { ConnectionEnd::Responded };
+        self.connections.record_use(self.place, &self.usage, end);
     }
 }
 
 impl Drop for AtWork<'_> {
     fn drop(&mut self) {
         if !self.ended && Instant::now() >= self.until {
-            self.note(ConnectionEnd::Silent);
+            self.note(ConnectionEnd::TimedOut);
         }
     }
 }
 
 /// Why there is no answer.
-enum Spoilt {
+enum ExchangeError {
     /// The connection ended, or what came could not be read.
     Connection,
     /// It is none that may be believed.
-    Answer,
+    InvalidResponse,
     /// The backend has taken nothing of the request for too long.
-    Stuck,
+    WriteStalled,
 }
 
 /// Record servers that speak HTTP as the platform does.
 #[derive(Clone)]
-pub struct Http(Rc<Inner>);
+pub struct HttpUpstream(Rc<Inner>);
 
 struct Inner {
     connections: Rc<Connections>,
     bodies: Rc<QuotaShare>,
     fields: RefCell<Vec<String>>,
     has_reports: Cell<bool>,
-    patience: Patience,
+    stall_timeout: StallTimeout,
 }
 
-impl Http {
+impl HttpUpstream {
     /// `fields` are the names in a load report, empty where there are none.
     pub fn new(
         connections: Rc<Connections>,
@@ -196,15 +201,15 @@
         has_reports: bool,
     ) -> Self {
         let (fields, has_reports) = (RefCell::new(fields), Cell::new(has_reports));
-        let patience = Patience::default();
-        Http(Rc::new(Inner { connections, bodies, fields, has_reports, patience }))
+        let stall_timeout = StallTimeout::default();
+        HttpUpstream(Rc::new(Inner { connections, bodies, fields, has_reports, stall_timeout }))
     }
 
     /// Takes over new settings; what is under way goes on as it began.
-    pub fn revise(&self, terms: &HttpTerms) {
+    pub fn update_settings(&self, terms: &HttpSettings) {
         *self.0.fields.borrow_mut() = terms.report_names.clone();
         self.0.has_reports.set(terms.has_reports);
-        self.0.connections.revise(terms.connect_timeout, terms.keepalive);
+        self.0.connections.update_settings(terms.connect_timeout, terms.keepalive);
     }
 
     /// The connections.
@@ -215,7 +220,7 @@
 
 /// What the settings say of the servers' HTTP.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HttpTerms {
+pub struct HttpSettings {
     /// The names of a load report's fields, in the order of the settings.
     pub report_names: Vec<String>,
     /// Whether there are reports.
@@ -226,12 +231,12 @@
     pub keepalive: Duration,
 }
 
-impl Upstream for Http {
+impl Upstream for HttpUpstream {
     type Address = SocketAddr;
-    type Request = Call;
-    type Response = Served;
+    type Request = UpstreamRequest;
+    type Response = UpstreamResponse;
 
-    async fn attempt(&self, place: EndpointAddress, call: &Call, gate: Gate<'_>) -> AttemptResult {
+    async fn attempt(&self, place: EndpointAddress, call: &UpstreamRequest, gate: Gate<'_>) -> AttemptResult {
         self.0.attempt(place, call, &gate).await
     }
 
@@ -244,20 +249,25 @@
     }
 
     fn close_stale(&self, is_current: &dyn Fn(ServerId, Incarnation) -> bool) {
-        self.0.connections.retire(is_current);
+        self.0.connections.close_stale(is_current);
     }
 }
 
 impl Inner {
     /// Sends one attempt or a probe.
-    async fn attempt(&self, place: EndpointAddress, call: &Call, gate: &Gate<'_>) -> AttemptResult {
-        if place.dialect != NEW && call.old.is_none() {
+    async fn attempt(
+        &self,
+        place: EndpointAddress,
+        call: &UpstreamRequest,
+        gate: &Gate<'_>,
+    ) -> AttemptResult {
+        if place.dialect != NEW && call.legacy.is_none() {
             // It speaks otherwise since this was decided.
             return Outcome::NotSent.into();
         }
         loop {
-            let mut lease = match self.connections.lease(place).await {
-                Ok(lease) => lease,
+            let mut connection = match self.connections.acquire(place).await {
+                Ok(connection) => connection,
                 Err(outcome) => return outcome.into(),
             };
             // What was told while the process was held up closes the gate too.
@@ -265,43 +275,50 @@
             // Told no more than its client has left, and nothing if that is nothing.
             let left = call.left(gate.deadline);
             if left.is_zero() || !gate.open() {
-                self.connections.give_back(place, lease);
+                self.connections.release(place, connection);
                 return Outcome::NotSent.into();
             }
-            let view = lease.view.clone();
-            let before = view.written();
-            let at_work = AtWork::new(&self.connections, place, &lease, gate.deadline);
-            view.count_nothing();
+            let monitor = connection.monitor.clone();
+            let before = monitor.bytes_written();
+            let at_work = AtWork::new(&self.connections, place, &connection, gate.deadline);
+            monitor.stop_counting();
             let counted = async {
                 // Of a long body nobody may know the length before its end.
                 if let (None, Some(upload)) = (call.least_bytes(place.dialect), call.body.upload()) {
-                    upload.ended().await;
+                    upload.wait_until_finished().await;
                 }
                 if let Some(least) = call.least_bytes(place.dialect) {
-                    view.count_at(before + least, call.counters.clone());
+                    monitor.count_attempt_at(before + least, call.counters.clone());
                 }
                 std::future::pending::<()>().await;
             };
             let answer = tokio::select! {
                 biased;
-                () = counted => Err(Spoilt::Answer),
-                answer = self.exchange(&mut lease, call, place, left) => answer,
-                () = stuck(&view) => Err(Spoilt::Stuck),
+                () = counted => Err(ExchangeError::InvalidResponse),
+                answer = self.exchange(&mut connection, call, place, left) => answer,
+                () = stuck(&monitor) => Err(ExchangeError::WriteStalled),
             };
-            let written = view.written() - before;
+            let written = monitor.bytes_written() - before;
             let is_whole = call.least_bytes(place.dialect).is_some_and(|least| written >= least);
-            let broken = call.body.upload().is_some_and(|upload| matches!(upload.state(), Coming::Broken(_)));
+            let broken =
+                call.body.upload().is_some_and(|upload| matches!(upload.state(), UploadState::Failed(_)));
             at_work.end(answer.is_err());
             match answer {
                 // An answer to what was not all there yet is none to this request.
                 Ok(mut ended) if is_whole => {
                     match ended.response.as_mut().map(|served| &mut served.body) {
-                        Some(Content::Coming(download)) => {
-                            download.keep(Origin { lease, place, connections: Rc::clone(&self.connections) });
+                        Some(ResponseBody::Streaming(download)) => {
+                            download.keep_connection(Origin {
+                                connection,
+                                place,
+                                connections: Rc::clone(&self.connections),
+                            });
                         }
                         // One that has ended with its answer is of no further use.
-                        Some(Content::Held(..)) | None if view.has_ended() => {}
-                        Some(Content::Held(..)) | None => self.connections.give_back(place, lease),
+                        Some(ResponseBody::Buffered(..)) | None if monitor.has_ended() => {}
+                        Some(ResponseBody::Buffered(..)) | None => {
+                            self.connections.release(place, connection)
+                        }
                     }
                     return ended;
                 }
@@ -310,8 +327,8 @@
                 // A server need not read to the end what it turns away.
                 Ok(ended) if ended.outcome == Outcome::Rejected => return ended,
                 // Its client had closed when the first byte could have gone.
-                Err(Spoilt::Connection)
-                    if written == 0 && call.client.as_ref().is_some_and(View::has_closed) =>
+                Err(ExchangeError::Connection)
+                    if written == 0 && call.client.as_ref().is_some_and(StreamMonitor::is_closed_by_peer) =>
                 {
                     gate.nothing_was_sent();
                     return Outcome::NotSent.into();
@@ -319,8 +336,10 @@
                 // A pooled connection that ended before anything was written to it says nothing of the server,
                 // and no attempt was made: take the next one. A new one that ends so does say something, and
                 // to go on would be a storm of connections.
-                Err(Spoilt::Connection) if !lease.is_fresh() && written == 0 => gate.nothing_was_sent(),
-                Err(Spoilt::Stuck) => return Outcome::TimedOut.into(),
+                Err(ExchangeError::Connection) if !connection.is_new() && written == 0 => {
+                    gate.nothing_was_sent()
+                }
+                Err(ExchangeError::WriteStalled) => return Outcome::TimedOut.into(),
                 Ok(_) | Err(_) if !is_whole => return Outcome::ConnectFailed.into(),
                 Ok(_) | Err(_) => return Outcome::ConnectionReset.into(),
             }
@@ -330,28 +349,28 @@
     /// One request out and its answer in.
     async fn exchange(
         &self,
-        lease: &mut Lease,
-        call: &Call,
+        connection: &mut PooledConnection,
+        call: &UpstreamRequest,
         place: EndpointAddress,
         left: Duration,
-    ) -> Result<AttemptResult, Spoilt> {
-        let view = lease.view.clone();
-        let sender = lease.sender().ok_or(Spoilt::Connection)?;
+    ) -> Result<AttemptResult, ExchangeError> {
+        let monitor = connection.monitor.clone();
+        let sender = connection.sender().ok_or(ExchangeError::Connection)?;
         let mut request = message(call, place, left);
         // Answers 1xx come ahead of the one that counts, which may take its time after them.
         let informed = Arc::new(AtomicBool::new(false));
         let inform = Arc::clone(&informed);
         hyper::ext::on_informational(&mut request, move |_| inform.store(true, Ordering::Relaxed));
-        let received = view.received();
-        view.arm(ANSWER_MOST, call.client.clone());
+        let received = monitor.bytes_received();
+        monitor.begin_request(ANSWER_MOST, call.client.clone());
         let whole = async {
-            let answer = sender.try_send_request(request).await.map_err(|_| Spoilt::Connection)?;
-            self.read(answer, &view, place.dialect).await
+            let answer = sender.try_send_request(request).await.map_err(|_| ExchangeError::Connection)?;
+            self.read(answer, &monitor, place.dialect).await
         };
         tokio::select! {
             biased;
             answer = whole => answer,
-            () = stalled(&view, received, &informed, &self.patience) => Err(Spoilt::Answer),
+            () = stalled(&monitor, received, &informed, &self.stall_timeout) => Err(ExchangeError::InvalidResponse),
         }
     }
 
@@ -360,18 +379,18 @@
     async fn read(
         &self,
         answer: Response<Incoming>,
-        view: &View,
+        monitor: &StreamMonitor,
         dialect: DialectId,
-    ) -> Result<AttemptResult, Spoilt> {
+    ) -> Result<AttemptResult, ExchangeError> {
         let (head, mut body) = answer.into_parts();
-        let framing = body_length(head.status, &head.headers).ok_or(Spoilt::Answer)?;
+        let framing = body_length(head.status, &head.headers).ok_or(ExchangeError::InvalidResponse)?;
         let length = framing.bytes();
-        let held_most = length.unwrap_or(HELD_MOST as u64).min(HELD_MOST as u64) as usize;
-        let reservation = self.bodies.try_reserve(held_most).ok_or(Spoilt::Answer)?;
-        let is_long = length.is_some_and(|length| length > HELD_MOST as u64);
+        let held_most = length.unwrap_or(MAX_BUFFERED_BYTES as u64).min(MAX_BUFFERED_BYTES as u64) as usize;
+        let reservation = self.bodies.try_reserve(held_most).ok_or(ExchangeError::InvalidResponse)?;
+        let is_long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
         let (mut begun, mut held) = (VecDeque::new(), 0);
         let (mut ended, mut since) = (false, None);
-        while held <= HELD_MOST && !(is_long && held > 0) {
+        while held <= MAX_BUFFERED_BYTES && !(is_long && held > 0) {
             // One that goes on coming slowly may be long too; one that has stopped is not passed on.
             let since = *since.get_or_insert_with(Instant::now);
             if length.is_none() && held > BEGUN_MOST && since.elapsed() > BEGUN_WAIT {
@@ -384,20 +403,20 @@
                         begun.push_back(data);
                     }
                 }
-                Some(Err(_)) => return Err(Spoilt::Answer),
+                Some(Err(_)) => return Err(ExchangeError::InvalidResponse),
                 None => {
                     ended = true;
                     break;
                 }
             }
         }
-        if ended && framing == BodyLength::CloseDelimited && !view.has_ended_orderly() {
-            return Err(Spoilt::Answer);
+        if ended && framing == BodyLength::CloseDelimited && !monitor.has_ended_cleanly() {
+            return Err(ExchangeError::InvalidResponse);
         }
         let report = head.headers.get("x-load-report").and_then(|v| self.report(v.as_bytes()));
         let turned_away = match dialect {
             OLD if head.status != StatusCode::OK => {
-                ended && is_refusal(head.status.as_u16(), &joined(begun.iter().cloned(), held))
+                ended && is_refusal(head.status.as_u16(), &concat_chunks(begun.iter().cloned(), held))
             }
             _ => head.headers.get("x-rejected").is_some_and(|v| v == "1"),
         };
@@ -411,20 +430,20 @@
             return if ended {
                 Ok(AttemptResult { outcome, load_report: report, response: None })
             } else {
-                Err(Spoilt::Answer)
+                Err(ExchangeError::InvalidResponse)
             };
         }
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
         let body = if ended {
-            Content::Held(joined(begun, held), reservation)
+            ResponseBody::Buffered(concat_chunks(begun, held), reservation)
         } else {
-            view.lift_allowance();
-            Content::Coming(Box::new(Download::new(begun, body, framing, reservation)))
+            monitor.lift_read_limit();
+            ResponseBody::Streaming(Box::new(Download::new(begun, body, framing, reservation)))
         };
         Ok(AttemptResult {
             outcome,
             load_report: report,
-            response: Some(Served { body, content_type, dialect }),
+            response: Some(UpstreamResponse { body, content_type, dialect }),
         })
     }
 
@@ -437,19 +456,19 @@
             true => "/stats",
             false => "/health/live",
         });
-        let (method, budget) = (Method::GET, PROBE_WAIT);
-        let (headers, body) = (HeaderMap::new(), Payload::Held(Bytes::new()));
-        let old = is_old.then(|| {
+        let (method, client_timeout) = (Method::GET, PROBE_WAIT);
+        let (headers, body) = (HeaderMap::new(), RequestBody::Buffered(Bytes::new()));
+        let legacy = is_old.then(|| {
             let (method, uri, headers, body) = (method.clone(), uri.clone(), HeaderMap::new(), Bytes::new());
-            Box::new(Said { method, uri, headers, body, by: None })
+            Box::new(LegacyRequest { method, uri, headers, body, mapping: None })
         });
-        let call = Call {
+        let call = UpstreamRequest {
             method,
             uri,
             headers,
             body,
-            old,
-            budget,
+            legacy,
+            client_timeout,
             counters: None,
             client: None,
             _reservation: None,
@@ -464,7 +483,7 @@
         if is_old && ended.outcome == Outcome::ServerError {
             ended.outcome = Outcome::Success;
         }
-        if let Some(Served { body: Content::Held(text, _), .. }) = ended.response.take() {
+        if let Some(UpstreamResponse { body: ResponseBody::Buffered(text, _), .. }) = ended.response.take() {
             ended.load_report = ended.load_report.or_else(|| self.report(&text));
         }
         ended
@@ -490,7 +509,7 @@
 }
 
 /// The pieces of a short body as one.
-pub fn joined(pieces: impl IntoIterator<Item = Bytes>, bytes: usize) -> Bytes {
+pub fn concat_chunks(pieces: impl IntoIterator<Item = Bytes>, bytes: usize) -> Bytes {
     let mut pieces = pieces.into_iter();
     let first = pieces.next().unwrap_or_default();
     if first.len() == bytes {
@@ -503,10 +522,10 @@
 }
 
 /// Comes back when the peer has taken nothing of what waits to be written for too long.
-async fn stuck(view: &View) {
+async fn stuck(monitor: &StreamMonitor) {
     loop {
         sleep_until_settled(Instant::now() + STUCK_LOOK).await;
-        if view.stuck_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
+        if monitor.write_stalled_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
             return;
         }
     }
@@ -523,7 +542,7 @@
     match (lengths.next(), lengths.next(), codings.next(), codings.next()) {
         (Some(length), None, None, None) => {
             let length = length.to_str().ok()?.parse().ok();
-            length.filter(|length| *length <= BODY_MOST).map(BodyLength::Known)
+            length.filter(|length| *length <= MAX_BODY_BYTES).map(BodyLength::Known)
         }
         (None, None, Some(coding), None) => {
             coding.as_bytes().eq_ignore_ascii_case(b"chunked").then_some(BodyLength::Chunked)
@@ -535,20 +554,25 @@
 
 /// Comes back when an answer has begun, has not been read whole, and nothing more of it has come for a while: it is
 /// spoilt, and whoever waits on would wait to the end of the attempt's time.
-async fn stalled(view: &View, received: u64, informed: &AtomicBool, patience: &Patience) {
+async fn stalled(
+    monitor: &StreamMonitor,
+    received: u64,
+    informed: &AtomicBool,
+    stall_timeout: &StallTimeout,
+) {
     loop {
-        view.arrived().await;
-        if view.received() == received {
+        monitor.bytes_arrived().await;
+        if monitor.bytes_received() == received {
             continue;
         }
         loop {
-            while timeout(SHORT, view.arrived()).await.is_ok() {}
+            while timeout(BASE_TIMEOUT, monitor.bytes_arrived()).await.is_ok() {}
             if informed.swap(false, Ordering::Relaxed) {
                 break;
             }
-            let Some(more) = patience.more() else { return };
-            let went_on = timeout(more, view.arrived()).await.is_ok();
-            patience.note(went_on);
+            let Some(more) = stall_timeout.extension() else { return };
+            let went_on = timeout(more, monitor.bytes_arrived()).await.is_ok();
+            stall_timeout.record(went_on);
             if !went_on {
                 return;
             }
@@ -557,10 +581,10 @@
 }
 
 /// The message to a backend: the client's own, with the time that this attempt has left. (The old dialect has no place for it.)
-fn message(call: &Call, place: EndpointAddress, left: Duration) -> Request<Outgoing> {
+fn message(call: &UpstreamRequest, place: EndpointAddress, left: Duration) -> Request<AttemptBody> {
     let host = HeaderValue::from_str(&place.address.to_string());
-    if let Some(old) = call.old.as_deref().filter(|_| place.dialect == OLD) {
-        let mut request = Request::new(Payload::Held(old.body.clone()).outgoing());
+    if let Some(old) = call.legacy.as_deref().filter(|_| place.dialect == OLD) {
+        let mut request = Request::new(RequestBody::Buffered(old.body.clone()).attempt_body());
         *request.method_mut() = old.method.clone();
         *request.uri_mut() = old.uri.clone();
         *request.headers_mut() = old.headers.clone();
@@ -569,7 +593,7 @@
         }
         return request;
     }
-    let mut request = Request::new(call.body.outgoing());
+    let mut request = Request::new(call.body.attempt_body());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::connections::Siblings;
+use crate::connections::ConnectionRegistry;
 use heronhoist_engine::Quota;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
@@ -10,20 +10,24 @@
     let fields: Vec<String> = fields.iter().map(|f| f.to_string()).collect();
     let has_reports = !fields.is_empty();
     let (connect, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
-    let connections =
-        Connections::new(Quota::single_share(most), &Rc::new(Siblings::default()), connect, keepalive);
-    Http::new(connections, Quota::single_share(1 << 20), fields, has_reports).0
+    let connections = Connections::new(
+        Quota::single_share(most),
+        &Rc::new(ConnectionRegistry::default()),
+        connect,
+        keepalive,
+    );
+    HttpUpstream::new(connections, Quota::single_share(1 << 20), fields, has_reports).0
 }
 
-fn post(body: usize) -> Call {
+fn post(body: usize) -> UpstreamRequest {
     let (uri, headers) = (Uri::from_static("/x"), HeaderMap::new());
-    Call {
+    UpstreamRequest {
         method: Method::POST,
         uri,
         headers,
-        body: Payload::Held(vec![7; body].into()),
-        old: None,
-        budget: Duration::from_secs(60),
+        body: RequestBody::Buffered(vec![7; body].into()),
+        legacy: None,
+        client_timeout: Duration::from_secs(60),
         counters: None,
         client: None,
         _reservation: None,
@@ -64,7 +68,8 @@
     for (behind, closes) in [("", true), ("GET /next", true), ("", false), ("GET /next", false)] {
         let clients = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut client = std::net::TcpStream::connect(clients.local_addr().unwrap()).unwrap();
-        let (_wire, view) = crate::wire::Wire::of_client(clients.accept().await.unwrap().0);
+        let (_wire, monitor) =
+            crate::metered_stream::MeteredStream::for_client(clients.accept().await.unwrap().0);
         std::io::Write::write_all(&mut client, behind.as_bytes()).unwrap();
         let server = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let place = EndpointAddress {
@@ -81,7 +86,7 @@
         };
         let gate = Gate::new(&sent, &lawful, Instant::now() + Duration::from_secs(60));
         let backends = of(4, &[]);
-        let call = Call { client: Some(view), ..post(9) };
+        let call = UpstreamRequest { client: Some(monitor), ..post(9) };
         let (outcome, heard) = LocalSet::new()
             .run_until(async {
                 let heard = async {
--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::config::{Config, Unusable};
+use crate::config::{Config, ConfigError};
 use crate::fleet::command_error::CommandError;
 use crate::fleet::{drain, hold, tools};
 use crate::log;
@@ -111,24 +111,24 @@
         },
         Some(Command::Translate { command }) => match translate::main(command) {
             Ok(text) => print(&text),
-            Err(translate::Fault::Unread(fault)) => fail(&fault, UNREAD),
-            Err(translate::Fault::Faulty(faults)) => {
+            Err(translate::TranslateError::Unreadable(fault)) => fail(&fault, UNREAD),
+            Err(translate::TranslateError::Invalid(faults)) => {
                 let _ = writeln!(io::stderr(), "{faults}");
                 ExitCode::from(1)
             }
         },
         Some(Command::Council(what)) => fail(&become_coordinator(&what), 1),
-        Some(Command::Fleet { tool }) => match crate::on_one_thread(tools::run(tool)) {
+        Some(Command::Fleet { tool }) => match crate::run_local(tools::run(tool)) {
             Ok(Ok(text)) => print(&text),
             Ok(Err(error)) => fail(&error.to_string(), 1),
             Err(fault) => fail(&fault, 1),
         },
-        Some(Command::Hold(what)) => match crate::on_one_thread(hold::run(what)) {
+        Some(Command::Hold(what)) => match crate::run_local(hold::run(what)) {
             Ok(code) => ExitCode::from(code),
             Err(fault) => fail(&fault, 1),
         },
-        Some(Command::Drain { tool }) => shown(crate::on_one_thread(drain::run(tool))),
-        Some(Command::Undrain { tool }) => shown(crate::on_one_thread(drain::undo(tool))),
+        Some(Command::Drain { tool }) => shown(crate::run_local(drain::run(tool))),
+        Some(Command::Undrain { tool }) => shown(crate::run_local(drain::undo(tool))),
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Arguments::command(), "heronhoist", &mut io::stdout());
             ExitCode::SUCCESS
@@ -189,11 +189,11 @@
     let variable = |name: &str| std::env::var(name).ok();
     let config = match heronhoist_config::parse_council(&text, &variable) {
         Ok(config) => config,
-        Err(faults) => return fail(&Unusable::Faults(path.into(), faults).to_string(), 1),
+        Err(faults) => return fail(&ConfigError::InvalidEntries(path.into(), faults).to_string(), 1),
     };
-    let log::Wanted { format, levels, per_second } = log::Wanted::default();
+    let log::LogOptions { format, levels, lines_per_second } = log::LogOptions::default();
     match levels.parse() {
-        Ok(levels) => log::start(format, levels, per_second),
+        Ok(levels) => log::init(format, levels, lines_per_second),
         Err(e) => return fail(&format!("log level {levels:?}: {e}"), 1),
     }
     match crate::fleet::coordinator::run(config, path.parent().unwrap_or(Path::new("")), restore) {
@@ -202,30 +202,30 @@
     }
 }
 
-fn load(file: Option<PathBuf>) -> Result<Config, Unusable> {
+fn load(file: Option<PathBuf>) -> Result<Config, ConfigError> {
     file.map_or_else(Config::from_env, |file| Config::from_file(&file))
 }
 
-fn run(config: Result<Config, Unusable>) -> ExitCode {
+fn run(config: Result<Config, ConfigError>) -> ExitCode {
     let config = match config {
         Ok(config) => config,
         Err(fault) => return fail(&fault.to_string(), code_of(&fault)),
     };
-    let log::Wanted { format, levels, per_second } = &config.log;
+    let log::LogOptions { format, levels, lines_per_second } = &config.log;
     match levels.parse() {
-        Ok(levels) => log::start(*format, levels, *per_second),
+        Ok(levels) => log::init(*format, levels, *lines_per_second),
         Err(e) => return fail(&format!("log.level {levels:?}: {e}"), 1),
     }
-    match crate::start(config) {
+    match crate::run_agent(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => fail(&fault, 1),
     }
 }
 
-fn code_of(fault: &Unusable) -> u8 {
+fn code_of(fault: &ConfigError) -> u8 {
     match fault {
-        Unusable::Unread(_) => UNREAD,
-        Unusable::Faulty(_) | Unusable::Faults(..) => 1,
+        ConfigError::Unreadable(_) => UNREAD,
+        ConfigError::Invalid(_) | ConfigError::InvalidEntries(..) => 1,
     }
 }
 
@@ -251,7 +251,7 @@
             Err(fault) => {
                 worst = worst.max(code_of(&fault));
                 match &fault {
-                    Unusable::Faults(path, faults) => {
+                    ConfigError::InvalidEntries(path, faults) => {
                         for fault in faults {
                             let _ = writeln!(io::stderr(), "{}:{fault}", path.display());
                         }
--- a/crates/agent/src/seats.rs
+++ b/crates/agent/src/client_connections.rs
@@ -1,7 +1,7 @@
 //! The clients' connections: which may stay, and which must go to make room or because nothing comes of them.
 
-use crate::head::Framing;
-use crate::wire::View;
+use crate::framing::Framing;
+use crate::metered_stream::StreamMonitor;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -54,7 +54,7 @@
 
 /// What a connection shows of itself to the others.
 pub struct Seat {
-    view: View,
+    monitor: StreamMonitor,
     phase: Cell<Phase>,
     since: Cell<Instant>,
     framing: Cell<Option<Framing>>,
@@ -79,8 +79,8 @@
 
 impl Seat {
     /// The socket below it.
-    pub fn view(&self) -> &View {
-        &self.view
+    pub fn monitor(&self) -> &StreamMonitor {
+        &self.monitor
     }
 
     /// It has carried a request already.
@@ -101,7 +101,7 @@
     /// A request has begun to come on it, be it that nobody has read that yet.
     pub fn is_coming(&self) -> bool {
         match self.phase.get() {
-            Phase::Waiting => self.view.has_begun() || self.view.has_unread(),
+            Phase::Waiting => self.monitor.has_next_request() || self.monitor.has_unread_bytes(),
             Phase::Reading => true,
             Phase::Body | Phase::Busy | Phase::Leaving => false,
         }
@@ -109,7 +109,7 @@
 
     /// Behind what is being answered another request has begun to come, which a close would leave without an answer.
     pub fn has_next(&self) -> bool {
-        self.view.has_begun() && !self.view.has_junk()
+        self.monitor.has_next_request() && !self.monitor.has_trailing_garbage()
     }
 
     /// What is left of a body is read and thrown away, or no longer.
@@ -132,7 +132,7 @@
 
     /// The head of a request has come.
     pub fn begin(&self) {
-        self.framing.set(self.view.next_head());
+        self.framing.set(self.monitor.next_framing());
         self.reused.set(self.used.replace(true));
         self.enter(Phase::Body);
     }
@@ -164,7 +164,7 @@
 
     /// It has nothing more to give; true if an answer may still be under way, and its client is given time to take it.
     pub fn leave(&self) -> bool {
-        let lately = self.view.wrote_at().is_some_and(|at| at.elapsed() < LEAVE_WAIT);
+        let lately = self.monitor.last_write_at().is_some_and(|at| at.elapsed() < LEAVE_WAIT);
         if lately && self.phase.get() != Phase::Leaving {
             self.enter(Phase::Leaving);
         }
@@ -199,14 +199,14 @@
 
     /// Whether its time is over.
     fn overdue(&self, now: Instant) -> Option<Close> {
-        let received = self.view.received();
+        let received = self.monitor.bytes_received();
         if self.heard.get().0 != received {
             self.heard.set((received, now));
         }
         if self.discards.get() {
             return None;
         }
-        if self.phase.get() == Phase::Waiting && self.view.has_begun() {
+        if self.phase.get() == Phase::Waiting && self.monitor.has_next_request() {
             // A new connection has its time for the whole request from its start.
             self.phase.set(Phase::Reading);
             if self.used.get() {
@@ -214,8 +214,10 @@
             }
         }
         let age = now.saturating_duration_since(self.since.get());
-        let stuck =
-            self.view.stuck_since().is_some_and(|since| now.saturating_duration_since(since) > STUCK_WAIT);
+        let stuck = self
+            .monitor
+            .write_stalled_since()
+            .is_some_and(|since| now.saturating_duration_since(since) > STUCK_WAIT);
         let end = match self.phase.get() {
             _ if stuck => Some(Close::Immediate),
             // What stands behind is answered once its client has taken this.
@@ -230,21 +232,21 @@
         // its client too late.
         let late = end == Some(Close::Immediate);
         let reads = matches!(self.phase.get(), Phase::Waiting | Phase::Reading);
-        let spare = late && !self.spared.get() && (stuck || reads && self.view.has_unread());
+        let spare = late && !self.spared.get() && (stuck || reads && self.monitor.has_unread_bytes());
         self.spared.set(late);
         end.filter(|_| !spare)
     }
 
     /// Something of its last answer still waits to be written; a client that takes nothing of it is another matter.
     pub fn is_unsent(&self) -> bool {
-        self.view.stuck_since().is_some()
+        self.monitor.write_stalled_since().is_some()
     }
 
     /// How readily it makes room for another, the lowest first; `None` if it must not.
     fn rank(&self, now: Instant) -> Option<(u8, Instant)> {
         let since = self.since.get();
         let age = now.saturating_duration_since(since);
-        let heard = self.view.has_begun();
+        let heard = self.monitor.has_next_request();
         let rank = match self.phase.get() {
             _ if self.end.get().is_some() || self.is_unsent() => None,
             Phase::Busy => None,
@@ -287,9 +289,9 @@
 
 impl Seats {
     /// One more.
-    pub fn enter(&self, view: View) -> Taken<'_> {
+    pub fn enter(&self, monitor: StreamMonitor) -> Taken<'_> {
         let seat = Rc::new(Seat {
-            view,
+            monitor,
             phase: Cell::new(Phase::Waiting),
             since: Cell::new(Instant::now()),
             framing: Cell::new(None),
@@ -325,7 +327,7 @@
                 // A request may just be on its way on one that has been used.
                 _ if rank == 2 => return seat.tell(Close::Graceful),
                 Phase::Leaving => return seat.tell(Close::Immediate),
-                _ if !seat.view.has_unread() => return seat.tell(Close::Immediate),
+                _ if !seat.monitor.has_unread_bytes() => return seat.tell(Close::Immediate),
                 // It has spoken, and hyper has not come round to it.
                 Phase::Waiting => seat.enter(Phase::Reading),
                 // What has come may be all of it. A body waits to be read for as long as its server takes nothing.
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,11 +1,11 @@
 //! What the agent is told at its start, by the environment and the file that it names.
 
-use crate::backend::HttpTerms;
+use crate::backend::HttpSettings;
 use crate::dialect::{NEW, OLD};
 use crate::discovery::EndpointListReply;
-use crate::lanes::Room;
 use crate::log;
 use crate::plan::{PoolEndpoints, PoolPlan, ServingPlan};
+use crate::pools::UpstreamLimits;
 use crate::server;
 use crate::{legacy, translate};
 use heronhoist_config::{Fault, Protocol, ServerState};
@@ -66,21 +66,28 @@
 
 impl Limits {
     /// What one process may hold while so many share these: descriptors and memory are counted together.
-    pub fn of(&self, sharers: usize) -> Allotment {
+    pub fn for_processes(&self, processes: usize) -> ProcessLimits {
         // What the file promises is no help where the process may not hold as many.
         let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let allowed = allowed.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
-        let sockets = self.sockets.unwrap_or(SOCKETS_DEFAULT).min(allowed) / sharers;
+        let sockets = self.sockets.unwrap_or(SOCKETS_DEFAULT).min(allowed) / processes;
         let memory = self.memory_mb.unwrap_or(MEMORY_DEFAULT).max(MEMORY_LEAST) * 1024.0 * 1024.0;
-        let memory = memory / sharers as f64;
+        let memory = memory / processes as f64;
         let usable = sockets.saturating_sub(RESERVE).max(USABLE_LEAST);
         let clients = (memory * CLIENTS_SHARE / CLIENT_BYTES) as usize;
         // Clients may hold a third of the descriptors for requests; those that keep what they don't use must leave
         // room for the others long before that.
-        let (rest_most, keep_most) = (sockets / 6, sockets / 4);
-        Allotment {
-            clients: server::Limits { open_most: clients.min(usable / 2), rest_most, keep_most },
-            room: Room { connections: usable - usable / 2, body_bytes: (memory * BODIES_SHARE) as usize },
+        let (idle_close_threshold, keep_alive_threshold) = (sockets / 6, sockets / 4);
+        ProcessLimits {
+            clients: server::ClientLimits {
+                max_open: clients.min(usable / 2),
+                idle_close_threshold,
+                keep_alive_threshold,
+            },
+            upstream: UpstreamLimits {
+                connections: usable - usable / 2,
+                body_bytes: (memory * BODIES_SHARE) as usize,
+            },
         }
     }
 }
@@ -102,7 +109,7 @@
     /// What it serves.
     pub plan: ServingPlan,
     /// How its log looks, and what is in it.
-    pub log: log::Wanted,
+    pub log: log::LogOptions,
     path: PathBuf,
     origin: Origin,
 }
@@ -128,21 +135,21 @@
 
 /// Why there is no configuration.
 #[derive(Debug)]
-pub enum Unusable {
+pub enum ConfigError {
     /// The file can't be read.
-    Unread(String),
+    Unreadable(String),
     /// It has a fault, in words.
-    Faulty(String),
+    Invalid(String),
     /// Each fault with its place.
-    Faults(PathBuf, Vec<Fault>),
+    InvalidEntries(PathBuf, Vec<Fault>),
 }
 
 /// One line, whatever is wrong.
-impl std::fmt::Display for Unusable {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unusable::Unread(why) | Unusable::Faulty(why) => f.write_str(why),
-            Unusable::Faults(path, faults) => {
+            ConfigError::Unreadable(why) | ConfigError::Invalid(why) => f.write_str(why),
+            ConfigError::InvalidEntries(path, faults) => {
                 if let Some(first) = faults.first() {
                     write!(f, "{}:{first}", path.display())?;
                 }
@@ -156,15 +163,15 @@
 }
 
 /// What one process may hold.
-pub struct Allotment {
+pub struct ProcessLimits {
     /// Connections of clients.
-    pub clients: server::Limits,
+    pub clients: server::ClientLimits,
     /// What the pools may hold.
-    pub room: Room,
+    pub upstream: UpstreamLimits,
 }
 
 /// What a file that was read again changes.
-pub struct Revised {
+pub struct ReloadedConfig {
     /// What is served from now on.
     pub plan: ServingPlan,
     origin: Origin,
@@ -175,13 +182,13 @@
 const FRONT: &str = "http";
 
 /// The platform's settings as a plan.
-pub fn plan(file: &SettingsFile, discovery: SocketAddr) -> ServingPlan {
+pub fn platform_plan(file: &SettingsFile, discovery: SocketAddr) -> ServingPlan {
     let settings = file.settings();
     let duration = |span: Option<Span>, other_ms| Duration::from(span.unwrap_or(Span::from_ms(other_ms)));
     let pool = PoolPlan {
         name: MAIN.into(),
         names: ServerNames { zones: file.zone_names().to_vec(), machine_types: file.kind_names().to_vec() },
-        http: HttpTerms {
+        http: HttpSettings {
             report_names: file.report_names().to_vec(),
             has_reports: settings.report_source != ReportSource::None,
             connect_timeout: duration(file.connect_timeout(), 250.0),
@@ -253,7 +260,7 @@
         name: pool.name.clone(),
         settings: pool.settings.clone(),
         names: ServerNames { zones: pool.zones.clone(), machine_types: Vec::new() },
-        http: HttpTerms {
+        http: HttpSettings {
             report_names: Vec::new(),
             has_reports: false,
             connect_timeout: pool.connect_timeout,
@@ -270,7 +277,7 @@
 }
 
 /// `path` is the file's own; directories that it names are beside it.
-fn own_plan(path: &Path, file: &heronhoist_config::File) -> Result<ServingPlan, Unusable> {
+fn own_plan(path: &Path, file: &heronhoist_config::File) -> Result<ServingPlan, ConfigError> {
     let mappings = match &file.mappings {
         Some(directory) => mappings(&path.parent().unwrap_or(Path::new("")).join(directory), file)?,
         None => Mappings::default(),
@@ -285,25 +292,25 @@
 }
 
 /// The mapping files of a directory, which have to fit the classes.
-fn mappings(directory: &Path, file: &heronhoist_config::File) -> Result<Mappings, Unusable> {
+fn mappings(directory: &Path, file: &heronhoist_config::File) -> Result<Mappings, ConfigError> {
     let read = translate::read_all(directory).map_err(|fault| match fault {
-        translate::Fault::Unread(why) => Unusable::Unread(why),
-        translate::Fault::Faulty(lines) => {
+        translate::TranslateError::Unreadable(why) => ConfigError::Unreadable(why),
+        translate::TranslateError::Invalid(lines) => {
             let (first, more) = (lines.lines().next().unwrap_or_default(), lines.lines().count());
             match more {
-                0 | 1 => Unusable::Faulty(first.into()),
-                n => Unusable::Faulty(format!(
+                0 | 1 => ConfigError::Invalid(first.into()),
+                n => ConfigError::Invalid(format!(
                     "{first} ({} more; `heronhoist translate check` names all)",
                     n - 1
                 )),
             }
         }
     })?;
-    let at = |why: String| Unusable::Faulty(format!("{}: {why}", directory.display()));
+    let at = |why: String| ConfigError::Invalid(format!("{}: {why}", directory.display()));
     let mappings = Mappings::new(read).map_err(at)?;
     let terms = file.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
     let classes = file.classes.iter().map(String::as_str).zip(terms.iter().map(|class| class.effect));
-    match legacy::fault(&mappings, classes) {
+    match legacy::find_mapping_error(&mappings, classes) {
         Some(why) => Err(at(why)),
         None => Ok(mappings),
     }
@@ -325,16 +332,16 @@
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-fn read_file(path: &Path) -> Result<Vec<u8>, Unusable> {
-    std::fs::read(path).map_err(|e| Unusable::Unread(format!("cannot read {}: {e}", path.display())))
+fn read_file(path: &Path) -> Result<Vec<u8>, ConfigError> {
+    std::fs::read(path).map_err(|e| ConfigError::Unreadable(format!("cannot read {}: {e}", path.display())))
 }
 
 impl Config {
     /// Reads the platform's file, which `LB_CONFIG` names; `LB_LISTEN`, `LB_DISCOVERY` and `LB_OPS` overrule what it
     /// says.
-    pub fn from_env() -> Result<Config, Unusable> {
+    pub fn from_env() -> Result<Config, ConfigError> {
         let path = variable("LB_CONFIG").ok_or_else(|| {
-            Unusable::Unread(
+            ConfigError::Unreadable(
                 "nothing to run: give --config FILE, or name the platform's file in LB_CONFIG".into(),
             )
         })?;
@@ -342,7 +349,7 @@
     }
 
     /// Reads a file of either form: the platform's is JSON.
-    pub fn from_file(path: &Path) -> Result<Config, Unusable> {
+    pub fn from_file(path: &Path) -> Result<Config, ConfigError> {
         if path.extension().is_some_and(|extension| extension == "json") {
             return Config::of_platform(path);
         }
@@ -364,13 +371,17 @@
             limits: Limits { sockets: Some(file.sockets), memory_mb: Some(file.memory_mb) },
             known: None,
             plan: own_plan(path, &file)?,
-            log: log::Wanted { format, levels: file.log_level.clone(), per_second: log::PER_SECOND },
+            log: log::LogOptions {
+                format,
+                levels: file.log_level.clone(),
+                lines_per_second: log::DEFAULT_LINES_PER_SECOND,
+            },
             path: path.into(),
             origin: Origin::Own(Box::new(file)),
         })
     }
 
-    fn of_platform(path: &Path) -> Result<Config, Unusable> {
+    fn of_platform(path: &Path) -> Result<Config, ConfigError> {
         let text = read_file(path)?;
         let places = Places {
             listen: variable("LB_LISTEN"),
@@ -378,28 +389,30 @@
             ops: variable("LB_OPS"),
         };
         let config = Config::parse(&text, places);
-        let config = config.map_err(|e| Unusable::Faulty(format!("{}: {e}", path.display())))?;
+        let config = config.map_err(|e| ConfigError::Invalid(format!("{}: {e}", path.display())))?;
         // The platform's file has no word for the log; whoever counts over a fleet sets these.
-        let usual = log::Wanted::default();
-        let per_second = match variable("LB_LOG_PER_SECOND") {
-            None => usual.per_second,
+        let usual = log::LogOptions::default();
+        let lines_per_second = match variable("LB_LOG_PER_SECOND") {
+            None => usual.lines_per_second,
             Some(text) => match text.parse::<f64>() {
                 Ok(lines) if lines.is_finite() && lines > 0.0 => lines,
                 _ => {
-                    return Err(Unusable::Faulty(format!(
+                    return Err(ConfigError::Invalid(format!(
                         "LB_LOG_PER_SECOND: {text:?} is no number of lines"
                     )))
                 }
             },
         };
-        let log = log::Wanted { levels: variable("LB_LOG").unwrap_or(usual.levels), per_second, ..usual };
+        let log =
+            log::LogOptions { levels: variable("LB_LOG").unwrap_or(usual.levels), lines_per_second, ..usual };
         Ok(Config { path: path.into(), log, ..config })
     }
 
-    fn own(path: &Path) -> Result<heronhoist_config::File, Unusable> {
+    fn own(path: &Path) -> Result<heronhoist_config::File, ConfigError> {
         let text = String::from_utf8(read_file(path)?)
-            .map_err(|e| Unusable::Faulty(format!("{}: not UTF-8: {e}", path.display())))?;
-        heronhoist_config::parse(&text, &variable).map_err(|faults| Unusable::Faults(path.into(), faults))
+            .map_err(|e| ConfigError::Invalid(format!("{}: not UTF-8: {e}", path.display())))?;
+        heronhoist_config::parse(&text, &variable)
+            .map_err(|faults| ConfigError::InvalidEntries(path.into(), faults))
     }
 
     /// What the processes of this agent may hold together.
@@ -432,7 +445,7 @@
 
     /// Reads the file once more, at the operators' signal. The environment is as old as the process; in the platform's
     /// form it has no say here. Addresses and limits of this process do not change without a restart.
-    pub fn reread(&self) -> Result<Revised, String> {
+    pub fn reread(&self) -> Result<ReloadedConfig, String> {
         match &self.origin {
             Origin::Platform(shape) => {
                 let text = read_file(&self.path).map_err(|e| e.to_string())?;
@@ -447,23 +460,23 @@
                     ));
                 }
                 let plan = own_plan(&self.path, &file).map_err(|e| e.to_string())?;
-                Ok(Revised { plan, origin: Origin::Own(Box::new(file)) })
+                Ok(ReloadedConfig { plan, origin: Origin::Own(Box::new(file)) })
             }
         }
     }
 
     /// Takes a file only if it is whole: it must hold what the one in force holds, and be usable itself.
-    fn check(old: &Value, text: &[u8]) -> Result<Revised, String> {
+    fn check(old: &Value, text: &[u8]) -> Result<ReloadedConfig, String> {
         let shape = read(text)?;
         if let Some(key) = missing(old, &shape, "") {
             return Err(format!("{key} is missing"));
         }
         let Config { plan, origin, .. } = Config::parse(text, Places::default())?;
-        Ok(Revised { plan, origin })
+        Ok(ReloadedConfig { plan, origin })
     }
 
     /// What has been taken is in force from now on.
-    pub fn revise(&mut self, revised: Revised) {
+    pub fn replace(&mut self, revised: ReloadedConfig) {
         (self.plan, self.origin) = (revised.plan, revised.origin);
     }
 
@@ -498,8 +511,8 @@
             seed: file.seed.map_or(0, |seed| seed_number(&seed)),
             limits: Limits { sockets: Some(sockets), ..file.limits },
             known: file.known.map(EndpointList::from),
-            plan: plan(&file.settings, address("discovery", places.discovery.or(file.discovery))?),
-            log: log::Wanted::default(),
+            plan: platform_plan(&file.settings, address("discovery", places.discovery.or(file.discovery))?),
+            log: log::LogOptions::default(),
             path: PathBuf::new(),
             origin: Origin::Platform(shape),
         })
--- a/crates/agent/src/config/tests.rs
+++ b/crates/agent/src/config/tests.rs
@@ -14,17 +14,17 @@
     );
     let config = parse(&text).expect("usable");
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    for sharers in 1..=3 {
-        let budget = config.limits().of(sharers);
-        let held = budget.clients.open_most + budget.room.connections + RESERVE;
-        assert!(held * sharers <= 1024, "{sharers}");
+    for processes in 1..=3 {
+        let budget = config.limits().for_processes(processes);
+        let held = budget.clients.max_open + budget.upstream.connections + RESERVE;
+        assert!(held * processes <= 1024, "{processes}");
     }
     let small = text.replace("\"cores\"", "\"memory_mb\":32,\"cores\"");
     let small = parse(&small).expect("usable");
-    let budget = small.limits().of(1);
-    let held = budget.clients.open_most as f64 * CLIENT_BYTES + budget.room.body_bytes as f64;
-    assert!(held <= 16.0 * 1024.0 * 1024.0 && budget.clients.open_most > 250);
-    assert!(small.limits().of(2).room.body_bytes * 2 <= budget.room.body_bytes);
+    let budget = small.limits().for_processes(1);
+    let held = budget.clients.max_open as f64 * CLIENT_BYTES + budget.upstream.body_bytes as f64;
+    assert!(held <= 16.0 * 1024.0 * 1024.0 && budget.clients.max_open > 250);
+    assert!(small.limits().for_processes(2).upstream.body_bytes * 2 <= budget.upstream.body_bytes);
     let over =
         Config::parse(text.as_bytes(), Places { listen: Some("127.0.0.2:90".into()), ..Places::default() })
             .expect("usable");
--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -47,7 +47,7 @@
 
 /// A connection, for callers with one peer: a failure of this machine is no answer of the peer, which nothing has been asked,
 /// and is tried again soon, for as long as the caller waits. Each try may take so long.
-pub async fn connect_when_able(
+pub async fn connect_with_retry(
     connector: &impl Connector,
     address: SocketAddr,
     within: Duration,
@@ -98,7 +98,7 @@
         let error = match timeout(within, connect(connector, place.address)).await {
             Ok(Ok(stream)) => {
                 self.unrouted.borrow_mut().remove(&place.server);
-                self.note_reached();
+                self.record_reached();
                 return Ok(stream);
             }
             Ok(Err(error)) => error,
@@ -113,7 +113,7 @@
     }
 
     /// Somebody has been reached: a connection has come up, or bytes have come on one.
-    pub fn note_reached(&self) {
+    pub fn record_reached(&self) {
         // Only what comes after a failure is asked about, and usually there is none.
         if !self.unrouted.borrow().is_empty() {
             self.reached.set(Some(Instant::now()));
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -115,7 +115,7 @@
             }
             // An answer that had come before.
             if round == 0 {
-                reachability.note_reached();
+                reachability.record_reached();
             }
             sleep(WITHIN).await;
         }
@@ -139,7 +139,7 @@
         assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::NotSent);
         sleep(2 * WITHIN).await;
         match by_answer {
-            true => reachability.note_reached(),
+            true => reachability.record_reached(),
             false => reachability.comes_up(other.place).await,
         }
         for _ in 0..3 {
@@ -176,7 +176,7 @@
     assert_eq!(connector.calls.get(), 10);
     talks(stream, &one).await;
     let (connector, begun) = (Scripted::failing([Errno::INTR; 9]), Instant::now());
-    let stream = connect_when_able(&connector, one.place.address, WITHIN).await.expect("in the end");
+    let stream = connect_with_retry(&connector, one.place.address, WITHIN).await.expect("in the end");
     assert_eq!((connector.calls.get(), begun.elapsed()), (10, Duration::ZERO), "at once");
     talks(stream, &one).await;
 }
@@ -187,13 +187,13 @@
     let one = peer(1).await;
     let row = [Errno::MFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NOBUFS, Errno::INTR];
     let (connector, begun) = (Scripted::failing(row), Instant::now());
-    let stream = connect_when_able(&connector, one.place.address, WITHIN).await.expect("in the end");
+    let stream = connect_with_retry(&connector, one.place.address, WITHIN).await.expect("in the end");
     assert_eq!(connector.calls.get(), row.len() + 1);
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
     talks(stream, &one).await;
     for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         let connector = Scripted::failing([errno]);
-        let error = connect_when_able(&connector, one.place.address, WITHIN).await.expect_err("told");
+        let error = connect_with_retry(&connector, one.place.address, WITHIN).await.expect_err("told");
         assert_eq!((Errno::from_io_error(&error), connector.calls.get()), (Some(errno), 1));
     }
 }
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -2,9 +2,9 @@
 
 use crate::connect::{Reachability, Tcp};
 use crate::idle_timeout::{ConnectionEnd, IdleTimeout};
+use crate::metered_stream::{MeteredStream, StreamMonitor};
 use crate::reuse::ReuseTrust;
-use crate::upload::Outgoing;
-use crate::wire::{View, Wire};
+use crate::upload::AttemptBody;
 use heronhoist_decision::{Outcome, ServerId};
 use heronhoist_engine::{Incarnation, QuotaShare};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -43,8 +43,8 @@
 
 /// A connection that carries no request.
 struct Idle {
-    sender: SendRequest<Outgoing>,
-    view: View,
+    sender: SendRequest<AttemptBody>,
+    monitor: StreamMonitor,
     task: AbortHandle,
     since: Instant,
     incarnation: Incarnation,
@@ -67,7 +67,10 @@
     /// Whatever has come on it since its last answer makes it useless: it would be taken for the next answer.
     fn usable(&self, now: Instant, rest: Duration, incarnation: Incarnation) -> Use {
         let age = now.saturating_duration_since(self.since);
-        if age >= rest || self.incarnation != incarnation || self.sender.is_closed() || !self.view.is_quiet()
+        if age >= rest
+            || self.incarnation != incarnation
+            || self.sender.is_closed()
+            || !self.monitor.is_idle()
         {
             Use::Never
         } else if self.sender.is_ready() {
@@ -90,10 +93,10 @@
 
 /// Closes its connection when dropped, unless that has been given back: nobody waits on it any more, and what
 /// still came on it would be taken for the answer to the next request.
-pub struct Lease {
-    sender: Option<SendRequest<Outgoing>>,
+pub struct PooledConnection {
+    sender: Option<SendRequest<AttemptBody>>,
     /// Its socket.
-    pub view: View,
+    pub monitor: StreamMonitor,
     task: AbortHandle,
     /// How long it had been idle; `None` if it has carried nothing yet.
     rested: Option<Duration>,
@@ -102,41 +105,41 @@
     received: u64,
 }
 
-impl Lease {
+impl PooledConnection {
     /// It has carried nothing yet.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_new(&self) -> bool {
         self.rested.is_none()
     }
 
     /// What it had carried when it was leased.
-    pub fn usage(&self) -> LeaseUse {
-        let (view, rested) = (self.view.clone(), self.rested);
-        LeaseUse { view, rested, written: self.written, received: self.received }
+    pub fn usage(&self) -> ConnectionUsage {
+        let (monitor, rested) = (self.monitor.clone(), self.rested);
+        ConnectionUsage { monitor, rested, written: self.written, received: self.received }
     }
 
     /// What sends on it.
-    pub fn sender(&mut self) -> Option<&mut SendRequest<Outgoing>> {
+    pub fn sender(&mut self) -> Option<&mut SendRequest<AttemptBody>> {
         self.sender.as_mut()
     }
 }
 
 /// A connection as it was when it was leased, to tell afterwards what has come of that.
-pub struct LeaseUse {
-    view: View,
+pub struct ConnectionUsage {
+    monitor: StreamMonitor,
     /// How long it had been idle; `None` if it had carried nothing yet.
     rested: Option<Duration>,
     written: u64,
     received: u64,
 }
 
-impl LeaseUse {
+impl ConnectionUsage {
     /// Nothing has been read on it since.
-    pub fn is_unanswered(&self) -> bool {
-        self.view.received() == self.received
+    pub fn has_received_nothing(&self) -> bool {
+        self.monitor.bytes_received() == self.received
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         if self.sender.is_some() {
             self.task.abort();
@@ -146,9 +149,9 @@
 
 /// The connections of all pools of the process, which share its descriptors.
 #[derive(Default)]
-pub struct Siblings(RefCell<Vec<Weak<Connections>>>);
+pub struct ConnectionRegistry(RefCell<Vec<Weak<Connections>>>);
 
-impl Siblings {
+impl ConnectionRegistry {
     /// Closes the coldest idle connection of those pools that hold more than their reserve; false if there is none.
     fn close_borrowed(&self) -> bool {
         let all: Vec<_> = self.0.borrow().iter().filter_map(Weak::upgrade).collect();
@@ -162,7 +165,7 @@
 pub struct Connections {
     idle: RefCell<HashMap<ServerId, Vec<Idle>>>,
     open: Rc<QuotaShare>,
-    siblings: Rc<Siblings>,
+    registry: Rc<ConnectionRegistry>,
     connect_timeout: Cell<Duration>,
     idle_timeout: IdleTimeout,
     reachability: Reachability,
@@ -173,16 +176,16 @@
     /// No connections yet, and no more than `open` has room for.
     pub fn new(
         open: Rc<QuotaShare>,
-        siblings: &Rc<Siblings>,
+        registry: &Rc<ConnectionRegistry>,
         connect_timeout: Duration,
         keepalive: Duration,
     ) -> Rc<Self> {
         let idle_timeout = IdleTimeout::new(keepalive.mul_f64(IDLE_SHARE));
         let (idle, connect_timeout) = (RefCell::default(), Cell::new(connect_timeout));
-        let (siblings, reachability, trust) = (Rc::clone(siblings), Reachability::default(), Rc::default());
+        let (registry, reachability, trust) = (Rc::clone(registry), Reachability::default(), Rc::default());
         let connections =
-            Rc::new(Connections { idle, open, siblings, connect_timeout, idle_timeout, reachability, trust });
-        let mut all = connections.siblings.0.borrow_mut();
+            Rc::new(Connections { idle, open, registry, connect_timeout, idle_timeout, reachability, trust });
+        let mut all = connections.registry.0.borrow_mut();
         all.retain(|sibling| sibling.strong_count() > 0);
         all.push(Rc::downgrade(&connections));
         drop(all);
@@ -190,7 +193,7 @@
     }
 
     /// Closes what rests, as far as there are more connections than there may be after their number was made smaller.
-    pub fn shrink(&self) {
+    pub fn close_excess(&self) {
         for _ in 0..self.open.excess() {
             if !self.close_coldest() {
                 return;
@@ -199,9 +202,9 @@
     }
 
     /// Takes over new settings.
-    pub fn revise(&self, connect_timeout: Duration, keepalive: Duration) {
+    pub fn update_settings(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
-        self.idle_timeout.revise(keepalive.mul_f64(IDLE_SHARE));
+        self.idle_timeout.set_max(keepalive.mul_f64(IDLE_SHARE));
     }
 
     /// How many are open.
@@ -211,14 +214,15 @@
     }
 
     /// The warmest connection that has rested, one that a trusted server has to spare, or a new one.
-    pub async fn lease(&self, place: EndpointAddress) -> Result<Lease, Outcome> {
+    pub async fn acquire(&self, place: EndpointAddress) -> Result<PooledConnection, Outcome> {
         if let Some(idle) = self.pop(place) {
-            let Idle { sender, view, task, since, .. } = idle;
-            let (rested, written, received) = (Some(since.elapsed()), view.written(), view.received());
-            return Ok(Lease { sender: Some(sender), view, task, rested, written, received });
+            let Idle { sender, monitor, task, since, .. } = idle;
+            let (rested, written, received) =
+                (Some(since.elapsed()), monitor.bytes_written(), monitor.bytes_received());
+            return Ok(PooledConnection { sender: Some(sender), monitor, task, rested, written, received });
         }
         // What is closed for this one gives its descriptor back in a moment.
-        let made_room = || self.close_one() || self.siblings.close_borrowed();
+        let made_room = || self.close_one() || self.registry.close_borrowed();
         let reservation = match self.open.try_reserve(1) {
             Some(reservation) => reservation,
             None if made_room() => self.open.overdraw(1),
@@ -234,7 +238,7 @@
             elapsed_us = begun.elapsed().as_micros() as u64,
             "connection opened"
         );
-        let (wire, view) = Wire::new(connected?, reservation);
+        let (wire, monitor) = MeteredStream::new(connected?, reservation);
         let mut builder = Builder::new();
         builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
         let Ok((sender, connection)) = builder.handshake(wire).await else {
@@ -243,11 +247,11 @@
         let trust = Rc::clone(&self.trust);
         let task = tokio::task::spawn_local(async move {
             if connection.await.is_err_and(|e| is_unrequested(&e)) {
-                trust.unrequested(place.server, place.incarnation);
+                trust.record_unrequested_bytes(place.server, place.incarnation);
             }
         });
         let task = task.abort_handle();
-        Ok(Lease { sender: Some(sender), view, task, rested: None, written: 0, received: 0 })
+        Ok(PooledConnection { sender: Some(sender), monitor, task, rested: None, written: 0, received: 0 })
     }
 
     fn pop(&self, place: EndpointAddress) -> Option<Idle> {
@@ -269,7 +273,7 @@
                 }
             }
         }
-        if !self.trust.is_earned(place.server, place.incarnation) {
+        if !self.trust.is_trusted(place.server, place.incarnation) {
             return None;
         }
         let mut at = pool.partition_point(|idle| idle.has_rested(now));
@@ -280,7 +284,7 @@
                 Use::Never => {
                     self.close(place.server, &pool.remove(at));
                     // What was seen on it may have ended the trust.
-                    if !self.trust.is_earned(place.server, place.incarnation) {
+                    if !self.trust.is_trusted(place.server, place.incarnation) {
                         return None;
                     }
                 }
@@ -292,44 +296,44 @@
     /// Counts the rest of a connection that is quiet.
     fn learn(&self, server: ServerId, idle: &mut Idle) {
         if std::mem::take(&mut idle.is_evidence) {
-            self.trust.quiet_rest(server, idle.incarnation);
+            self.trust.record_quiet_idle(server, idle.incarnation);
         }
     }
 
     /// Closes an idle connection, and learns what came on it last; false if that makes no room, since it was closed already.
     fn close(&self, server: ServerId, idle: &Idle) -> bool {
         // Of what hyper has read already its task has told.
-        if idle.view.has_unread() {
-            self.trust.unrequested(server, idle.incarnation);
+        if idle.monitor.has_unread_bytes() {
+            self.trust.record_unrequested_bytes(server, idle.incarnation);
         }
         idle.task.abort();
         !idle.sender.is_closed()
     }
 
     /// Learns from how a connection has served; and bytes may have come on it ahead of the request's first.
-    pub fn note(&self, place: EndpointAddress, usage: &LeaseUse, end: ConnectionEnd) {
-        if end == ConnectionEnd::Answered {
-            self.reachability.note_reached();
+    pub fn record_use(&self, place: EndpointAddress, usage: &ConnectionUsage, end: ConnectionEnd) {
+        if end == ConnectionEnd::Responded {
+            self.reachability.record_reached();
         }
-        self.idle_timeout.note(usage.rested, end);
-        let view = &usage.view;
-        let unasked = view.written() == usage.written && view.received() > usage.received;
-        if unasked || view.has_unrequested() {
-            self.trust.unrequested(place.server, place.incarnation);
+        self.idle_timeout.record(usage.rested, end);
+        let monitor = &usage.monitor;
+        let unasked = monitor.bytes_written() == usage.written && monitor.bytes_received() > usage.received;
+        if unasked || monitor.has_unrequested_bytes() {
+            self.trust.record_unrequested_bytes(place.server, place.incarnation);
         }
     }
 
     /// Keeps a connection for the next request.
-    pub fn give_back(&self, place: EndpointAddress, mut lease: Lease) {
-        let Some(sender) = lease.sender.take() else { return };
-        let (view, task) = (lease.view.clone(), lease.task.clone());
+    pub fn release(&self, place: EndpointAddress, mut connection: PooledConnection) {
+        let Some(sender) = connection.sender.take() else { return };
+        let (monitor, task) = (connection.monitor.clone(), connection.task.clone());
         let (since, incarnation, is_evidence) =
-            (Instant::now(), place.incarnation, view.received() > lease.received);
-        let idle = Idle { sender, view, task, since, incarnation, is_evidence };
+            (Instant::now(), place.incarnation, monitor.bytes_received() > connection.received);
+        let idle = Idle { sender, monitor, task, since, incarnation, is_evidence };
         let mut all = self.idle.borrow_mut();
         let pool = all.entry(place.server).or_default();
         pool.push(idle);
-        if pool.len() > IDLE_ENOUGH && self.trust.is_earned(place.server, place.incarnation) {
+        if pool.len() > IDLE_ENOUGH && self.trust.is_trusted(place.server, place.incarnation) {
             self.close(place.server, &pool.remove(0));
         }
     }
@@ -387,7 +391,7 @@
 
     /// Closes what has rested long enough, has been closed by its server, or leads to one that is not what it
     /// was: `is_current` tells of a server and an incarnation whether that still is.
-    pub fn retire(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
+    pub fn close_stale(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
         let (now, limit) = (Instant::now(), self.idle_timeout.limit());
         self.idle.borrow_mut().retain(|&server, pool| {
             pool.retain_mut(|idle| {
--- a/crates/agent/src/connections/tests.rs
+++ b/crates/agent/src/connections/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::dialect::NEW;
-use crate::upload::Payload;
+use crate::upload::RequestBody;
 use bytes::Bytes;
 use heronhoist_engine::Quota;
 use http_body_util::BodyExt;
@@ -113,25 +113,26 @@
 }
 
 /// A request and all of its answer.
-async fn exchange(lease: &mut Lease) {
-    let mut request = Request::new(Payload::Held(Bytes::new()).outgoing());
+async fn exchange(connection: &mut PooledConnection) {
+    let mut request = Request::new(RequestBody::Buffered(Bytes::new()).attempt_body());
     *request.uri_mut() = hyper::Uri::from_static("/x");
-    lease.view.arm(1 << 20, None);
-    let answer = lease.sender().unwrap().try_send_request(request).await.map_err(|_| "no answer").unwrap();
+    connection.monitor.begin_request(1 << 20, None);
+    let answer =
+        connection.sender().unwrap().try_send_request(request).await.map_err(|_| "no answer").unwrap();
     assert_eq!(answer.into_body().collect().await.unwrap().to_bytes(), "ok");
     // hyper puts it behind it.
-    until(|| lease.sender.iter().all(|sender| sender.is_ready() || sender.is_closed())).await;
+    until(|| connection.sender.iter().all(|sender| sender.is_ready() || sender.is_closed())).await;
 }
 
 /// So many requests at once, each on a connection of its own, which then rest.
 async fn wave(connections: &Connections, server: &Server, count: usize) {
-    let mut leases = Vec::new();
+    let mut acquired = Vec::new();
     for _ in 0..count {
-        leases.push(connections.lease(server.place).await.unwrap());
+        acquired.push(connections.acquire(server.place).await.unwrap());
     }
-    for mut lease in leases {
-        exchange(&mut lease).await;
-        connections.give_back(server.place, lease);
+    for mut connection in acquired {
+        exchange(&mut connection).await;
+        connections.release(server.place, connection);
     }
 }
 
@@ -145,7 +146,7 @@
 }
 
 fn is_trusted(connections: &Connections, server: &Server) -> bool {
-    connections.trust.is_earned(server.place.server, server.place.incarnation)
+    connections.trust.is_trusted(server.place.server, server.place.incarnation)
 }
 
 /// Until hyper has heard what the server sent on that connection.
@@ -179,15 +180,15 @@
         earn(&connections, &server).await;
         advance(Duration::from_millis(3)).await;
         wave(&connections, &server, 1).await;
-        let lease = connections.lease(server.place).await.unwrap();
-        assert_eq!(lease.rested, Some(Duration::from_millis(3)), "not the one that was used just now");
+        let connection = connections.acquire(server.place).await.unwrap();
+        assert_eq!(connection.rested, Some(Duration::from_millis(3)), "not the one that was used just now");
         assert_eq!(server.opened(), UNRESTED_LEAST);
         // Fewer are resting now than a busy server needs: as without trust, one more is opened.
-        assert!(connections.lease(server.place).await.unwrap().is_fresh());
+        assert!(connections.acquire(server.place).await.unwrap().is_new());
         // One that has rested goes before all that have not.
         advance(IDLE_LEAST).await;
-        let lease = connections.lease(server.place).await.unwrap();
-        assert_eq!(lease.rested, Some(IDLE_LEAST));
+        let connection = connections.acquire(server.place).await.unwrap();
+        assert_eq!(connection.rested, Some(IDLE_LEAST));
     })
     .await;
 }
@@ -211,7 +212,7 @@
             wave(&connections, &good, UNRESTED_LEAST).await;
             assert!(is_trusted(&connections, &bad) && is_trusted(&connections, &good));
             let resting = |server: &Server| {
-                connections.idle.borrow()[&server.place.server].iter().any(|i| i.view.has_unread())
+                connections.idle.borrow()[&server.place.server].iter().any(|i| i.monitor.has_unread_bytes())
             };
             match seen {
                 "by hyper" => {
@@ -225,13 +226,13 @@
                     assert!(connections.pop(bad.place).is_none());
                 }
                 "before the first byte" => {
-                    let mut lease = connections.lease(bad.place).await.unwrap();
-                    lease.view.arm(1 << 20, None);
+                    let mut connection = connections.acquire(bad.place).await.unwrap();
+                    connection.monitor.begin_request(1 << 20, None);
                     bad.say(0, b"H");
-                    block_until(|| lease.view.has_unread());
-                    let request = Request::new(Payload::Held(Bytes::new()).outgoing());
-                    assert!(lease.sender().unwrap().try_send_request(request).await.is_err());
-                    connections.note(bad.place, &lease.usage(), ConnectionEnd::Broken);
+                    block_until(|| connection.monitor.has_unread_bytes());
+                    let request = Request::new(RequestBody::Buffered(Bytes::new()).attempt_body());
+                    assert!(connection.sender().unwrap().try_send_request(request).await.is_err());
+                    connections.record_use(bad.place, &connection.usage(), ConnectionEnd::Broken);
                 }
                 "behind an answer" => {
                     bad.behind.set(ANSWER);
@@ -242,7 +243,7 @@
                 "by the sweep" => {
                     bad.say(1, b"H");
                     block_until(|| resting(&bad));
-                    connections.retire(|_, _| true);
+                    connections.close_stale(|_, _| true);
                 }
                 _ => {
                     bad.say(1, b"H");
@@ -275,7 +276,7 @@
         for (n, is_reset) in [(0, false), (1, true)] {
             server.end(n, is_reset);
             until_closed(&connections, &server).await;
-            connections.retire(|_, _| true);
+            connections.close_stale(|_, _| true);
         }
         assert!(connections.idle.borrow().is_empty());
         assert!(is_trusted(&connections, &server));
@@ -292,24 +293,24 @@
         for _ in 0..EARNED - 1 {
             wave(&connections, &server, 1).await;
             advance(IDLE_LEAST).await;
-            connections.retire(|_, _| true);
-            connections.retire(|_, _| true);
+            connections.close_stale(|_, _| true);
+            connections.close_stale(|_, _| true);
         }
         assert!(!is_trusted(&connections, &server));
         for _ in 0..3 {
             // Taken, and given back with nothing sent: its answer's rest was seen before.
-            let lease = connections.lease(server.place).await.unwrap();
-            connections.give_back(server.place, lease);
+            let connection = connections.acquire(server.place).await.unwrap();
+            connections.release(server.place, connection);
             advance(IDLE_LEAST).await;
         }
         assert!(!is_trusted(&connections, &server));
         wave(&connections, &server, 1).await;
-        connections.retire(|_, _| true);
+        connections.close_stale(|_, _| true);
         assert!(!is_trusted(&connections, &server), "not before it has rested");
         advance(IDLE_LEAST).await;
-        connections.retire(|_, _| true);
+        connections.close_stale(|_, _| true);
         assert!(is_trusted(&connections, &server));
-        connections.retire(|_, _| false);
+        connections.close_stale(|_, _| false);
         assert!(!is_trusted(&connections, &server), "nothing is kept of what has left");
     })
     .await;
@@ -331,7 +332,7 @@
         advance(IN_TURN).await;
         let coldest = connections.coldest().unwrap();
         let other = Server::new(2).await;
-        assert!(connections.lease(other.place).await.unwrap().is_fresh());
+        assert!(connections.acquire(other.place).await.unwrap().is_new());
         assert!(connections.coldest().unwrap() > coldest);
     })
     .await;
@@ -348,9 +349,9 @@
             until_closed(&connections, &server).await;
             until(|| connections.count() == 0).await;
             let other = Server::new(2).await;
-            let at_work = connections.lease(other.place).await.unwrap();
+            let at_work = connections.acquire(other.place).await.unwrap();
             advance(rest).await;
-            assert!(matches!(connections.lease(other.place).await, Err(Outcome::NotSent)), "{rest:?}");
+            assert!(matches!(connections.acquire(other.place).await, Err(Outcome::NotSent)), "{rest:?}");
             assert_eq!(connections.count(), 1);
             drop(at_work);
         }
--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -1,9 +1,9 @@
 //! What servers of a mixed fleet speak, and requests and answers in both dialects. Where a request may go is settled by
 //! `heronhoist_translate::mixed` before the module draws; an attempt speaks its server's dialect as that was when it began.
 
-use crate::backend::{Call, Content, Said, Served};
+use crate::backend::{LegacyRequest, ResponseBody, UpstreamRequest, UpstreamResponse};
 use crate::intake::IDEMPOTENCY_KEY;
-use crate::upload::{Payload, HELD_MOST};
+use crate::upload::{RequestBody, MAX_BUFFERED_BYTES};
 use bytes::Bytes;
 use heronhoist_decision::{DialectId, Dialects};
 use heronhoist_engine::{NewRequest, Reservation};
@@ -34,7 +34,11 @@
 
 /// The request of a new client for old servers too, where it can be said to them without loss and with the same key. Where it
 /// can't, it goes to new ones only.
-pub fn also_old(mappings: &Mappings, new_request: &mut NewRequest<Call>, serving: Dialects) {
+pub fn add_legacy_form(
+    mappings: &Mappings,
+    new_request: &mut NewRequest<UpstreamRequest>,
+    serving: Dialects,
+) {
     if mappings.all().is_empty() {
         return;
     }
@@ -44,7 +48,7 @@
     }
     let call = &new_request.request;
     let said = mappings.of_new(call.method.as_str(), call.uri.path()).find_map(|mapping| {
-        let Payload::Held(body) = &call.body else { return None };
+        let RequestBody::Buffered(body) = &call.body else { return None };
         let is_query = call.method == Method::GET;
         let bytes = if is_query { call.uri.query().unwrap_or_default().as_bytes() } else { body };
         let key = call.headers.get(IDEMPOTENCY_KEY).map(|key| key.to_str().unwrap_or_default());
@@ -52,24 +56,28 @@
         said(mapping, &call.headers, plan.other?)
     });
     if let Some(said) = said {
-        new_request.request.old = Some(Box::new(said));
+        new_request.request.legacy = Some(Box::new(said));
         new_request.dialects = new_request.dialects.with(OLD);
     }
 }
 
 /// A message as old servers get it.
-fn said(mapping: &Rc<Mapping>, from: &HeaderMap, bytes: Vec<u8>) -> Option<Said> {
+fn said(mapping: &Rc<Mapping>, from: &HeaderMap, bytes: Vec<u8>) -> Option<LegacyRequest> {
     let old = &mapping.old;
-    let (method, uri, mut headers, body) = written(old, from, bytes)?;
+    let (method, uri, mut headers, body) = to_http_parts(old, from, bytes)?;
     if old.form == Form::Soap && method != Method::GET {
         let action = format!("\"{}#{}\"", old.namespace, old.operation);
         headers.insert(SOAP_ACTION, HeaderValue::try_from(action).ok()?);
     }
-    Some(Said { method, uri, headers, body, by: Some(Rc::clone(mapping)) })
+    Some(LegacyRequest { method, uri, headers, body, mapping: Some(Rc::clone(mapping)) })
 }
 
 /// A translated request as its side has it over HTTP: in the query of a GET, in the body of others. `from` is the client's head.
-pub fn written(to: &Dialect, from: &HeaderMap, bytes: Vec<u8>) -> Option<(Method, Uri, HeaderMap, Bytes)> {
+pub fn to_http_parts(
+    to: &Dialect,
+    from: &HeaderMap,
+    bytes: Vec<u8>,
+) -> Option<(Method, Uri, HeaderMap, Bytes)> {
     let method: Method = to.method.parse().ok()?;
     let mut headers = HeaderMap::with_capacity(5);
     if let Some(host) = from.get(HOST) {
@@ -86,13 +94,13 @@
 
 /// Turns a server's answer into that of the other side: its body, the memory that the server's held, and what was lost. One that
 /// can't be said there may have run, and is a failure.
-pub fn answer(
+pub fn translate_response(
     mapping: &Mapping,
     from: Side,
-    served: Served,
+    served: UpstreamResponse,
 ) -> Result<(Bytes, Reservation, Vec<Notice>), String> {
-    let Content::Held(bytes, reservation) = served.body else {
-        return Err(format!("it is longer than {HELD_MOST} bytes"));
+    let ResponseBody::Buffered(bytes, reservation) = served.body else {
+        return Err(format!("it is longer than {MAX_BUFFERED_BYTES} bytes"));
     };
     let (body, notices) = mixed::answer(mapping, from, &bytes)?;
     Ok((body.into(), reservation, notices))
--- a/crates/agent/src/discovery/connection.rs
+++ b/crates/agent/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! An HTTP/1 connection to discovery that is kept for several calls.
 
-use crate::connect::{connect_when_able, Connector};
-use crate::wire::Wire;
+use crate::connect::{connect_with_retry, Connector};
+use crate::metered_stream::MeteredStream;
 use bytes::Bytes;
 use heronhoist_engine::timing::timeout;
 use http_body_util::Empty;
@@ -44,8 +44,8 @@
     ///
     /// Discovery refuses the connection or does not answer within [`CONNECT_TIMEOUT`].
     pub async fn open(connector: &impl Connector, address: SocketAddr) -> Result<Self, OpenError> {
-        let stream = connect_when_able(connector, address, CONNECT_TIMEOUT).await?;
-        let (wire, _) = Wire::new(stream, ());
+        let stream = connect_with_retry(connector, address, CONNECT_TIMEOUT).await?;
+        let (wire, _) = MeteredStream::new(stream, ());
         let (sender, connection) = http1::handshake(wire).await?;
         let task = tokio::task::spawn_local(async move {
             // A connection that fails shows at the call that uses it.
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -1,7 +1,7 @@
 //! Answers too long to be held whole: passed on as they come, no faster than the client takes them.
 
-use crate::connections::{Connections, EndpointAddress, Lease};
-use crate::upload::BODY_MOST;
+use crate::connections::{Connections, EndpointAddress, PooledConnection};
+use crate::upload::MAX_BODY_BYTES;
 use bytes::Bytes;
 use heronhoist_engine::timing::DeadlineTimer;
 use heronhoist_engine::Reservation;
@@ -42,7 +42,7 @@
 /// The connection that an answer comes on, and where it goes back to when all of it has come.
 pub struct Origin {
     /// The connection; closed if the answer does not come whole.
-    pub lease: Lease,
+    pub connection: PooledConnection,
     /// What it leads to.
     pub place: EndpointAddress,
     /// Where it came from.
@@ -70,22 +70,23 @@
     }
 
     /// Keeps the connection as long as the answer comes on it.
-    pub fn keep(&mut self, origin: Origin) {
+    pub fn keep_connection(&mut self, origin: Origin) {
         self.origin = Some(origin);
     }
 
     /// All of it has come.
     fn give_back(&mut self) {
-        if let Some(Origin { lease, place, connections }) = self.origin.take() {
-            if !lease.view.has_ended() {
-                connections.give_back(place, lease);
+        if let Some(Origin { connection, place, connections }) = self.origin.take() {
+            if !connection.monitor.has_ended() {
+                connections.release(place, connection);
             }
         }
     }
 
     /// Nothing more comes: whether that is the end of the answer.
     fn is_whole(&self) -> bool {
-        let has_ended = || self.origin.as_ref().is_some_and(|origin| origin.lease.view.has_ended_orderly());
+        let has_ended =
+            || self.origin.as_ref().is_some_and(|origin| origin.connection.monitor.has_ended_cleanly());
         self.length != BodyLength::CloseDelimited || has_ended()
     }
 
@@ -134,7 +135,7 @@
                 if this.is_end_stream() {
                     this.give_back();
                 }
-                let fits = this.given <= BODY_MOST;
+                let fits = this.given <= MAX_BODY_BYTES;
                 Some(if fits { Ok(Frame::data(data)) } else { Err(ErrorKind::FileTooLarge.into()) })
             }
             Some(Err(e)) => Some(Err(e)),
--- a/crates/agent/src/fleet/coordinator/listener.rs
+++ b/crates/agent/src/fleet/coordinator/listener.rs
@@ -5,7 +5,7 @@
 use crate::accept::accept;
 use crate::fleet::link::{ClientRequest, RAFT_PATH, REQUEST_PATH};
 use crate::gauge::Gauge;
-use crate::wire::Wire;
+use crate::metered_stream::MeteredStream;
 use bytes::Bytes;
 use heronhoist_coordination::node::NodeError;
 use heronhoist_coordination::service::Service;
@@ -35,14 +35,14 @@
     loop {
         let stream = accept(&listener, |_, _| {}).await;
         if connections.count() < MAX_CONNECTIONS {
-            spawn_local(serve_connection(Rc::clone(&coordinator), stream, connections.enter()));
+            spawn_local(serve_connection(Rc::clone(&coordinator), stream, connections.increment()));
         }
     }
 }
 
 /// Serves one connection, which is counted as long as `counted` lives.
 async fn serve_connection(coordinator: Rc<Coordinator>, stream: TcpStream, counted: impl Sized + 'static) {
-    let (wire, _) = Wire::new(stream, counted);
+    let (wire, _) = MeteredStream::new(stream, counted);
     let service = service_fn(|request| {
         let coordinator = Rc::clone(&coordinator);
         async move { Ok::<_, Infallible>(coordinator.respond_to_http(request).await) }
--- a/crates/agent/src/fleet/coordinator/mod.rs
+++ b/crates/agent/src/fleet/coordinator/mod.rs
@@ -88,7 +88,7 @@
         }
         serve(config, restore, store, Box::new(move || Store::reopen(&disk))).await
     };
-    crate::on_one_thread(process).map_err(CoordinatorError::Runtime)?
+    crate::run_local(process).map_err(CoordinatorError::Runtime)?
 }
 
 /// Serves clients and the other processes from an open store until SIGTERM.
--- a/crates/agent/src/fleet/coordinator/ready_page.rs
+++ b/crates/agent/src/fleet/coordinator/ready_page.rs
@@ -1,7 +1,7 @@
 //! What the operators' address shows: whether the process is ready, and its metrics.
 
 use super::Coordinator;
-use crate::ops::Shown;
+use crate::ops::StatusSource;
 use heronhoist_coordination::node::NodeStatus;
 use std::fmt::Write as _;
 
@@ -12,7 +12,7 @@
     }
 }
 
-impl Shown for Coordinator {
+impl StatusSource for Coordinator {
     fn is_ready(&self) -> bool {
         self.status().is_some_and(|status| status.leader != 0)
     }
@@ -24,7 +24,7 @@
         }
     }
 
-    fn figures(&self) -> String {
+    fn metrics_page(&self) -> String {
         let mut page = String::new();
         let service = self.service.borrow();
         let Some(service) = service.as_ref() else { return page };
--- a/crates/agent/src/fleet/coordinator/tests.rs
+++ b/crates/agent/src/fleet/coordinator/tests.rs
@@ -188,7 +188,7 @@
             () = play => {}
         }
     };
-    crate::on_one_thread(both).expect("a runtime");
+    crate::run_local(both).expect("a runtime");
     // What was synced alone is enough.
     closed.found(Found::Synced);
     let image = on(&closed).and_then(|store| store.load()).expect("whole");
@@ -201,7 +201,7 @@
     let (_lines, _log) = Lines::kept();
     let (medium, other, listen) = (Medium::default(), Medium::default(), free());
     let store = on(&medium).expect("a store");
-    let ended = crate::on_one_thread(async {
+    let ended = crate::run_local(async {
         let failing = async {
             let mut asker = Asker { link: Link::new(listen) };
             until("acknowledged", async || asker.put("note/a").await.then_some(())).await;
@@ -226,7 +226,7 @@
     let (lines, _log) = Lines::kept();
     let medium = Medium::default();
     drop(on(&medium).expect("a store"));
-    let opened = crate::on_one_thread(async {
+    let opened = crate::run_local(async {
         medium.set_down(Some(NO_ROOM));
         let fault = open_store(true, || on(&medium)).await.err();
         assert!(matches!(fault, Some(DiskError::Failed(_))), "{fault:?}");
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -86,7 +86,7 @@
 /// Plays the other process, at a listener, beside one that runs on the disk which is made for the other's address.
 fn beside(disk: impl FnOnce(SocketAddr) -> Medium, play: impl AsyncFnOnce(SocketAddr, TcpListener)) {
     let (_lines, _log) = Lines::kept();
-    crate::on_one_thread(async {
+    crate::run_local(async {
         let listen = free();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let other = listener.local_addr().expect("an address");
--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/link.rs
@@ -1,7 +1,7 @@
 //! Calls between processes: one at a time on a connection that is kept, with a timeout on each, so that nothing piles up behind
 //! a slow response.
 
-use crate::wire::Wire;
+use crate::metered_stream::MeteredStream;
 use bytes::Bytes;
 use heronhoist_coordination::retry_schedule::RetrySchedule;
 use heronhoist_coordination::wire::{Envelope, Refusal, Request, Response};
@@ -101,7 +101,7 @@
     async fn open(address: SocketAddr) -> Result<Connection, LinkError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| LinkError::ConnectTimeout)?.map_err(LinkError::Connect)?;
-        let (wire, _) = Wire::new(stream, ());
+        let (wire, _) = MeteredStream::new(stream, ());
         let (sender, connection) = http1::handshake(wire).await?;
         let task = tokio::task::spawn_local(async move {
             // Its errors reach the call too.
--- a/crates/agent/src/fleet/member/metrics.rs
+++ b/crates/agent/src/fleet/member/metrics.rs
@@ -5,7 +5,7 @@
 
 impl Member {
     /// The metrics, in the text format of Prometheus.
-    pub fn figures(&self) -> String {
+    pub fn metrics_page(&self) -> String {
         let mut page = String::new();
         let is_lease_held = self.held_incarnation().is_some();
         let incarnation = self.lease_holder.borrow().incarnation();
--- a/crates/agent/src/head.rs
+++ b/crates/agent/src/framing.rs
@@ -46,7 +46,7 @@
 
 /// Follows a connection byte by byte; hyper still reads it and refuses what is malformed.
 #[derive(Default)]
-pub struct Requests {
+pub struct RequestTracker {
     part: Part,
     heads: VecDeque<Framing>,
     /// What follows a request does not begin as another.
@@ -62,7 +62,7 @@
     line_has_text: bool,
 }
 
-impl Requests {
+impl RequestTracker {
     /// Takes in the next bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while let Some((&byte, rest)) = bytes.split_first() {
@@ -170,17 +170,17 @@
     }
 
     /// The head of the next request, in the order in which they came.
-    pub fn next_head(&mut self) -> Option<Framing> {
+    pub fn next_framing(&mut self) -> Option<Framing> {
         self.heads.pop_front()
     }
 
     /// More has come than a request, and it is not the beginning of another.
-    pub fn has_junk(&self) -> bool {
+    pub fn has_trailing_garbage(&self) -> bool {
         self.junk
     }
 
     /// Another request has begun to come behind the one that was asked for last.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_next_request(&self) -> bool {
         !self.heads.is_empty() || (self.part == Part::Head && (self.lines > 0 || self.line_has_text))
     }
 
--- a/crates/agent/src/head/tests.rs
+++ b/crates/agent/src/framing/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn read(text: &str, step: usize) -> Requests {
-    let mut requests = Requests::default();
+fn read(text: &str, step: usize) -> RequestTracker {
+    let mut requests = RequestTracker::default();
     text.as_bytes().chunks(step).for_each(|chunk| requests.feed(chunk));
     requests
 }
 
 fn framings(text: &str) -> Vec<(u32, u32)> {
     let mut requests = read(text, 3);
-    std::iter::from_fn(|| requests.next_head()).map(|f| (f.lengths, f.encodings)).collect()
+    std::iter::from_fn(|| requests.next_framing()).map(|f| (f.lengths, f.encodings)).collect()
 }
 
 #[test]
@@ -16,10 +16,10 @@
     let text = "\r\nPOST /x: HTTP/1.1\r\nTRANSFER-encoding: chunked\r\nContent-Length:4\r\nX: content-length: 4\r\nContent-Length-Not: 1\r\n\r\nbody\r\nContent-Length: 9\r\n\r\n";
     for step in [1, 2, 7, text.len()] {
         let mut requests = read(text, step);
-        let framing = requests.next_head().unwrap();
+        let framing = requests.next_framing().unwrap();
         assert_eq!((framing.lengths, framing.encodings), (1, 1), "{step}");
         assert!(!framing.is_clear());
-        assert_eq!(requests.next_head(), None, "nobody knows where the next one begins");
+        assert_eq!(requests.next_framing(), None, "nobody knows where the next one begins");
     }
     assert_eq!(framings("GET / HTTP/1.1\nContent-Length: 1\n\n"), [(1, 0)]);
     assert_eq!(framings("GET / HTTP/1.1\r\nContent-Length: 1\r\nX:"), []);
@@ -39,10 +39,10 @@
         );
     for step in [1, 5, all.len()] {
         let mut requests = read(&all, step);
-        let heads: Vec<_> = std::iter::from_fn(|| requests.next_head()).collect();
+        let heads: Vec<_> = std::iter::from_fn(|| requests.next_framing()).collect();
         let heads: Vec<_> = heads.iter().map(|f| (f.lengths, f.encodings)).collect();
         assert_eq!(heads, [(1, 0), (0, 0), (0, 1), (1, 0)], "{step}");
-        assert!(!requests.has_junk());
+        assert!(!requests.has_trailing_garbage());
         assert!(!requests.is_between());
     }
     assert!(read(&all[..all.len() - 6], 7).is_between());
@@ -61,7 +61,7 @@
         ("GOT", true),
         ("\0", true),
     ] {
-        assert_eq!(read(&format!("{post}{behind}"), 4).has_junk(), junk, "{behind:?}");
+        assert_eq!(read(&format!("{post}{behind}"), 4).has_trailing_garbage(), junk, "{behind:?}");
     }
-    assert!(!read("PUT / HTTP/1.1\r\n\r\n", 4).has_junk(), "the first one is hyper's to judge");
+    assert!(!read("PUT / HTTP/1.1\r\n\r\n", 4).has_trailing_garbage(), "the first one is hyper's to judge");
 }
--- a/crates/agent/src/gauge.rs
+++ b/crates/agent/src/gauge.rs
@@ -14,16 +14,16 @@
     }
 
     /// Counts one more until the ticket is dropped.
-    pub fn enter(&self) -> Ticket {
+    pub fn increment(&self) -> GaugeGuard {
         self.0.set(self.0.get() + 1);
-        Ticket(self.clone())
+        GaugeGuard(self.clone())
     }
 }
 
 /// One open connection in a [`Gauge`].
-pub struct Ticket(Gauge);
+pub struct GaugeGuard(Gauge);
 
-impl Drop for Ticket {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.0 .0.set(self.0.count().saturating_sub(1));
     }
--- a/crates/agent/src/handover/protocol.rs
+++ b/crates/agent/src/handover/protocol.rs
@@ -6,7 +6,7 @@
 //! | successor | [`READY`] | it can serve |
 //! | either | end of stream | it has exited |
 
-use crate::socket_error::uninterrupted;
+use crate::socket_error::retry_on_interrupt;
 use std::io;
 use tokio::net::UnixStream;
 
@@ -24,7 +24,7 @@
     let mut buffer = [0; READ_BYTES];
     loop {
         stream.readable().await.ok()?;
-        match uninterrupted(|| stream.try_read(&mut buffer)) {
+        match retry_on_interrupt(|| stream.try_read(&mut buffer)) {
             Ok(0) => return None,
             Ok(length) => return Some(buffer[..length].to_vec()),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -40,6 +40,6 @@
 /// The connection has failed.
 pub async fn send_ready(stream: &UnixStream) -> io::Result<()> {
     stream.writable().await?;
-    uninterrupted(|| stream.try_write(&[READY]))?;
+    retry_on_interrupt(|| stream.try_write(&[READY]))?;
     Ok(())
 }
--- a/crates/agent/src/idle_timeout.rs
+++ b/crates/agent/src/idle_timeout.rs
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// Something was read on it.
-    Answered,
+    Responded,
     /// It broke with nothing read.
     Broken,
     /// Nothing was read on it until the request's time was up. Slow servers do that too, on connections of any age.
-    Silent,
+    TimedOut,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -39,9 +39,9 @@
 impl Seen {
     fn add(&mut self, end: ConnectionEnd) {
         match end {
-            ConnectionEnd::Answered => self.answered += 1.0,
+            ConnectionEnd::Responded => self.answered += 1.0,
             ConnectionEnd::Broken => self.broken += 1.0,
-            ConnectionEnd::Silent => self.silent += 1.0,
+            ConnectionEnd::TimedOut => self.silent += 1.0,
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Connections never rest longer than `most` from now on.
-    pub fn revise(&self, most: Duration) {
+    pub fn set_max(&self, most: Duration) {
         // What was learned of ages shows again with the next use.
         if self.most.replace(most) != most {
             self.limit.set(most);
@@ -95,7 +95,7 @@
     }
 
     /// A connection that had been idle for `age`, or a new one, has been used.
-    pub fn note(&self, age: Option<Duration>, end: ConnectionEnd) {
+    pub fn record(&self, age: Option<Duration>, end: ConnectionEnd) {
         let seen = &mut *self.seen.borrow_mut();
         let faded = self.faded_at.get().elapsed();
         if faded > Duration::from_secs(1) {
--- a/crates/agent/src/intake.rs
+++ b/crates/agent/src/intake.rs
@@ -1,9 +1,9 @@
 //! Reads a client's request and checks all that can be wrong with it, before anything is done for it.
 
-use crate::backend::{joined, Call};
+use crate::backend::{concat_chunks, UpstreamRequest};
+use crate::client_connections::Seat;
 use crate::metrics::ClassCounters;
-use crate::seats::Seat;
-use crate::upload::{Broken, Payload, Source, Upload, BODY_MOST, HELD_MOST};
+use crate::upload::{BodyReader, RequestBody, Upload, UploadError, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use heronhoist_decision::{ClassId, Dialects, Effect, KeyId, Span, TenantId};
 use heronhoist_engine::{NewRequest, QuotaShare};
 use heronhoist_routing::Attributes;
@@ -38,13 +38,13 @@
     /// Its name.
     pub name: String,
     /// What the module is told of it.
-    pub terms: heronhoist_decision::Class,
+    pub settings: heronhoist_decision::Class,
 }
 
 impl Class {
     /// No client waits longer, whatever it says.
     pub fn deadline(&self) -> Duration {
-        self.terms.deadline.into()
+        self.settings.deadline.into()
     }
 }
 
@@ -61,7 +61,7 @@
     /// Its class; a new configuration does not change it any more.
     pub class: Rc<Class>,
     call_id: HeaderValue,
-    budget: Duration,
+    client_timeout: Duration,
     head: hyper::http::request::Parts,
     body: Incoming,
 }
@@ -98,7 +98,7 @@
 
 /// More has come than the request and no other: its length was wrong.
 pub fn check_end(seat: &Seat) -> Result<(), Fault> {
-    if seat.view().has_junk() {
+    if seat.monitor().has_trailing_garbage() {
         return Err(bad("more has come than the request"));
     }
     Ok(())
@@ -119,7 +119,9 @@
     pub fn check(&self, seat: &Seat, request: Request<Incoming>) -> Result<Checked, Fault> {
         let (head, body) = request.into_parts();
         match self.check_head(seat, &head, &body) {
-            Ok((class, call_id, budget)) => Ok(Checked { class, call_id, budget, head, body }),
+            Ok((class, call_id, client_timeout)) => {
+                Ok(Checked { class, call_id, client_timeout, head, body })
+            }
             Err(fault) => {
                 discard(body);
                 Err(fault)
@@ -133,25 +135,25 @@
         seat: &Seat,
         bodies: &Rc<QuotaShare>,
         checked: Checked,
-    ) -> Result<NewRequest<Call>, Fault> {
-        let Checked { class, call_id, budget, head, body } = checked;
+    ) -> Result<NewRequest<UpstreamRequest>, Fault> {
+        let Checked { class, call_id, client_timeout, head, body } = checked;
         let stated = body.size_hint().exact();
-        let held_most = stated.map_or(HELD_MOST, |bytes| HELD_MOST.min(bytes as usize));
+        let held_most = stated.map_or(MAX_BUFFERED_BYTES, |bytes| MAX_BUFFERED_BYTES.min(bytes as usize));
         let Some(reservation) = bodies.try_reserve(held_most) else {
             discard(body);
             return Err((StatusCode::SERVICE_UNAVAILABLE, "no memory for the body now"));
         };
-        let mut source = Source::new(body);
+        let mut source = BodyReader::new(body);
         let (mut begun, mut held) = (Vec::new(), 0);
         let mut ended = stated == Some(0);
-        while !ended && held <= HELD_MOST {
+        while !ended && held <= MAX_BUFFERED_BYTES {
             match source.next().await {
                 Some(Ok(data)) => {
                     held += data.len();
                     begun.push(data);
                     // A long body goes on at once.
                     ended = stated == Some(held as u64);
-                    if stated.is_some_and(|all| all > HELD_MOST as u64) {
+                    if stated.is_some_and(|all| all > MAX_BUFFERED_BYTES as u64) {
                         break;
                     }
                 }
@@ -161,13 +163,13 @@
         }
         check_end(seat)?;
         let body = if ended {
-            Payload::Held(joined(begun, held))
+            RequestBody::Buffered(concat_chunks(begun, held))
         } else {
-            Payload::Coming(Upload::new(begun, source, stated))
+            RequestBody::Streaming(Upload::new(begun, source, stated))
         };
-        let budget = budget.min(class.deadline());
+        let client_timeout = client_timeout.min(class.deadline());
         // The client's time runs from the last byte of its request.
-        let deadline = ended.then(|| Instant::now() + budget);
+        let deadline = ended.then(|| Instant::now() + client_timeout);
         let cost = text(&head.headers, "x-call-cost").and_then(|t| t.parse::<f64>().ok());
         let tenant = text(&head.headers, "x-caller");
         let mut headers = HeaderMap::with_capacity(6);
@@ -182,15 +184,15 @@
         let cost_hint = cost.filter(|us| us.is_finite() && *us > 0.0).map(|us| Span::from_ms(us / 1e3));
         let parts = head.uri.into_parts();
         let uri = parts.path_and_query.map(Into::into).unwrap_or_default();
-        let call = Call {
+        let call = UpstreamRequest {
             method: head.method,
             uri,
             headers,
             body,
-            old: None,
-            budget,
+            legacy: None,
+            client_timeout,
             counters: Some(Rc::clone(&class.counters)),
-            client: Some(seat.view().clone()),
+            client: Some(seat.monitor().clone()),
             _reservation: Some(reservation),
         };
         let (name, class, dialects) = (Some(call_id.as_bytes().into()), class.id, Dialects::ALL);
@@ -202,7 +204,7 @@
             key,
             cost_hint,
             is_retry: repeat,
-            client_timeout: budget,
+            client_timeout,
             deadline,
             dialects,
         })
@@ -224,7 +226,7 @@
         let class = self.class(name);
         let class = class.filter(|_| first == name).ok_or(bad("no such class"))?;
         let keyed = one(&head.headers, IDEMPOTENCY_KEY.as_str()).is_some();
-        let fits = match class.terms.effect {
+        let fits = match class.settings.effect {
             Effect::Idempotent => head.method == Method::GET && body.is_end_stream(),
             Effect::Deduplicated { .. } => head.method == Method::POST && keyed,
             Effect::AtMostOnce => head.method == Method::POST && !keyed,
@@ -234,24 +236,26 @@
         }
         let call_id = one(&head.headers, CALL_ID.as_str()).filter(|id| is_name(id.as_bytes()));
         let call_id = call_id.ok_or(bad("X-Call-Id is missing or malformed"))?.clone();
-        let budget = text(&head.headers, "x-budget-ms").filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
-        let budget = budget.and_then(|t| t.parse().ok()).ok_or(bad("X-Budget-Ms is no whole number"))?;
+        let client_timeout =
+            text(&head.headers, "x-budget-ms").filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
+        let client_timeout =
+            client_timeout.and_then(|t| t.parse().ok()).ok_or(bad("X-Budget-Ms is no whole number"))?;
         if head.uri.path_and_query().is_none_or(|p| !p.as_str().starts_with('/')) {
             return Err(bad("no path"));
         }
-        if body.size_hint().lower() > BODY_MOST {
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB"));
         }
-        Ok((class, call_id, Duration::from_millis(budget)))
+        Ok((class, call_id, Duration::from_millis(client_timeout)))
     }
 }
 
 /// What is wrong with a request whose body did not come whole.
-pub fn fault_of(broken: Broken) -> Fault {
+pub fn fault_of(broken: UploadError) -> Fault {
     match broken {
-        Broken::Unreadable => bad("the body can't be read"),
-        Broken::Slow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
-        Broken::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB"),
+        UploadError::Unreadable => bad("the body can't be read"),
+        UploadError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+        UploadError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB"),
     }
 }
 
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -1,11 +1,11 @@
 //! Clients of the old dialects: their requests as the servers' own, and the answers in their form.
 
-use crate::backend::{joined, Call, Said};
+use crate::backend::{concat_chunks, LegacyRequest, UpstreamRequest};
+use crate::client_connections::Seat;
 use crate::dialect::{self, SOAP_ACTION};
 use crate::intake::{check_end, discard, fault_of, Catalogue, Class, CALL_ID, IDEMPOTENCY_KEY};
-use crate::lanes::Lane;
-use crate::seats::Seat;
-use crate::upload::{Payload, Source, HELD_MOST};
+use crate::pools::HttpPool;
+use crate::upload::{BodyReader, RequestBody, MAX_BUFFERED_BYTES};
 use bytes::Bytes;
 use heronhoist_decision::Effect;
 use heronhoist_engine::NewRequest;
@@ -45,7 +45,7 @@
 /// A request in the servers' dialect.
 pub struct Translated {
     /// The request.
-    pub new_request: NewRequest<Call>,
+    pub new_request: NewRequest<UpstreamRequest>,
     /// Its class, which a missing key may have changed.
     pub class: Rc<Class>,
     /// What was lost.
@@ -124,33 +124,35 @@
 pub async fn translate(
     catalogue: &Catalogue,
     seat: &Seat,
-    lane: &Lane,
+    pool: &HttpPool,
     asked: Asked,
 ) -> Result<Translated, Trouble> {
     let Asked { mapping, class, head, body } = asked;
-    let too_large = || Trouble::TooLarge(format!("{HELD_MOST} bytes at most are translated."));
+    let too_large = || Trouble::TooLarge(format!("{MAX_BUFFERED_BYTES} bytes at most are translated."));
     let stated = body.size_hint().exact();
-    if stated.is_some_and(|bytes| bytes > HELD_MOST as u64) {
+    if stated.is_some_and(|bytes| bytes > MAX_BUFFERED_BYTES as u64) {
         discard(body);
         return Err(too_large());
     }
-    let no_room = || Trouble::Refused(lane.body_advice().map(Into::into));
-    let Some(reservation) = lane.bodies.try_reserve(stated.map_or(HELD_MOST, |bytes| bytes as usize)) else {
+    let no_room = || Trouble::Refused(pool.body_retry_after().map(Into::into));
+    let Some(reservation) =
+        pool.bodies.try_reserve(stated.map_or(MAX_BUFFERED_BYTES, |bytes| bytes as usize))
+    else {
         discard(body);
         return Err(no_room());
     };
-    let (mut source, mut pieces, mut held) = (Source::new(body), Vec::new(), 0);
+    let (mut source, mut pieces, mut held) = (BodyReader::new(body), Vec::new(), 0);
     while let Some(piece) = source.next().await {
         let piece = piece.map_err(|broken| wrong(fault_of(broken).1))?;
         held += piece.len();
-        if held > HELD_MOST {
+        if held > MAX_BUFFERED_BYTES {
             tokio::task::spawn_local(source.discard());
             return Err(too_large());
         }
         pieces.push(piece);
     }
     check_end(seat).map_err(|(_, why)| wrong(why))?;
-    let bytes = joined(pieces, held);
+    let bytes = concat_chunks(pieces, held);
     let is_query = head.method == Method::GET && mapping.old.form == Form::Form;
     if is_query && held > 0 {
         return Err(wrong("a query has no body"));
@@ -158,7 +160,8 @@
     let said = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
     let message = mapping.old.decode(Part::Request, said, Limits::default()).map_err(wrong)?;
     let Plan { sides, other, notices, key } =
-        mixed::from_old(&mapping, &message, dialect::sides(lane.pool.serving_dialects())).map_err(wrong)?;
+        mixed::from_old(&mapping, &message, dialect::sides(pool.engine_pool.serving_dialects()))
+            .map_err(wrong)?;
     // Without one for new servers it goes to old ones only, as it is.
     let out = other.unwrap_or_default();
     drop(reservation);
@@ -167,26 +170,26 @@
         Some(other) if key.is_none() => catalogue.class(other).unwrap_or(class),
         _ => class,
     };
-    let is_keyed = matches!(class.terms.effect, Effect::Deduplicated { .. });
+    let is_keyed = matches!(class.settings.effect, Effect::Deduplicated { .. });
     if key.is_none() && is_keyed {
         return Err(wrong("the fields that tell repeats apart are missing"));
     }
     let key = key.filter(|_| is_keyed);
     let old = sides.old.then(|| as_it_came(&head, bytes));
     let held = out.len() + old.as_ref().map_or(0, |old| old.body.len());
-    let reservation = lane.bodies.try_reserve(held).ok_or_else(no_room)?;
+    let reservation = pool.bodies.try_reserve(held).ok_or_else(no_room)?;
     let name = format!("{:032x}", fastrand::u128(..));
     let new_request = new_request(&mapping, &class, &head.headers, &name, key, out);
     let mut new_request = new_request.ok_or_else(|| wrong("its path or a header can't be written"))?;
     new_request.request._reservation = Some(reservation);
-    new_request.request.client = Some(seat.view().clone());
-    new_request.request.old = old.map(Box::new);
+    new_request.request.client = Some(seat.monitor().clone());
+    new_request.request.legacy = old.map(Box::new);
     new_request.dialects = dialect::dialects(sides);
     Ok(Translated { new_request, class, notices })
 }
 
 /// An old request for old servers: nothing of it is changed.
-fn as_it_came(head: &Parts, body: Bytes) -> Said {
+fn as_it_came(head: &Parts, body: Bytes) -> LegacyRequest {
     let mut headers = HeaderMap::with_capacity(3);
     for name in [HOST, CONTENT_TYPE, SOAP_ACTION] {
         if let Some(value) = head.headers.get(&name) {
@@ -194,7 +197,7 @@
         }
     }
     let uri = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
-    Said { method: head.method.clone(), uri, headers, body, by: None }
+    LegacyRequest { method: head.method.clone(), uri, headers, body, mapping: None }
 }
 
 /// The request as the servers' protocol has it.
@@ -205,28 +208,28 @@
     name: &str,
     key: Option<String>,
     out: Vec<u8>,
-) -> Option<NewRequest<Call>> {
-    let (method, uri, mut headers, body) = dialect::written(&mapping.new, old, out)?;
+) -> Option<NewRequest<UpstreamRequest>> {
+    let (method, uri, mut headers, body) = dialect::to_http_parts(&mapping.new, old, out)?;
     headers.insert(CALL_ID, HeaderValue::from_str(name).ok()?);
     headers.insert("x-call-class", HeaderValue::from_str(&class.name).ok()?);
     if let Some(key) = key {
         headers.insert(IDEMPOTENCY_KEY, HeaderValue::try_from(key).ok()?);
     }
-    let budget = class.deadline();
-    let call = Call {
+    let client_timeout = class.deadline();
+    let call = UpstreamRequest {
         method,
         uri,
         headers,
-        body: Payload::Held(body),
-        old: None,
-        budget,
+        body: RequestBody::Buffered(body),
+        legacy: None,
+        client_timeout,
         counters: Some(Rc::clone(&class.counters)),
         client: None,
         _reservation: None,
     };
     Some(NewRequest {
         correlation_id: Some(name.as_bytes().into()),
-        ..NewRequest::new(call, class.id, budget)
+        ..NewRequest::new(call, class.id, client_timeout)
     })
 }
 
@@ -243,7 +246,7 @@
 }
 
 /// Classes that the mappings name and nobody serves, or serves by other rules than the servers' dialect has.
-pub fn fault<'a>(
+pub fn find_mapping_error<'a>(
     mappings: &Mappings,
     classes: impl Iterator<Item = (&'a str, Effect)> + Clone,
 ) -> Option<String> {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,6 +4,7 @@
 mod accept;
 mod backend;
 mod cli;
+mod client_connections;
 mod config;
 mod connect;
 mod connections;
@@ -11,35 +12,34 @@
 mod discovery;
 mod download;
 mod fleet;
+mod framing;
 mod gauge;
 mod handover;
-mod head;
 mod idle_timeout;
 mod intake;
-mod lanes;
 mod legacy;
 mod log;
+mod metered_stream;
 mod metrics;
 mod ops;
-mod patience;
 mod plan;
+mod pools;
 mod reload;
 mod reuse;
-mod seats;
 mod server;
 mod socket_error;
+mod stall_timeout;
 mod translate;
 mod upload;
-mod wire;
 
 use config::Config;
 use fleet::member::{Drains, Member};
 use handover::{ProcessPeers, Takeover};
 use heronhoist_engine::timing::{sleep_until_settled, timeout};
-use lanes::Lanes;
 use metrics::Metrics;
-use ops::Shown;
+use ops::StatusSource;
 use plan::KnownEndpoints;
+use pools::Pools;
 use reload::{apply_plan, ClassRegistry, Reloader};
 use server::Server;
 use std::collections::BTreeSet;
@@ -82,12 +82,12 @@
 }
 
 /// Runs the agent until it is told to stop.
-fn start(config: Config) -> Result<(), String> {
-    on_one_thread(run(config))?
+fn run_agent(config: Config) -> Result<(), String> {
+    run_local(run(config))?
 }
 
 /// Runs something to its end, with all that it spawns, on this thread.
-fn on_one_thread<T>(what: impl std::future::Future<Output = T>) -> Result<T, String> {
+fn run_local<T>(what: impl std::future::Future<Output = T>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
     Ok(LocalSet::new().block_on(&runtime, what))
@@ -121,24 +121,24 @@
     // Only a file with [fleet] makes a member; without one nothing of it is there.
     let drained = config.fleet.as_ref().map(|_| watch::channel(BTreeSet::new()));
     // What it holds at first is as if it were not alone.
-    let budget = config.limits().of(2);
+    let budget = config.limits().for_processes(2);
     // A client's connection carries one request at a time, and there may be so many once this process is alone.
-    let requests = config.limits().of(1).clients.open_most;
-    let lanes = Lanes::new(budget.room, requests, config.seed);
+    let requests = config.limits().for_processes(1).clients.max_open;
+    let pools = Pools::new(budget.upstream, requests, config.seed);
     // The list in the file may be old. Where a process has served up to now, that one knows better: this one serves
     // once it has been told all.
     if let Some((_, drained)) = &drained {
-        lanes.follow_drains(drained.clone());
+        pools.follow_drains(drained.clone());
     }
     let is_version_valid = takeover.is_none();
     let known = config.known.take().map(|list| KnownEndpoints { list, is_version_valid });
-    let serving = apply_plan(&config.plan, &mut classes, &lanes, known);
-    let server = Server::new(serving, Rc::clone(&lanes), Rc::clone(&metrics), budget.clients);
+    let serving = apply_plan(&config.plan, &mut classes, &pools, known);
+    let server = Server::new(serving, Rc::clone(&pools), Rc::clone(&metrics), budget.clients);
     spawn_local(Rc::clone(&server).sweep());
     let member = config.fleet.as_ref().zip(drained).map(|(fleet, (drained, _))| {
-        let (server, quiet, seen) = (Rc::clone(&server), Rc::clone(&lanes), Rc::clone(&lanes));
+        let (server, quiet, seen) = (Rc::clone(&server), Rc::clone(&pools), Rc::clone(&pools));
         let (has_stopped_sending, missing_capacity) =
-            (Box::new(move |name: &str| quiet.is_quiet(name)), Box::new(move || seen.lacks()));
+            (Box::new(move |name: &str| quiet.is_drained(name)), Box::new(move || seen.missing_capacity()));
         let drains = Drains { drained, has_stopped_sending, missing_capacity };
         Member::start(fleet, config.ops, move || server.is_ready(), drains)
     });
@@ -166,21 +166,21 @@
     }
     drop(inherited);
     let allot = {
-        let (limits, server, lanes) = (config.limits(), Rc::clone(&server), Rc::clone(&lanes));
+        let (limits, server, pools) = (config.limits(), Rc::clone(&server), Rc::clone(&pools));
         move |processes| {
-            let budget = limits.of(processes);
-            server.limit(budget.clients);
-            lanes.limit(budget.room);
+            let budget = limits.for_processes(processes);
+            server.set_limits(budget.clients);
+            pools.set_limits(budget.upstream);
         }
     };
     peers.on_change(allot);
-    let served = lanes.all();
-    let reloader = Reloader { config, classes, metrics, server: Rc::clone(&server), pools: lanes };
+    let served = pools.all();
+    let reloader = Reloader { config, classes, metrics, server: Rc::clone(&server), pools };
     spawn_local(reloader.run(hangup));
     if predecessor.is_some() {
         let heard = async {
-            for lane in served {
-                lane.pool.endpoints_published().await;
+            for pool in served {
+                pool.engine_pool.endpoints_published().await;
             }
         };
         let _ = timeout(LIST_WAIT, heard).await;
@@ -218,7 +218,7 @@
     let stop = Instant::now();
     let longest = server.longest_deadline();
     let answer_by = stop + longest.min(KILL_AFTER) + KILL_SLACK - KILL_RESERVE;
-    server.begin_stop(answer_by);
+    server.begin_shutdown(answer_by);
     end(successor_tasks).await;
     if peers.has_ready_successor() {
         // New connections are the successor's from now on; those that are open may still be used for a while.
@@ -237,14 +237,14 @@
     // Long answers may be under way for longer.
     let last = stop + ACCEPT_ON + longest + STOP_SLACK;
     let mut finished = false;
-    while server.connections() > 0 && Instant::now() < last {
-        let (now, quiet) = (Instant::now(), server.owed() == 0);
+    while server.open_connections() > 0 && Instant::now() < last {
+        let (now, quiet) = (Instant::now(), server.pending_requests() == 0);
         if finished && quiet {
             break;
         }
         if !finished && (quiet && now >= quiet_from || now >= answer_by) {
             finished = true;
-            server.finish();
+            server.finish_pending();
         }
         sleep(Duration::from_millis(5)).await;
     }
@@ -260,14 +260,14 @@
     member: Option<Rc<Member>>,
 }
 
-impl Shown for Page {
+impl StatusSource for Page {
     fn is_ready(&self) -> bool {
         self.server.is_ready()
     }
 
-    fn figures(&self) -> String {
-        let figures = self.server.figures();
-        self.member.as_ref().map_or(figures.clone(), |member| figures + &member.figures())
+    fn metrics_page(&self) -> String {
+        let figures = self.server.metrics_page();
+        self.member.as_ref().map_or(figures.clone(), |member| figures + &member.metrics_page())
     }
 }
 
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -13,7 +13,7 @@
 /// Lines that may come at once, as so many seconds' worth.
 const BURST_S: f64 = 10.0;
 /// Lines a second, if nothing else is said.
-pub const PER_SECOND: f64 = 10.0;
+pub const DEFAULT_LINES_PER_SECOND: f64 = 10.0;
 
 /// How lines look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,23 +27,23 @@
 
 /// What is asked of the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct LogOptions {
     /// How lines look.
     pub format: Format,
     /// Targets and levels, as `info` or `info,heronhoist::attempt=debug`.
     pub levels: String,
     /// Lines a second.
-    pub per_second: f64,
+    pub lines_per_second: f64,
 }
 
-impl Default for Wanted {
+impl Default for LogOptions {
     fn default() -> Self {
-        Wanted { format: Format::Text, levels: "info".into(), per_second: PER_SECOND }
+        LogOptions { format: Format::Text, levels: "info".into(), lines_per_second: DEFAULT_LINES_PER_SECOND }
     }
 }
 
 struct Allowance {
-    per_second: f64,
+    lines_per_second: f64,
     left: f64,
     counted_at: Instant,
     dropped: u64,
@@ -52,15 +52,21 @@
 }
 
 impl Allowance {
-    fn new(now: Instant, per_second: f64) -> Self {
-        Allowance { per_second, left: BURST_S * per_second, counted_at: now, dropped: 0, before: 0 }
+    fn new(now: Instant, lines_per_second: f64) -> Self {
+        Allowance {
+            lines_per_second,
+            left: BURST_S * lines_per_second,
+            counted_at: now,
+            dropped: 0,
+            before: 0,
+        }
     }
 
     /// False if the line is over.
     fn take(&mut self, now: Instant) -> bool {
-        let earned = now.saturating_duration_since(self.counted_at).as_secs_f64() * self.per_second;
+        let earned = now.saturating_duration_since(self.counted_at).as_secs_f64() * self.lines_per_second;
         self.counted_at = now;
-        self.left = (self.left + earned).min(BURST_S * self.per_second);
+        self.left = (self.left + earned).min(BURST_S * self.lines_per_second);
         if self.left < 1.0 {
             self.dropped += 1;
             return false;
@@ -130,11 +136,16 @@
     }
 }
 
-fn subscriber<W>(format: Format, levels: Targets, per_second: f64, to: W) -> Box<dyn Subscriber + Send + Sync>
+fn subscriber<W>(
+    format: Format,
+    levels: Targets,
+    lines_per_second: f64,
+    to: W,
+) -> Box<dyn Subscriber + Send + Sync>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
-    let bound = Bound(Arc::new(Mutex::new(Allowance::new(Instant::now(), per_second))));
+    let bound = Bound(Arc::new(Mutex::new(Allowance::new(Instant::now(), lines_per_second))));
     let lines = Lines { bound: bound.clone(), format, to };
     let filter = levels.and(bound);
     let layer =
@@ -146,9 +157,9 @@
 }
 
 /// From here on events are written to standard error.
-pub fn start(format: Format, levels: Targets, per_second: f64) {
+pub fn init(format: Format, levels: Targets, lines_per_second: f64) {
     // It fails only if a subscriber was set before, which then stands.
-    let _ = tracing::subscriber::set_global_default(subscriber(format, levels, per_second, io::stderr));
+    let _ = tracing::subscriber::set_global_default(subscriber(format, levels, lines_per_second, io::stderr));
 }
 
 #[cfg(test)]
--- a/crates/agent/src/log/tests.rs
+++ b/crates/agent/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::time::Duration;
 
-const BURST: usize = (BURST_S * PER_SECOND) as usize;
+const BURST: usize = (BURST_S * DEFAULT_LINES_PER_SECOND) as usize;
 
 #[derive(Clone, Default)]
 struct Page(Arc<Mutex<Vec<u8>>>);
@@ -18,7 +18,8 @@
 fn told(format: Format, levels: &str, tell: impl FnOnce()) -> String {
     let page = Page::default();
     let to = page.clone();
-    let subscriber = subscriber(format, levels.parse().unwrap(), PER_SECOND, move || to.clone());
+    let subscriber =
+        subscriber(format, levels.parse().unwrap(), DEFAULT_LINES_PER_SECOND, move || to.clone());
     tracing::subscriber::with_default(subscriber, tell);
     let bytes = page.0.lock().unwrap().clone();
     String::from_utf8(bytes).unwrap()
@@ -27,7 +28,7 @@
 #[test]
 fn lines_over_the_allowance_are_counted_and_not_written() {
     let start = Instant::now();
-    let mut allowance = Allowance::new(start, PER_SECOND);
+    let mut allowance = Allowance::new(start, DEFAULT_LINES_PER_SECOND);
     let written = (0..1000).filter(|_| allowance.take(start)).count();
     assert_eq!(written, BURST);
     assert!(allowance.take(start + Duration::from_secs(1)));
@@ -52,7 +53,7 @@
     let flood = || (0..1000).for_each(|n| tracing::info!(n, "bad peer"));
     assert_eq!(told(Format::Text, "info", flood).lines().count(), BURST);
     let page = Page::default();
-    let bound = Bound(Arc::new(Mutex::new(Allowance::new(Instant::now(), PER_SECOND))));
+    let bound = Bound(Arc::new(Mutex::new(Allowance::new(Instant::now(), DEFAULT_LINES_PER_SECOND))));
     bound.0.lock().unwrap().before = 7;
     let to = page.clone();
     let lines = Lines { bound, format: Format::Json, to: move || to.clone() };
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,6 +1,6 @@
 //! What the agent counts, and the page on which operators read it, in the Prometheus text format 0.0.4.
 
-use crate::gauge::{Gauge, Ticket};
+use crate::gauge::{Gauge, GaugeGuard};
 use heronhoist_engine::PoolStats;
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
@@ -24,7 +24,7 @@
 
 impl Counter {
     /// One more.
-    pub fn add(&self) {
+    pub fn increment(&self) {
         self.0.inc();
     }
 }
@@ -51,21 +51,21 @@
 
 impl ClassCounters {
     /// The one point where a request's final answer is counted.
-    pub fn end(&self, outcome: Outcome) {
+    pub fn record(&self, outcome: Outcome) {
         match outcome {
-            Outcome::Served => self.served.add(),
-            Outcome::Refused => self.refused.add(),
-            Outcome::Failed => self.failed.add(),
+            Outcome::Served => self.served.increment(),
+            Outcome::Refused => self.refused.increment(),
+            Outcome::Failed => self.failed.increment(),
         }
     }
 }
 
 /// The times of one class's requests in one pool, by outcome.
-pub struct Times([prometheus::Histogram; 3]);
+pub struct LatencyHistograms([prometheus::Histogram; 3]);
 
-impl Times {
+impl LatencyHistograms {
     /// A request has ended so long after its last byte came.
-    pub fn note(&self, outcome: Outcome, took: Duration) {
+    pub fn record(&self, outcome: Outcome, took: Duration) {
         self.0[outcome as usize].observe(took.as_secs_f64());
     }
 }
@@ -76,7 +76,7 @@
     by_class: [IntCounterVec; 4],
     times: HistogramVec,
     classes: RefCell<BTreeMap<String, Rc<ClassCounters>>>,
-    timed: RefCell<BTreeMap<(String, String), Rc<Times>>>,
+    timed: RefCell<BTreeMap<(String, String), Rc<LatencyHistograms>>>,
     losses: IntCounterVec,
     untranslated: IntCounterVec,
     taken: Gauge,
@@ -150,7 +150,7 @@
     }
 
     /// The counters of a class; one that comes back after it had vanished goes on with its old ones.
-    pub fn class(&self, name: &str) -> Rc<ClassCounters> {
+    pub fn class_counters(&self, name: &str) -> Rc<ClassCounters> {
         let mut classes = self.classes.borrow_mut();
         let full = classes.len() >= CLASSES_MOST && !classes.contains_key(name);
         let name = if full { OTHERS } else { name };
@@ -166,19 +166,19 @@
     }
 
     /// Values were lost in a translation; mappings are few, and named by a file.
-    pub fn lost(&self, mapping: &str, values: usize) {
+    pub fn record_losses(&self, mapping: &str, values: usize) {
         if values > 0 {
             self.losses.with_label_values(&[mapping]).inc_by(values as u64);
         }
     }
 
     /// A message had no counterpart.
-    pub fn untranslated(&self, mapping: &str) {
+    pub fn record_untranslated(&self, mapping: &str) {
         self.untranslated.with_label_values(&[mapping]).inc();
     }
 
     /// The times of a class's requests in a pool.
-    pub fn times(&self, pool: &str, class: &str) -> Rc<Times> {
+    pub fn latency(&self, pool: &str, class: &str) -> Rc<LatencyHistograms> {
         let mut timed = self.timed.borrow_mut();
         let key = (pool.to_string(), class.to_string());
         let full = timed.len() >= TIMED_MOST && !timed.contains_key(&key);
@@ -188,14 +188,14 @@
         }
         let outcomes = ["served", "refused", "failed"];
         let times = outcomes.map(|outcome| self.times.with_label_values(&[&key.0, &key.1, outcome]));
-        let times = Rc::new(Times(times));
+        let times = Rc::new(LatencyHistograms(times));
         timed.insert(key, Rc::clone(&times));
         times
     }
 
     /// Counts a request as taken and not ended until the ticket is dropped.
-    pub fn take(&self) -> Ticket {
-        self.taken.enter()
+    pub fn track_request(&self) -> GaugeGuard {
+        self.taken.increment()
     }
 
     /// The page.
--- a/crates/agent/src/metrics/tests.rs
+++ b/crates/agent/src/metrics/tests.rs
@@ -5,12 +5,12 @@
 #[test]
 fn what_was_counted_stands_on_the_page() {
     let metrics = Metrics::default();
-    let lookup = metrics.class("lookup");
-    (0..3).for_each(|_| lookup.end(Outcome::Served));
-    lookup.attempts.add();
-    metrics.reloads_failed.add();
-    metrics.times("main", "lookup").note(Outcome::Served, Duration::from_millis(7));
-    let ticket = metrics.take();
+    let lookup = metrics.class_counters("lookup");
+    (0..3).for_each(|_| lookup.record(Outcome::Served));
+    lookup.attempts.increment();
+    metrics.reloads_failed.increment();
+    metrics.latency("main", "lookup").record(Outcome::Served, Duration::from_millis(7));
+    let ticket = metrics.track_request();
     let page = metrics.render(&PoolStats { listed: 12, excluded: 2, open_requests: 0 });
     for line in [
         "# TYPE app_served_total counter",
@@ -38,8 +38,8 @@
 #[test]
 fn counters_outlive_their_class_and_labels_are_escaped() {
     let metrics = Metrics::default();
-    metrics.class("a\"b\\c\nd").end(Outcome::Served);
-    metrics.class("a\"b\\c\nd").end(Outcome::Served);
+    metrics.class_counters("a\"b\\c\nd").record(Outcome::Served);
+    metrics.class_counters("a\"b\\c\nd").record(Outcome::Served);
     assert!(metrics.render(&NONE).contains("app_served_total{class=\"a\\\"b\\\\c\\nd\"} 2\n"));
 }
 
@@ -47,8 +47,8 @@
 fn names_without_end_do_not_fill_the_memory() {
     let metrics = Metrics::default();
     (0..3 * CLASSES_MOST).for_each(|n| {
-        metrics.class(&format!("c{n}")).end(Outcome::Served);
-        metrics.times(&format!("p{n}"), "c").note(Outcome::Served, Duration::ZERO);
+        metrics.class_counters(&format!("c{n}")).record(Outcome::Served);
+        metrics.latency(&format!("p{n}"), "c").record(Outcome::Served, Duration::ZERO);
     });
     assert_eq!(metrics.classes.borrow().len(), CLASSES_MOST + 1);
     assert_eq!(metrics.timed.borrow().len(), TIMED_MOST + 1);
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -2,7 +2,7 @@
 
 use crate::accept::{accept, Listener};
 use crate::gauge::Gauge;
-use crate::wire::Wire;
+use crate::metered_stream::MeteredStream;
 use bytes::Bytes;
 use heronhoist_engine::timing::timeout;
 use http_body_util::Full;
@@ -26,7 +26,7 @@
 const HEAD_MOST: usize = 8 * 1024;
 
 /// What the address shows; asked anew for each call.
-pub trait Shown {
+pub trait StatusSource {
     /// Listening, with settings, and with servers to send to.
     fn is_ready(&self) -> bool;
     /// Why it is not, where there is more to say.
@@ -34,11 +34,11 @@
         String::new()
     }
     /// The page of figures.
-    fn figures(&self) -> String;
+    fn metrics_page(&self) -> String;
 }
 
 /// Answers operators for as long as the agent lives.
-pub async fn run(listener: impl Listener<Stream = TcpStream>, shown: Rc<impl Shown + 'static>) {
+pub async fn run(listener: impl Listener<Stream = TcpStream>, shown: Rc<impl StatusSource + 'static>) {
     let open = Gauge::default();
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
     loop {
@@ -49,7 +49,7 @@
                 oldest.abort();
             }
         }
-        let (wire, _) = Wire::new(stream, open.enter());
+        let (wire, _) = MeteredStream::new(stream, open.increment());
         let shown = Rc::clone(&shown);
         let call = async move {
             let service = service_fn(|request| {
@@ -64,7 +64,7 @@
     }
 }
 
-fn answer(shown: &impl Shown, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn answer(shown: &impl StatusSource, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let page = match request.uri().path() {
         "/-/ready" | "/-/metrics" if request.method() != Method::GET => {
             let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "only GET\n".into());
@@ -77,7 +77,7 @@
             let line = if reason.is_empty() { reason } else { reason + "\n" };
             return plain(StatusCode::SERVICE_UNAVAILABLE, format!("not ready\n{line}"));
         }
-        "/-/metrics" => shown.figures(),
+        "/-/metrics" => shown.metrics_page(),
         _ => return plain(StatusCode::NOT_FOUND, "there are /-/ready and /-/metrics\n".into()),
     };
     let mut answer = plain(StatusCode::OK, page);
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -1,6 +1,6 @@
 //! What the agent serves: the part of a configuration that a reload can change, whichever form of file describes it.
 
-use crate::backend::HttpTerms;
+use crate::backend::HttpSettings;
 use heronhoist_decision::Settings;
 use heronhoist_engine::{EndpointInfo, EndpointList, ServerNames};
 use heronhoist_routing::Table;
@@ -33,7 +33,7 @@
     /// The names of the zones and machine types, which the decision module knows by number.
     pub names: ServerNames,
     /// How its servers speak HTTP.
-    pub http: HttpTerms,
+    pub http: HttpSettings,
     /// Where its endpoints come from.
     pub endpoints: PoolEndpoints,
     /// The machine types whose servers speak the old dialect; only discovery reports machine types.
--- a/crates/agent/src/lanes.rs
+++ b/crates/agent/src/pools.rs
@@ -1,9 +1,9 @@
 //! The pools of the process as a plan names them, made, revised and closed as plans change.
 
-use crate::backend::Http;
-use crate::connections::{Connections, Siblings};
+use crate::backend::HttpUpstream;
+use crate::connections::{ConnectionRegistry, Connections};
 use crate::discovery::Discovery;
-use crate::metrics::{Metrics, Times};
+use crate::metrics::{LatencyHistograms, Metrics};
 use crate::plan::{KnownEndpoints, PoolEndpoints, PoolPlan};
 use heronhoist_decision::{ClassId, Discovery as Heard, Settings, Span};
 use heronhoist_engine::{
@@ -27,43 +27,43 @@
 }
 
 /// One pool, and what belongs to it here.
-pub struct Lane {
+pub struct HttpPool {
     /// The pool.
-    pub pool: Pool<Http>,
+    pub engine_pool: Pool<HttpUpstream>,
     /// The memory for bodies of its requests and answers.
     pub bodies: Rc<QuotaShare>,
     source: Source,
     legacy_machine_types: Vec<String>,
     /// The longest time to come back that its clients may be told; none where the settings don't let them be told.
-    advice_most: Cell<Option<Span>>,
+    max_retry_after: Cell<Option<Span>>,
     /// The times of each class that has asked here.
-    times: RefCell<Vec<(String, Rc<Times>)>>,
+    times: RefCell<Vec<(String, Rc<LatencyHistograms>)>>,
 }
 
-impl Lane {
+impl HttpPool {
     /// The times of a class's requests here.
-    pub fn times(&self, metrics: &Metrics, class: &str) -> Rc<Times> {
+    pub fn latency(&self, metrics: &Metrics, class: &str) -> Rc<LatencyHistograms> {
         let mut known = self.times.borrow_mut();
         if let Some((_, times)) = known.iter().find(|(name, _)| name == class) {
             return Rc::clone(times);
         }
-        let times = metrics.times(self.pool.name(), class);
+        let times = metrics.latency(self.engine_pool.name(), class);
         known.push((class.to_string(), Rc::clone(&times)));
         times
     }
 
     /// When a client is told to come back that was declined.
-    pub fn advice(&self, declined: Rejection) -> Option<Span> {
-        Some(declined.retry_after()?.min(self.advice_most.get()?))
+    pub fn retry_after(&self, declined: Rejection) -> Option<Span> {
+        Some(declined.retry_after()?.min(self.max_retry_after.get()?))
     }
 
     /// When a client is told to come back for whose body there was no memory.
-    pub fn body_advice(&self) -> Option<Span> {
-        Some(BODY_RETRY.min(self.advice_most.get()?))
+    pub fn body_retry_after(&self) -> Option<Span> {
+        Some(BODY_RETRY.min(self.max_retry_after.get()?))
     }
 
     /// Takes over a plan of the same membership; false, and nothing changed, if the list comes from elsewhere now.
-    fn revise(&self, plan: &PoolPlan, ids: &[ClassId]) -> bool {
+    fn update(&self, plan: &PoolPlan, ids: &[ClassId]) -> bool {
         if self.legacy_machine_types != plan.legacy_machine_types {
             return false;
         }
@@ -83,21 +83,21 @@
         }
         // Classes that have vanished are looked up anew should they come back.
         self.times.borrow_mut().clear();
-        self.pool.upstream().revise(&plan.http);
-        self.advice_most.set(advice_most(&plan.settings));
-        self.pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
+        self.engine_pool.upstream().update_settings(&plan.http);
+        self.max_retry_after.set(max_retry_after(&plan.settings));
+        self.engine_pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
         true
     }
 }
 
-fn advice_most(settings: &Settings) -> Option<Span> {
+fn max_retry_after(settings: &Settings) -> Option<Span> {
     settings.retry_after.then_some(settings.max_retry_after)
 }
 
 /// All pools, and what they share.
-pub struct Lanes {
-    lanes: RefCell<Vec<Rc<Lane>>>,
-    siblings: Rc<Siblings>,
+pub struct Pools {
+    pools: RefCell<Vec<Rc<HttpPool>>>,
+    registry: Rc<ConnectionRegistry>,
     connections: Rc<Quota>,
     bodies: Rc<Quota>,
     requests: Rc<Quota>,
@@ -105,26 +105,26 @@
     /// Names of servers that the fleet has agreed to drain; none where the agent takes part in no fleet.
     drained: RefCell<Option<watch::Receiver<BTreeSet<String>>>>,
     /// Pools that take nothing new, and still have something under way.
-    closing: RefCell<Vec<Rc<Lane>>>,
+    closing: RefCell<Vec<Rc<HttpPool>>>,
 }
 
 /// What the process may hold for all pools.
 #[derive(Clone, Copy)]
-pub struct Room {
+pub struct UpstreamLimits {
     /// Connections to record servers.
     pub connections: usize,
     /// Bytes of bodies.
     pub body_bytes: usize,
 }
 
-impl Lanes {
+impl Pools {
     /// No pools yet; together they may hold so many requests at any time.
-    pub fn new(room: Room, requests: usize, seed: u64) -> Rc<Self> {
-        let (lanes, siblings) = Default::default();
-        let (connections, bodies) = (Quota::new(room.connections), Quota::new(room.body_bytes));
+    pub fn new(limits: UpstreamLimits, requests: usize, seed: u64) -> Rc<Self> {
+        let (pools, registry) = Default::default();
+        let (connections, bodies) = (Quota::new(limits.connections), Quota::new(limits.body_bytes));
         let (requests, seed) = (Quota::new(requests), Cell::new(seed));
         let (drained, closing) = Default::default();
-        Rc::new(Lanes { lanes, siblings, connections, bodies, requests, seed, drained, closing })
+        Rc::new(Pools { pools, registry, connections, bodies, requests, seed, drained, closing })
     }
 
     /// Pools that are opened from now on send nothing new to these servers either.
@@ -133,49 +133,49 @@
     }
 
     /// What servers lack of what they can do, by name; the most, where several pools know one.
-    pub fn lacks(&self) -> BTreeMap<String, f64> {
-        let mut lacks = BTreeMap::new();
-        for missing in self.lanes.borrow().iter().flat_map(|lane| lane.pool.missing_capacity()) {
-            let most = lacks.entry(missing.server).or_insert(missing.share);
+    pub fn missing_capacity(&self) -> BTreeMap<String, f64> {
+        let mut missing_capacity = BTreeMap::new();
+        for missing in self.pools.borrow().iter().flat_map(|pool| pool.engine_pool.missing_capacity()) {
+            let most = missing_capacity.entry(missing.server).or_insert(missing.share);
             *most = missing.share.max(*most);
         }
-        lacks
+        missing_capacity
     }
 
     /// Pools that were closed and have nothing under way any more are let go of.
     fn forget_closed(&self) {
-        self.closing.borrow_mut().retain(|lane| lane.pool.stats().open_requests > 0);
+        self.closing.borrow_mut().retain(|pool| pool.engine_pool.stats().open_requests > 0);
     }
 
     /// Whether nothing is out to a server, and nothing will be sent to it while it drains.
-    pub fn is_quiet(&self, server: &str) -> bool {
+    pub fn is_drained(&self, server: &str) -> bool {
         self.forget_closed();
-        let (lanes, closing) = (self.lanes.borrow(), self.closing.borrow());
-        lanes.iter().chain(closing.iter()).all(|lane| lane.pool.is_drained(server))
+        let (pools, closing) = (self.pools.borrow(), self.closing.borrow());
+        pools.iter().chain(closing.iter()).all(|pool| pool.engine_pool.is_drained(server))
     }
 
     /// So much from now on; what is held beyond that is given back as far as it rests.
-    pub fn limit(&self, room: Room) {
-        self.connections.set_limit(room.connections);
-        self.bodies.set_limit(room.body_bytes);
-        self.lanes.borrow().iter().for_each(|lane| lane.pool.upstream().connections().shrink());
+    pub fn set_limits(&self, limits: UpstreamLimits) {
+        self.connections.set_limit(limits.connections);
+        self.bodies.set_limit(limits.body_bytes);
+        self.pools.borrow().iter().for_each(|pool| pool.engine_pool.upstream().connections().close_excess());
     }
 
     /// The pools, in the order of the plan.
-    pub fn all(&self) -> Vec<Rc<Lane>> {
-        self.lanes.borrow().clone()
+    pub fn all(&self) -> Vec<Rc<HttpPool>> {
+        self.pools.borrow().clone()
     }
 
     /// True if there is a server to send to in one of them.
-    pub fn can_decide(&self) -> bool {
-        self.lanes.borrow().iter().any(|lane| lane.pool.has_serving_server())
+    pub fn has_serving_server(&self) -> bool {
+        self.pools.borrow().iter().any(|pool| pool.engine_pool.has_serving_server())
     }
 
     /// What all of them are now, added up.
-    pub fn levels(&self) -> PoolStats {
-        let lanes = self.lanes.borrow();
-        let levels = lanes.iter().map(|lane| lane.pool.stats());
-        levels.fold(PoolStats::default(), |a, b| PoolStats {
+    pub fn stats(&self) -> PoolStats {
+        let pools = self.pools.borrow();
+        let stats = pools.iter().map(|pool| pool.engine_pool.stats());
+        stats.fold(PoolStats::default(), |a, b| PoolStats {
             listed: a.listed + b.listed,
             excluded: a.excluded + b.excluded,
             open_requests: a.open_requests + b.open_requests,
@@ -185,30 +185,30 @@
     /// Takes over the pools of a plan, whose settings have been validated. A pool goes on under its name unless its list
     /// comes from elsewhere now; one that the plan lacks takes nothing new, and what is under way in it ends as it began.
     /// `known` is the first pool's list as it was last known.
-    pub fn revise(&self, plans: &[PoolPlan], ids: &[ClassId], mut known: Option<KnownEndpoints>) {
+    pub fn update(&self, plans: &[PoolPlan], ids: &[ClassId], mut known: Option<KnownEndpoints>) {
         self.forget_closed();
-        let old = self.lanes.take();
-        let lanes = plans.iter().map(|plan| {
-            let same = old.iter().find(|lane| lane.pool.name() == plan.name && lane.revise(plan, ids));
+        let old = self.pools.take();
+        let pools = plans.iter().map(|plan| {
+            let same = old.iter().find(|pool| pool.engine_pool.name() == plan.name && pool.update(plan, ids));
             same.map_or_else(|| self.open(plan, ids, known.take()), Rc::clone)
         });
-        let lanes: Vec<Rc<Lane>> = lanes.collect();
-        for lane in old.iter().filter(|lane| !lanes.iter().any(|other| Rc::ptr_eq(lane, other))) {
-            lane.pool.close();
+        let pools: Vec<Rc<HttpPool>> = pools.collect();
+        for pool in old.iter().filter(|pool| !pools.iter().any(|other| Rc::ptr_eq(pool, other))) {
+            pool.engine_pool.close();
             if self.drained.borrow().is_some() {
-                self.closing.borrow_mut().push(Rc::clone(lane));
+                self.closing.borrow_mut().push(Rc::clone(pool));
             }
         }
-        self.lanes.replace(lanes);
+        self.pools.replace(pools);
     }
 
-    fn open(&self, plan: &PoolPlan, ids: &[ClassId], known: Option<KnownEndpoints>) -> Rc<Lane> {
+    fn open(&self, plan: &PoolPlan, ids: &[ClassId], known: Option<KnownEndpoints>) -> Rc<HttpPool> {
         let http = &plan.http;
         let open = self.connections.share();
-        let connections = Connections::new(open, &self.siblings, http.connect_timeout, http.keepalive);
+        let connections = Connections::new(open, &self.registry, http.connect_timeout, http.keepalive);
         let bodies = self.bodies.share();
         let upstream =
-            Http::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
+            HttpUpstream::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
         let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.endpoints {
             PoolEndpoints::Discovery(address) => {
                 let (sender, address) = watch::channel(*address);
@@ -252,14 +252,21 @@
             upstream,
             request_quota: self.requests.share(),
         };
-        let pool = Pool::new(setup).expect("settings are validated with their plan");
+        let engine_pool = Pool::new(setup).expect("settings are validated with their plan");
         // Its classes were numbered by their places; that is no number that another pool's class has.
         if ids.iter().enumerate().any(|(place, id)| place != id.0) {
-            pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
+            engine_pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
         }
-        spawn_local(pool.clone().run(membership));
-        let advice_most = Cell::new(advice_most(&plan.settings));
+        spawn_local(engine_pool.clone().run(membership));
+        let max_retry_after = Cell::new(max_retry_after(&plan.settings));
         let legacy_machine_types = plan.legacy_machine_types.clone();
-        Rc::new(Lane { pool, bodies, source, legacy_machine_types, advice_most, times: RefCell::default() })
+        Rc::new(HttpPool {
+            engine_pool,
+            bodies,
+            source,
+            legacy_machine_types,
+            max_retry_after,
+            times: RefCell::default(),
+        })
     }
 }
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -6,10 +6,10 @@
 
 use crate::config::Config;
 use crate::intake::Catalogue;
-use crate::lanes::Lanes;
 use crate::metrics::Metrics;
 use crate::plan::{KnownEndpoints, PoolEndpoints, PoolPlan, ServingPlan};
-use crate::server::{Server, Serving};
+use crate::pools::Pools;
+use crate::server::{ActivePlan, Server};
 use heronhoist_decision::ClassId;
 use std::rc::Rc;
 use tokio::signal::unix::Signal;
@@ -25,7 +25,7 @@
     /// The side of the clients.
     pub server: Rc<Server>,
     /// The side of the record servers.
-    pub pools: Rc<Lanes>,
+    pub pools: Rc<Pools>,
 }
 
 impl Reloader {
@@ -41,11 +41,11 @@
         match self.config.reread() {
             Ok(revised) => {
                 self.apply(&revised.plan);
-                self.config.revise(revised);
-                self.metrics.reloads_ok.add();
+                self.config.replace(revised);
+                self.metrics.reloads_ok.increment();
             }
             Err(fault) => {
-                self.metrics.reloads_failed.add();
+                self.metrics.reloads_failed.increment();
                 tracing::error!(fault, "the configuration stays as it was");
             }
         }
@@ -54,7 +54,7 @@
     /// Applies a plan to clients and pools. There is no await in between, so that no request sees one without the other.
     fn apply(&mut self, plan: &ServingPlan) {
         let serving = apply_plan(plan, &mut self.classes, &self.pools, None);
-        self.server.revise(serving);
+        self.server.replace_plan(serving);
         let pools: Vec<String> = plan.pools.iter().map(describe).collect();
         tracing::info!(pools = pools.join(", "), "new settings taken");
     }
@@ -66,16 +66,16 @@
 pub fn apply_plan(
     plan: &ServingPlan,
     classes: &mut ClassRegistry,
-    pools: &Lanes,
+    pools: &Pools,
     known: Option<KnownEndpoints>,
-) -> Serving {
+) -> ActivePlan {
     let classes = classes.update(plan);
     let class_ids: Vec<ClassId> = classes.iter().map(|class| class.id).collect();
-    pools.revise(&plan.pools, &class_ids, known);
-    Serving {
+    pools.update(&plan.pools, &class_ids, known);
+    ActivePlan {
         catalogue: Catalogue { classes, tenants: plan.tenants.clone() },
         routes: plan.routes.clone(),
-        lanes: pools.all(),
+        pools: pools.all(),
         mappings: Rc::clone(&plan.mappings),
     }
 }
--- a/crates/agent/src/reload/class_registry.rs
+++ b/crates/agent/src/reload/class_registry.rs
@@ -27,10 +27,10 @@
     /// terms, and the counters of its name.
     pub fn update(&mut self, plan: &ServingPlan) -> Vec<Rc<Class>> {
         // All pools have the same classes.
-        let terms = plan.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
+        let settings = plan.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
         let mut updated = Vec::new();
-        for (name, terms) in plan.classes.iter().zip(terms) {
-            let class = self.find(name, terms).unwrap_or_else(|| self.register(name, terms));
+        for (name, settings) in plan.classes.iter().zip(settings) {
+            let class = self.find(name, settings).unwrap_or_else(|| self.register(name, settings));
             updated.push(class);
         }
         self.current.clone_from(&updated);
@@ -38,16 +38,16 @@
     }
 
     /// The current class of this name, if it has these terms.
-    fn find(&self, name: &str, terms: &heronhoist_decision::Class) -> Option<Rc<Class>> {
-        let found = self.current.iter().find(|class| class.name == name && class.terms == *terms);
+    fn find(&self, name: &str, settings: &heronhoist_decision::Class) -> Option<Rc<Class>> {
+        let found = self.current.iter().find(|class| class.name == name && class.settings == *settings);
         found.map(Rc::clone)
     }
 
     /// A class under a new number.
-    fn register(&mut self, name: &str, terms: &heronhoist_decision::Class) -> Rc<Class> {
+    fn register(&mut self, name: &str, settings: &heronhoist_decision::Class) -> Rc<Class> {
         let id = ClassId(self.next_number);
         self.next_number += 1;
-        let counters = self.metrics.class(name);
-        Rc::new(Class { id, counters, name: name.to_string(), terms: terms.clone() })
+        let counters = self.metrics.class_counters(name);
+        Rc::new(Class { id, counters, name: name.to_string(), settings: settings.clone() })
     }
 }
--- a/crates/agent/src/reload/tests.rs
+++ b/crates/agent/src/reload/tests.rs
@@ -13,7 +13,7 @@
     let classes: Vec<String> = classes.iter().map(class).collect();
     let file = serde_json::from_str(&format!(r#"{{"classes":[{}]}}"#, classes.join(","))).unwrap();
     let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
-    crate::config::plan(&file, discovery)
+    crate::config::platform_plan(&file, discovery)
 }
 
 /// A number must never be given to another class: a request in flight would be treated by its terms.
@@ -30,5 +30,5 @@
     assert_eq!(numbers_after(&[("b", 100)]), [1]);
     assert_eq!(numbers_after(&[("a", 100), ("b", 100)]), [3, 1], "a is back and its old number is not");
     let counters = &registry.current[0].counters;
-    assert!(Rc::ptr_eq(&metrics.class("a"), counters), "a class of the same name goes on counting");
+    assert!(Rc::ptr_eq(&metrics.class_counters("a"), counters), "a class of the same name goes on counting");
 }
--- a/crates/agent/src/reuse.rs
+++ b/crates/agent/src/reuse.rs
@@ -26,7 +26,7 @@
 
 impl ReuseTrust {
     /// A connection to this incarnation has rested after an answer, as long as late bytes may take, and nothing came.
-    pub fn quiet_rest(&self, server: ServerId, incarnation: Incarnation) {
+    pub fn record_quiet_idle(&self, server: ServerId, incarnation: Incarnation) {
         let mut all = self.0.borrow_mut();
         let conduct = current(&mut all, server, incarnation);
         if conduct.incarnation == incarnation {
@@ -36,7 +36,7 @@
 
     /// Bytes have come from this incarnation that nobody asked for: it is trusted no more, and the others have to earn it
     /// anew, since one build of the servers' program usually runs on all.
-    pub fn unrequested(&self, server: ServerId, incarnation: Incarnation) {
+    pub fn record_unrequested_bytes(&self, server: ServerId, incarnation: Incarnation) {
         let mut all = self.0.borrow_mut();
         let conduct = current(&mut all, server, incarnation);
         conduct.strict |= conduct.incarnation == incarnation;
@@ -44,7 +44,7 @@
     }
 
     /// Whether a connection to this incarnation may be reused before it has rested.
-    pub fn is_earned(&self, server: ServerId, incarnation: Incarnation) -> bool {
+    pub fn is_trusted(&self, server: ServerId, incarnation: Incarnation) -> bool {
         let all = self.0.borrow();
         all.get(&server)
             .is_some_and(|c| c.incarnation == incarnation && !c.strict && c.quiet_rests >= QUIET_RESTS)
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,20 +1,20 @@
 //! The clients' side: takes requests in and gives each exactly one answer.
 
-use crate::accept::{accept, Listener, ACCEPT_PAUSE};
-use crate::backend::{Call, Content, Served};
+use crate::accept::{accept, Listener, ACCEPT_RETRY_DELAY};
+use crate::backend::{ResponseBody, UpstreamRequest, UpstreamResponse};
+use crate::client_connections::{Close, Seat, Seats};
 use crate::config::Front;
 use crate::dialect::{self, OLD};
 use crate::download::Download;
-use crate::gauge::{Gauge, Ticket};
+use crate::gauge::{Gauge, GaugeGuard};
 use crate::intake::{check_end, fault_of, Catalogue, Checked, Fault};
-use crate::lanes::{Lane, Lanes};
 use crate::legacy::{self, Asked, Translated};
-use crate::metrics::{ClassCounters, Metrics, Outcome, Times};
-use crate::ops::Shown;
-use crate::seats::{Close, Seat, Seats};
+use crate::metered_stream::{lingering_close, MeteredStream};
+use crate::metrics::{ClassCounters, LatencyHistograms, Metrics, Outcome};
+use crate::ops::StatusSource;
+use crate::pools::{HttpPool, Pools};
 use crate::socket_error::AcceptError;
-use crate::upload::{Broken, Coming};
-use crate::wire::{linger, Wire};
+use crate::upload::{UploadError, UploadState};
 use bytes::Bytes;
 use heronhoist_config::Protocol;
 use heronhoist_decision::Span;
@@ -49,60 +49,60 @@
 
 /// How many connections clients may hold.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub struct ClientLimits {
     /// At most.
-    pub open_most: usize,
+    pub max_open: usize,
     /// Beyond so many, those that rest are closed.
-    pub rest_most: usize,
+    pub idle_close_threshold: usize,
     /// Beyond so many, all are closed after their answer.
-    pub keep_most: usize,
+    pub keep_alive_threshold: usize,
 }
 
 /// What requests are checked against, and where they go.
-pub struct Serving {
+pub struct ActivePlan {
     /// Their classes and tenants.
     pub catalogue: Catalogue,
     /// Which pool they go to, by its place.
     pub routes: Table,
     /// The pools.
-    pub lanes: Vec<Rc<Lane>>,
+    pub pools: Vec<Rc<HttpPool>>,
     /// How requests of the old dialects are translated.
     pub mappings: Rc<Mappings>,
 }
 
-impl Serving {
+impl ActivePlan {
     /// The pool of a request.
-    fn lane(&self, front: &str, checked: &Checked) -> Option<Rc<Lane>> {
+    fn pool(&self, front: &str, checked: &Checked) -> Option<Rc<HttpPool>> {
         let labels = |name: &str| checked.header(name);
-        self.lane_of(|| checked.attributes(front, &labels))
+        self.pool_of(|| checked.attributes(front, &labels))
     }
 
     /// The pool of a request of an old dialect, whose headers nobody asks for.
-    fn legacy_lane(&self, front: &str, asked: &Asked) -> Option<Rc<Lane>> {
+    fn legacy_pool(&self, front: &str, asked: &Asked) -> Option<Rc<HttpPool>> {
         let (class, path) = (asked.class.name.as_str(), asked.head.uri.path());
-        self.lane_of(|| Attributes { front, class, tenant: None, path, labels: None })
+        self.pool_of(|| Attributes { front, class, tenant: None, path, labels: None })
     }
 
-    fn lane_of<'a>(&self, attributes: impl FnOnce() -> Attributes<'a>) -> Option<Rc<Lane>> {
+    fn pool_of<'a>(&self, attributes: impl FnOnce() -> Attributes<'a>) -> Option<Rc<HttpPool>> {
         let place = match self.routes.rules() {
             // Nothing is looked up that no rule asks for.
             [] => self.routes.default_pool()?,
             _ => self.routes.route(&attributes())?,
         };
-        self.lanes.get(place).map(Rc::clone)
+        self.pools.get(place).map(Rc::clone)
     }
 }
 
 /// The clients' side of the agent.
 pub struct Server {
-    serving: RefCell<Rc<Serving>>,
-    lanes: Rc<Lanes>,
+    serving: RefCell<Rc<ActivePlan>>,
+    pools: Rc<Pools>,
     metrics: Rc<Metrics>,
     listening: Cell<bool>,
     longest: Cell<Duration>,
     seats: Seats,
     open: Gauge,
-    limits: Cell<Limits>,
+    limits: Cell<ClientLimits>,
     stopping: Cell<bool>,
     /// At a stop, all that has come has its answer by then.
     answer_by: Cell<Option<Instant>>,
@@ -113,14 +113,19 @@
 
 impl Server {
     /// Serves nobody yet.
-    pub fn new(serving: Serving, lanes: Rc<Lanes>, metrics: Rc<Metrics>, limits: Limits) -> Rc<Self> {
+    pub fn new(
+        serving: ActivePlan,
+        pools: Rc<Pools>,
+        metrics: Rc<Metrics>,
+        limits: ClientLimits,
+    ) -> Rc<Self> {
         let (seats, open, stopping, listening, answer_by) = Default::default();
         let (finished, finishing) = Default::default();
         let longest = Cell::new(serving.catalogue.longest_deadline());
         let (serving, limits) = (RefCell::new(Rc::new(serving)), Cell::new(limits));
         Rc::new(Server {
             serving,
-            lanes,
+            pools,
             metrics,
             listening,
             longest,
@@ -135,7 +140,7 @@
     }
 
     /// Holds so many connections from now on.
-    pub fn limit(&self, limits: Limits) {
+    pub fn set_limits(&self, limits: ClientLimits) {
         self.limits.set(limits);
     }
 
@@ -145,7 +150,7 @@
     }
 
     /// Requests whose head comes from now on are checked against this.
-    pub fn revise(&self, serving: Serving) {
+    pub fn replace_plan(&self, serving: ActivePlan) {
         // A request that came before may still be under way: the longest of all stands.
         self.longest.set(self.longest.get().max(serving.catalogue.longest_deadline()));
         *self.serving.borrow_mut() = Rc::new(serving);
@@ -157,9 +162,9 @@
         loop {
             // A connection that waits in the backlog has been accepted as far as its client can tell, so room
             // is made before it is needed.
-            while self.open.count() >= self.limits.get().open_most {
+            while self.open.count() >= self.limits.get().max_open {
                 self.seats.make_room();
-                let _ = timeout(ACCEPT_PAUSE, self.seats.left()).await;
+                let _ = timeout(ACCEPT_RETRY_DELAY, self.seats.left()).await;
             }
             let stream = accept(listener, |error, kind| {
                 tracing::warn!(%error, "cannot accept");
@@ -168,14 +173,14 @@
                 }
             })
             .await;
-            let (server, front, ticket) = (Rc::clone(self), Rc::clone(front), self.open.enter());
-            let (wire, view) = Wire::of_client(stream);
+            let (server, front, ticket) = (Rc::clone(self), Rc::clone(front), self.open.increment());
+            let (wire, monitor) = MeteredStream::for_client(stream);
             tokio::task::spawn_local(async move {
-                let (taken, stream) = (server.seats.enter(view), wire.stream());
+                let (taken, stream) = (server.seats.enter(monitor), wire.stream());
                 let ended = server.converse(&front, &taken.seat, wire).await;
                 if ended == Close::Graceful && taken.seat.leave() {
                     tokio::select! {
-                        () = linger(&stream, LINGER_MOST) => {}
+                        () = lingering_close(&stream, LINGER_MOST) => {}
                         () = taken.seat.closed_immediately() => {}
                     }
                 }
@@ -189,13 +194,13 @@
         loop {
             // What clients have said while the process was held up is no silence.
             heartbeat().await;
-            self.seats.sweep(self.limits.get().rest_most);
+            self.seats.sweep(self.limits.get().idle_close_threshold);
             sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
     /// From now on every answer ends its connection, and comes by then, whatever its client would wait.
-    pub fn begin_stop(&self, answer_by: Instant) {
+    pub fn begin_shutdown(&self, answer_by: Instant) {
         self.stopping.set(true);
         self.answer_by.set(Some(answer_by));
     }
@@ -207,7 +212,7 @@
     }
 
     /// Answers what is owed now, and closes the connections that have not been used too.
-    pub fn finish(&self) {
+    pub fn finish_pending(&self) {
         self.finished.set(true);
         self.finishing.notify_waiters();
     }
@@ -220,12 +225,12 @@
     }
 
     /// How many connections are open.
-    pub fn connections(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.count()
     }
 
     /// How many of them owe an answer or may do so soon.
-    pub fn owed(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.seats.owed()
     }
 }
@@ -242,19 +247,19 @@
 
 impl std::error::Error for Gone {}
 
-impl Shown for Server {
+impl StatusSource for Server {
     fn is_ready(&self) -> bool {
-        self.listening.get() && !self.stopping.get() && self.lanes.can_decide()
+        self.listening.get() && !self.stopping.get() && self.pools.has_serving_server()
     }
 
-    fn figures(&self) -> String {
-        self.metrics.render(&self.lanes.levels())
+    fn metrics_page(&self) -> String {
+        self.metrics.render(&self.pools.stats())
     }
 }
 
 impl Server {
     /// Serves a connection to its end; tells whether what it has been given last may still reach its client.
-    async fn converse(self: &Rc<Self>, front: &Rc<Front>, seat: &Rc<Seat>, wire: Wire) -> Close {
+    async fn converse(self: &Rc<Self>, front: &Rc<Front>, seat: &Rc<Seat>, wire: MeteredStream) -> Close {
         let service = service_fn(|request| {
             let (server, front, seat) = (Rc::clone(self), Rc::clone(front), Rc::clone(seat));
             async move {
@@ -262,10 +267,10 @@
                 let mut answer = tokio::select! {
                     biased;
                     answer = answered(server.handle(&front, &seat, request)) => answer,
-                    () = seat.view().closed() => return Err(Gone),
+                    () = seat.monitor().closed_by_peer() => return Err(Gone),
                 };
                 // Clients that ask once and stay would leave the others none of the connections that all may hold.
-                let is_crowded = server.open.count() > server.limits.get().keep_most;
+                let is_crowded = server.open.count() > server.limits.get().keep_alive_threshold;
                 if is_crowded || server.stopping.get() || seat.is_ending() {
                     answer = closing(answer);
                 }
@@ -328,7 +333,7 @@
     /// One request, one answer.
     async fn handle(&self, front: &Front, seat: &Rc<Seat>, request: Request<Incoming>) -> Response<Reply> {
         if request.uri().path() == "/health/ready" && request.method() == Method::GET {
-            let ready = self.lanes.can_decide();
+            let ready = self.pools.has_serving_server();
             return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
         }
         let serving = Rc::clone(&self.serving.borrow());
@@ -340,20 +345,20 @@
             Err(fault) => return turned_away(fault, None),
         };
         let counters = Rc::clone(&checked.class.counters);
-        let lane = serving.lane(&front.name, &checked);
-        let answer = match &lane {
-            Some(lane) => self.read_and_pass_on(seat, &serving, lane, checked).await,
+        let pool = serving.pool(&front.name, &checked);
+        let answer = match &pool {
+            Some(pool) => self.read_and_pass_on(seat, &serving, pool, checked).await,
             None => {
                 checked.discard();
                 Err((StatusCode::NOT_FOUND, "no route leads from here"))
             }
         };
         let mut answer =
-            answer.unwrap_or_else(|fault| turned_away(fault, lane.and_then(|lane| lane.body_advice())));
+            answer.unwrap_or_else(|fault| turned_away(fault, pool.and_then(|pool| pool.body_retry_after())));
         match answer.body_mut() {
             // It is served once the client has all of it.
             Reply::Passing(passing) => passing.counters = Some(counters),
-            Reply::Held(..) => counters.end(outcome_of(answer.status())),
+            Reply::Held(..) => counters.record(outcome_of(answer.status())),
         }
         answer
     }
@@ -361,17 +366,17 @@
     async fn read_and_pass_on(
         &self,
         seat: &Rc<Seat>,
-        serving: &Serving,
-        lane: &Lane,
+        serving: &ActivePlan,
+        pool: &HttpPool,
         checked: Checked,
     ) -> Result<Response<Reply>, Fault> {
         let class = Rc::clone(&checked.class);
-        let times = lane.times(&self.metrics, &class.name);
-        let mut new_request = serving.catalogue.read(seat, &lane.bodies, checked).await?;
-        dialect::also_old(&serving.mappings, &mut new_request, lane.pool.serving_dialects());
+        let times = pool.latency(&self.metrics, &class.name);
+        let mut new_request = serving.catalogue.read(seat, &pool.bodies, checked).await?;
+        dialect::add_legacy_form(&serving.mappings, &mut new_request, pool.engine_pool.serving_dialects());
         let upload = new_request.request.body.upload().map(Rc::clone);
-        let answer = self.pass_on(seat, lane, (&class.name, &times), new_request).await;
-        if let Some(rest) = upload.and_then(|upload| upload.give_up()) {
+        let answer = self.pass_on(seat, pool, (&class.name, &times), new_request).await;
+        if let Some(rest) = upload.and_then(|upload| upload.abandon()) {
             seat.discard(true);
             let seat = Rc::clone(seat);
             tokio::task::spawn_local(async move {
@@ -387,7 +392,7 @@
         &self,
         front: &str,
         seat: &Rc<Seat>,
-        serving: &Serving,
+        serving: &ActivePlan,
         request: Request<Incoming>,
     ) -> Response<Reply> {
         let asked = match legacy::ask(&serving.mappings, &serving.catalogue, seat, request) {
@@ -397,27 +402,27 @@
         let mapping = Rc::clone(&asked.mapping);
         let word = |trouble: &Trouble| in_form(legacy::in_form(&mapping, trouble));
         let asked_class = Rc::clone(&asked.class);
-        let Some(lane) = serving.legacy_lane(front, &asked) else {
+        let Some(pool) = serving.legacy_pool(front, &asked) else {
             asked.discard();
-            asked_class.counters.end(Outcome::Failed);
+            asked_class.counters.record(Outcome::Failed);
             return closing(word(&Trouble::Failed("No route leads from here.".into())));
         };
-        let translated = match legacy::translate(&serving.catalogue, seat, &lane, asked).await {
+        let translated = match legacy::translate(&serving.catalogue, seat, &pool, asked).await {
             Ok(translated) => translated,
             Err(trouble) => {
                 if !matches!(trouble, Trouble::Refused(_)) {
-                    self.metrics.untranslated(&mapping.name);
+                    self.metrics.record_untranslated(&mapping.name);
                 }
                 let answer = word(&trouble);
-                asked_class.counters.end(outcome_of(answer.status()));
+                asked_class.counters.record(outcome_of(answer.status()));
                 return closing(answer);
             }
         };
         let Translated { new_request, class, mut notices } = translated;
-        let times = lane.times(&self.metrics, &class.name);
-        let carried = self.carry(seat, &lane, (&class.name, &times), new_request).await;
+        let times = pool.latency(&self.metrics, &class.name);
+        let carried = self.carry(seat, &pool, (&class.name, &times), new_request).await;
         let answer = match carried {
-            Err(declined) => Err(Trouble::Refused(lane.advice(declined).map(Into::into))),
+            Err(declined) => Err(Trouble::Refused(pool.retry_after(declined).map(Into::into))),
             // An old server's answer is the client's own.
             Ok((FinalResponse::Success(served), in_flight)) if served.dialect == OLD => {
                 Ok((reply(seat, served, in_flight), Vec::new()))
@@ -441,7 +446,7 @@
         self.tell_losses(&mapping, &notices, &mut answer);
         match answer.body_mut() {
             Reply::Passing(passing) => passing.counters = Some(Rc::clone(&class.counters)),
-            Reply::Held(..) => class.counters.end(outcome_of(answer.status())),
+            Reply::Held(..) => class.counters.record(outcome_of(answer.status())),
         }
         answer
     }
@@ -451,10 +456,10 @@
         &self,
         mapping: &Mapping,
         from: Side,
-        served: Served,
+        served: UpstreamResponse,
     ) -> Result<(Response<Reply>, Vec<Notice>), String> {
-        let done = dialect::answer(mapping, from, served);
-        let done = done.inspect_err(|_| self.metrics.untranslated(&mapping.name));
+        let done = dialect::translate_response(mapping, from, served);
+        let done = done.inspect_err(|_| self.metrics.record_untranslated(&mapping.name));
         let (body, reservation, notices) =
             done.map_err(|why| format!("Its answer has no counterpart: {why}"))?;
         let mut answer = Response::new(Reply::Held(Full::new(body), Some(reservation)));
@@ -465,7 +470,7 @@
     }
 
     fn tell_losses(&self, mapping: &Mapping, notices: &[Notice], answer: &mut Response<Reply>) {
-        self.metrics.lost(&mapping.name, notices.len());
+        self.metrics.record_losses(&mapping.name, notices.len());
         if let Some(notice) = legacy::notice(notices) {
             answer.headers_mut().insert(legacy::NOTICE, notice);
         }
@@ -475,16 +480,16 @@
     async fn carry(
         &self,
         seat: &Rc<Seat>,
-        lane: &Lane,
-        (class, times): (&str, &Times),
-        new_request: NewRequest<Call>,
-    ) -> Result<(FinalResponse<Served>, Option<Ticket>), Rejection> {
+        pool: &HttpPool,
+        (class, times): (&str, &LatencyHistograms),
+        new_request: NewRequest<UpstreamRequest>,
+    ) -> Result<(FinalResponse<UpstreamResponse>, Option<GaugeGuard>), Rejection> {
         let mut in_flight = None;
         let since = Cell::new(None);
         let whole = |deadline: Instant| {
             seat.take();
             since.set(Some(Instant::now()));
-            in_flight = Some(self.metrics.take());
+            in_flight = Some(self.metrics.track_request());
             // The module has the client's whole time: a server that answers sooner serves it.
             self.answer_by.get().map_or(deadline, |by| deadline.min(by))
         };
@@ -496,7 +501,7 @@
             FinalResponse::DeadlineExceeded
         };
         // Dropped by hyper with this future when the client closes its connection.
-        let pending = lane.pool.submit(new_request)?;
+        let pending = pool.engine_pool.submit(new_request)?;
         let id = pending.id();
         let answer = tokio::select! {
             biased;
@@ -512,10 +517,10 @@
                 | FinalResponse::IncompleteRequest => Outcome::Failed,
             };
             let took = since.elapsed();
-            times.note(outcome, took);
+            times.record(outcome, took);
             tracing::debug!(
                 target: "heronhoist::request",
-                pool = lane.pool.name(),
+                pool = pool.engine_pool.name(),
                 request = id,
                 class,
                 outcome = ?outcome,
@@ -529,17 +534,17 @@
     async fn pass_on(
         &self,
         seat: &Rc<Seat>,
-        lane: &Lane,
-        of: (&str, &Times),
-        new_request: NewRequest<Call>,
+        pool: &HttpPool,
+        of: (&str, &LatencyHistograms),
+        new_request: NewRequest<UpstreamRequest>,
     ) -> Result<Response<Reply>, Fault> {
         let upload = new_request.request.body.upload().map(Rc::clone);
         // Only what could go to an old server can come back from one.
-        let mapping = new_request.request.old.as_ref().and_then(|old| old.by.clone());
-        let (answer, in_flight) = match self.carry(seat, lane, of, new_request).await {
+        let mapping = new_request.request.legacy.as_ref().and_then(|old| old.mapping.clone());
+        let (answer, in_flight) = match self.carry(seat, pool, of, new_request).await {
             Ok(carried) => carried,
             Err(Rejection::CorrelationIdInUse) => return Err((StatusCode::CONFLICT, "X-Call-Id is in use")),
-            Err(declined) => return Ok(refused(lane.advice(declined))),
+            Err(declined) => return Ok(refused(pool.retry_after(declined))),
         };
         Ok(match answer {
             FinalResponse::Success(served) if served.dialect == OLD => {
@@ -555,8 +560,8 @@
             FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
             FinalResponse::DeadlineExceeded => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
             FinalResponse::IncompleteRequest => match upload.map(|upload| upload.state()) {
-                Some(Coming::Broken(broken)) => return Err(fault_of(broken)),
-                _ => return Err(fault_of(Broken::Unreadable)),
+                Some(UploadState::Failed(broken)) => return Err(fault_of(broken)),
+                _ => return Err(fault_of(UploadError::Unreadable)),
             },
         })
     }
@@ -575,10 +580,10 @@
 }
 
 /// A server's answer as it came.
-fn reply(seat: &Rc<Seat>, served: Served, in_flight: Option<Ticket>) -> Response<Reply> {
+fn reply(seat: &Rc<Seat>, served: UpstreamResponse, in_flight: Option<GaugeGuard>) -> Response<Reply> {
     let body = match served.body {
-        Content::Held(bytes, reservation) => Reply::Held(Full::new(bytes), Some(reservation)),
-        Content::Coming(download) => {
+        ResponseBody::Buffered(bytes, reservation) => Reply::Held(Full::new(bytes), Some(reservation)),
+        ResponseBody::Streaming(download) => {
             let (seat, counters) = (Rc::clone(seat), None);
             seat.pass_on();
             Reply::Passing(Passing { download, seat, counters, whole: false, _in_flight: in_flight })
@@ -607,13 +612,13 @@
     seat: Rc<Seat>,
     counters: Option<Rc<ClassCounters>>,
     whole: bool,
-    _in_flight: Option<Ticket>,
+    _in_flight: Option<GaugeGuard>,
 }
 
 impl Drop for Passing {
     fn drop(&mut self) {
         if let Some(counters) = &self.counters {
-            counters.end(if self.whole { Outcome::Served } else { Outcome::Failed });
+            counters.record(if self.whole { Outcome::Served } else { Outcome::Failed });
         }
         self.seat.passed_on();
     }
--- a/crates/agent/src/server/tests/accepting.rs
+++ b/crates/agent/src/server/tests/accepting.rs
@@ -1,7 +1,7 @@
 //! The front before a listener that fails in a forced order; connections are real ones.
 
 use super::super::*;
-use crate::lanes::Room;
+use crate::pools::UpstreamLimits;
 use rustix::io::Errno;
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -28,11 +28,11 @@
 }
 
 fn server() -> Rc<Server> {
-    let lanes = Lanes::new(Room { connections: 9, body_bytes: 1 << 20 }, 9, 7);
+    let pools = Pools::new(UpstreamLimits { connections: 9, body_bytes: 1 << 20 }, 9, 7);
     let (catalogue, mappings) = (Catalogue { classes: Vec::new(), tenants: Vec::new() }, Rc::default());
-    let serving = Serving { catalogue, routes: Table::default(), lanes: Vec::new(), mappings };
-    let limits = Limits { open_most: 100, rest_most: 100, keep_most: 100 };
-    Server::new(serving, lanes, Rc::default(), limits)
+    let serving = ActivePlan { catalogue, routes: Table::default(), pools: Vec::new(), mappings };
+    let limits = ClientLimits { max_open: 100, idle_close_threshold: 100, keep_alive_threshold: 100 };
+    Server::new(serving, pools, Rc::default(), limits)
 }
 
 /// One call that needs no server, on a connection that is kept; `None` if the agent has closed it.
--- a/crates/agent/src/server/tests/panics.rs
+++ b/crates/agent/src/server/tests/panics.rs
@@ -1,7 +1,7 @@
 //! A handler that panics, with real connections.
 
 use super::super::*;
-use crate::lanes::Room;
+use crate::pools::UpstreamLimits;
 use crate::reload::{apply_plan, ClassRegistry};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,13 +12,13 @@
     let class = r#"{"name":"read","effect":"idempotent","aimMs":10,"deadlineMs":9000,"points":1}"#;
     let file = serde_json::from_str(&format!(r#"{{"classes":[{class}]}}"#)).unwrap();
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let plan = crate::config::plan(&file, nowhere);
+    let plan = crate::config::platform_plan(&file, nowhere);
     let metrics = Rc::new(Metrics::default());
-    let lanes = Lanes::new(Room { connections: 4, body_bytes: 1 << 20 }, 4, 7);
-    let serving = apply_plan(&plan, &mut ClassRegistry::new(Rc::clone(&metrics)), &lanes, None);
-    let limits = Limits { open_most: 4, rest_most: 4, keep_most: 4 };
+    let pools = Pools::new(UpstreamLimits { connections: 4, body_bytes: 1 << 20 }, 4, 7);
+    let serving = apply_plan(&plan, &mut ClassRegistry::new(Rc::clone(&metrics)), &pools, None);
+    let limits = ClientLimits { max_open: 4, idle_close_threshold: 4, keep_alive_threshold: 4 };
     let front = Front { name: "main".into(), listen: nowhere, protocol: Protocol::Http };
-    (Server::new(serving, lanes, metrics, limits), Rc::new(front))
+    (Server::new(serving, pools, metrics, limits), Rc::new(front))
 }
 
 /// A request that has been read is owed an answer whatever happens to the task that handles it, and others are served.
--- a/crates/agent/src/socket_error.rs
+++ b/crates/agent/src/socket_error.rs
@@ -84,7 +84,7 @@
 }
 
 /// A call to the system, made again for as long as signals interrupt it: that says nothing of what was asked.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> Result<T, Error>) -> Result<T, Error> {
+pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> Result<T, Error>) -> Result<T, Error> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/crates/agent/src/patience.rs
+++ b/crates/agent/src/stall_timeout.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// How long is waited for more where pauses are mostly the end.
-pub const SHORT: Duration = Duration::from_millis(100);
+pub const BASE_TIMEOUT: Duration = Duration::from_millis(100);
 /// And how much longer where answers mostly go on.
 const LONGER: Duration = Duration::from_millis(500);
 /// One in so many is waited for all the same, so that a change is noticed.
@@ -15,22 +15,22 @@
 const HALF_LIFE_S: f64 = 15.0;
 
 /// What has become of answers that had paused.
-pub struct Patience {
+pub struct StallTimeout {
     /// Those that went on, and those that did not.
     seen: RefCell<(f64, f64)>,
     faded_at: Cell<Instant>,
     skipped: Cell<u32>,
 }
 
-impl Default for Patience {
+impl Default for StallTimeout {
     fn default() -> Self {
-        Patience { seen: RefCell::default(), faded_at: Cell::new(Instant::now()), skipped: Cell::new(0) }
+        StallTimeout { seen: RefCell::default(), faded_at: Cell::new(Instant::now()), skipped: Cell::new(0) }
     }
 }
 
-impl Patience {
-    /// How much longer than [`SHORT`] an answer is waited for that pauses now.
-    pub fn more(&self) -> Option<Duration> {
+impl StallTimeout {
+    /// How much longer than [`BASE_TIMEOUT`] an answer is waited for that pauses now.
+    pub fn extension(&self) -> Option<Duration> {
         let (went_on, ended) = *self.seen.borrow();
         if went_on >= ended || self.skipped.get() + 1 >= TRY_EVERY {
             self.skipped.set(0);
@@ -41,7 +41,7 @@
     }
 
     /// An answer that was waited for has gone on, or has not.
-    pub fn note(&self, went_on: bool) {
+    pub fn record(&self, went_on: bool) {
         let seen = &mut *self.seen.borrow_mut();
         let keep = 0.5_f64.powf(self.faded_at.replace(Instant::now()).elapsed().as_secs_f64() / HALF_LIFE_S);
         *seen = (seen.0 * keep, seen.1 * keep);
--- a/crates/agent/src/translate.rs
+++ b/crates/agent/src/translate.rs
@@ -45,14 +45,14 @@
 }
 
 /// What to print, or what is wrong; each line of it stands for itself.
-type Told = Result<String, Fault>;
+type Told = Result<String, TranslateError>;
 
 /// What is wrong.
-pub enum Fault {
+pub enum TranslateError {
     /// Files or a message have faults, told in these lines.
-    Faulty(String),
+    Invalid(String),
     /// Something can't be read.
-    Unread(String),
+    Unreadable(String),
 }
 
 /// Does what the command line says.
@@ -74,16 +74,16 @@
                 _ => &message,
             };
             explain::trial(&mapping, part, from, message)
-                .map_err(|why| Fault::Faulty(why.trim_end().to_owned()))
+                .map_err(|why| TranslateError::Invalid(why.trim_end().to_owned()))
         }
     }
 }
 
-fn unread(path: &Path, fault: &io::Error) -> Fault {
-    Fault::Unread(format!("{}: {fault}", path.display()))
+fn unread(path: &Path, fault: &io::Error) -> TranslateError {
+    TranslateError::Unreadable(format!("{}: {fault}", path.display()))
 }
 
-fn message(path: &Path) -> Result<Vec<u8>, Fault> {
+fn message(path: &Path) -> Result<Vec<u8>, TranslateError> {
     let mut message = Vec::new();
     let read = match path.as_os_str() == "-" {
         true => io::stdin().read_to_end(&mut message).map(drop),
@@ -93,15 +93,15 @@
     Ok(message)
 }
 
-fn read(path: &Path) -> Result<Mapping, Fault> {
+fn read(path: &Path) -> Result<Mapping, TranslateError> {
     let text = std::fs::read_to_string(path).map_err(|e| unread(path, &e))?;
     mapping::read(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", path.display()));
-        Fault::Faulty(lines.collect::<Vec<_>>().join("\n"))
+        TranslateError::Invalid(lines.collect::<Vec<_>>().join("\n"))
     })
 }
 
-fn files(path: &Path) -> Result<Vec<PathBuf>, Fault> {
+fn files(path: &Path) -> Result<Vec<PathBuf>, TranslateError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
@@ -114,7 +114,7 @@
         .collect();
     files.sort();
     match files.is_empty() {
-        true => Err(Fault::Unread(format!("{}: no .toml files", path.display()))),
+        true => Err(TranslateError::Unreadable(format!("{}: no .toml files", path.display()))),
         false => Ok(files),
     }
 }
@@ -122,12 +122,12 @@
 /// Mappings with their files, and the faults of those that have some.
 type Sorted = (Vec<(PathBuf, Mapping)>, Vec<String>);
 
-fn read_each(paths: Vec<PathBuf>) -> Result<Sorted, Fault> {
+fn read_each(paths: Vec<PathBuf>) -> Result<Sorted, TranslateError> {
     let (mut sound, mut faults) = (Vec::new(), Vec::new());
     for path in paths {
         match read(&path) {
             Ok(mapping) => sound.push((path, mapping)),
-            Err(Fault::Faulty(lines)) => faults.push(lines),
+            Err(TranslateError::Invalid(lines)) => faults.push(lines),
             Err(unread) => return Err(unread),
         }
     }
@@ -135,11 +135,11 @@
 }
 
 /// All mapping files of a directory, or each fault in a line of its own.
-pub fn read_all(directory: &Path) -> Result<Vec<Mapping>, Fault> {
+pub fn read_all(directory: &Path) -> Result<Vec<Mapping>, TranslateError> {
     let (sound, faults) = read_each(files(directory)?)?;
     match faults.is_empty() {
         true => Ok(sound.into_iter().map(|(_, mapping)| mapping).collect()),
-        false => Err(Fault::Faulty(faults.join("\n"))),
+        false => Err(TranslateError::Invalid(faults.join("\n"))),
     }
 }
 
@@ -163,7 +163,7 @@
         false => {
             // What is sound is told all the same.
             let _ = io::stdout().write_all(told.as_bytes());
-            Err(Fault::Faulty(faults.join("\n")))
+            Err(TranslateError::Invalid(faults.join("\n")))
         }
     }
 }
