--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -16,9 +16,9 @@
 use tokio::time::Instant;
 
 /// The largest body that either side may send.
-pub const BODY_MOST: u64 = 32 * 1024 * 1024;
+pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
 /// Of a body so much is held; one that is no longer can be sent again.
-pub const HELD_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// A client that is waited for must send something within this,
 const SILENCE_MOST: Duration = Duration::from_millis(1200);
 /// and over the whole body be waited for no longer than this and a time for each byte. Clients may send 64 kB a
@@ -33,17 +33,17 @@
 
 /// Why a body did not come whole.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Broken {
+pub enum UploadError {
     /// Its connection or its coding broke.
     Unreadable,
     /// It came too slowly or stopped.
-    Slow,
+    TooSlow,
     /// There is more of it than may be.
-    TooLong,
+    TooLarge,
 }
 
 /// A body as it comes from a client, at the pace of whoever reads it.
-pub struct Source {
+pub struct BodyReader {
     body: Incoming,
     read: u64,
     /// How long the client was waited for in all, and since when it is now.
@@ -54,15 +54,15 @@
     limit: DeadlineTimer,
 }
 
-impl Source {
+impl BodyReader {
     /// Nothing read yet.
     pub fn new(body: Incoming) -> Self {
         let limit = DeadlineTimer::new(Instant::now());
-        Source { body, read: 0, waited: Duration::ZERO, waiting_since: None, has_paused: false, limit }
+        BodyReader { body, read: 0, waited: Duration::ZERO, waiting_since: None, has_paused: false, limit }
     }
 
     /// The next bytes; `None` at the end. Time counts against the client only while it is waited for.
-    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(cx) else {
                 if self.waiting_since.is_none() {
@@ -73,7 +73,7 @@
                     self.limit.reset(now + left.min(SILENCE_MOST));
                 }
                 ready!(self.limit.poll_expired(cx));
-                return Poll::Ready(Some(Err(Broken::Slow)));
+                return Poll::Ready(Some(Err(UploadError::TooSlow)));
             };
             if let Some(since) = self.waiting_since.take() {
                 let wait = since.elapsed();
@@ -83,14 +83,14 @@
             }
             return Poll::Ready(match frame {
                 None => None,
-                Some(Err(_)) => Some(Err(Broken::Unreadable)),
+                Some(Err(_)) => Some(Err(UploadError::Unreadable)),
                 Some(Ok(frame)) => match frame.into_data() {
                     // Trailers say nothing that a backend needs.
                     Err(_) => continue,
                     Ok(data) => {
                         self.read += data.len() as u64;
-                        let fits = self.read <= BODY_MOST;
-                        Some(if fits { Ok(data) } else { Err(Broken::TooLong) })
+                        let fits = self.read <= MAX_BODY_BYTES;
+                        Some(if fits { Ok(data) } else { Err(UploadError::TooLarge) })
                     }
                 },
             });
@@ -98,7 +98,7 @@
     }
 
     /// The next bytes; `None` at the end.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, UploadError>> {
         poll_fn(|cx| self.poll_next(cx)).await
     }
 
@@ -111,33 +111,33 @@
 
 /// How far a long body has come.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Coming {
+pub enum UploadState {
     /// More of it is to come.
-    More,
+    Incomplete,
     /// Its last byte came then.
-    Whole(Instant),
+    Complete(Instant),
     /// It will not come whole.
-    Broken(Broken),
+    Failed(UploadError),
 }
 
 /// A body too long to be held whole.
 pub struct Upload {
     /// Its beginning, until more than that has been taken.
     held: RefCell<Vec<Bytes>>,
-    rest: RefCell<Option<Source>>,
+    rest: RefCell<Option<BodyReader>>,
     /// Bytes of it in all, if its head says so.
     length: Option<u64>,
     spent: Cell<bool>,
     /// Since when nobody has read on in it, and for how long that was so before an attempt did.
     unread_since: Instant,
     unread_for: Cell<Option<Duration>>,
-    coming: watch::Sender<Coming>,
+    coming: watch::Sender<UploadState>,
 }
 
 impl Upload {
     /// A body of which this has come.
-    pub fn new(held: Vec<Bytes>, rest: Source, length: Option<u64>) -> Rc<Self> {
-        let coming = watch::Sender::new(Coming::More);
+    pub fn new(held: Vec<Bytes>, rest: BodyReader, length: Option<u64>) -> Rc<Self> {
+        let coming = watch::Sender::new(UploadState::Incomplete);
         let (held, rest) = (RefCell::new(held), RefCell::new(Some(rest)));
         let (spent, unread_since, unread_for) = (Cell::new(false), Instant::now(), Cell::new(None));
         Rc::new(Upload { held, rest, length, spent, unread_since, unread_for, coming })
@@ -150,58 +150,58 @@
     }
 
     /// The last of it has been read. If it was never waited for, it lay here whole before an attempt read on.
-    fn whole(&self, rest: &Source) -> Coming {
+    fn whole(&self, rest: &BodyReader) -> UploadState {
         let lay = self.unread_for.get().filter(|_| !rest.has_paused && rest.read <= UNREAD_MOST);
         let now = Instant::now();
-        Coming::Whole(now.checked_sub(lay.unwrap_or_default()).unwrap_or(now))
+        UploadState::Complete(now.checked_sub(lay.unwrap_or_default()).unwrap_or(now))
     }
 
     /// What it holds is not all that an attempt had any more.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.spent.get()
     }
 
     /// How far it has come.
-    pub fn state(&self) -> Coming {
+    pub fn state(&self) -> UploadState {
         *self.coming.borrow()
     }
 
     /// Comes back when the last of it has come, or never will.
-    pub async fn ended(&self) -> Coming {
+    pub async fn wait_until_finished(&self) -> UploadState {
         let mut coming = self.coming.subscribe();
-        let ended = coming.wait_for(|coming| *coming != Coming::More).await;
-        ended.map_or(Coming::Broken(Broken::Unreadable), |coming| *coming)
+        let wait_until_finished = coming.wait_for(|coming| *coming != UploadState::Incomplete).await;
+        wait_until_finished.map_or(UploadState::Failed(UploadError::Unreadable), |coming| *coming)
     }
 
     /// How many bytes an attempt must have written of it to have written all; `None` while nobody knows.
-    pub fn bytes(&self) -> Option<u64> {
+    pub fn total_bytes(&self) -> Option<u64> {
         match (self.length, self.state(), &*self.rest.borrow()) {
             (Some(length), ..) => Some(length),
-            (None, Coming::Whole(_), Some(rest)) => Some(rest.read),
+            (None, UploadState::Complete(_), Some(rest)) => Some(rest.read),
             _ => None,
         }
     }
 
     /// Nothing will be sent of it any more. What its client may still be writing has to be read, or it would not come
     /// to read its answer; `None` if there is no more.
-    pub fn give_up(&self) -> Option<Source> {
+    pub fn abandon(&self) -> Option<BodyReader> {
         self.spent.set(true);
         let more = self.coming.send_if_modified(|coming| {
-            let more = *coming == Coming::More;
+            let more = *coming == UploadState::Incomplete;
             if more {
-                *coming = Coming::Broken(Broken::Unreadable);
+                *coming = UploadState::Failed(UploadError::Unreadable);
             }
             more
         });
         self.rest.borrow_mut().take().filter(|_| more)
     }
 
-    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
-        if let Coming::Whole(_) = self.state() {
+    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
+        if let UploadState::Complete(_) = self.state() {
             return Poll::Ready(None);
         }
         let mut rest = self.rest.borrow_mut();
-        let Some(rest) = rest.as_mut() else { return Poll::Ready(Some(Err(Broken::Unreadable))) };
+        let Some(rest) = rest.as_mut() else { return Poll::Ready(Some(Err(UploadError::Unreadable))) };
         if self.unread_for.get().is_none() {
             self.unread_for.set(Some(self.unread_since.elapsed()));
             rest.has_paused = false;
@@ -215,7 +215,7 @@
                     self.coming.send_replace(self.whole(rest));
                 }
             }
-            Some(Err(broken)) => drop(self.coming.send_replace(Coming::Broken(*broken))),
+            Some(Err(broken)) => drop(self.coming.send_replace(UploadState::Failed(*broken))),
             None => drop(self.coming.send_replace(self.whole(rest))),
         }
         Poll::Ready(next)
@@ -228,7 +228,7 @@
     }
 
     fn is_consumed(&self) -> bool {
-        Upload::is_spent(self)
+        Upload::is_consumed(self)
     }
 
     fn unread_since(&self) -> Option<Instant> {
@@ -236,53 +236,55 @@
     }
 
     fn finished(&self) -> Pin<Box<dyn Future<Output = heronhoist_engine::BodyProgress> + '_>> {
-        Box::pin(async { Upload::ended(self).await.into() })
+        Box::pin(async { Upload::wait_until_finished(self).await.into() })
     }
 }
 
-impl From<Coming> for heronhoist_engine::BodyProgress {
-    fn from(coming: Coming) -> Self {
+impl From<UploadState> for heronhoist_engine::BodyProgress {
+    fn from(coming: UploadState) -> Self {
         match coming {
-            Coming::More => heronhoist_engine::BodyProgress::Incomplete,
-            Coming::Whole(at) => heronhoist_engine::BodyProgress::Complete(at),
-            Coming::Broken(_) => heronhoist_engine::BodyProgress::Failed,
+            UploadState::Incomplete => heronhoist_engine::BodyProgress::Incomplete,
+            UploadState::Complete(at) => heronhoist_engine::BodyProgress::Complete(at),
+            UploadState::Failed(_) => heronhoist_engine::BodyProgress::Failed,
         }
     }
 }
 
 /// The body of a request that is passed on.
 #[derive(Clone)]
-pub enum Payload {
+pub enum RequestBody {
     /// All of it.
-    Held(Bytes),
+    Buffered(Bytes),
     /// Its beginning; the rest is to come.
-    Coming(Rc<Upload>),
+    Streaming(Rc<Upload>),
 }
 
-impl Payload {
+impl RequestBody {
     /// The long body that this is, if it is one.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Payload::Held(_) => None,
-            Payload::Coming(upload) => Some(upload),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streaming(upload) => Some(upload),
         }
     }
 
     /// As one attempt sends it.
-    pub fn outgoing(&self) -> Outgoing {
+    pub fn attempt_body(&self) -> AttemptBody {
         match self {
-            Payload::Held(bytes) => Outgoing::Held(Full::new(bytes.clone())),
-            Payload::Coming(upload) => Outgoing::Coming { upload: Rc::clone(upload), next: 0, written: 0 },
+            RequestBody::Buffered(bytes) => AttemptBody::Buffered(Full::new(bytes.clone())),
+            RequestBody::Streaming(upload) => {
+                AttemptBody::Streaming { upload: Rc::clone(upload), next: 0, written: 0 }
+            }
         }
     }
 }
 
 /// A request's body on its way to a backend.
-pub enum Outgoing {
+pub enum AttemptBody {
     /// Held whole.
-    Held(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// What is held, and then what comes.
-    Coming {
+    Streaming {
         /// Where it comes from.
         upload: Rc<Upload>,
         /// The next held piece.
@@ -292,7 +294,7 @@
     },
 }
 
-impl Body for Outgoing {
+impl Body for AttemptBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -301,8 +303,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
-            Outgoing::Held(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Outgoing::Coming { upload, next, written } => {
+            AttemptBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            AttemptBody::Streaming { upload, next, written } => {
                 let held = upload.held.borrow().get(*next).cloned();
                 let data = match held {
                     Some(data) => {
@@ -323,15 +325,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Held(body) => body.is_end_stream(),
-            Outgoing::Coming { .. } => false,
+            AttemptBody::Buffered(body) => body.is_end_stream(),
+            AttemptBody::Streaming { .. } => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Held(body) => body.size_hint(),
-            Outgoing::Coming { upload, written, .. } => {
+            AttemptBody::Buffered(body) => body.size_hint(),
+            AttemptBody::Streaming { upload, written, .. } => {
                 upload.length.map_or_else(SizeHint::default, |all| SizeHint::with_exact(all - written))
             }
         }
