--- a/crates/agent/tests/loopback/budgets.rs
+++ b/crates/agent/tests/loopback/budgets.rs
@@ -36,7 +36,7 @@
     }
 
     /// Takes connections from now on; those of the agent come up when its machine asks again.
-    fn open(self, heard: &Arc<Tally<(Message, Instant)>>, takes: Duration) {
+    fn open(self, heard: &Arc<EventLog<(Message, Instant)>>, takes: Duration) {
         drop(self.fillers);
         let heard = Arc::clone(heard);
         thread::spawn(move || {
@@ -56,7 +56,7 @@
 /// Answers what it hears, and tells when it had all of it; what `answer` says nothing to it drops, and the connection with it.
 fn serve(
     mut stream: TcpStream,
-    heard: &Tally<(Message, Instant)>,
+    heard: &EventLog<(Message, Instant)>,
     answer: impl Fn(&Message) -> Option<&'static str>,
 ) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
@@ -112,7 +112,7 @@
             let (late, heard) = (Late::new(), Arc::default());
             let (agent, _discovery) = agent(&[late.address]);
             let (head, body) = with_body(budget, bytes);
-            let mut client = Client::to(&agent);
+            let mut client = Client::connect(&agent);
             client.write(&head);
             client.stream.write_all(&body).unwrap();
             let since = Instant::now();
@@ -137,13 +137,13 @@
         let (one, two) = (Late::new(), Late::new());
         let (agent, _discovery) = agent(&[one.address, two.address]);
         let (head, body) = with_body(budget, LONG);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write(&head);
         client.stream.write_all(&body).unwrap();
         let since = Instant::now();
         let answer = client.read().expect("an answer");
         check_answered(since, budget)?;
-        assert!(matches!(answer.status(), 502..=504), "{}", answer.line);
+        assert!(matches!(answer.status(), 502..=504), "{}", answer.start_line);
         Ok(())
     });
 }
@@ -156,16 +156,16 @@
         let (late, heard) = (Late::new(), Arc::default());
         let (agent, _discovery) = agent(&[late.address]);
         let (head, body) = with_body(budget, LONG);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write(&head);
         client.stream.write_all(&body).unwrap();
         let since = Instant::now();
         thread::sleep(Duration::from_millis(500));
-        late.open(&heard, BOUND);
+        late.open(&heard, TEST_TIMEOUT);
         let answer = client.read().expect("an answer");
         check_answered(since, budget)?;
-        assert!(matches!(answer.status(), 502 | 504), "{}", answer.line);
-        check(&heard.wait(1)[0], since, budget)?;
+        assert!(matches!(answer.status(), 502 | 504), "{}", answer.start_line);
+        check(&heard.wait_for(1)[0], since, budget)?;
         Ok(())
     });
 }
@@ -178,7 +178,7 @@
         let (late, heard) = (Late::new(), Arc::default());
         let (agent, _discovery) = agent(&[late.address]);
         let (head, body) = with_body(budget, LONG);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write(&head);
         client.stream.write_all(&body[..LONG / 2]).unwrap();
         let began = Instant::now();
@@ -208,7 +208,7 @@
     thrice(|| {
         let budget = Duration::from_millis(800);
         for bytes in [4, 3000, LONG] {
-            let heard: Arc<Tally<(Message, Instant)>> = Arc::default();
+            let heard: Arc<EventLog<(Message, Instant)>> = Arc::default();
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let address = listener.local_addr().unwrap();
             let tally = Arc::clone(&heard);
@@ -220,7 +220,7 @@
             });
             let (agent, _discovery) = agent(&[address]);
             let (head, body) = with_body(budget, bytes);
-            let mut client = Client::to(&agent);
+            let mut client = Client::connect(&agent);
             client.write(&head);
             let mut since = Instant::now();
             for piece in body.chunks(bytes.div_ceil(4)) {
@@ -242,8 +242,8 @@
     thrice(|| {
         let budget = Duration::from_secs(4);
         for held_up in [false, true] {
-            let heard: Arc<Tally<(Message, Instant)>> = Arc::default();
-            let ended: Arc<Tally<()>> = Arc::default();
+            let heard: Arc<EventLog<(Message, Instant)>> = Arc::default();
+            let ended: Arc<EventLog<()>> = Arc::default();
             let addresses = [(); 2].map(|()| {
                 let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
                 let (address, heard, ended) =
@@ -268,13 +268,13 @@
                 let pid = agent.child.id().to_string();
                 assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
             };
-            let mut client = Client::to(&agent);
+            let mut client = Client::connect(&agent);
             let since = Instant::now();
             client.write(&request("read", budget.as_millis() as u64));
             if held_up {
-                heard.wait(1);
+                heard.wait_for(1);
                 signal("-STOP");
-                ended.wait(1);
+                ended.wait_for(1);
                 thread::sleep(Duration::from_millis(500));
                 signal("-CONT");
             }
@@ -293,17 +293,17 @@
 #[test]
 fn next_to_no_time_is_answered_in_time() {
     thrice(|| {
-        let backend = Backend::new(|_| Act::Silence);
-        let (agent, _discovery) = Agent::with(&[&backend]);
+        let backend = RecordServer::new(|_| Action::Hang);
+        let (agent, _discovery) = Agent::with_servers(&[&backend]);
         for budget in [0, 1, 2, 5, 5, 5, 20] {
             for class in ["read", "once", "zoned", "all"] {
                 let since = Instant::now();
-                let answer = Client::to(&agent).ask(&request(class, budget));
-                assert!(matches!(answer.status(), 502..=504), "{class} {budget}: {}", answer.line);
+                let answer = Client::connect(&agent).exchange(&request(class, budget));
+                assert!(matches!(answer.status(), 502..=504), "{class} {budget}: {}", answer.start_line);
                 check_answered(since, Duration::from_millis(budget))?;
             }
         }
-        for message in backend.heard.all() {
+        for message in backend.requests.all() {
             let told: u64 = message.header("X-Budget-Ms").unwrap().parse().unwrap();
             assert!((1..=20).contains(&told), "{told}");
         }
--- a/crates/agent/tests/loopback/bulk.rs
+++ b/crates/agent/tests/loopback/bulk.rs
@@ -68,7 +68,7 @@
             let piece = vec![b'x'; PIECE];
             for n in 0..LONG / PIECE {
                 if n == 1 {
-                    let _ = wait.lock().unwrap().recv_timeout(BOUND);
+                    let _ = wait.lock().unwrap().recv_timeout(TEST_TIMEOUT);
                 }
                 if chunked {
                     write!(output, "{PIECE:x};n=1\r\n").unwrap();
@@ -85,14 +85,14 @@
         let (agent, _discovery) = agent(backend);
         // The program's own size is no part of what it holds.
         let at_rest = peak(&agent);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write(&request("read", 9000));
         let mut input = BufReader::new(client.stream.try_clone().unwrap());
         let answer = head(&mut input).unwrap();
         assert_eq!(answer.status(), 200);
         let mut body = vec![0; PIECE / 2];
         input.read_exact(&mut body).unwrap();
-        assert_eq!(agent.figure("app_in_flight"), Some(1.0));
+        assert_eq!(agent.metric("app_in_flight"), Some(1.0));
         go.send(()).unwrap();
         let mut left = LONG - body.len();
         if chunked {
@@ -110,7 +110,7 @@
             assert!(n > 0, "{left} bytes are missing");
             left -= n;
         }
-        agent.wait_figure("app_served_total{class=\"read\"}", 1.0);
+        agent.wait_for_metric("app_served_total{class=\"read\"}", 1.0);
         let grown = peak(&agent) - at_rest;
         assert!(grown < LONG / 2, "{grown} bytes held");
     }
@@ -144,7 +144,7 @@
         });
         let (agent, _discovery) = agent(backend);
         let at_rest = peak(&agent);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         let framing =
             if chunked { "Transfer-Encoding: chunked".into() } else { format!("Content-Length: {LONG}") };
         client.write(&post(&format!("{framing}\r\nExpect: 100-continue")));
@@ -153,8 +153,8 @@
         let piece = vec![b'x'; PIECE];
         for n in 0..LONG / PIECE {
             if n == 1 {
-                heard.recv_timeout(BOUND).expect("the beginning has gone on");
-                assert_eq!(agent.figure("app_attempts_total{class=\"once\"}"), Some(0.0));
+                heard.recv_timeout(TEST_TIMEOUT).expect("the beginning has gone on");
+                assert_eq!(agent.metric("app_attempts_total{class=\"once\"}"), Some(0.0));
             }
             if chunked {
                 client.write(&format!("{PIECE:x};name=\"v\"\r\n"));
@@ -168,7 +168,7 @@
             client.write("0\r\nX-Trailer: 1\r\n\r\n");
         }
         assert_eq!(Message::read(&mut input).map(|m| (m.status(), m.body)), Some((200, b"done".to_vec())));
-        assert_eq!(agent.figure("app_attempts_total{class=\"once\"}"), Some(1.0));
+        assert_eq!(agent.metric("app_attempts_total{class=\"once\"}"), Some(1.0));
         let grown = peak(&agent) - at_rest;
         assert!(grown < LONG / 2, "{grown} bytes held");
     }
@@ -191,14 +191,14 @@
             }
         });
         let (agent, _discovery) = agent(backend);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write(&request("once", 9000));
         let mut all = Vec::new();
         let _ = client.stream.read_to_end(&mut all);
         assert!(all.starts_with(b"HTTP/1.1 200"), "{framed}");
         assert!(all.len() < 1_000_000 && !all.ends_with(b"0\r\n\r\n"), "{framed}");
-        agent.wait_figure("app_failed_total{class=\"once\"}", 1.0);
-        assert_eq!(agent.figure("app_in_flight"), Some(0.0));
+        agent.wait_for_metric("app_failed_total{class=\"once\"}", 1.0);
+        assert_eq!(agent.metric("app_in_flight"), Some(0.0));
     }
 }
 
@@ -216,7 +216,7 @@
         }
     });
     let (agent, _discovery) = agent(backend);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let text =
         request("all", 9000).replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 4000000\r\n\r\n");
     client.write(&text);
@@ -242,7 +242,7 @@
         let _ = std::io::copy(&mut input, &mut std::io::sink());
     });
     let (agent, _discovery) = agent(backend);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     client.write(&post("Transfer-Encoding: chunked"));
     let mut output = client.stream.try_clone().unwrap();
     thread::spawn(move || {
@@ -255,23 +255,23 @@
 /// A client that stops in the middle of its body is let go, and no server is blamed.
 #[test]
 fn a_body_that_stops_is_an_error() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let (agent, _discovery) = agent(backend.address);
     for framing in ["Content-Length: 100", "Content-Length: 1000000", "Transfer-Encoding: chunked"] {
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write(&post(framing));
         client.write("5\r\nx");
         assert_eq!(client.read().map(|m| m.status()), Some(408), "{framing}");
     }
-    assert_eq!(agent.figure("app_record_servers_excluded"), Some(0.0));
+    assert_eq!(agent.metric("app_record_servers_excluded"), Some(0.0));
 }
 
 /// Requests that are sent without waiting for answers get theirs in order, whatever their bodies look like.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let backend = Backend::new(|m| ok(m.header("X-Call-Id").unwrap()));
+    let backend = RecordServer::new(|m| ok(m.header("X-Call-Id").unwrap()));
     let (agent, _discovery) = agent(backend.address);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let hidden = "GET /read HTTP/1.1\r\n\r\n";
     let all = [
         request("read", 9000),
--- a/crates/agent/tests/loopback/close_delimited.rs
+++ b/crates/agent/tests/loopback/close_delimited.rs
@@ -25,9 +25,9 @@
 type Script = Arc<dyn Fn(&Message) -> (Vec<Vec<u8>>, End) + Send + Sync>;
 
 /// A server that answers each request by its script; of each connection it tells how many requests came on it.
-fn server(script: Script, go: mpsc::Receiver<()>) -> (SocketAddr, Arc<Tally<Message>>) {
+fn server(script: Script, go: mpsc::Receiver<()>) -> (SocketAddr, Arc<EventLog<Message>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, heard) = (listener.local_addr().unwrap(), Arc::new(Tally::default()));
+    let (address, heard) = (listener.local_addr().unwrap(), Arc::new(EventLog::default()));
     let (tally, go) = (Arc::clone(&heard), Arc::new(Mutex::new(go)));
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -39,7 +39,7 @@
                 let (pieces, end) = script(&message);
                 for (n, piece) in pieces.iter().enumerate() {
                     if n > 0 {
-                        let _ = go.lock().unwrap().recv_timeout(BOUND);
+                        let _ = go.lock().unwrap().recv_timeout(TEST_TIMEOUT);
                     }
                     let _ = (&stream).write_all(piece);
                 }
@@ -93,10 +93,10 @@
     };
     let (address, heard) = server(Arc::new(script), wait);
     let (agent, _discovery) = agent(address);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     for n in 0..40 {
         let class = ["once", "read", "zoned"][n % 3];
-        let answer = client.ask(&request(class, 9000));
+        let answer = client.exchange(&request(class, 9000));
         let expected = body(LENGTHS[n / 4 % 5]);
         assert_eq!(answer.status(), 200, "{class} {n}: {}", HEADS[n % 4]);
         assert_eq!(answer.header("content-length"), Some(expected.len().to_string().as_str()), "{n}");
@@ -117,9 +117,9 @@
     };
     let (address, heard) = server(Arc::new(script), wait);
     let (agent, _discovery) = agent(address);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     for n in 0..40 {
-        assert_eq!(client.ask(&request("once", 9000)).status(), 502, "{n}: {}", HEADS[n % 4]);
+        assert_eq!(client.exchange(&request("once", 9000)).status(), 502, "{n}: {}", HEADS[n % 4]);
     }
     assert_eq!(heard.all().len(), 40, "it may have run");
 }
@@ -135,7 +135,7 @@
         let pieces = vec![text, rest.clone(), Vec::new()];
         let (address, _) = server(Arc::new(move |_: &Message| (pieces.clone(), end)), wait);
         let (agent, _discovery) = agent(address);
-        let client = Client::to(&agent);
+        let client = Client::connect(&agent);
         let mut stream: TcpStream = client.stream.try_clone().unwrap();
         stream.write_all(request("read", 9000).as_bytes()).unwrap();
         let (mut got, mut piece) = (Vec::new(), [0; 16 * 1024]);
@@ -182,17 +182,17 @@
 /// What is no 200 says what it says by its head; but only an orderly end shows that the head was all.
 #[test]
 fn other_answers_without_a_length_count_by_their_head() {
-    let turned_away = || Act::Last("HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\nfull".into());
+    let turned_away = || Action::RespondAndClose("HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\nfull".into());
     assert_eq!(outcome("once", turned_away), (200, 2));
     for head in ["HTTP/1.1 500 X\r\n\r\nbroken", "HTTP/1.1 503 X\r\n\r\n", "HTTP/1.1 204 X\r\n\r\n"] {
-        assert_eq!(outcome("once", move || Act::Last(head.into())), (502, 1), "{head}");
-        assert_eq!(outcome("read", move || Act::Last(head.into())), (200, 2), "{head}");
+        assert_eq!(outcome("once", move || Action::RespondAndClose(head.into())), (502, 1), "{head}");
+        assert_eq!(outcome("read", move || Action::RespondAndClose(head.into())), (200, 2), "{head}");
     }
     let (_go, wait) = mpsc::channel();
     let text = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\nfull".to_vec();
     let (address, heard) = server(Arc::new(move |_: &Message| (vec![text.clone()], End::Reset)), wait);
     let (agent, _discovery) = agent(address);
-    assert_eq!(Client::to(&agent).ask(&request("once", 9000)).status(), 502);
+    assert_eq!(Client::connect(&agent).exchange(&request("once", 9000)).status(), 502);
     assert_eq!(heard.all().len(), 1, "it may have run");
 }
 
@@ -208,6 +208,6 @@
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade",
     ] {
         let act = format!("{head}\r\n\r\nfirst");
-        assert_eq!(outcome("once", move || Act::Last(act.clone())), (502, 1), "{head}");
+        assert_eq!(outcome("once", move || Action::RespondAndClose(act.clone())), (502, 1), "{head}");
     }
 }
--- a/crates/agent/tests/loopback/common.rs
+++ b/crates/agent/tests/loopback/common.rs
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 /// Far beyond anything that a sound agent needs.
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A message as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub line: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -27,11 +27,11 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     pub fn path(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or_default()
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
     /// Reads one message with a `Content-Length`; `None` when the peer has closed.
@@ -41,7 +41,7 @@
         if input.read_line(&mut line).ok()? == 0 {
             return None;
         }
-        message.line = line.trim_end().to_string();
+        message.start_line = line.trim_end().to_string();
         loop {
             line.clear();
             if input.read_line(&mut line).ok()? == 0 {
@@ -60,38 +60,38 @@
 }
 
 /// What a backend does about a request.
-pub enum Act {
+pub enum Action {
     /// Writes this and keeps the connection.
-    Answer(String),
+    Respond(String),
     /// Writes this and ends the connection.
-    Last(String),
+    RespondAndClose(String),
     /// Writes these one after the other, with a pause between that is longer than an answer may stall.
-    Parts(Vec<String>),
+    RespondInParts(Vec<String>),
     /// Says nothing until the agent gives up.
-    Silence,
+    Hang,
 }
 
-pub fn ok(body: &str) -> Act {
-    Act::Answer(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+pub fn ok(body: &str) -> Action {
+    Action::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-pub fn status(code: u16, headers: &str) -> Act {
-    Act::Answer(format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n"))
+pub fn status(code: u16, headers: &str) -> Action {
+    Action::Respond(format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n"))
 }
 
 /// A count that can be waited on.
-pub struct Tally<T> {
+pub struct EventLog<T> {
     seen: Mutex<Vec<T>>,
     more: Condvar,
 }
 
-impl<T> Default for Tally<T> {
+impl<T> Default for EventLog<T> {
     fn default() -> Self {
-        Tally { seen: Mutex::default(), more: Condvar::new() }
+        EventLog { seen: Mutex::default(), more: Condvar::new() }
     }
 }
 
-impl<T: Clone> Tally<T> {
+impl<T: Clone> EventLog<T> {
     pub fn push(&self, item: T) {
         self.seen.lock().unwrap().push(item);
         self.more.notify_all();
@@ -102,80 +102,89 @@
     }
 
     /// Waits until there are so many.
-    pub fn wait(&self, count: usize) -> Vec<T> {
+    pub fn wait_for(&self, count: usize) -> Vec<T> {
         let seen = self.seen.lock().unwrap();
-        let (seen, late) = self.more.wait_timeout_while(seen, BOUND, |s| s.len() < count).unwrap();
+        let (seen, late) = self.more.wait_timeout_while(seen, TEST_TIMEOUT, |s| s.len() < count).unwrap();
         assert!(!late.timed_out(), "{} of {count} came", seen.len());
         seen.clone()
     }
 }
 
-pub struct Backend {
+pub struct RecordServer {
     pub address: SocketAddr,
-    pub heard: Arc<Tally<Message>>,
+    pub requests: Arc<EventLog<Message>>,
     /// Connections that have come, and those that have ended.
-    pub opened: Arc<Tally<()>>,
-    pub ended: Arc<Tally<()>>,
+    pub connections_opened: Arc<EventLog<()>>,
+    pub connections_closed: Arc<EventLog<()>>,
 }
 
-impl Backend {
-    pub fn new(script: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Backend {
+impl RecordServer {
+    pub fn new(script: impl Fn(&Message) -> Action + Send + Sync + 'static) -> RecordServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (heard, opened, ended) = (Arc::default(), Arc::default(), Arc::default());
-        let backend = Backend { address, heard, opened, ended };
+        let (requests, connections_opened, connections_closed) =
+            (Arc::default(), Arc::default(), Arc::default());
+        let server = RecordServer { address, requests, connections_opened, connections_closed };
         let script = Arc::new(script);
-        let (heard, opened, ended) =
-            (Arc::clone(&backend.heard), Arc::clone(&backend.opened), Arc::clone(&backend.ended));
+        let (requests, opened, closed) = (
+            Arc::clone(&server.requests),
+            Arc::clone(&server.connections_opened),
+            Arc::clone(&server.connections_closed),
+        );
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (script, heard, ended) = (Arc::clone(&script), Arc::clone(&heard), Arc::clone(&ended));
+                let (script, requests, closed) =
+                    (Arc::clone(&script), Arc::clone(&requests), Arc::clone(&closed));
                 opened.push(());
                 thread::spawn(move || {
-                    converse(stream, &*script, &heard);
-                    ended.push(());
+                    serve_connection(stream, &*script, &requests);
+                    closed.push(());
                 });
             }
         });
-        backend
+        server
     }
 }
 
-impl Backend {
+impl RecordServer {
     /// A backend that keeps requests of the class `once` until it is told to go on.
-    pub fn gated() -> (Backend, mpsc::Sender<()>) {
+    pub fn gated() -> (RecordServer, mpsc::Sender<()>) {
         let (release, held) = mpsc::channel::<()>();
         let held = Mutex::new(held);
-        let backend = Backend::new(move |m| {
+        let server = RecordServer::new(move |m| {
             if m.path().starts_with("/once") {
-                let _ = held.lock().unwrap().recv_timeout(BOUND);
+                let _ = held.lock().unwrap().recv_timeout(TEST_TIMEOUT);
             }
             ok("done")
         });
-        (backend, release)
+        (server, release)
     }
 }
 
-fn converse(mut stream: TcpStream, script: &dyn Fn(&Message) -> Act, heard: &Tally<Message>) {
+fn serve_connection(
+    mut stream: TcpStream,
+    script: &dyn Fn(&Message) -> Action,
+    requests: &EventLog<Message>,
+) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     while let Some(message) = Message::read(&mut input) {
-        heard.push(message.clone());
+        requests.push(message.clone());
         match script(&message) {
-            Act::Answer(text) => {
+            Action::Respond(text) => {
                 let _ = stream.write_all(text.as_bytes());
             }
-            Act::Last(text) => {
+            Action::RespondAndClose(text) => {
                 let _ = stream.write_all(text.as_bytes());
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
-            Act::Parts(texts) => {
+            Action::RespondInParts(texts) => {
                 for text in texts {
                     let _ = stream.write_all(text.as_bytes());
                     thread::sleep(Duration::from_millis(300));
                 }
             }
-            Act::Silence => {
+            Action::Hang => {
                 let _ = input.read(&mut [0; 1]);
                 return;
             }
@@ -186,9 +195,9 @@
 /// A list that tests change, and what was asked of it.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub asked: Arc<Tally<String>>,
+    pub requests: Arc<EventLog<String>>,
     /// The versions that have been written to whoever asked.
-    pub told: Arc<Tally<i64>>,
+    pub sent_versions: Arc<EventLog<i64>>,
     list: Arc<(Mutex<List>, Condvar)>,
 }
 
@@ -197,43 +206,47 @@
     targets: String,
     down: bool,
     /// Written in place of a list, and the connection closed.
-    spoilt: Option<String>,
+    invalid_response: Option<String>,
 }
 
 impl Discovery {
     pub fn new(targets: String) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let list =
-            Arc::new((Mutex::new(List { rev: 2, targets, down: false, spoilt: None }), Condvar::new()));
-        let discovery = Discovery { address, asked: Arc::default(), told: Arc::default(), list };
-        let (asked, told) = (Arc::clone(&discovery.asked), Arc::clone(&discovery.told));
+        let list = Arc::new((
+            Mutex::new(List { rev: 2, targets, down: false, invalid_response: None }),
+            Condvar::new(),
+        ));
+        let discovery = Discovery { address, requests: Arc::default(), sent_versions: Arc::default(), list };
+        let (requests, sent_versions) =
+            (Arc::clone(&discovery.requests), Arc::clone(&discovery.sent_versions));
         let list = Arc::clone(&discovery.list);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (asked, told, list) = (Arc::clone(&asked), Arc::clone(&told), Arc::clone(&list));
-                thread::spawn(move || answer(stream, &asked, &told, &list));
+                let (requests, sent_versions, list) =
+                    (Arc::clone(&requests), Arc::clone(&sent_versions), Arc::clone(&list));
+                thread::spawn(move || serve_discovery(stream, &requests, &sent_versions, &list));
             }
         });
         discovery
     }
 
-    pub fn change(&self, targets: String) {
+    pub fn set_targets(&self, targets: String) {
         let mut list = self.list.0.lock().unwrap();
         (list.rev, list.targets) = (list.rev + 1, targets);
         self.list.1.notify_all();
     }
 
     /// Each call is answered by this and a close, or by lists again.
-    pub fn spoil(&self, text: Option<String>) {
-        self.list.0.lock().unwrap().spoilt = text;
+    pub fn set_invalid_response(&self, text: Option<String>) {
+        self.list.0.lock().unwrap().invalid_response = text;
         self.list.1.notify_all();
     }
 
     /// The next list has this version.
-    pub fn turn_to(&self, rev: i64, targets: String) {
+    pub fn set_list(&self, rev: i64, targets: String) {
         let mut list = self.list.0.lock().unwrap();
-        (list.rev, list.targets, list.spoilt) = (rev, targets, None);
+        (list.rev, list.targets, list.invalid_response) = (rev, targets, None);
         self.list.1.notify_all();
     }
 
@@ -244,16 +257,23 @@
     }
 }
 
-fn answer(mut stream: TcpStream, asked: &Tally<String>, told: &Tally<i64>, list: &(Mutex<List>, Condvar)) {
+fn serve_discovery(
+    mut stream: TcpStream,
+    requests: &EventLog<String>,
+    sent_versions: &EventLog<i64>,
+    list: &(Mutex<List>, Condvar),
+) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     while let Some(message) = Message::read(&mut input) {
         let path = message.path().to_string();
-        asked.push(path.clone());
+        requests.push(path.clone());
         let from = path.split("from=").nth(1).and_then(|t| t.split('&').next()?.parse::<i64>().ok());
         let state = list.0.lock().unwrap();
         let state = list
             .1
-            .wait_while(state, |s| !s.down && s.spoilt.is_none() && from.is_some_and(|f| f >= s.rev))
+            .wait_while(state, |s| {
+                !s.down && s.invalid_response.is_none() && from.is_some_and(|f| f >= s.rev)
+            })
             .unwrap();
         let text = if state.down {
             "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_string()
@@ -261,13 +281,13 @@
             let body = format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, state.rev, state.targets);
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         };
-        let (spoilt, rev) = (state.spoilt.clone(), state.rev);
+        let (invalid_response, rev) = (state.invalid_response.clone(), state.rev);
         drop(state);
-        let text = spoilt.as_deref().unwrap_or(&text);
-        if stream.write_all(text.as_bytes()).is_err() || spoilt.is_some() {
+        let text = invalid_response.as_deref().unwrap_or(&text);
+        if stream.write_all(text.as_bytes()).is_err() || invalid_response.is_some() {
             return;
         }
-        told.push(rev);
+        sent_versions.push(rev);
     }
 }
 
@@ -311,16 +331,16 @@
     /// Where operators call, if the configuration has such a place.
     pub ops: Option<SocketAddr>,
     /// What it said until it listened.
-    pub said: String,
+    pub startup_log: String,
     /// The lines of its log once it listens.
-    pub logged: Arc<Tally<String>>,
+    pub log_lines: Arc<EventLog<String>>,
     config: PathBuf,
 }
 
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static FILE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 pub fn config_file(text: &str) -> PathBuf {
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("config-{}-{number}.json", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
@@ -328,8 +348,8 @@
 }
 
 /// A private folder, as a deployment gives one.
-pub fn folder() -> PathBuf {
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+pub fn temp_dir() -> PathBuf {
+    let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("heronhoist-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
@@ -350,40 +370,40 @@
 impl Agent {
     pub fn start(config: &str) -> Agent {
         let config = config_file(config);
-        Agent::watch(command(&config).spawn().unwrap(), config, 1)
+        Agent::wait_until_listening(command(&config).spawn().unwrap(), config, 1)
     }
 
     /// An agent with a configuration of the project's own form, whose processes meet in this folder.
-    pub fn start_own(folder: &Path, config: &str) -> Agent {
+    pub fn start_with_toml(folder: &Path, config: &str) -> Agent {
         let (fronts, config) = (config.matches("[[front]]").count(), config_file(config));
         // The name tells the form.
         let file = config.with_extension("toml");
         std::fs::rename(&config, &file).unwrap();
         let mut command = command(&file);
         command.env_remove("LB_CONFIG").env("TMPDIR", folder).args(["run", "--config"]).arg(&file);
-        Agent::watch(command.spawn().unwrap(), file, fronts)
+        Agent::wait_until_listening(command.spawn().unwrap(), file, fronts)
     }
 
     /// An agent whose processes meet in this folder.
-    pub fn start_in(folder: &Path, config: &str) -> Agent {
+    pub fn start_in_dir(folder: &Path, config: &str) -> Agent {
         let config = config_file(config);
-        Agent::watch(command(&config).env("TMPDIR", folder).spawn().unwrap(), config, 1)
+        Agent::wait_until_listening(command(&config).env("TMPDIR", folder).spawn().unwrap(), config, 1)
     }
 
     /// An agent with one backend and a configuration that allows so many descriptors.
-    pub fn with_sockets(backend: &Backend, sockets: usize) -> (Agent, Discovery) {
-        let line = serving("s", backend.address);
+    pub fn with_socket_limit(server: &RecordServer, sockets: usize) -> (Agent, Discovery) {
+        let line = serving("s", server.address);
         let discovery = Discovery::new(line.clone());
         (Agent::start(&config(discovery.address, &line, SETTINGS, sockets)), discovery)
     }
 
     /// An agent whose process may hold fewer descriptors than its configuration says.
-    pub fn start_limited(config: &str, descriptors: usize) -> Agent {
+    pub fn start_with_descriptor_limit(config: &str, descriptors: usize) -> Agent {
         let mut shell = Command::new("sh");
         let script = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_heronhoist"));
         let config = config_file(config);
         shell.args(["-c", &script]).env("LB_CONFIG", &config).stderr(Stdio::piped());
-        Agent::watch(
+        Agent::wait_until_listening(
             shell
                 .env_remove("LB_LISTEN")
                 .env_remove("LB_DISCOVERY")
@@ -396,12 +416,12 @@
         )
     }
 
-    fn watch(mut child: Child, config: PathBuf, fronts: usize) -> Agent {
+    fn wait_until_listening(mut child: Child, config: PathBuf, fronts: usize) -> Agent {
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (mut line, mut ops, mut listening) = (String::new(), None, Vec::new());
-        let mut said = String::new();
+        let mut startup_log = String::new();
         loop {
-            said.push_str(&line);
+            startup_log.push_str(&line);
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "the agent has ended at its start");
             if let Some((_, place)) = line.split_once("operators may call at ") {
@@ -415,39 +435,39 @@
             }
         }
         // The log is read to its end, or a full pipe would stop the agent.
-        let logged = Arc::<Tally<String>>::default();
-        let lines = Arc::clone(&logged);
+        let log_lines = Arc::<EventLog<String>>::default();
+        let lines = Arc::clone(&log_lines);
         thread::spawn(move || log.lines().map_while(Result::ok).for_each(|line| lines.push(line)));
-        Agent { child, address: listening[0], fronts: listening, ops, said, logged, config }
+        Agent { child, address: listening[0], fronts: listening, ops, startup_log, log_lines, config }
     }
 
     /// One call to the operators' address.
-    pub fn call(&self, method: &str, path: &str) -> Message {
+    pub fn ops_request(&self, method: &str, path: &str) -> Message {
         let mut stream = TcpStream::connect(self.ops.expect("a place for operators")).unwrap();
-        stream.set_read_timeout(Some(BOUND)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         write!(stream, "{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n").unwrap();
         Message::read(&mut BufReader::new(stream)).expect("an answer")
     }
 
     /// A figure as operators read it.
-    pub fn figure(&self, name: &str) -> Option<f64> {
-        let page = String::from_utf8(self.call("GET", "/-/metrics").body).unwrap();
+    pub fn metric(&self, name: &str) -> Option<f64> {
+        let page = String::from_utf8(self.ops_request("GET", "/-/metrics").body).unwrap();
         page.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
     /// Waits until a figure has this value.
-    pub fn wait_figure(&self, name: &str, value: f64) {
+    pub fn wait_for_metric(&self, name: &str, value: f64) {
         let start = Instant::now();
-        while self.figure(name) != Some(value) {
-            assert!(start.elapsed() < BOUND, "{name} is {:?}, not {value}", self.figure(name));
+        while self.metric(name) != Some(value) {
+            assert!(start.elapsed() < TEST_TIMEOUT, "{name} is {:?}, not {value}", self.metric(name));
             thread::yield_now();
         }
     }
 
     /// An agent that knows these backends from the start, and a discovery that lists the same.
-    pub fn with(backends: &[&Backend]) -> (Agent, Discovery) {
+    pub fn with_servers(servers: &[&RecordServer]) -> (Agent, Discovery) {
         let lines: Vec<String> =
-            backends.iter().enumerate().map(|(i, b)| serving(&format!("s{i}"), b.address)).collect();
+            servers.iter().enumerate().map(|(i, b)| serving(&format!("s{i}"), b.address)).collect();
         let discovery = Discovery::new(lines.join(","));
         (Agent::start(&config(discovery.address, &lines.join(","), SETTINGS, 1024)), discovery)
     }
@@ -464,8 +484,8 @@
 
     /// How many files it has taken and turned down.
     pub fn reloads(&self) -> (f64, f64) {
-        let figure = |name| self.figure(name).expect("a figure");
-        (figure("app_reloads_ok_total"), figure("app_reloads_failed_total"))
+        let metric = |name| self.metric(name).expect("a metric");
+        (metric("app_reloads_ok_total"), metric("app_reloads_failed_total"))
     }
 
     /// Holds the process up; comes back once it stands still.
@@ -479,7 +499,7 @@
     }
 
     /// Lets it go on.
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -489,13 +509,13 @@
     }
 
     /// Waits for the end; the exit code.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
-            assert!(start.elapsed() < BOUND, "the agent does not end");
+            assert!(start.elapsed() < TEST_TIMEOUT, "the agent does not end");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -514,16 +534,16 @@
 }
 
 impl Client {
-    pub fn to(agent: &Agent) -> Client {
-        Client::at(agent.address)
+    pub fn connect(agent: &Agent) -> Client {
+        Client::connect_to(agent.address)
     }
 
-    pub fn at(address: SocketAddr) -> Client {
-        Client::over(TcpStream::connect(address).unwrap())
+    pub fn connect_to(address: SocketAddr) -> Client {
+        Client::from_stream(TcpStream::connect(address).unwrap())
     }
 
-    pub fn over(stream: TcpStream) -> Client {
-        stream.set_read_timeout(Some(BOUND)).unwrap();
+    pub fn from_stream(stream: TcpStream) -> Client {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let input = BufReader::new(stream.try_clone().unwrap());
         Client { stream, input }
     }
@@ -537,17 +557,17 @@
         Message::read(&mut self.input)
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn exchange(&mut self, text: &str) -> Message {
         self.write(text);
         self.read().expect("an answer")
     }
 }
 
-static CALLS: AtomicUsize = AtomicUsize::new(0);
+static REQUEST_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 /// A request of this class as the protocol words it.
 pub fn request(class: &str, budget_ms: u64) -> String {
-    let id = CALLS.fetch_add(1, Ordering::Relaxed);
+    let id = REQUEST_COUNT.fetch_add(1, Ordering::Relaxed);
     let head = format!(
         "Host: origin.svc\r\nX-Call-Id: call-{id}\r\nX-Call-Class: {class}\r\nX-Caller: courts\r\nX-Budget-Ms: {budget_ms}\r\n"
     );
--- a/crates/agent/tests/loopback/handover.rs
+++ b/crates/agent/tests/loopback/handover.rs
@@ -18,11 +18,11 @@
 }
 
 impl Setup {
-    fn new(backend: &Backend) -> Self {
-        Setup::new_in(folder(), backend)
+    fn new(backend: &RecordServer) -> Self {
+        Setup::new_in(temp_dir(), backend)
     }
 
-    fn new_in(directory: PathBuf, backend: &Backend) -> Self {
+    fn new_in(directory: PathBuf, backend: &RecordServer) -> Self {
         let endpoint = serving("s", backend.address);
         let discovery = Discovery::new(endpoint.clone());
         let configuration = configuration(&discovery, &endpoint);
@@ -30,7 +30,7 @@
     }
 
     fn start(&self) -> Agent {
-        Agent::start_in(&self.directory, &self.configuration)
+        Agent::start_in_dir(&self.directory, &self.configuration)
     }
 
     /// The second process reports the very address of the first, though the configuration leaves the port open.
@@ -46,7 +46,7 @@
 }
 
 fn wait_until_ready(agent: &Agent) {
-    while agent.call("GET", "/-/ready").status() != 200 {
+    while agent.ops_request("GET", "/-/ready").status() != 200 {
         std::thread::yield_now();
     }
 }
@@ -60,31 +60,31 @@
 /// Sends requests, each on a connection of its own, and checks that each is answered with 200.
 fn assert_serves(agent: &Agent, requests: usize) {
     for _ in 0..requests {
-        assert_eq!(Client::to(agent).ask(&request("read", 9000)).status(), 200);
+        assert_eq!(Client::connect(agent).exchange(&request("read", 9000)).status(), 200);
     }
 }
 
 /// The old process finishes its requests, the new one serves later ones, and only the old one exits.
 #[test]
 fn the_old_process_finishes_its_requests_and_the_new_one_serves() {
-    let (backend, release) = Backend::gated();
+    let (backend, release) = RecordServer::gated();
     let setup = Setup::new(&backend);
     let mut old = setup.start();
-    let mut busy = Client::to(&old);
+    let mut busy = Client::connect(&old);
     busy.write(&request("once", 9000));
-    backend.heard.wait(1);
-    let mut kept_alive = Client::to(&old);
-    assert_eq!(kept_alive.ask(&request("read", 9000)).status(), 200);
+    backend.requests.wait_for(1);
+    let mut kept_alive = Client::connect(&old);
+    assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200);
     let mut new = setup.start();
     assert_eq!(old.address, new.address);
     wait_until_ready(&new);
     old.terminate();
     // A connection of the old process may still be used, and is closed with its response.
-    let response = kept_alive.ask(&request("read", 9000));
+    let response = kept_alive.exchange(&request("read", 9000));
     assert_eq!(response.status(), 200);
     release.send(()).unwrap();
     assert_eq!(busy.read().map(|message| message.status()), Some(200));
-    assert_eq!(old.ended(), Some(0));
+    assert_eq!(old.wait_for_exit(), Some(0));
     assert_serves(&new, 20);
     assert!(new.child.try_wait().unwrap().is_none());
     setup.remove();
@@ -93,28 +93,28 @@
 /// Connections in the queue while the old process stops belong to both processes: none is refused or reset.
 #[test]
 fn no_connection_is_reset_while_the_old_process_stops() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let setup = Setup::new(&backend);
     let (mut old, new) = setup.start_old_and_new();
     wait_until_ready(&new);
     old.terminate();
     let mut requests = 0;
     while old.child.try_wait().unwrap().is_none() {
-        let mut clients: Vec<Client> = (0..16).map(|_| Client::to(&new)).collect();
+        let mut clients: Vec<Client> = (0..16).map(|_| Client::connect(&new)).collect();
         for client in &mut clients {
-            assert_eq!(client.ask(&request("read", 9000)).status(), 200, "after {requests}");
+            assert_eq!(client.exchange(&request("read", 9000)).status(), 200, "after {requests}");
             requests += 1;
         }
     }
     assert!(requests > 0);
-    assert_eq!(old.ended(), Some(0));
+    assert_eq!(old.wait_for_exit(), Some(0));
     setup.remove();
 }
 
 /// Nothing accepts connections at the socket file of a killed process; the next process starts as if alone.
 #[test]
 fn the_socket_file_of_a_killed_process_is_harmless() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let setup = Setup::new(&backend);
     let (mut old, mut new) = setup.start_old_and_new();
     for agent in [&mut old, &mut new] {
@@ -131,29 +131,29 @@
 /// The new process must not use an outdated list in the file once the old process has had a newer one.
 #[test]
 fn the_new_process_serves_once_discovery_has_sent_the_complete_list() {
-    let directory = folder();
-    let (stale, current) = (Backend::new(|_| ok("stale")), Backend::new(|_| ok("current")));
+    let directory = temp_dir();
+    let (stale, current) = (RecordServer::new(|_| ok("stale")), RecordServer::new(|_| ok("current")));
     let known = serving("s0", stale.address);
     // The version in the file is ahead of discovery's: a watch would wait.
     let discovery = Discovery::new(serving("s1", current.address));
     let configuration = configuration(&discovery, &known).replace("\"rev\":1", "\"rev\":2");
-    let mut old = Agent::start_in(&directory, &configuration);
-    let new = Agent::start_in(&directory, &configuration);
+    let mut old = Agent::start_in_dir(&directory, &configuration);
+    let new = Agent::start_in_dir(&directory, &configuration);
     wait_until_ready(&new);
-    let received_by_stale = stale.heard.all().len();
+    let received_by_stale = stale.requests.all().len();
     old.terminate();
-    assert_eq!(old.ended(), Some(0));
+    assert_eq!(old.wait_for_exit(), Some(0));
     for _ in 0..10 {
-        assert_eq!(Client::to(&new).ask(&request("read", 9000)).body, b"current");
+        assert_eq!(Client::connect(&new).exchange(&request("read", 9000)).body, b"current");
     }
-    assert_eq!(stale.heard.all().len(), received_by_stale);
+    assert_eq!(stale.requests.all().len(), received_by_stale);
     std::fs::remove_dir_all(directory).unwrap();
 }
 
 /// A new version that fails to start leaves the old process as it was.
 #[test]
 fn a_new_version_that_fails_to_start_leaves_the_old_process_serving() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let setup = Setup::new(&backend);
     let old = setup.start();
     let admin_address_in_use = format!("\"{}\"", old.ops.unwrap());
@@ -168,7 +168,7 @@
 /// Without a private directory the socket cannot be handed over: the new process listens beside the old one.
 #[test]
 fn without_a_private_directory_both_processes_listen_at_the_address() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let endpoint = serving("s", backend.address);
     let discovery = Discovery::new(endpoint.clone());
     let configuration = config(discovery.address, &endpoint, SETTINGS, 1024);
@@ -176,7 +176,7 @@
     let new = Agent::start(&with_address_of(&old, &configuration));
     assert_eq!(new.address, old.address);
     old.terminate();
-    assert_eq!(old.ended(), Some(0));
+    assert_eq!(old.wait_for_exit(), Some(0));
     assert_serves(&new, 10);
 }
 
@@ -184,29 +184,34 @@
 /// handover, which is logged; old and new process serve side by side, and the end of the old one harms nobody.
 #[test]
 fn a_directory_without_sockets_stops_neither_the_old_nor_the_new_process() {
-    let parent = folder();
+    let parent = temp_dir();
     let file = parent.join("file");
     std::fs::write(&file, "").unwrap();
     // A name that does not fit in a socket's address.
     let long = parent.join("x".repeat(120));
     std::fs::create_dir(&long).unwrap();
     for directory in [&file, &parent.join("missing"), &long, Path::new("/proc")] {
-        let backend = Backend::new(|_| ok("x"));
+        let backend = RecordServer::new(|_| ok("x"));
         let setup = Setup::new_in(directory.to_path_buf(), &backend);
         let mut old = setup.start();
-        let mut kept_alive = Client::to(&old);
-        assert_eq!(kept_alive.ask(&request("read", 9000)).status(), 200);
-        let new = Agent::start_in(directory, &with_address_of(&old, &setup.configuration));
+        let mut kept_alive = Client::connect(&old);
+        assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200);
+        let new = Agent::start_in_dir(directory, &with_address_of(&old, &setup.configuration));
         for agent in [&old, &new] {
-            assert!(agent.said.contains("no handover"), "{}: {}", directory.display(), agent.said);
-            assert!(!agent.said.contains("panicked"), "{}", agent.said);
+            assert!(
+                agent.startup_log.contains("no handover"),
+                "{}: {}",
+                directory.display(),
+                agent.startup_log
+            );
+            assert!(!agent.startup_log.contains("panicked"), "{}", agent.startup_log);
         }
         assert_eq!(new.address, old.address);
         wait_until_ready(&new);
-        assert_eq!(kept_alive.ask(&request("read", 9000)).status(), 200, "the old one goes on");
+        assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200, "the old one goes on");
         old.terminate();
-        assert_eq!(kept_alive.ask(&request("read", 9000)).status(), 200);
-        assert_eq!(old.ended(), Some(0));
+        assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200);
+        assert_eq!(old.wait_for_exit(), Some(0));
         assert_serves(&new, 10);
     }
     std::fs::remove_dir_all(parent).unwrap();
@@ -215,12 +220,12 @@
 /// A socket that is bound but cannot be moved to its final name leaves no file behind: each start would add one.
 #[test]
 fn a_socket_that_cannot_be_renamed_leaves_no_file_behind() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let setup = Setup::new(&backend);
     std::fs::create_dir(setup.directory.join(SOCKET_NAME)).unwrap();
     for _ in 0..2 {
         let agent = setup.start();
-        assert!(agent.said.contains("no handover"), "{}", agent.said);
+        assert!(agent.startup_log.contains("no handover"), "{}", agent.startup_log);
         assert_serves(&agent, 1);
         let files: Vec<_> =
             std::fs::read_dir(&setup.directory).unwrap().flatten().map(|entry| entry.file_name()).collect();
@@ -234,7 +239,7 @@
 #[test]
 fn a_new_process_takes_over_in_a_directory_that_has_become_read_only() {
     use std::os::unix::fs::PermissionsExt;
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let setup = Setup::new(&backend);
     let mut old = setup.start();
     let set_mode = |mode| {
@@ -245,10 +250,10 @@
     let is_read_only = std::fs::write(setup.directory.join("probe"), "").is_err();
     let new = setup.start();
     assert_eq!(new.address, old.address, "it has the old one's socket");
-    assert_eq!(new.said.contains("no handover"), is_read_only, "{}", new.said);
+    assert_eq!(new.startup_log.contains("no handover"), is_read_only, "{}", new.startup_log);
     wait_until_ready(&new);
     old.terminate();
-    assert_eq!(old.ended(), Some(0));
+    assert_eq!(old.wait_for_exit(), Some(0));
     assert_serves(&new, 10);
     set_mode(0o755);
     setup.remove();
--- a/crates/agent/tests/loopback/legacy.rs
+++ b/crates/agent/tests/loopback/legacy.rs
@@ -32,7 +32,7 @@
 /// The worked mapping files, in a folder of the test's own.
 pub fn mappings() -> PathBuf {
     let (from, to) =
-        (concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/translate"), folder().join("translate"));
+        (concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/translate"), temp_dir().join("translate"));
     std::fs::create_dir_all(&to).unwrap();
     for entry in std::fs::read_dir(from).unwrap() {
         let path = entry.unwrap().path();
@@ -41,7 +41,7 @@
     to
 }
 
-fn config(mappings: &std::path::Path, server: Option<&Backend>) -> String {
+fn config(mappings: &std::path::Path, server: Option<&RecordServer>) -> String {
     let address = server.map_or("127.0.0.1:1".to_owned(), |server| server.address.to_string());
     format!(
         "[ops]\nlisten = \"127.0.0.1:0\"\n{CLASSES}\n[translate]\nmappings = {:?}\n\
@@ -52,16 +52,16 @@
     )
 }
 
-pub fn records() -> Backend {
-    Backend::new(|message| match message.path().split('?').next() {
+pub fn records() -> RecordServer {
+    RecordServer::new(|message| match message.path().split('?').next() {
         Some("/lookup") => ok(OBSERVED),
         Some("/correction") => ok(APPLIED),
         _ => ok(ORDERED),
     })
 }
 
-fn start(server: &Backend) -> Agent {
-    Agent::start_own(&folder(), &config(&mappings(), Some(server)))
+fn start(server: &RecordServer) -> Agent {
+    Agent::start_with_toml(&temp_dir(), &config(&mappings(), Some(server)))
 }
 
 fn post(path: &str, headers: &str, body: &str) -> String {
@@ -92,12 +92,12 @@
     let server = records();
     let agent = start(&server);
     let query = "STN=KMIA&BEG=03%2F08%2F2026+01%3A59&END=03%2F08%2F2026+03%3A00&WHAT=W&CLERK=Ann";
-    let answer = Client::to(&agent).ask(&format!("GET /desk/lookup.cgi?{query} HTTP/1.0\r\n\r\n"));
+    let answer = Client::connect(&agent).exchange(&format!("GET /desk/lookup.cgi?{query} HTTP/1.0\r\n\r\n"));
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.body, b"H|KMIA|Miami|\r\nOBS|06/01/2026 00:30:15|77|10||G|\r\nT|2\r\n");
     assert_eq!(answer.header("content-type"), Some("text/plain; charset=windows-1252"));
     assert_eq!(answer.header("x-translation-notice"), Some("observations.wind_m_s rounded to 10.0"));
-    let seen = server.heard.wait(1).remove(0);
+    let seen = server.requests.wait_for(1).remove(0);
     assert_eq!(
         seen.path(),
         "/lookup?station=KMIA&from=2026-03-08T01%3A59%3A00-05%3A00&to=2026-03-08T03%3A00%3A00-04%3A00&kind=wind&x_old.CLERK=Ann"
@@ -105,7 +105,7 @@
     assert_eq!(seen.header("x-call-class"), Some("lookup"));
     assert_eq!(seen.header("x-call-id").map(str::len), Some(32));
     assert!(seen.header("x-budget-ms").is_some_and(|ms| ms.parse::<u32>().unwrap() <= 10_000));
-    assert_eq!(agent.figure("app_translation_losses_total{mapping=\"lookup\"}"), Some(1.0));
+    assert_eq!(agent.metric("app_translation_losses_total{mapping=\"lookup\"}"), Some(1.0));
 }
 
 /// The key is the same for a repeat, through another agent that was started later too, and for no other request.
@@ -113,17 +113,17 @@
 fn a_repeat_has_the_key_of_its_first() {
     let server = records();
     let (one, other) = (start(&server), start(&server));
-    let mut client = Client::to(&one);
+    let mut client = Client::connect(&one);
     for request in [correction(1), correction(1), correction(2)] {
-        let answer = client.ask(&request);
+        let answer = client.exchange(&request);
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, &b"H|OK|7|20261201080509\r\nT|1\r\n"[..])
         );
     }
     drop((client, one));
-    assert_eq!(Client::to(&other).ask(&correction(1)).status(), 200);
-    let seen = server.heard.wait(4);
+    assert_eq!(Client::connect(&other).exchange(&correction(1)).status(), 200);
+    let seen = server.requests.wait_for(4);
     let keys: Vec<_> =
         seen.iter().map(|message| message.header("idempotency-key").unwrap().to_owned()).collect();
     assert!(keys[0] == keys[1] && keys[1] == keys[3] && keys[0] != keys[2], "{keys:?}");
@@ -140,14 +140,14 @@
 fn an_envelope_is_answered_by_an_envelope() {
     let server = records();
     let agent = start(&server);
-    let answer = Client::to(&agent).ask(&order(ORDER));
+    let answer = Client::connect(&agent).exchange(&order(ORDER));
     assert_eq!(answer.status(), 200);
     let text = String::from_utf8(answer.body).unwrap();
     assert!(
         text.contains("<m:OrderCopiesResponse xmlns:m=\"urn:desk:copies:1\"><OrderNo>9</OrderNo>"),
         "{text}"
     );
-    let seen = server.heard.wait(1).remove(0);
+    let seen = server.requests.wait_for(1).remove(0);
     assert_eq!((seen.path(), seen.header("idempotency-key")), ("/certified-copy", None));
     assert_eq!(seen.header("content-type"), Some("application/json"));
 }
@@ -174,15 +174,15 @@
         (order(&format!("{ORDER}<Colour>red</Colour>")), 500, "no such field"),
         (post("/desk/other.cgi", form, "A=1"), 404, "No such request"),
     ] {
-        let answer = Client::to(&agent).ask(&request);
+        let answer = Client::connect(&agent).exchange(&request);
         let text = String::from_utf8(answer.body.clone()).unwrap();
         assert_eq!(answer.status(), status, "{text}");
         assert!(text.contains(says), "{text} does not say {says}");
         assert_eq!(answer.header("retry-after"), None);
     }
-    assert_eq!(Client::to(&agent).ask(&correction(3)).status(), 200);
-    assert_eq!(server.heard.all().len(), 1);
-    let failed = |name: &str| agent.figure(&format!("app_translation_failed_total{{mapping=\"{name}\"}}"));
+    assert_eq!(Client::connect(&agent).exchange(&correction(3)).status(), 200);
+    assert_eq!(server.requests.all().len(), 1);
+    let failed = |name: &str| agent.metric(&format!("app_translation_failed_total{{mapping=\"{name}\"}}"));
     assert_eq!((failed("correction"), failed("lookup")), (Some(2.0), Some(1.0)));
 }
 
@@ -195,45 +195,45 @@
         "{\"status\":\"applied\",\"revision\":7,\"applied_at\":\"2026-12-01T13:05:09Z\",\"more\":1}",
         "{\"status\":\"applied\",\"revi",
     ] {
-        let server = Backend::new(move |_| ok(body));
+        let server = RecordServer::new(move |_| ok(body));
         let agent = start(&server);
-        let answer = Client::to(&agent).ask(&correction(1));
+        let answer = Client::connect(&agent).exchange(&correction(1));
         let text = String::from_utf8(answer.body.clone()).unwrap();
-        assert!(answer.line.contains("502"), "{} {text}", answer.line);
+        assert!(answer.start_line.contains("502"), "{} {text}", answer.start_line);
         assert!(text.starts_with("FAILED\r\nIt may have run."), "{text}");
-        assert_eq!(server.heard.all().len(), 1);
-        assert_eq!(agent.figure("app_failed_total{class=\"correction\"}"), Some(1.0));
+        assert_eq!(server.requests.all().len(), 1);
+        assert_eq!(agent.metric("app_failed_total{class=\"correction\"}"), Some(1.0));
     }
 }
 
 /// Nothing ran: a refusal in each form. What may have run and broke is none.
 #[test]
 fn refusals_and_failures_keep_their_meaning() {
-    let full = Backend::new(|_| status(503, "X-Rejected: 1\r\n"));
+    let full = RecordServer::new(|_| status(503, "X-Rejected: 1\r\n"));
     let agent = start(&full);
-    let answer = Client::to(&agent).ask(&correction(1));
+    let answer = Client::connect(&agent).exchange(&correction(1));
     assert_eq!(answer.status(), 503);
     assert!(String::from_utf8(answer.body).unwrap().starts_with("REFUSED\r\n"));
-    let answer = Client::to(&agent).ask(&order(ORDER));
+    let answer = Client::connect(&agent).exchange(&order(ORDER));
     assert_eq!(answer.status(), 503);
     assert!(String::from_utf8(answer.body).unwrap().contains("<faultcode>soap:Server.Busy</faultcode>"));
 
-    let broken = Backend::new(|_| status(500, ""));
+    let broken = RecordServer::new(|_| status(500, ""));
     let agent = start(&broken);
-    let answer = Client::to(&agent).ask(&order(ORDER));
+    let answer = Client::connect(&agent).exchange(&order(ORDER));
     assert_eq!(answer.status(), 500);
     let text = String::from_utf8(answer.body).unwrap();
     assert!(
         text.contains("<faultcode>soap:Server</faultcode>") && text.contains("It may have run"),
         "{text}"
     );
-    assert_eq!(broken.heard.all().len(), 1, "an order runs once at most");
+    assert_eq!(broken.requests.all().len(), 1, "an order runs once at most");
 }
 
 /// A request without its running number can't be told from its repeats: refused, or at most once where the mapping says so.
 #[test]
 fn without_a_key_it_is_at_most_once() {
-    let server = Backend::new(|_| status(500, ""));
+    let server = RecordServer::new(|_| status(500, ""));
     let folder = mappings();
     let path = folder.join("correction.toml");
     let text = std::fs::read_to_string(&path).unwrap();
@@ -244,11 +244,11 @@
         .replace("old = [\"DESK\", \"NUM\"]\nnew = \"reference\"\nfunction = \"join\"\nwith = \"-\"", "old = \"NUM\"\npolicy = \"carry\"\n[[request]]\nold = \"DESK\"\npolicy = \"carry\"\ndefault = \"1\"\n[[request]]\nnew = \"reference\"\npolicy = \"drop\"\ndefault = \"old\"");
     assert_ne!(open, text);
     std::fs::write(&path, &open).unwrap();
-    let agent = Agent::start_own(&folder, &config(&folder, Some(&server)));
+    let agent = Agent::start_with_toml(&folder, &config(&folder, Some(&server)));
     let keyless =
         post("/desk/correct.cgi", "", "DESK=42&STN=K&OBSDT=202612010805&WHAT=R&RAIN=1&URGENT=N&CLERK=a");
-    assert_eq!(Client::to(&agent).ask(&keyless).status(), 502);
-    let seen = server.heard.all();
+    assert_eq!(Client::connect(&agent).exchange(&keyless).status(), 502);
+    let seen = server.requests.all();
     assert_eq!(seen.len(), 1, "it was not tried again");
     assert_eq!(seen[0].header("idempotency-key"), None);
     assert_eq!(seen[0].header("x-call-class"), Some("certified-copy"));
@@ -260,26 +260,26 @@
     let server = records();
     let folder = mappings();
     let own = config(&folder, Some(&server));
-    let agent = Agent::start_own(&folder, &own);
+    let agent = Agent::start_with_toml(&folder, &own);
     let path = folder.join("correction.toml");
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, text.replace("\"OK\", \"applied\"", "\"OK\", \"aplied\"")).unwrap();
     agent.reload(&own);
-    agent.wait_figure("app_reloads_failed_total", 1.0);
+    agent.wait_for_metric("app_reloads_failed_total", 1.0);
     assert_eq!(agent.reloads(), (0.0, 1.0));
-    assert_eq!(Client::to(&agent).ask(&correction(1)).status(), 200);
+    assert_eq!(Client::connect(&agent).exchange(&correction(1)).status(), 200);
     std::fs::write(&path, text.replace("/desk/correct.cgi", "/desk/moved.cgi")).unwrap();
     agent.reload(&own);
-    agent.wait_figure("app_reloads_ok_total", 1.0);
+    agent.wait_for_metric("app_reloads_ok_total", 1.0);
     assert_eq!(agent.reloads(), (1.0, 1.0));
-    assert_eq!(Client::to(&agent).ask(&correction(1)).status(), 404);
-    assert_eq!(Client::to(&agent).ask(&correction(1).replace("correct", "moved")).status(), 200);
+    assert_eq!(Client::connect(&agent).exchange(&correction(1)).status(), 404);
+    assert_eq!(Client::connect(&agent).exchange(&correction(1).replace("correct", "moved")).status(), 200);
 }
 
 /// A start with a mapping that has a fault is one line that names file and line.
 #[test]
 fn a_bad_start_names_file_and_line() {
-    let (folder, own) = (mappings(), folder());
+    let (folder, own) = (mappings(), temp_dir());
     let path = folder.join("lookup.toml");
     let text = std::fs::read_to_string(&path).unwrap();
     for (from, to, says) in [
--- a/crates/agent/tests/loopback/limits.rs
+++ b/crates/agent/tests/loopback/limits.rs
@@ -6,8 +6,8 @@
 /// Whatever can't be used gets a plain 4xx and never reaches a backend.
 #[test]
 fn bad_requests_get_a_4xx_and_no_backend_hears_of_them() {
-    let backend = Backend::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with(&[&backend]);
+    let backend = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_servers(&[&backend]);
     let read = request("read", 9000);
     let once = request("once", 9000);
     let bad = [
@@ -31,18 +31,18 @@
         ("a head over any size", read.replace("X-Caller: ", &format!("X-Caller: {}", "x".repeat(600_000)))),
     ];
     for (what, text) in bad {
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         // The agent may close before it has read all.
         let _ = std::io::Write::write_all(&mut client.stream, text.as_bytes());
         let status = client.read().map(|m| m.status());
         assert!(status.is_none_or(|s| (400..500).contains(&s)), "{what}: {status:?}");
         assert!(status.is_some() || what.contains("over"), "{what}: closed without a word");
     }
-    assert_eq!(backend.heard.all().len(), 0);
+    assert_eq!(backend.requests.all().len(), 0);
     let largest =
         once.replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65536\r\n\r\n") + &"x".repeat(65536);
-    assert_eq!(Client::to(&agent).ask(&largest).status(), 200);
-    assert_eq!(backend.heard.all()[0].body.len(), 65536);
+    assert_eq!(Client::connect(&agent).exchange(&largest).status(), 200);
+    assert_eq!(backend.requests.all()[0].body.len(), 65536);
 }
 
 #[test]
@@ -64,13 +64,13 @@
 /// More clients than there are seats: idle ones make room, and every request is served.
 #[test]
 fn connections_over_the_cap_make_room_for_each_other() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     // 64 descriptors less the reserve leave 8 seats.
-    let (agent, _discovery) = Agent::with_sockets(&backend, 64);
+    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
     let mut clients = Vec::new();
     for _ in 0..40 {
-        let mut client = Client::to(&agent);
-        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+        let mut client = Client::connect(&agent);
+        assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
         clients.push(client);
     }
     // The first has made room for others: it reads an end, not a failure.
@@ -80,40 +80,40 @@
 /// Running out of descriptors for good: the agent outlives it and serves again.
 #[test]
 fn want_of_descriptors_is_survived() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let line = serving("s", backend.address);
     let discovery = Discovery::new(line.clone());
     let text = config(discovery.address, &line, SETTINGS, 1024);
     // The configuration promises more than the shell's limit lets the process have.
-    let agent = Agent::start_limited(&text, 40);
-    let crowd: Vec<Client> = (0..80).map(|_| Client::to(&agent)).collect();
+    let agent = Agent::start_with_descriptor_limit(&text, 40);
+    let crowd: Vec<Client> = (0..80).map(|_| Client::connect(&agent)).collect();
     drop(crowd);
-    let mut client = Client::to(&agent);
-    assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+    let mut client = Client::connect(&agent);
+    assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
 }
 
 /// A crowd that connects and says nothing must not keep the seats from those that ask.
 #[test]
 fn a_silent_crowd_does_not_keep_the_seats() {
-    let backend = Backend::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_sockets(&backend, 64);
-    let crowd: Vec<Client> = (0..40).map(|_| Client::to(&agent)).collect();
-    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).status(), 200);
+    let backend = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
+    let crowd: Vec<Client> = (0..40).map(|_| Client::connect(&agent)).collect();
+    assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
     drop(crowd);
 }
 
 /// Nor may a crowd that begins a request and says no more.
 #[test]
 fn half_requests_do_not_keep_the_seats() {
-    let backend = Backend::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_sockets(&backend, 64);
+    let backend = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
     let crowd = (0..12).map(|_| {
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         client.write("GET /read HTTP/1.1\r\nHost:");
         client
     });
     let crowd: Vec<Client> = crowd.collect();
-    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).status(), 200);
+    assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
     drop(crowd);
 }
 
@@ -121,47 +121,47 @@
 /// crowd an answer ends its connection, and those that rest are closed long before their time.
 #[test]
 fn clients_that_ask_once_and_stay_make_room() {
-    let backend = Backend::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_sockets(&backend, 192);
+    let backend = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_socket_limit(&backend, 192);
     let mut crowd: Vec<Client> = Vec::new();
     let mut closing = 0;
     for _ in 0..60 {
-        let mut client = Client::to(&agent);
-        let answer = client.ask(&request("read", 9000));
+        let mut client = Client::connect(&agent);
+        let answer = client.exchange(&request("read", 9000));
         assert_eq!(answer.status(), 200);
         closing += usize::from(answer.header("Connection") == Some("close"));
         crowd.push(client);
     }
     assert!(closing > 0, "a crowd's answers end their connections");
     assert!(crowd[0].read().is_none(), "the one that has rested longest is closed");
-    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).status(), 200);
+    assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
 }
 
 /// Clients that stay may take what descriptors the process really has while discovery is down: it is reached again when it
 /// returns all the same, new clients are served, and the servers it names are connected to.
 #[test]
 fn idle_clients_do_not_keep_the_agent_from_discovery() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
     let line = serving("s0", old.address);
     let discovery = Discovery::new(line.clone());
     discovery.set_down(true);
     let settings = SETTINGS.replace("on_request", "pushed");
     // The configuration promises more than the shell's limit lets the process have.
-    let agent = Agent::start_limited(&config(discovery.address, &line, &settings, 1024), 100);
+    let agent = Agent::start_with_descriptor_limit(&config(discovery.address, &line, &settings, 1024), 100);
     let mut crowd = Vec::new();
     for _ in 0..150 {
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         // Those that are let go of have had their answer.
-        assert_eq!(client.ask(&request("read", 9000)).body, b"old");
+        assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
         crowd.push(client);
     }
-    let silent: Vec<Client> = (0..150).map(|_| Client::to(&agent)).collect();
-    let asked = discovery.asked.all().len();
-    discovery.change(serving("s1", new.address));
+    let silent: Vec<Client> = (0..150).map(|_| Client::connect(&agent)).collect();
+    let asked = discovery.requests.all().len();
+    discovery.set_targets(serving("s1", new.address));
     discovery.set_down(false);
     // The answer to the first brings the news.
-    discovery.asked.wait(asked + 2);
-    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).body, b"new");
+    discovery.requests.wait_for(asked + 2);
+    assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).body, b"new");
     drop((crowd, silent));
 }
 
@@ -182,7 +182,7 @@
     let agent = Agent::start(&config(discovery.address, &line, SETTINGS, 64));
     let text = request("once", 9000);
     let head = &text[..text.find("Content-Length").unwrap()];
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let body = format!("{head}Content-Length: {BODY}\r\n\r\n{}", "x".repeat(BODY));
     let mut stream = client.stream.try_clone().unwrap();
     let writer = std::thread::spawn(move || std::io::Write::write_all(&mut stream, body.as_bytes()));
@@ -191,8 +191,8 @@
     std::thread::sleep(std::time::Duration::from_secs(1));
     let crowd: Vec<Client> = (0..16)
         .map(|_| {
-            let mut other = Client::to(&agent);
-            assert_eq!(other.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+            let mut other = Client::connect(&agent);
+            assert_eq!(other.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
             other
         })
         .collect();
--- a/crates/agent/tests/loopback/lists.rs
+++ b/crates/agent/tests/loopback/lists.rs
@@ -10,132 +10,132 @@
 
 #[test]
 fn readiness_waits_for_a_list() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let discovery = Discovery::new(String::new());
     let agent = Agent::start(&config(discovery.address, "", SETTINGS, 1024));
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    assert_ne!(client.ask(ready).status(), 200);
-    discovery.change(serving("s", backend.address));
-    while client.ask(ready).status() != 200 {
+    assert_ne!(client.exchange(ready).status(), 200);
+    discovery.set_targets(serving("s", backend.address));
+    while client.exchange(ready).status() != 200 {
         std::thread::yield_now();
     }
-    assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+    assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
 }
 
 /// The next watch names the version that the last answer brought.
 #[test]
 fn a_watch_goes_on_from_the_last_version() {
-    let backend = Backend::new(|_| ok("x"));
-    let (_agent, discovery) = Agent::with(&[&backend]);
-    let asked = discovery.asked.wait(2);
+    let backend = RecordServer::new(|_| ok("x"));
+    let (_agent, discovery) = Agent::with_servers(&[&backend]);
+    let asked = discovery.requests.wait_for(2);
     assert!(asked[0].contains("from=1&hold_ms="), "{asked:?}");
     assert!(asked[1].contains("from=2&hold_ms="), "{asked:?}");
-    discovery.change(serving("s0", backend.address));
-    assert!(discovery.asked.wait(3)[2].contains("from=3&hold_ms="));
+    discovery.set_targets(serving("s0", backend.address));
+    assert!(discovery.requests.wait_for(3)[2].contains("from=3&hold_ms="));
 }
 
 #[test]
 fn a_server_that_drains_gets_nothing_new_and_loses_its_connections() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
-    let (agent, discovery) = Agent::with(&[&old]);
-    discovery.asked.wait(2);
-    let mut client = Client::to(&agent);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"old");
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
+    let (agent, discovery) = Agent::with_servers(&[&old]);
+    discovery.requests.wait_for(2);
+    let mut client = Client::connect(&agent);
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
     let lines = [target("s0", old.address, "DRAINING", 0), serving("s1", new.address)].join(",");
-    discovery.change(lines);
+    discovery.set_targets(lines);
     // The list has been taken in once the next watch is out.
-    discovery.asked.wait(3);
-    old.ended.wait(1);
+    discovery.requests.wait_for(3);
+    old.connections_closed.wait_for(1);
     for _ in 0..20 {
-        assert_eq!(client.ask(&request("read", 9000)).body, b"new");
+        assert_eq!(client.exchange(&request("read", 9000)).body, b"new");
     }
-    assert_eq!(old.heard.all().len(), 1);
+    assert_eq!(old.requests.all().len(), 1);
 }
 
 /// A server that has restarted or moved is another process: connections to the one before are not used.
 #[test]
 fn a_server_that_moved_is_met_at_its_new_address() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
-    let (agent, discovery) = Agent::with(&[&old]);
-    discovery.asked.wait(2);
-    let mut client = Client::to(&agent);
-    assert_eq!(client.ask(&request("once", 9000)).body, b"old");
-    discovery.change(serving("s0", new.address));
-    discovery.asked.wait(3);
-    assert_eq!(client.ask(&request("once", 9000)).body, b"new");
-    old.ended.wait(1);
-    discovery.change(target("s0", new.address, "SERVING", 1));
-    discovery.asked.wait(4);
-    new.ended.wait(1);
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
+    let (agent, discovery) = Agent::with_servers(&[&old]);
+    discovery.requests.wait_for(2);
+    let mut client = Client::connect(&agent);
+    assert_eq!(client.exchange(&request("once", 9000)).body, b"old");
+    discovery.set_targets(serving("s0", new.address));
+    discovery.requests.wait_for(3);
+    assert_eq!(client.exchange(&request("once", 9000)).body, b"new");
+    old.connections_closed.wait_for(1);
+    discovery.set_targets(target("s0", new.address, "SERVING", 1));
+    discovery.requests.wait_for(4);
+    new.connections_closed.wait_for(1);
 }
 
 /// A call that fails is asked again, from the list that is still known, and requests are served meanwhile.
 #[test]
 fn discovery_may_fail_and_come_back() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
-    let (agent, discovery) = Agent::with(&[&old]);
-    discovery.asked.wait(2);
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
+    let (agent, discovery) = Agent::with_servers(&[&old]);
+    discovery.requests.wait_for(2);
     discovery.set_down(true);
-    discovery.asked.wait(4);
-    let mut client = Client::to(&agent);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"old");
-    discovery.change(serving("s1", new.address));
+    discovery.requests.wait_for(4);
+    let mut client = Client::connect(&agent);
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
+    discovery.set_targets(serving("s1", new.address));
     discovery.set_down(false);
-    let asked = discovery.asked.all().len();
+    let asked = discovery.requests.all().len();
     // The one that brings the news, and the one that follows it.
-    discovery.asked.wait(asked + 2);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"new");
+    discovery.requests.wait_for(asked + 2);
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"new");
 }
 
 /// One line that can't be read must not make the agent deaf to the others.
 #[test]
 fn a_line_that_cannot_be_read_is_passed_over() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
-    let (agent, discovery) = Agent::with(&[&old]);
-    discovery.asked.wait(2);
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
+    let (agent, discovery) = Agent::with_servers(&[&old]);
+    discovery.requests.wait_for(2);
     let odd = r#"{"uid":"odd","endpoint":"nowhere","state":"SERVING"},{"uid":7},null"#;
-    discovery.change(format!("{odd},{}", serving("s1", new.address)));
-    discovery.asked.wait(3);
-    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).body, b"new");
+    discovery.set_targets(format!("{odd},{}", serving("s1", new.address)));
+    discovery.requests.wait_for(3);
+    assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).body, b"new");
 }
 
 /// A connection that was at work when its server was told to drain is closed once it is free.
 #[test]
 fn a_connection_that_outlasts_the_drain_is_closed() {
-    let (backend, release) = Backend::gated();
-    let (agent, discovery) = Agent::with(&[&backend]);
-    discovery.asked.wait(2);
-    let mut client = Client::to(&agent);
+    let (backend, release) = RecordServer::gated();
+    let (agent, discovery) = Agent::with_servers(&[&backend]);
+    discovery.requests.wait_for(2);
+    let mut client = Client::connect(&agent);
     client.write(&request("once", 9000));
-    backend.heard.wait(1);
-    discovery.change(target("s0", backend.address, "DRAINING", 0));
-    discovery.asked.wait(3);
+    backend.requests.wait_for(1);
+    discovery.set_targets(target("s0", backend.address, "DRAINING", 0));
+    discovery.requests.wait_for(3);
     release.send(()).unwrap();
     assert_eq!(client.read().map(|m| m.status()), Some(200));
-    backend.ended.wait(1);
+    backend.connections_closed.wait_for(1);
 }
 
 /// Where lists are pushed the module asks for nothing, and the agent follows the list by itself.
 #[test]
 fn a_pushed_list_is_followed_too() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
     let discovery = Discovery::new(serving("s0", old.address));
     let settings = SETTINGS.replace("on_request", "pushed");
     let agent = Agent::start(&config(discovery.address, "", &settings, 1024));
-    discovery.asked.wait(2);
-    discovery.change(serving("s1", new.address));
-    discovery.asked.wait(3);
-    assert_eq!(Client::to(&agent).ask(&request("read", 9000)).body, b"new");
+    discovery.requests.wait_for(2);
+    discovery.set_targets(serving("s1", new.address));
+    discovery.requests.wait_for(3);
+    assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).body, b"new");
 }
 
 /// Whatever discovery says in place of a list, the one that stands goes on to be served, and a good one after it is taken.
 #[test]
 fn a_spoilt_list_changes_nothing() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
-    let (agent, discovery) = Agent::with(&[&old]);
-    discovery.asked.wait(2);
-    let mut client = Client::to(&agent);
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
+    let (agent, discovery) = Agent::with_servers(&[&old]);
+    discovery.requests.wait_for(2);
+    let mut client = Client::connect(&agent);
     let line = serving("s1", new.address);
     let half = format!("{{\"rev\":99,\"all\":true,\"targets\":[{line},{{\"uid\":\"s2\"");
     // More than is read of a list, in lines that are well.
@@ -153,53 +153,54 @@
         String::new(),
     ];
     let watches = |rev: i64| {
-        while !discovery.asked.all().iter().any(|path| path.contains(&format!("from={rev}&"))) {
+        while !discovery.requests.all().iter().any(|path| path.contains(&format!("from={rev}&"))) {
             std::thread::yield_now();
         }
     };
     for (rev, text) in (10..).zip(texts) {
-        let asked = discovery.asked.all().len();
-        discovery.spoil(Some(text));
-        discovery.asked.wait(asked + 1);
-        assert_eq!(client.ask(&request("read", 9000)).body, b"old");
-        discovery.turn_to(rev, serving("s0", old.address));
+        let asked = discovery.requests.all().len();
+        discovery.set_invalid_response(Some(text));
+        discovery.requests.wait_for(asked + 1);
+        assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
+        discovery.set_list(rev, serving("s0", old.address));
         watches(rev);
     }
     // One that goes back in its version is older than the one that stands.
-    let asked = discovery.asked.all().len();
+    let asked = discovery.requests.all().len();
     let older = format!("{{\"rev\":9,\"all\":true,\"targets\":[{line}]}}");
     let length = older.len();
-    discovery.spoil(Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{older}")));
-    discovery.asked.wait(asked + 1);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"old");
-    discovery.turn_to(30, line);
+    discovery
+        .set_invalid_response(Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{older}")));
+    discovery.requests.wait_for(asked + 1);
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
+    discovery.set_list(30, line);
     watches(30);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"new");
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"new");
 }
 
 /// A list of thousands is taken as far as there is room; the agent serves, and goes back to a short one.
 #[test]
 fn a_list_of_thousands_is_bounded() {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
     let discovery = Discovery::new(serving("s0", old.address));
     let agent = Agent::start(&with_ops(&config(discovery.address, "", SETTINGS, 1024)));
-    discovery.asked.wait(2);
+    discovery.requests.wait_for(2);
     let lines: Vec<String> = (0..9000).map(|n| serving(&format!("s{n}"), new.address)).collect();
-    discovery.change(lines.join(","));
-    discovery.asked.wait(3);
-    let mut client = Client::to(&agent);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"new");
-    assert_eq!(agent.figure("app_record_servers_known"), Some(4096.0));
-    discovery.change(serving("s0", old.address));
-    discovery.asked.wait(4);
-    assert_eq!(client.ask(&request("read", 9000)).body, b"old");
-    agent.wait_figure("app_record_servers_known", 1.0);
+    discovery.set_targets(lines.join(","));
+    discovery.requests.wait_for(3);
+    let mut client = Client::connect(&agent);
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"new");
+    assert_eq!(agent.metric("app_record_servers_known"), Some(4096.0));
+    discovery.set_targets(serving("s0", old.address));
+    discovery.requests.wait_for(4);
+    assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
+    agent.wait_for_metric("app_record_servers_known", 1.0);
 }
 
 /// Prices that are absent, or that nobody can pay, turn no decision over: an agent serves by them all the same.
 #[test]
 fn prices_that_make_no_sense_are_borne() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     for prices in
         ["{}", r#"{"crossZone":-7,"probe":-1,"handshake":1e300}"#, r#"{"crossZone":1e308,"waste":1e308}"#]
     {
@@ -207,10 +208,10 @@
             SETTINGS.replace("\"rules\"", &format!("\"balancers\":300,\"penalties\":{prices},\"rules\""));
         let discovery = Discovery::new(serving("s", backend.address));
         let agent = Agent::start(&config(discovery.address, "", &settings, 1024));
-        discovery.asked.wait(2);
-        let mut client = Client::to(&agent);
+        discovery.requests.wait_for(2);
+        let mut client = Client::connect(&agent);
         for _ in 0..20 {
-            assert_eq!(client.ask(&request("read", 9000)).status(), 200, "{prices}");
+            assert_eq!(client.exchange(&request("read", 9000)).status(), 200, "{prices}");
         }
     }
 }
@@ -218,7 +219,7 @@
 /// A process that starts while discovery is down, as hundreds may at once, serves by the list that it was given.
 #[test]
 fn a_start_without_discovery_is_ready_by_the_list_it_was_given() {
-    let backend = Backend::new(|_| ok("x"));
+    let backend = RecordServer::new(|_| ok("x"));
     let (line, silent) = (serving("s", backend.address), std::net::TcpListener::bind("127.0.0.1:0").unwrap());
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -226,9 +227,9 @@
         [("on_request", nobody), ("pushed", nobody), ("pushed", silent.local_addr().unwrap())]
     {
         let agent = Agent::start(&config(discovery, &line, &SETTINGS.replace("on_request", way), 1024));
-        let mut client = Client::to(&agent);
-        assert_eq!(client.ask(ready).status(), 200, "{way}");
-        assert_eq!(client.ask(&request("read", 9000)).status(), 200, "{way}");
+        let mut client = Client::connect(&agent);
+        assert_eq!(client.exchange(ready).status(), 200, "{way}");
+        assert_eq!(client.exchange(&request("read", 9000)).status(), 200, "{way}");
     }
 }
 
@@ -245,7 +246,7 @@
     let start = Instant::now();
     loop {
         match TcpListener::bind(address) {
-            Err(error) if error.kind() == std::io::ErrorKind::AddrInUse && start.elapsed() < BOUND => {
+            Err(error) if error.kind() == std::io::ErrorKind::AddrInUse && start.elapsed() < TEST_TIMEOUT => {
                 sleep(Duration::from_millis(10));
             }
             listener => return listener.unwrap(),
@@ -286,7 +287,11 @@
     fn wait(&self, calls: usize) {
         let begun = Instant::now();
         while self.asked.load(Ordering::Relaxed) < calls {
-            assert!(begun.elapsed() < BOUND, "{} of {calls} calls came", self.asked.load(Ordering::Relaxed));
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "{} of {calls} calls came",
+                self.asked.load(Ordering::Relaxed)
+            );
             yield_now();
         }
     }
@@ -344,7 +349,7 @@
 }
 
 fn outage(way: &str) {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
     let (first, second) = (serving("s0", old.address), serving("s1", new.address));
     let anywhere = "127.0.0.1:0".parse().unwrap();
     let source = Source::open(anywhere, telling(2, first.clone()));
@@ -355,9 +360,9 @@
     std::thread::scope(|scope| {
         let over = Over(&is_over);
         let client = scope.spawn(|| {
-            let (mut client, mut answers) = (Client::to(&agent), Vec::new());
+            let (mut client, mut answers) = (Client::connect(&agent), Vec::new());
             while !is_over.load(Ordering::Relaxed) {
-                let answer = client.ask(&request("once", 9000));
+                let answer = client.exchange(&request("once", 9000));
                 assert_eq!(answer.status(), 200, "{way}");
                 answers.push(answer.body);
                 sleep(Duration::from_millis(1));
@@ -378,15 +383,15 @@
         let address = silent.close();
         let returned = Source::open(address, telling(9, second));
         returned.wait(1);
-        let last = old.heard.all().len();
-        let mut late = Client::to(&agent);
+        let last = old.requests.all().len();
+        let mut late = Client::connect(&agent);
         for _ in 0..20 {
-            assert_eq!(late.ask(&request("once", 9000)).body, b"new", "{way}");
+            assert_eq!(late.exchange(&request("once", 9000)).body, b"new", "{way}");
         }
         drop(over);
         let answers = client.join().unwrap();
         // One may have been on its way when the list came.
-        assert!(old.heard.all().len() <= last + 1, "{way}");
+        assert!(old.requests.all().len() <= last + 1, "{way}");
         assert!(answers.len() > 100, "{way}: served all along");
     });
 }
@@ -403,7 +408,8 @@
 }
 
 fn crowded(way: &str) {
-    let backends: Vec<Backend> = (0..4).map(|n| Backend::new(move |_| ok(&format!("list {n}")))).collect();
+    let backends: Vec<RecordServer> =
+        (0..4).map(|n| RecordServer::new(move |_| ok(&format!("list {n}")))).collect();
     let now = Arc::new(Mutex::new((2, serving("s0", backends[0].address))));
     let (listed, one_at_a_time) = (Arc::clone(&now), Mutex::new(()));
     let (out, most_out) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
@@ -443,20 +449,20 @@
         for _ in 0..6 {
             scope.spawn(|| {
                 while !is_over.load(Ordering::Relaxed) {
-                    let mut other = Client::at(source.address);
+                    let mut other = Client::connect_to(source.address);
                     let call = "GET /registry/instances HTTP/1.1\r\nHost: x\r\nX-Crowd: 1\r\n\r\n";
                     while !is_over.load(Ordering::Relaxed) {
-                        assert_eq!(other.ask(call).status(), 200);
+                        assert_eq!(other.exchange(call).status(), 200);
                     }
                 }
             });
         }
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         for (n, backend) in backends.iter().enumerate() {
             *now.lock().unwrap() = (2 + n as i64, serving(&format!("s{n}"), backend.address));
             let (begun, heard) = (Instant::now(), format!("list {n}").into_bytes());
-            while client.ask(&request("read", 9000)).body != heard {
-                assert!(begun.elapsed() < BOUND, "{way}: list {n} is never heard of");
+            while client.exchange(&request("read", 9000)).body != heard {
+                assert!(begun.elapsed() < TEST_TIMEOUT, "{way}: list {n} is never heard of");
                 sleep(Duration::from_millis(1));
             }
         }
--- a/crates/agent/tests/loopback/metrics_page.rs
+++ b/crates/agent/tests/loopback/metrics_page.rs
@@ -16,8 +16,8 @@
 
 /// The page once nothing is in flight.
 fn page(agent: &Agent) -> String {
-    agent.wait_figure("app_in_flight", 0.0);
-    let answer = agent.call("GET", "/-/metrics");
+    agent.wait_for_metric("app_in_flight", 0.0);
+    let answer = agent.ops_request("GET", "/-/metrics");
     let kind = answer.header("content-type").expect("a kind");
     let text = String::from_utf8(answer.body.clone()).expect("UTF-8");
     let lines: String = text.lines().map(steady).collect();
@@ -27,7 +27,7 @@
 /// The platform's agent: served, refused and failed requests of several classes, and files that were taken and turned down.
 #[test]
 fn the_page_of_the_platforms_agent_stays() {
-    let backend = Backend::new(|m| match m.path() {
+    let backend = RecordServer::new(|m| match m.path() {
         p if p.starts_with("/once") => status(500, ""),
         _ => ok("x"),
     });
@@ -35,19 +35,19 @@
     let discovery = Discovery::new(line.clone());
     let text = with_ops(&config(discovery.address, &line, SETTINGS, 1024));
     let agent = Agent::start(&text);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     for _ in 0..3 {
-        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+        assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
     }
-    assert_eq!(client.ask(&request("once", 9000)).status(), 502);
+    assert_eq!(client.exchange(&request("once", 9000)).status(), 502);
     agent.reload(&text);
-    agent.wait_figure("app_reloads_ok_total", 1.0);
+    agent.wait_for_metric("app_reloads_ok_total", 1.0);
     agent.reload("{");
-    agent.wait_figure("app_reloads_failed_total", 1.0);
+    agent.wait_for_metric("app_reloads_failed_total", 1.0);
     assert_golden("tests/golden/metrics-platform.txt", &page(&agent));
 }
 
-fn own(protocol: &str, server: &Backend, dialect: &str) -> Agent {
+fn own(protocol: &str, server: &RecordServer, dialect: &str) -> Agent {
     let mappings = mappings();
     let text = format!(
         "[ops]\nlisten = \"127.0.0.1:0\"\n{CLASSES}\n[translate]\nmappings = {mappings:?}\n\
@@ -56,7 +56,7 @@
          [[pool.server]]\nname = \"s0\"\naddress = \"{}\"\n{dialect}\n",
         server.address
     );
-    Agent::start_own(&folder(), &text)
+    Agent::start_with_toml(&temp_dir(), &text)
 }
 
 /// Old clients before a new server: a value that was rounded is counted by its mapping.
@@ -64,18 +64,18 @@
 fn the_page_of_a_legacy_front_stays() {
     let server = records();
     let agent = own("legacy", &server, "");
-    let mut client = Client::to(&agent);
-    assert_eq!(client.ask(&order(ORDER)).status(), 200);
+    let mut client = Client::connect(&agent);
+    assert_eq!(client.exchange(&order(ORDER)).status(), 200);
     let query = "STN=KMIA&BEG=03%2F08%2F2026+01%3A59&END=03%2F08%2F2026+03%3A00&WHAT=W&CLERK=Ann";
     let lookup = format!("GET /desk/lookup.cgi?{query} HTTP/1.0\r\n\r\n");
-    assert_eq!(Client::to(&agent).ask(&lookup).status(), 200);
+    assert_eq!(Client::connect(&agent).exchange(&lookup).status(), 200);
     assert_golden("tests/golden/metrics-legacy.txt", &page(&agent));
 }
 
 /// A new client before an old server, whose answer has no counterpart.
 #[test]
 fn the_page_of_a_pool_with_an_old_server_stays() {
-    let server = Backend::new(|_| ok("H|QUEUED|7|20261201080509\r\nT|1\r\n"));
+    let server = RecordServer::new(|_| ok("H|QUEUED|7|20261201080509\r\nT|1\r\n"));
     let agent = own("http", &server, "dialect = \"old\"");
     let body = "{\"case\":\"7\",\"station\":\"K\",\"period\":{\"first\":\"2026-02-01\",\"last\":\"2026-02-02\"},\"copies\":1,\
         \"sealed\":false,\"court\":{\"name\":\"x\"},\"parties\":[{\"name\":\"a\",\"role\":\"plaintiff\"}],\"language\":\"en\"}";
@@ -84,6 +84,6 @@
          X-Budget-Ms: 9000\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    assert_eq!(Client::to(&agent).ask(&request).status(), 502);
+    assert_eq!(Client::connect(&agent).exchange(&request).status(), 502);
     assert_golden("tests/golden/metrics-mixed.txt", &page(&agent));
 }
--- a/crates/agent/tests/loopback/mixed.rs
+++ b/crates/agent/tests/loopback/mixed.rs
@@ -10,8 +10,8 @@
     <Ready>04.12.2026</Ready></m:OrderCopiesResponse></s:Body></s:Envelope>";
 
 /// An old server: it knows nothing of the new paths and headers.
-fn archive() -> Backend {
-    Backend::new(|message| match message.path() {
+fn archive() -> RecordServer {
+    RecordServer::new(|message| match message.path() {
         "/desk/correct.cgi" => ok(ROW),
         "/desk/copies.asmx" => ok(REPLY),
         _ => status(404, ""),
@@ -19,14 +19,14 @@
 }
 
 /// An old server that turns all away, in its own words.
-fn full() -> Backend {
-    Backend::new(|_| {
+fn full() -> RecordServer {
+    RecordServer::new(|_| {
         let body = "REFUSED\r\nIt did not run; trying again is harmless.\r\n";
-        Act::Answer(format!("HTTP/1.1 503 X\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+        Action::Respond(format!("HTTP/1.1 503 X\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
     })
 }
 
-fn text(protocol: &str, mappings: &std::path::Path, servers: &[(&Backend, &str)]) -> String {
+fn text(protocol: &str, mappings: &std::path::Path, servers: &[(&RecordServer, &str)]) -> String {
     let mut text = format!(
         "[ops]\nlisten = \"127.0.0.1:0\"\n{CLASSES}\n[translate]\nmappings = {mappings:?}\n\
          [[front]]\nname = \"desk\"\nprotocol = \"{protocol}\"\nlisten = \"127.0.0.1:0\"\n\
@@ -42,9 +42,9 @@
 const NEW: &str = "dialect = \"new\"";
 const OLD_DRAINS: &str = "dialect = \"old\"\nstate = \"draining\"";
 
-fn start(protocol: &str, servers: &[(&Backend, &str)]) -> (Agent, PathBuf) {
+fn start(protocol: &str, servers: &[(&RecordServer, &str)]) -> (Agent, PathBuf) {
     let mappings = mappings();
-    (Agent::start_own(&folder(), &text(protocol, &mappings, servers)), mappings)
+    (Agent::start_with_toml(&temp_dir(), &text(protocol, &mappings, servers)), mappings)
 }
 
 /// A request of a new client.
@@ -66,20 +66,20 @@
 fn an_old_client_gets_the_same_from_servers_of_both_kinds() {
     let (old, new) = (archive(), records());
     let (agent, _folder) = start("legacy", &[(&old, OLD), (&new, NEW)]);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let mut asked = 0;
-    while old.heard.all().is_empty() || new.heard.all().is_empty() {
-        let answer = client.ask(&correction(1));
+    while old.requests.all().is_empty() || new.requests.all().is_empty() {
+        let answer = client.exchange(&correction(1));
         assert_eq!((answer.status(), answer.body.as_slice()), (200, ROW.as_bytes()));
         asked += 1;
         assert!(asked < 200, "one kind is never drawn");
     }
-    assert_eq!(old.heard.all().len() + new.heard.all().len(), asked);
-    let seen = old.heard.all().remove(0);
-    assert!(seen.line.starts_with("POST /desk/correct.cgi"));
+    assert_eq!(old.requests.all().len() + new.requests.all().len(), asked);
+    let seen = old.requests.all().remove(0);
+    assert!(seen.start_line.starts_with("POST /desk/correct.cgi"));
     assert!(seen.body.starts_with(b"DESK=0042&NUM=1&STN=KTPA"), "as the client wrote it");
     assert_eq!((seen.header("x-call-id"), seen.header("idempotency-key")), (None, None));
-    assert!(new.heard.all()[0].header("idempotency-key").is_some());
+    assert!(new.requests.all()[0].header("idempotency-key").is_some());
 }
 
 /// New clients go on where the fleet was rolled back: what old servers can be told goes there, with their own key; the rest is
@@ -89,18 +89,18 @@
     // The key that the old fields make, as new servers are told it.
     let server = records();
     let (agent, _folder) = start("legacy", &[(&server, NEW)]);
-    assert_eq!(Client::to(&agent).ask(&correction(1)).status(), 200);
-    let key = server.heard.all()[0].header("idempotency-key").unwrap().to_owned();
+    assert_eq!(Client::connect(&agent).exchange(&correction(1)).status(), 200);
+    let key = server.requests.all()[0].header("idempotency-key").unwrap().to_owned();
 
     let old = archive();
     let (agent, _folder) = start("http", &[(&old, OLD)]);
-    let mut client = Client::to(&agent);
-    let answer = client.ask(&new(1, "/correction", Some(&key), CORRECTED));
+    let mut client = Client::connect(&agent);
+    let answer = client.exchange(&new(1, "/correction", Some(&key), CORRECTED));
     let body = String::from_utf8(answer.body.clone()).unwrap();
     assert_eq!(answer.status(), 200, "{body}");
     assert_eq!(answer.header("content-type"), Some("application/json"));
     assert_eq!(body, "{\"status\":\"applied\",\"revision\":7,\"applied_at\":\"2026-12-01T08:05:09-05:00\"}");
-    let seen = old.heard.all().remove(0);
+    let seen = old.requests.all().remove(0);
     assert_eq!(
         String::from_utf8(seen.body.clone()).unwrap(),
         "DESK=0042&NUM=1&STN=KTPA&OBSDT=202612010805&WHAT=R&RAIN=1.5&URGENT=Y&CLERK=Ann"
@@ -112,11 +112,11 @@
         new(2, "/correction", Some("own-key"), CORRECTED),
         new(3, "/correction", Some(&key), &CORRECTED.replace("\"schema\":2", "\"schema\":2,\"more\":1")),
     ] {
-        let answer = client.ask(&request);
-        assert_eq!(answer.status(), 503, "{}", answer.line);
+        let answer = client.exchange(&request);
+        assert_eq!(answer.status(), 503, "{}", answer.start_line);
         assert!(answer.header("retry-after").is_some(), "{:?}", answer.headers);
     }
-    assert_eq!(old.heard.all().len(), 1, "nothing else was sent");
+    assert_eq!(old.requests.all().len(), 1, "nothing else was sent");
 }
 
 /// Where nothing may be lost, a request that one kind can't be told goes to the other only.
@@ -124,25 +124,25 @@
 fn what_new_servers_can_not_be_told_goes_to_old_ones() {
     let (old, new) = (archive(), records());
     let (agent, _folder) = start("legacy", &[(&old, OLD), (&new, NEW)]);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     for _ in 0..20 {
-        let answer = client.ask(&order(&ORDER.replace("<Copies>1<", "<Copies>60<")));
+        let answer = client.exchange(&order(&ORDER.replace("<Copies>1<", "<Copies>60<")));
         assert_eq!((answer.status(), answer.body.as_slice()), (200, REPLY.as_bytes()));
     }
-    assert_eq!((old.heard.all().len(), new.heard.all().len()), (20, 0));
-    let action = old.heard.all()[0].header("soapaction").map(str::to_owned);
+    assert_eq!((old.requests.all().len(), new.requests.all().len()), (20, 0));
+    let action = old.requests.all()[0].header("soapaction").map(str::to_owned);
     assert_eq!(action.as_deref(), Some("\"urn:desk:copies:1#OrderCopies\""));
 
     // The old ones all drain: refused at once, with a time.
     let (agent, _folder) = start("legacy", &[(&old, OLD_DRAINS), (&new, NEW)]);
-    let answer = Client::to(&agent).ask(&order(&ORDER.replace("<Copies>1<", "<Copies>60<")));
+    let answer = Client::connect(&agent).exchange(&order(&ORDER.replace("<Copies>1<", "<Copies>60<")));
     assert_eq!(answer.status(), 500, "no server that serves can be told it");
     assert!(String::from_utf8(answer.body).unwrap().contains("soap:Client"));
     let (agent, _folder) = start("legacy", &[(&old, OLD_DRAINS)]);
-    let answer = Client::to(&agent).ask(&order(ORDER));
+    let answer = Client::connect(&agent).exchange(&order(ORDER));
     assert_eq!(answer.status(), 503);
     assert!(String::from_utf8(answer.body).unwrap().contains("retryAfterSeconds"));
-    assert_eq!(new.heard.all().len(), 0);
+    assert_eq!(new.requests.all().len(), 0);
 }
 
 /// What an old server turned away has not run, and goes on to a new one. What broke there may have, and a copy is not sent again.
@@ -150,50 +150,50 @@
 fn retries_between_the_kinds_keep_the_class_rules() {
     let (busy, new) = (full(), records());
     let (agent, _folder) = start("legacy", &[(&busy, OLD), (&new, NEW)]);
-    let mut client = Client::to(&agent);
-    while busy.heard.all().is_empty() {
-        assert_eq!(client.ask(&order(ORDER)).status(), 200);
+    let mut client = Client::connect(&agent);
+    while busy.requests.all().is_empty() {
+        assert_eq!(client.exchange(&order(ORDER)).status(), 200);
     }
-    assert!(!new.heard.all().is_empty());
+    assert!(!new.requests.all().is_empty());
 
-    let (broken, new) = (Backend::new(|_| Act::Last(String::new())), records());
+    let (broken, new) = (RecordServer::new(|_| Action::RespondAndClose(String::new())), records());
     let (agent, _folder) = start("legacy", &[(&broken, OLD), (&new, NEW)]);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let (mut asked, mut failed) = (0, 0);
-    while broken.heard.all().is_empty() {
+    while broken.requests.all().is_empty() {
         asked += 1;
-        failed += usize::from(client.ask(&order(ORDER)).status() == 500);
+        failed += usize::from(client.exchange(&order(ORDER)).status() == 500);
     }
     assert_eq!(failed, 1);
     assert_eq!(
-        (broken.heard.all().len(), new.heard.all().len()),
+        (broken.requests.all().len(), new.requests.all().len()),
         (1, asked - 1),
         "it ran at one of them at most"
     );
 
     // A correction may: at both kinds its repeats are known by the same key.
-    let (broken, new) = (Backend::new(|_| Act::Last(String::new())), records());
+    let (broken, new) = (RecordServer::new(|_| Action::RespondAndClose(String::new())), records());
     let (agent, _folder) = start("legacy", &[(&broken, OLD), (&new, NEW)]);
-    let mut client = Client::to(&agent);
-    while broken.heard.all().is_empty() {
-        assert_eq!(client.ask(&correction(1)).status(), 200);
+    let mut client = Client::connect(&agent);
+    while broken.requests.all().is_empty() {
+        assert_eq!(client.exchange(&correction(1)).status(), 200);
     }
 }
 
 /// Servers of that time may state no length and end their answer with the connection, also one that turns a request away.
 #[test]
 fn old_answers_without_a_length_are_whole_by_their_orderly_end() {
-    let old = Backend::new(|_| Act::Last(format!("HTTP/1.0 200 OK\r\n\r\n{ROW}")));
+    let old = RecordServer::new(|_| Action::RespondAndClose(format!("HTTP/1.0 200 OK\r\n\r\n{ROW}")));
     let (agent, _folder) = start("legacy", &[(&old, OLD)]);
-    let answer = Client::to(&agent).ask(&correction(1));
+    let answer = Client::connect(&agent).exchange(&correction(1));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, ROW.as_bytes()));
 
     let refusal = "HTTP/1.0 503 X\r\n\r\nREFUSED\r\nIt did not run; trying again is harmless.\r\n";
-    let (busy, new) = (Backend::new(move |_| Act::Last(refusal.into())), records());
+    let (busy, new) = (RecordServer::new(move |_| Action::RespondAndClose(refusal.into())), records());
     let (agent, _folder) = start("legacy", &[(&busy, OLD), (&new, NEW)]);
-    let mut client = Client::to(&agent);
-    while busy.heard.all().is_empty() {
-        assert_eq!(client.ask(&order(ORDER)).status(), 200);
+    let mut client = Client::connect(&agent);
+    while busy.requests.all().is_empty() {
+        assert_eq!(client.exchange(&order(ORDER)).status(), 200);
     }
 }
 
@@ -203,7 +203,7 @@
 fn a_server_that_turns_new_is_spoken_to_anew() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
-    let server = Backend::new(move |message| match message.path() {
+    let server = RecordServer::new(move |message| match message.path() {
         "/desk/correct.cgi" => {
             let _ = held.lock().unwrap().recv();
             ok(ROW)
@@ -211,31 +211,31 @@
         _ => ok(crate::legacy::APPLIED),
     });
     let (agent, folder) = start("legacy", &[(&server, OLD)]);
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     client.write(&correction(1));
-    server.heard.wait(1);
+    server.requests.wait_for(1);
     agent.reload(&text("legacy", &folder, &[(&server, NEW)]));
-    agent.wait_figure("app_reloads_ok_total", 1.0);
-    let answer = Client::to(&agent).ask(&correction(2));
+    agent.wait_for_metric("app_reloads_ok_total", 1.0);
+    let answer = Client::connect(&agent).exchange(&correction(2));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, ROW.as_bytes()));
     release.send(()).unwrap();
     assert_eq!(client.read().map(|answer| answer.body), Some(ROW.as_bytes().to_vec()));
-    let seen = server.heard.all();
+    let seen = server.requests.all();
     assert_eq!(seen.iter().map(Message::path).collect::<Vec<_>>(), ["/desk/correct.cgi", "/correction"]);
-    assert_eq!(server.opened.all().len(), 2);
+    assert_eq!(server.connections_opened.all().len(), 2);
     // The connection of the old life is not used again.
-    server.ended.wait(1);
+    server.connections_closed.wait_for(1);
 }
 
 /// An answer of an old server that new clients can't be told has run: a failure, and not tried again.
 #[test]
 fn an_old_answer_without_a_counterpart_is_a_failure() {
-    let server = Backend::new(|_| ok("H|QUEUED|7|20261201080509\r\nT|1\r\n"));
+    let server = RecordServer::new(|_| ok("H|QUEUED|7|20261201080509\r\nT|1\r\n"));
     let (agent, _folder) = start("http", &[(&server, OLD)]);
     let body = "{\"case\":\"7\",\"station\":\"K\",\"period\":{\"first\":\"2026-02-01\",\"last\":\"2026-02-02\"},\"copies\":1,\
         \"sealed\":false,\"court\":{\"name\":\"x\"},\"parties\":[{\"name\":\"a\",\"role\":\"plaintiff\"}],\"language\":\"en\"}";
-    let answer = Client::to(&agent).ask(&new(4, "/certified-copy", None, body));
+    let answer = Client::connect(&agent).exchange(&new(4, "/certified-copy", None, body));
     assert_eq!(answer.status(), 502, "{}", String::from_utf8_lossy(&answer.body));
-    assert_eq!(server.heard.all().len(), 1);
-    assert_eq!(agent.figure("app_translation_failed_total{mapping=\"certified-copy\"}"), Some(1.0));
+    assert_eq!(server.requests.all().len(), 1);
+    assert_eq!(agent.metric("app_translation_failed_total{mapping=\"certified-copy\"}"), Some(1.0));
 }
--- a/crates/agent/tests/loopback/no_route.rs
+++ b/crates/agent/tests/loopback/no_route.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_server_to_which_alone_no_route_leads_is_ejected() {
     // With something out to the other at most times, the one is the lightest.
-    let backend = Backend::new(|_| {
+    let backend = RecordServer::new(|_| {
         thread::sleep(Duration::from_millis(20));
         ok("done")
     });
@@ -36,23 +36,23 @@
     thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
-                let mut client = Client::to(&agent);
+                let mut client = Client::connect(&agent);
                 while !ejected.load(Ordering::SeqCst) {
-                    let status = client.ask(&request("read", 9000)).status();
+                    let status = client.exchange(&request("read", 9000)).status();
                     assert!(status == 200 || status == 503, "{status}");
                 }
             });
         }
         let start = Instant::now();
-        while agent.figure("app_record_servers_excluded") != Some(1.0) && start.elapsed() < BOUND {
+        while agent.metric("app_record_servers_excluded") != Some(1.0) && start.elapsed() < TEST_TIMEOUT {
             thread::sleep(Duration::from_millis(5));
         }
         ejected.store(true, Ordering::SeqCst);
-        assert!(start.elapsed() < BOUND, "never ejected");
+        assert!(start.elapsed() < TEST_TIMEOUT, "never ejected");
     });
-    let (mut client, start) = (Client::to(&agent), Instant::now());
-    while client.ask(&request("read", 9000)).status() != 200 {
-        assert!(start.elapsed() < BOUND, "never served");
+    let (mut client, start) = (Client::connect(&agent), Instant::now());
+    while client.exchange(&request("read", 9000)).status() != 200 {
+        assert!(start.elapsed() < TEST_TIMEOUT, "never served");
     }
 }
 
@@ -67,22 +67,22 @@
     let away: Vec<SocketAddr> = (1..=4).map(unrouted).collect();
     let discovery = Discovery::new(list(&away));
     let agent = Agent::start(&with_ops(&config(discovery.address, &list(&away), &settings(), 1024)));
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     for _ in 0..50 {
-        assert_eq!(client.ask(&request("read", 9000)).status(), 503);
-        assert_eq!(agent.figure("app_record_servers_excluded"), Some(0.0));
+        assert_eq!(client.exchange(&request("read", 9000)).status(), 503);
+        assert_eq!(agent.metric("app_record_servers_excluded"), Some(0.0));
         thread::sleep(Duration::from_millis(10));
     }
-    let backends: Vec<Backend> = (0..4).map(|_| Backend::new(|_| ok("done"))).collect();
+    let backends: Vec<RecordServer> = (0..4).map(|_| RecordServer::new(|_| ok("done"))).collect();
     let addresses: Vec<SocketAddr> = backends.iter().map(|backend| backend.address).collect();
-    discovery.change(list(&addresses));
+    discovery.set_targets(list(&addresses));
     let start = Instant::now();
-    while client.ask(&request("read", 9000)).status() != 200 {
-        assert!(start.elapsed() < BOUND, "never served");
+    while client.exchange(&request("read", 9000)).status() != 200 {
+        assert!(start.elapsed() < TEST_TIMEOUT, "never served");
     }
-    while backends.iter().any(|backend| backend.heard.all().is_empty()) {
-        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
-        assert!(start.elapsed() < BOUND, "not all are sent to");
+    while backends.iter().any(|backend| backend.requests.all().is_empty()) {
+        assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
+        assert!(start.elapsed() < TEST_TIMEOUT, "not all are sent to");
     }
-    assert_eq!(agent.figure("app_record_servers_excluded"), Some(0.0));
+    assert_eq!(agent.metric("app_record_servers_excluded"), Some(0.0));
 }
--- a/crates/agent/tests/loopback/resting.rs
+++ b/crates/agent/tests/loopback/resting.rs
@@ -56,7 +56,7 @@
             || ends.0.ends_with(&other) && ends.1.ends_with(&one)
     };
     while std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(is_between) {
-        assert!(begun.elapsed() < BOUND, "the reset does not arrive");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the reset does not arrive");
         thread::yield_now();
     }
 }
@@ -75,17 +75,19 @@
 /// A server that ends its connections so.
 struct Server {
     address: SocketAddr,
-    heard: Arc<Tally<Message>>,
-    ended: Arc<Tally<()>>,
+    requests: Arc<EventLog<Message>>,
+    connections_closed: Arc<EventLog<()>>,
     /// As many connections may end at rest as this has entries.
-    go: Arc<Tally<()>>,
+    go: Arc<EventLog<()>>,
 }
 
 fn server(when: When, how: End) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let server = Server { address, heard: Arc::default(), ended: Arc::default(), go: Arc::default() };
-    let (tally, ends, go) = (Arc::clone(&server.heard), Arc::clone(&server.ended), Arc::clone(&server.go));
+    let server =
+        Server { address, requests: Arc::default(), connections_closed: Arc::default(), go: Arc::default() };
+    let (tally, ends, go) =
+        (Arc::clone(&server.requests), Arc::clone(&server.connections_closed), Arc::clone(&server.go));
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let (tally, ends, go) = (Arc::clone(&tally), Arc::clone(&ends), Arc::clone(&go));
@@ -104,7 +106,7 @@
                     asked += 1;
                     let _ = (&stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
                     if when == When::Rested {
-                        go.wait(ends.all().len() + 1);
+                        go.wait_for(ends.all().len() + 1);
                         break;
                     }
                 }
@@ -130,15 +132,15 @@
     for how in ENDS.into_iter().filter(|how| *how != End::Silence) {
         let server = server(When::Rested, how);
         let (agent, _discovery) = agent(&[server.address]);
-        let mut client = Client::to(&agent);
+        let mut client = Client::connect(&agent);
         for n in 1..=6 {
-            assert_eq!(client.ask(&request("once", 9000)).status(), 200, "{how:?}, request {n}");
+            assert_eq!(client.exchange(&request("once", 9000)).status(), 200, "{how:?}, request {n}");
             // Rested long enough to be used again.
             thread::sleep(Duration::from_millis(50));
             server.go.push(());
-            server.ended.wait(n);
+            server.connections_closed.wait_for(n);
         }
-        assert_eq!(server.heard.all().len(), 6, "{how:?}");
+        assert_eq!(server.requests.all().len(), 6, "{how:?}");
     }
 }
 
@@ -153,8 +155,8 @@
                 let pid = agent.child.id().to_string();
                 assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
             };
-            let mut client = Client::to(&agent);
-            assert_eq!(client.ask(&request("once", 9000)).status(), 200);
+            let mut client = Client::connect(&agent);
+            assert_eq!(client.exchange(&request("once", 9000)).status(), 200);
             // Rested long enough to be used again.
             thread::sleep(Duration::from_millis(50));
             signal("-STOP");
@@ -162,13 +164,13 @@
                 client.write(&request("once", 9000));
             }
             server.go.push(());
-            server.ended.wait(1);
+            server.connections_closed.wait_for(1);
             if !request_first {
                 client.write(&request("once", 9000));
             }
             signal("-CONT");
             let status = client.read().map(|answer| answer.status());
-            assert_eq!((status, server.heard.all().len()), (Some(200), 2), "{how:?} {request_first}");
+            assert_eq!((status, server.requests.all().len()), (Some(200), 2), "{how:?} {request_first}");
         }
     }
 }
@@ -179,17 +181,17 @@
 fn a_request_that_crosses_the_end_of_a_resting_connection_is_treated_as_begun() {
     for how in ENDS {
         // The first request on a connection is answered, the second meets its end.
-        let Server { address, heard, .. } = server(When::Asked(1), how);
+        let Server { address, requests: heard, .. } = server(When::Asked(1), how);
         for (class, expected, attempts) in [("once", 502, 1), ("read", 200, 2), ("zoned", 200, 2)] {
             let (agent, _discovery) = agent(&[address]);
-            let mut client = Client::to(&agent);
+            let mut client = Client::connect(&agent);
             let before = heard.all().len();
             let budget = if how == End::Silence { 1500 } else { 9000 };
-            assert_eq!(client.ask(&request(class, budget)).status(), 200);
+            assert_eq!(client.exchange(&request(class, budget)).status(), 200);
             // Rested long enough to be used again.
             thread::sleep(Duration::from_millis(100));
             let since = Instant::now();
-            let status = client.ask(&request(class, budget)).status();
+            let status = client.exchange(&request(class, budget)).status();
             assert!(since.elapsed() < Duration::from_millis(budget + 500), "{how:?} {class}");
             let heard = heard.all().len() - before - 1;
             match how {
@@ -212,18 +214,18 @@
             let servers = [(); 3].map(|()| server(when, how));
             let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
             let (agent, _discovery) = agent(&[addresses.as_slice(), &[refused]].concat());
-            let heard = || servers.iter().map(|server| server.heard.all().len()).sum::<usize>();
-            let mut client = Client::to(&agent);
+            let heard = || servers.iter().map(|server| server.requests.all().len()).sum::<usize>();
+            let mut client = Client::connect(&agent);
             for class in ["once", "read", "zoned", "all"] {
                 let (before, since) = (heard(), Instant::now());
-                let answer = client.ask(&request(class, 3000));
+                let answer = client.exchange(&request(class, 3000));
                 assert!(since.elapsed() < Duration::from_millis(3500), "{how:?} {class}");
-                assert!(matches!(answer.status(), 502..=504), "{how:?} {class}: {}", answer.line);
+                assert!(matches!(answer.status(), 502..=504), "{how:?} {class}: {}", answer.start_line);
                 let most = if class == "once" { 1 } else { 3 };
                 assert!(heard() - before <= most, "{how:?} {class}: {} attempts", heard() - before);
             }
             // Each attempt has one connection at most.
-            let ended: usize = servers.iter().map(|server| server.ended.all().len()).sum();
+            let ended: usize = servers.iter().map(|server| server.connections_closed.all().len()).sum();
             assert!(ended <= 4 * 3, "{how:?}: {ended} connections");
         }
     }
@@ -235,11 +237,11 @@
     for when in [When::Accepted, When::Asked(0)] {
         for how in [End::Fin, End::Reset] {
             let bad = server(when, how).address;
-            let good = Backend::new(|_| ok("well"));
+            let good = RecordServer::new(|_| ok("well"));
             let (agent, _discovery) = agent(&[bad, good.address]);
-            let mut client = Client::to(&agent);
+            let mut client = Client::connect(&agent);
             for class in ["read", "zoned", "all"].repeat(5) {
-                assert_eq!(client.ask(&request(class, 9000)).status(), 200, "{how:?} {class}");
+                assert_eq!(client.exchange(&request(class, 9000)).status(), 200, "{how:?} {class}");
             }
         }
     }
--- a/crates/agent/tests/loopback/spoilt.rs
+++ b/crates/agent/tests/loopback/spoilt.rs
@@ -29,7 +29,7 @@
         let act = format!("{head}{BODY}");
         for (class, expected) in [("once", (502, 1)), ("read", (200, 2))] {
             let act = act.clone();
-            assert_eq!(outcome(class, move || Act::Answer(act.clone())), expected, "{class}: {head}");
+            assert_eq!(outcome(class, move || Action::Respond(act.clone())), expected, "{class}: {head}");
         }
     }
 }
@@ -38,8 +38,8 @@
 #[test]
 fn an_answer_that_stalls_is_given_up() {
     for begun in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nX-Long: ", "H"] {
-        assert_eq!(outcome("once", move || Act::Answer(begun.into())), (502, 1), "{begun}");
-        assert_eq!(outcome("read", move || Act::Answer(begun.into())), (200, 2), "{begun}");
+        assert_eq!(outcome("once", move || Action::Respond(begun.into())), (502, 1), "{begun}");
+        assert_eq!(outcome("read", move || Action::Respond(begun.into())), (200, 2), "{begun}");
     }
 }
 
@@ -48,31 +48,31 @@
 fn answers_1xx_are_passed_over_within_bounds() {
     let (ahead, last) =
         ("HTTP/1.1 103 X\r\nX-A: b\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst");
-    let parts = move || Act::Parts([ahead, last].map(String::from).into());
+    let parts = move || Action::RespondInParts([ahead, last].map(String::from).into());
     assert_eq!(outcome("once", parts), (200, 1));
-    let endless = move || Act::Answer(ahead.repeat(100_000));
+    let endless = move || Action::Respond(ahead.repeat(100_000));
     assert_eq!(outcome("once", endless), (502, 1));
 }
 
 /// What comes behind a good answer belongs to nobody: the next request must not be served with it.
 #[test]
 fn what_comes_behind_an_answer_is_not_the_next_one() {
-    let backend = Backend::new(|m| {
+    let backend = RecordServer::new(|m| {
         let body = m.header("X-Call-Id").unwrap_or_default().to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        Act::Answer(answer.repeat(2))
+        Action::Respond(answer.repeat(2))
     });
-    let (agent, _discovery) = Agent::with(&[&backend]);
-    let mut client = Client::to(&agent);
+    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+    let mut client = Client::connect(&agent);
     for n in 1..=20 {
         let text = request("once", 9000);
         let sent = Message::read(&mut text.as_bytes()).unwrap();
-        let answer = client.ask(&text);
+        let answer = client.exchange(&text);
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, sent.header("X-Call-Id").unwrap().as_bytes())
         );
-        assert_eq!(backend.heard.all().len(), n);
+        assert_eq!(backend.requests.all().len(), n);
     }
 }
 
@@ -104,11 +104,11 @@
     let line = serving("s", address);
     let discovery = Discovery::new(line.clone());
     let agent = Agent::start(&config(discovery.address, &line, SETTINGS, 1024));
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     for _ in 0..50 {
         let text = request("once", 9000);
         let sent = Message::read(&mut text.as_bytes()).unwrap();
-        let answer = client.ask(&text);
+        let answer = client.exchange(&text);
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         assert_eq!((answer.status(), body.as_str()), (200, sent.header("X-Call-Id").unwrap()));
     }
@@ -118,18 +118,18 @@
 /// too much is asked again on those that it has, once they are as many as a busy server needs.
 #[test]
 fn a_server_that_sends_nothing_too_much_is_asked_again_without_a_rest() {
-    let backend = Backend::new(|_| ok("done"));
-    let (agent, _discovery) = Agent::with(&[&backend]);
-    let mut client = Client::to(&agent);
+    let backend = RecordServer::new(|_| ok("done"));
+    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+    let mut client = Client::connect(&agent);
     // Each rests for longer than a second answer may take, and shows that none comes.
     for _ in 0..140 {
-        assert_eq!(client.ask(&request("once", 9000)).status(), 200);
+        assert_eq!(client.exchange(&request("once", 9000)).status(), 200);
         thread::sleep(Duration::from_millis(25));
     }
     for _ in 0..2000 {
-        assert_eq!(client.ask(&request("once", 9000)).status(), 200);
+        assert_eq!(client.exchange(&request("once", 9000)).status(), 200);
     }
     // Three that rest and the one at work, and some for probes that come between.
-    let opened = backend.opened.all().len();
+    let opened = backend.connections_opened.all().len();
     assert!(opened <= 8, "{opened} opened for requests that came one at a time");
 }
--- a/crates/agent/tests/loopback/stalls.rs
+++ b/crates/agent/tests/loopback/stalls.rs
@@ -22,7 +22,7 @@
 }
 
 fn drain_while_held_up(way: &str, servers: usize) {
-    let (old, new) = (Backend::new(|_| ok("old")), Backend::new(|_| ok("new")));
+    let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
     let settings = SETTINGS.replace("on_request", way).replace(":2000}", ":400}");
     assert!(settings.contains(r#""stopSendingWithinMs":400"#));
     // More than two are told as gone, so that nothing else goes to them and the list is a long one.
@@ -31,23 +31,24 @@
     let both = [serving("s0", old.address), serving("s1", new.address)].join(",") + &gone;
     let discovery = Discovery::new(both.clone());
     let agent = Agent::start(&config(discovery.address, "", &settings, 1024));
-    discovery.asked.wait(2);
-    let mut clients: Vec<Client> = (0..40).map(|_| Client::to(&agent)).collect();
+    discovery.requests.wait_for(2);
+    let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(&agent)).collect();
     // Both serve, on connections that are kept.
-    while old.heard.all().is_empty() || new.heard.all().is_empty() {
+    while old.requests.all().is_empty() || new.requests.all().is_empty() {
         clients.iter_mut().for_each(|client| client.write(&request("read", 9000)));
         clients.iter_mut().for_each(|client| assert_eq!(client.read().map(|m| m.status()), Some(200)));
     }
     // A watch is out, and its time runs out before the waking.
     agent.pause();
-    let told = discovery.told.all().len();
-    discovery
-        .change([target("s0", old.address, "DRAINING", 0), serving("s1", new.address)].join(",") + &gone);
-    discovery.told.wait(told + 1);
-    let before = old.heard.all().len();
+    let told = discovery.sent_versions.all().len();
+    discovery.set_targets(
+        [target("s0", old.address, "DRAINING", 0), serving("s1", new.address)].join(",") + &gone,
+    );
+    discovery.sent_versions.wait_for(told + 1);
+    let before = old.requests.all().len();
     clients.iter_mut().for_each(|client| client.write(&request("once", 9000)));
     sleep(HELD_UP);
-    agent.wake();
+    agent.resume();
     for turn in 0..5 {
         if turn > 0 {
             clients.iter_mut().for_each(|client| client.write(&request("once", 9000)));
@@ -57,7 +58,7 @@
             assert_eq!((answer.status(), &*answer.body), (200, &b"new"[..]), "{way}, {servers}");
         }
     }
-    assert_eq!(old.heard.all().len(), before, "{way}, {servers}");
+    assert_eq!(old.requests.all().len(), before, "{way}, {servers}");
 }
 
 /// A long answer, and a body of a request.
@@ -68,8 +69,8 @@
 /// requests have come, and who has been written the second part.
 struct Halves {
     address: SocketAddr,
-    heard: Arc<Tally<String>>,
-    written: Arc<Tally<String>>,
+    requests: Arc<EventLog<String>>,
+    written: Arc<EventLog<String>>,
     go: Arc<(Mutex<bool>, Condvar)>,
 }
 
@@ -77,8 +78,9 @@
     fn new() -> Halves {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let halves = Halves { address, heard: Arc::default(), written: Arc::default(), go: Arc::default() };
-        let (heard, written) = (Arc::clone(&halves.heard), Arc::clone(&halves.written));
+        let halves =
+            Halves { address, requests: Arc::default(), written: Arc::default(), go: Arc::default() };
+        let (heard, written) = (Arc::clone(&halves.requests), Arc::clone(&halves.written));
         let go = Arc::clone(&halves.go);
         std::thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
@@ -131,7 +133,7 @@
     let line = serving("s", backend.address);
     let discovery = Discovery::new(line.clone());
     let agent = Agent::start(&config(discovery.address, &line, SETTINGS, 1024));
-    let mut client = Client::to(&agent);
+    let mut client = Client::connect(&agent);
     let ask = |budget| request("read", budget).replace("a=1", &format!("a={way}"));
     let body = "b".repeat(BODY);
     let head = request("once", 9000).replace("Content-Length: 4", &format!("Content-Length: {BODY}"));
@@ -144,7 +146,7 @@
     };
     client.write(&before);
     if meanwhile.is_empty() {
-        backend.heard.wait(1);
+        backend.requests.wait_for(1);
     }
     // Time for the agent to read what there is; whether it has, the order of what follows is forced.
     if way != "short" {
@@ -153,11 +155,11 @@
     agent.pause();
     backend.go_on();
     if meanwhile.is_empty() {
-        backend.written.wait(1);
+        backend.written.wait_for(1);
     }
     client.write(&meanwhile);
     sleep(HELD_UP);
-    agent.wake();
+    agent.resume();
     let got = client.read().map(|answer| (answer.status(), answer.body.len()));
     assert_eq!(got, Some((200, if way == "long" { LONG } else { 4 })), "{way}");
 }
@@ -166,19 +168,19 @@
 /// listening by its clock.
 #[test]
 fn who_came_while_the_process_stood_still_at_its_end_is_served() {
-    let backend = Backend::new(|_| ok("done"));
+    let backend = RecordServer::new(|_| ok("done"));
     let line = serving("s", backend.address);
     let discovery = Discovery::new(line.clone());
     let agent = Agent::start(&with_ops(&config(discovery.address, &line, SETTINGS, 1024)));
     agent.terminate();
-    while agent.call("GET", "/-/ready").status() == 200 {
+    while agent.ops_request("GET", "/-/ready").status() == 200 {
         std::thread::yield_now();
     }
     agent.pause();
-    let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&agent)).collect();
+    let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(&agent)).collect();
     clients.iter_mut().for_each(|client| client.write(&request("once", 9000)));
     sleep(Duration::from_secs(1));
-    agent.wake();
+    agent.resume();
     for client in &mut clients {
         assert_eq!(client.read().map(|answer| answer.status()), Some(200));
     }
--- a/crates/agent/tests/loopback/start_times.rs
+++ b/crates/agent/tests/loopback/start_times.rs
@@ -16,8 +16,8 @@
 
 /// Four servers that started long ago and one that is to join them, behind an agent that knows of the four.
 struct Fleet {
-    warm: Vec<Backend>,
-    newcomer: Backend,
+    warm: Vec<RecordServer>,
+    newcomer: RecordServer,
     discovery: Discovery,
     agent: Agent,
     folder: PathBuf,
@@ -26,51 +26,51 @@
 
 impl Fleet {
     fn new(warm_after_ms: u64) -> Fleet {
-        let warm: Vec<Backend> = (0..4).map(|_| Backend::new(|_| ok("warm"))).collect();
-        let newcomer = Backend::new(|_| ok("new"));
+        let warm: Vec<RecordServer> = (0..4).map(|_| RecordServer::new(|_| ok("warm"))).collect();
+        let newcomer = RecordServer::new(|_| ok("new"));
         let discovery = Discovery::new(lines(&warm));
         let rules = format!("\"rules\":{{\"coldShare\":0.2,\"warmAfterMs\":{warm_after_ms},");
         let settings = SETTINGS.replace("\"rules\":{", &rules).replace("on_request", "pushed");
         let configuration = config(discovery.address, &lines(&warm), &settings, 1024);
-        let folder = folder();
-        let agent = Agent::start_in(&folder, &configuration);
+        let folder = temp_dir();
+        let agent = Agent::start_in_dir(&folder, &configuration);
         // The list has been taken in once the watch that follows it is out.
-        discovery.asked.wait(2);
+        discovery.requests.wait_for(2);
         Fleet { warm, newcomer, discovery, agent, folder, configuration }
     }
 
     /// Another process takes over.
     fn upgrade(&mut self) {
-        let successor = Agent::start_in(&self.folder, &self.configuration);
+        let successor = Agent::start_in_dir(&self.folder, &self.configuration);
         assert_eq!(successor.address, self.agent.address);
         let mut old = std::mem::replace(&mut self.agent, successor);
         old.terminate();
-        assert_eq!(old.ended(), Some(0));
+        assert_eq!(old.wait_for_exit(), Some(0));
     }
 
     /// Discovery lists the newcomer, whose start it tells by a clock that is so far ahead of this machine's.
     fn join(&self, ahead_ms: i64) {
-        let asked = self.discovery.asked.all().len();
+        let asked = self.discovery.requests.all().len();
         let started = (unix_ms() + ahead_ms) as u64;
         let line = target("new", self.newcomer.address, "SERVING", started);
-        self.discovery.change(format!("{},{line}", lines(&self.warm)));
-        self.discovery.asked.wait(asked + 1);
+        self.discovery.set_targets(format!("{},{line}", lines(&self.warm)));
+        self.discovery.requests.wait_for(asked + 1);
     }
 
     /// How many of the next requests the newcomer gets, of which eight at a time are out.
     fn look(&self) -> usize {
-        let before = self.newcomer.heard.all().len();
+        let before = self.newcomer.requests.all().len();
         std::thread::scope(|scope| {
             for _ in 0..8 {
                 scope.spawn(|| {
-                    let mut client = Client::to(&self.agent);
+                    let mut client = Client::connect(&self.agent);
                     for _ in 0..LOOK / 8 {
-                        assert_eq!(client.ask(&request("read", 9000)).status(), 200);
+                        assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
                     }
                 });
             }
         });
-        self.newcomer.heard.all().len() - before
+        self.newcomer.requests.all().len() - before
     }
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-fn lines(backends: &[Backend]) -> String {
+fn lines(backends: &[RecordServer]) -> String {
     let lines = backends.iter().enumerate().map(|(n, backend)| serving(&format!("s{n}"), backend.address));
     lines.collect::<Vec<_>>().join(",")
 }
@@ -99,7 +99,7 @@
 fn wait_warm(fleet: &Fleet, ahead_ms: i64) {
     let begun = Instant::now();
     while fleet.look() < LOOK / 8 {
-        assert!(begun.elapsed() < BOUND, "still cold with a clock that is {ahead_ms} ms ahead");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "still cold with a clock that is {ahead_ms} ms ahead");
     }
 }
 
