--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -10,7 +10,7 @@
 use crate::upload::{AttemptBody, RequestBody, UploadState, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use bytes::{Bytes, BytesMut};
 use heronhoist_decision::{DialectId, Outcome, ServerId};
-use heronhoist_engine::timing::{catch_up, sleep_until_settled, timeout, timeout_at};
+use heronhoist_engine::timing::{catch_up, sleep_until_caught_up, timeout, timeout_at};
 use heronhoist_engine::{Gate, Incarnation, QuotaShare, Reservation, StreamingBody, Upstream};
 use heronhoist_translate::wire::trouble::is_refusal;
 use heronhoist_translate::Mapping;
@@ -330,15 +330,13 @@
                 Err(ExchangeError::Connection)
                     if written == 0 && call.client.as_ref().is_some_and(StreamMonitor::is_closed_by_peer) =>
                 {
-                    gate.nothing_was_sent();
+                    gate.mark_unsent();
                     return Outcome::NotSent.into();
                 }
                 // A pooled connection that ended before anything was written to it says nothing of the server,
                 // and no attempt was made: take the next one. A new one that ends so does say something, and
                 // to go on would be a storm of connections.
-                Err(ExchangeError::Connection) if !connection.is_new() && written == 0 => {
-                    gate.nothing_was_sent()
-                }
+                Err(ExchangeError::Connection) if !connection.is_new() && written == 0 => gate.mark_unsent(),
                 Err(ExchangeError::WriteStalled) => return Outcome::TimedOut.into(),
                 Ok(_) | Err(_) if !is_whole => return Outcome::ConnectFailed.into(),
                 Ok(_) | Err(_) => return Outcome::ConnectionReset.into(),
@@ -524,7 +522,7 @@
 /// Comes back when the peer has taken nothing of what waits to be written for too long.
 async fn stuck(monitor: &StreamMonitor) {
     loop {
-        sleep_until_settled(Instant::now() + STUCK_LOOK).await;
+        sleep_until_caught_up(Instant::now() + STUCK_LOOK).await;
         if monitor.write_stalled_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
             return;
         }
