--- a/crates/agent/src/fleet/store/tests/golden.rs
+++ b/crates/agent/src/fleet/store/tests/golden.rs
@@ -44,8 +44,10 @@
         let writes = vec![Write::Put(format!("note/{n}"), format!("\"value {n}\""))];
         Command::Write(Txn { checks, writes })
     };
-    let mut commands =
-        vec![Command::Open, Command::Join { name, nonce: 71, follows: 0, site, version, address }];
+    let mut commands = vec![
+        Command::OpenSession,
+        Command::Join { name, nonce: 71, previous_incarnation: 0, site, version, address },
+    ];
     commands.extend((0..10).map(put));
     commands
 }
@@ -68,7 +70,7 @@
         node.submit(now, Operation::Command(CommandRequest { session: None, command }));
         node.advance(&mut store, now).expect("worked");
     }
-    node.submit(now, Operation::Replace { add: Some((12, peer("c2"))), remove: None });
+    node.submit(now, Operation::ChangePeers { add: Some((12, peer("c2"))), remove: None });
     node.advance(&mut store, now).expect("worked");
 }
 
--- a/crates/coordination/tests/state.rs
+++ b/crates/coordination/tests/state.rs
@@ -21,7 +21,7 @@
 
 fn join_after(name: &str, nonce: u64, after: u64) -> CommandRequest {
     let [site, version, address] = ["east", "1", "127.0.0.1:1"].map(String::from);
-    call(Command::Join { name: name.into(), nonce, follows: after, site, version, address })
+    call(Command::Join { name: name.into(), nonce, previous_incarnation: after, site, version, address })
 }
 
 fn put(key: &str, value: &str) -> Command {
@@ -42,7 +42,7 @@
 #[test]
 fn a_repeated_command_is_executed_once() {
     let (mut state, bounds) = (state(), Limits::default());
-    let CommandResult::Opened(session) = state.apply(&call(Command::Open), &bounds) else {
+    let CommandResult::SessionOpened(session) = state.apply(&call(Command::OpenSession), &bounds) else {
         panic!("no session")
     };
     let first = CommandRequest { session: Some((session, 1)), command: put("note/a", "1") };
@@ -90,7 +90,10 @@
     let (mut state, bounds) = (state(), Limits::default());
     let first = incarnation(&state.apply(&join("n1", 1), &bounds));
     assert_eq!(incarnation(&state.apply(&join("n1", 1), &bounds)), first, "a repeat is known by its nonce");
-    assert_eq!(state.apply(&join("n1", 2), &bounds), CommandResult::Present { incarnation: first });
+    assert_eq!(
+        state.apply(&join("n1", 2), &bounds),
+        CommandResult::IncarnationMismatch { incarnation: first }
+    );
     assert_eq!(state.members["n1"].status, MemberStatus::Living, "whoever does not know of it takes nothing");
     assert_eq!(state.apply(&join_after("n1", 2, first), &bounds), CommandResult::Wait { incarnation: first });
     assert_eq!(state.members["n1"].status, MemberStatus::Superseded);
@@ -107,7 +110,7 @@
     assert!(second > first);
     // Joins that arrive late, of the former process and of one that is gone, have no effect.
     for late in [join("n1", 1), join_after("n1", 9, first)] {
-        assert_eq!(state.apply(&late, &bounds), CommandResult::Present { incarnation: second });
+        assert_eq!(state.apply(&late, &bounds), CommandResult::IncarnationMismatch { incarnation: second });
     }
     assert_eq!(state.members["n1"].status, MemberStatus::Living, "it is not displaced by one of them");
     let report =
@@ -137,7 +140,7 @@
     };
     let mut state = state();
     let over = |reply: CommandResult| match reply {
-        CommandResult::Over(excess) => excess.limit,
+        CommandResult::LimitExceeded(excess) => excess.limit,
         other => panic!("{other:?}"),
     };
     state.apply(&join("n1", 1), &bounds);
@@ -150,8 +153,8 @@
     let tighter = Limits { state_bytes: 10, ..bounds.clone() };
     assert!(matches!(state.apply(&call(put("note/a", "x")), &tighter), CommandResult::Done(_)));
     // The least recently used session is dropped, but never that of a living member.
-    let open = |state: &mut State| match state.apply(&call(Command::Open), &bounds) {
-        CommandResult::Opened(session) => session,
+    let open = |state: &mut State| match state.apply(&call(Command::OpenSession), &bounds) {
+        CommandResult::SessionOpened(session) => session,
         other => panic!("{other:?}"),
     };
     let first = open(&mut state);
--- a/crates/lab/src/processes/world/askers.rs
+++ b/crates/lab/src/processes/world/askers.rs
@@ -40,7 +40,8 @@
                 let leader = leader.as_ref().and_then(|peer| peer.name.strip_prefix('c')?.parse().ok());
                 Some(asker.caller.record_redirect(leader.filter(|at| *at < plan.council), draw))
             }
-            None | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::Over(_))) => {
+            None
+            | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::LimitExceeded(_))) => {
                 Some(asker.caller.record_failure(draw))
             }
             Some(_) => {
@@ -97,7 +98,7 @@
                     _ => belief.replace(Belief { name, incarnation, from: now, to }),
                 }
             }
-            None if holder.session() != SessionState::Member => belief.take(),
+            None if holder.membership_state() != MembershipState::Member => belief.take(),
             None => None,
         };
         self.keep_belief(ended);
@@ -149,7 +150,8 @@
                 if can[0] {
                     asks.extend(agent.holder.next_request(local).map(|request| (0, request)));
                 }
-                let member = agent.holder.session() == SessionState::Member && now >= agent.ready_at;
+                let member =
+                    agent.holder.membership_state() == MembershipState::Member && now >= agent.ready_at;
                 if can[1] && member && now >= agent.look_at && self.plan.operators > 0 {
                     agent.look_at = now + LOOK;
                     asks.push((1, Request::Read { stale: false, prefix: "budget/".into(), members: true }));
@@ -208,7 +210,7 @@
                     if let Some((add, remove, peer)) = wanted.first() {
                         asks.push((
                             0,
-                            Request::Replace { add: Some((*add, peer.clone())), remove: Some(*remove) },
+                            Request::ChangePeers { add: Some((*add, peer.clone())), remove: Some(*remove) },
                         ));
                     }
                 }
