--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,15 +1,17 @@
 //! Virtual mode: the engine with its decision module, or a plain policy, in simulated time. One thread, tasks in the order
 //! in which they become ready, and every draw from a seed, so that a run can be repeated to the byte.
 
-use crate::judge::Answer;
-use crate::memory::{Meter, LOOKS};
-use crate::policy::{Plain, Policy, Reaches};
+use crate::checker::ClientResponse;
+use crate::emulation::{
+    self, AgentReply, Agents, ClientRequest, ServerOutcome, World, CONNECT_TIMEOUT, KEEPALIVE,
+};
+use crate::memory::{HeapMeter, SAMPLES};
+use crate::messages::EncodedRequest;
+use crate::policy::{PlainPolicy, Policy, Transport};
 use crate::record::{Mode, Run};
-use crate::scenario::{Planted, Scenario, What};
+use crate::scenario::{EventKind, Scenario, TranslationBug};
+use crate::server_model::{Micros, Reachability};
 use crate::signal::Signal;
-use crate::speech::Asked;
-use crate::stage::{self, Ask, Carrier, Reply, Served, World, CONNECT_WAIT, KEEPALIVE};
-use crate::world::{Micros, Reach};
 use heronhoist_decision::{ClassId, DialectId, Dialects, KeyId, Outcome, ServerId, Span, TenantId, Time};
 use heronhoist_engine::*;
 use heronhoist_translate::mixed::Sides;
@@ -31,7 +33,7 @@
 const ASK_AGAIN: Duration = Duration::from_secs(1);
 
 /// The connections of one agent, and what becomes of what is sent on them.
-pub struct Net {
+pub struct AgentConnections {
     world: Rc<World>,
     agent: usize,
     /// By server: the life in which each came up, and since when it rests; the longest first.
@@ -39,15 +41,20 @@
     gone: Cell<bool>,
 }
 
-impl Net {
+impl AgentConnections {
     /// One without connections.
     pub fn new(world: &Rc<World>, agent: usize) -> Rc<Self> {
-        let net = Net { world: Rc::clone(world), agent, resting: RefCell::default(), gone: Cell::new(false) };
+        let net = AgentConnections {
+            world: Rc::clone(world),
+            agent,
+            resting: RefCell::default(),
+            gone: Cell::new(false),
+        };
         Rc::new(net)
     }
 
     fn is_current(&self, server: usize, life: u32) -> bool {
-        self.world.servers.borrow()[server].life() == life
+        self.world.servers.borrow()[server].incarnation() == life
     }
 
     /// Closes what has rested for too long, or all.
@@ -82,28 +89,28 @@
                 None => break,
             }
         }
-        sleep(self.one_way() * 2).await;
+        sleep(self.one_way_delay() * 2).await;
         let reach = self.world.servers.borrow()[server].reach();
         match reach {
-            Reach::Up if self.world.connect(server, Some(self.agent)) => {
-                Ok(self.world.servers.borrow()[server].life())
+            Reachability::Up if self.world.connect(server, Some(self.agent)) => {
+                Ok(self.world.servers.borrow()[server].incarnation())
             }
-            Reach::Up | Reach::Down => Err(Outcome::ConnectFailed),
-            Reach::Silent => {
-                sleep(CONNECT_WAIT).await;
+            Reachability::Up | Reachability::Down => Err(Outcome::ConnectFailed),
+            Reachability::Unresponsive => {
+                sleep(CONNECT_TIMEOUT).await;
                 Err(Outcome::ConnectFailed)
             }
         }
     }
 
-    fn one_way(&self) -> Duration {
-        Duration::from_micros(self.world.scenario.fleet.one_way)
+    fn one_way_delay(&self) -> Duration {
+        Duration::from_micros(self.world.scenario.fleet.one_way_delay)
     }
 }
 
 /// A connection in use: closed unless it is kept.
 struct InUse<'a> {
-    net: &'a Net,
+    net: &'a AgentConnections,
     server: usize,
     life: u32,
     kept: bool,
@@ -120,19 +127,19 @@
     }
 }
 
-impl Reaches for Net {
-    async fn attempt(&self, server: usize, ask: &Ask, may_send: &dyn Fn() -> bool) -> Outcome {
+impl Transport for AgentConnections {
+    async fn attempt(&self, server: usize, ask: &ClientRequest, may_send: &dyn Fn() -> bool) -> Outcome {
         self.send(server, ask, None, may_send).await
     }
 }
 
-impl Net {
+impl AgentConnections {
     /// One attempt; of what is `said` in one dialect, where both are spoken.
     async fn send(
         &self,
         server: usize,
-        ask: &Ask,
-        said: Option<(&Asked, Side)>,
+        ask: &ClientRequest,
+        said: Option<(&EncodedRequest, Side)>,
         may_send: &dyn Fn() -> bool,
     ) -> Outcome {
         let life = match self.connection(server).await {
@@ -146,7 +153,7 @@
         }
         let sent = (self.world.now(), server, self.agent);
         self.world.ledger.borrow_mut().sends.push(sent);
-        sleep(self.one_way()).await;
+        sleep(self.one_way_delay()).await;
         if !self.is_current(server, life) {
             return Outcome::ConnectionReset;
         }
@@ -155,39 +162,39 @@
                 Some(key) => key,
                 None => {
                     // It speaks otherwise by now and makes nothing of it.
-                    sleep(self.one_way()).await;
+                    sleep(self.one_way_delay()).await;
                     connection.kept = true;
                     return Outcome::ServerError;
                 }
             },
             None => ask.call as u64,
         };
-        let served = self.world.serve(server, ask.call, Some(ask.number), key).await;
-        sleep(self.one_way()).await;
-        connection.kept = served != Served::Reset;
+        let served = self.world.serve(server, ask.call, Some(ask.attempt), key).await;
+        sleep(self.one_way_delay()).await;
+        connection.kept = served != ServerOutcome::Reset;
         match served {
-            Served::Done => Outcome::Success,
-            Served::Spoilt => Outcome::ServerError,
-            Served::Rejected => Outcome::Rejected,
-            Served::Reset => Outcome::ConnectionReset,
+            ServerOutcome::Completed => Outcome::Success,
+            ServerOutcome::Error => Outcome::ServerError,
+            ServerOutcome::Rejected => Outcome::Rejected,
+            ServerOutcome::Reset => Outcome::ConnectionReset,
         }
     }
 }
 
-impl Net {
+impl AgentConnections {
     /// A server reads what it was sent: by which key it knows repeats of it; `None` if it does not speak that.
-    fn hear(&self, server: usize, ask: &Ask, asked: &Asked, side: Side) -> Option<u64> {
-        let (speech, said) = (self.world.speech.as_ref()?, asked.said(side)?);
-        if self.world.old.borrow()[server] != (side == Side::Old) {
+    fn hear(&self, server: usize, ask: &ClientRequest, asked: &EncodedRequest, side: Side) -> Option<u64> {
+        let (messages, said) = (self.world.messages.as_ref()?, asked.message(side)?);
+        if self.world.speaks_old.borrow()[server] != (side == Side::Old) {
             return None;
         }
         let mut ledger = self.world.ledger.borrow_mut();
-        ledger.unfaithful += usize::from(!speech.is_meant(ask.class, ask.call, side, said));
+        ledger.mistranslated += usize::from(!messages.is_expected_request(ask.class, ask.call, side, said));
         if side != asked.side {
             let count = &mut ledger.translated;
             *(if side == Side::Old { &mut count.0 } else { &mut count.1 }) += 1;
         }
-        let key = speech.key_at(ask.class, side, said, asked.key());
+        let key = messages.key_at_server(ask.class, side, said, asked.key());
         Some(key.map_or(ask.call as u64, |key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
@@ -198,8 +205,8 @@
 
 /// A try as an agent holds it.
 struct Held {
-    ask: Ask,
-    said: Option<Asked>,
+    ask: ClientRequest,
+    said: Option<EncodedRequest>,
 }
 
 impl RequestPayload for Held {}
@@ -211,7 +218,7 @@
 
 /// How an agent of ours reaches the servers.
 struct Simulated {
-    net: Rc<Net>,
+    net: Rc<AgentConnections>,
     reports: bool,
     /// Which server of the module's list is which machine, and in which incarnation it was last met.
     places: RefCell<HashMap<ServerId, (usize, Incarnation)>>,
@@ -233,20 +240,20 @@
         self.places.borrow_mut().insert(place.server, (place.address, place.incarnation));
         let side = if place.dialect == OLD { Side::Old } else { Side::New };
         let said = call.said.as_ref().map(|asked| (asked, side));
-        if said.is_some_and(|(asked, side)| asked.said(side).is_none()) {
+        if said.is_some_and(|(asked, side)| asked.message(side).is_none()) {
             return Outcome::NotSent.into();
         }
         let outcome = self.net.send(place.address, &call.ask, said, &|| gate.open()).await;
-        if self.net.world.scenario.leak > 0 {
-            self.leaked.borrow_mut().push(vec![0; self.net.world.scenario.leak]);
+        if self.net.world.scenario.leak_bytes > 0 {
+            self.leaked.borrow_mut().push(vec![0; self.net.world.scenario.leak_bytes]);
         }
         let report = (self.reports && outcome == Outcome::Success).then(|| {
             let world = &self.net.world;
-            world.servers.borrow_mut()[place.address].report(world.now()).to_vec()
+            world.servers.borrow_mut()[place.address].load_report(world.now()).to_vec()
         });
         let answer = (outcome == Outcome::Success).then(|| {
-            let speech = self.net.world.speech.as_ref().filter(|_| call.said.is_some())?;
-            Some((side, speech.answer(call.ask.class, call.ask.call, side)))
+            let messages = self.net.world.messages.as_ref().filter(|_| call.said.is_some())?;
+            Some((side, messages.response(call.ask.class, call.ask.call, side)))
         });
         AttemptResult { response: answer, load_report: report, ..outcome.into() }
     }
@@ -254,19 +261,19 @@
     async fn health_check(&self, place: EndpointAddress<usize>) -> AttemptResult<Answered> {
         let world = &self.net.world;
         world.ledger.borrow_mut().probes += 1;
-        let connected = tokio::time::timeout(CONNECT_WAIT, self.net.connection(place.address)).await;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, self.net.connection(place.address)).await;
         let life = match connected {
             Ok(Ok(life)) => life,
             Ok(Err(outcome)) => return outcome.into(),
             Err(_) => return Outcome::TimedOut.into(),
         };
         let mut connection = InUse { net: &self.net, server: place.address, life, kept: false };
-        sleep(self.net.one_way() * 2).await;
+        sleep(self.net.one_way_delay() * 2).await;
         if !self.net.is_current(place.address, life) {
             return Outcome::ConnectionReset.into();
         }
-        if world.servers.borrow()[place.address].reach() != Reach::Up {
-            sleep(CONNECT_WAIT).await;
+        if world.servers.borrow()[place.address].reach() != Reachability::Up {
+            sleep(CONNECT_TIMEOUT).await;
             return Outcome::TimedOut.into();
         }
         connection.kept = true;
@@ -319,13 +326,13 @@
                 if !owed && sink.version() == Some(newest) {
                     continue;
                 }
-                sleep(self.world.lateness()).await;
+                sleep(self.world.notification_delay()).await;
                 let whole = sink.version().is_none() || owed;
                 let now = self.world.now();
                 let (version, lines, written) = {
                     let mut registry = self.world.registry.borrow_mut();
-                    let lines = registry.since(if whole { None } else { sink.version() });
-                    let written = registry.answer(now, lines.len());
+                    let lines = registry.entries_since(if whole { None } else { sink.version() });
+                    let written = registry.write_list(now, lines.len());
                     (registry.version(), lines, written)
                 };
                 let Some(written) = written else {
@@ -333,9 +340,9 @@
                     sleep(ASK_AGAIN.mul_f64(0.5 + self.world.draw())).await;
                     continue;
                 };
-                sleep_until(self.world.at(written)).await;
+                sleep_until(self.world.instant(written)).await;
                 owed = false;
-                self.world.told(self.agent, version);
+                self.world.record_list_version(self.agent, version);
                 sink.publish(EndpointList {
                     version,
                     is_complete: whole,
@@ -346,10 +353,10 @@
     }
 }
 
-fn member(line: &crate::registry::Line) -> EndpointInfo<usize> {
+fn member(line: &crate::registry::ListEntry) -> EndpointInfo<usize> {
     EndpointInfo {
         state: line.state,
-        dialect: if line.old { OLD } else { DialectId(0) },
+        dialect: if line.speaks_old { OLD } else { DialectId(0) },
         cell: line.building,
         started_at: line.started.map(Time),
         ..EndpointInfo::serving(&line.name, line.server)
@@ -358,7 +365,7 @@
 
 struct Life {
     pool: Pool<Simulated>,
-    net: Rc<Net>,
+    net: Rc<AgentConnections>,
     /// True once the process is dead.
     dead: Signal<bool>,
     runs: tokio::task::JoinHandle<()>,
@@ -378,7 +385,7 @@
     fn new(world: &Rc<World>, seed: u64) -> Rc<Self> {
         let first = {
             let registry = world.registry.borrow();
-            let members = registry.since(None).iter().map(member).collect();
+            let members = registry.entries_since(None).iter().map(member).collect();
             EndpointList { version: registry.version(), is_complete: true, endpoints: members }
         };
         let agents = world.scenario.agents;
@@ -396,9 +403,9 @@
     fn start(self: &Rc<Self>, agent: usize) {
         let world = &self.world;
         let nonce = self.started.replace(self.started.get() + 1);
-        let net = Net::new(world, agent);
+        let net = AgentConnections::new(world, agent);
         let known = self.known.borrow()[agent].clone();
-        world.told(agent, known.version);
+        world.record_list_version(agent, known.version);
         let setup = PoolOptions {
             name: format!("a{agent}"),
             settings: world.scenario.settings.clone(),
@@ -425,10 +432,11 @@
     /// The list that a process leaves behind is as old as its end.
     fn end(&self, agent: usize) -> Option<Rc<Life>> {
         let life = self.lives.borrow_mut()[agent].take()?;
-        let version = self.world.ledger.borrow().told[agent].last().map_or(1, |(_, version)| *version);
+        let version =
+            self.world.ledger.borrow().list_versions[agent].last().map_or(1, |(_, version)| *version);
         let registry = self.world.registry.borrow();
         if version == registry.version() {
-            let members = registry.since(None).iter().map(member).collect();
+            let members = registry.entries_since(None).iter().map(member).collect();
             self.known.borrow_mut()[agent] = EndpointList { version, is_complete: true, endpoints: members };
         }
         Some(life)
@@ -437,8 +445,8 @@
 
 impl Engines {
     /// What a client says and where that may go, where both dialects are spoken.
-    fn say(&self, life: &Life, ask: &Ask) -> Result<Option<Asked>, ()> {
-        let (Some(speech), Some(mixed)) = (&self.world.speech, &self.world.scenario.mixed) else {
+    fn say(&self, life: &Life, ask: &ClientRequest) -> Result<Option<EncodedRequest>, ()> {
+        let (Some(messages), Some(mixed)) = (&self.world.messages, &self.world.scenario.dialects) else {
             return Ok(None);
         };
         // A client speaks the same each time.
@@ -449,34 +457,35 @@
         let side = if draw(0) < mixed.old_clients { Side::Old } else { Side::New };
         let serving = life.pool.serving_dialects();
         let serving = Sides { old: serving.contains(OLD), new: serving.contains(DialectId(0)) };
-        let asked = speech.asked(ask.class, ask.call, side, draw(1) < mixed.own_keys, serving);
+        let asked = messages.encode_request(ask.class, ask.call, side, draw(1) < mixed.own_keys, serving);
         let mut asked = asked.ok_or(())?;
-        match mixed.planted {
-            Planted::Nothing => {}
-            Planted::Keys => asked.spoil_key(),
-            Planted::Fields => asked.spoil_field(),
+        match mixed.bug {
+            TranslationBug::Absent => {}
+            TranslationBug::WrongKeys => asked.corrupt_key(),
+            TranslationBug::WrongFields => asked.corrupt_field(),
         }
         Ok(Some(asked))
     }
 
     /// A server's answer on its way to the client.
-    fn pass_on(&self, ask: &Ask, side: Option<Side>, answered: Answered) -> Answer {
-        let (Some(speech), Some(side), Some((from, bytes))) = (&self.world.speech, side, answered) else {
-            return Answer::Served;
+    fn pass_on(&self, ask: &ClientRequest, side: Option<Side>, answered: Answered) -> ClientResponse {
+        let (Some(messages), Some(side), Some((from, bytes))) = (&self.world.messages, side, answered) else {
+            return ClientResponse::Success;
         };
-        let bytes = if from == side { Some(bytes) } else { speech.translated(ask.class, from, &bytes) };
-        let Some(bytes) = bytes else { return Answer::Failed };
-        let is_true = speech.is_true(ask.class, ask.call, side, &bytes);
-        self.world.ledger.borrow_mut().unfaithful += usize::from(!is_true);
-        Answer::Served
+        let bytes =
+            if from == side { Some(bytes) } else { messages.translate_response(ask.class, from, &bytes) };
+        let Some(bytes) = bytes else { return ClientResponse::Failed };
+        let is_true = messages.is_expected_response(ask.class, ask.call, side, &bytes);
+        self.world.ledger.borrow_mut().mistranslated += usize::from(!is_true);
+        ClientResponse::Success
     }
 }
 
-impl Carrier for Engines {
-    async fn carry(&self, agent: usize, ask: Ask) -> Reply {
+impl Agents for Engines {
+    async fn handle_request(&self, agent: usize, ask: ClientRequest) -> AgentReply {
         let life = self.lives.borrow()[agent].clone();
-        let Some(life) = life else { return Reply::Unreachable };
-        let Ok(said) = self.say(&life, &ask) else { return Reply::Answer(Answer::Failed) };
+        let Some(life) = life else { return AgentReply::Unreachable };
+        let Ok(said) = self.say(&life, &ask) else { return AgentReply::Response(ClientResponse::Failed) };
         let dialects = said.as_ref().map_or(Dialects::ALL, |asked| {
             let Sides { old, new } = asked.sides();
             let with =
@@ -489,50 +498,52 @@
             dialects,
             tenant: (!self.world.scenario.tenants.is_empty()).then_some(TenantId(ask.tenant)),
             key: Some(KeyId(ask.call as u64)),
-            cost_hint: ask.hint.map(Span),
-            is_retry: ask.again,
+            cost_hint: ask.cost_hint.map(Span),
+            is_retry: ask.is_retry,
             ..NewRequest::new(Held { ask, said }, ClassId(ask.class), ask.budget)
         };
         let pending = match life.pool.submit(request) {
             Err(declined) => {
-                return Reply::Answer(Answer::Refused(declined.retry_after().map(|wait| wait.0)));
+                return AgentReply::Response(ClientResponse::Rejected(
+                    declined.retry_after().map(|wait| wait.0),
+                ));
             }
             Ok(pending) => pending,
         };
         tokio::select! {
             biased;
-            _ = life.dead.wait_for(|dead| dead) => Reply::Broken,
-            answer = pending.wait(|deadline| deadline) => Reply::Answer(match answer {
+            _ = life.dead.wait_for(|dead| dead) => AgentReply::AgentDied,
+            answer = pending.wait(|deadline| deadline) => AgentReply::Response(match answer {
                 FinalResponse::Success(answered) => self.pass_on(&ask, side, answered),
-                FinalResponse::Rejected(wait) => Answer::Refused(wait.map(|wait| wait.0)),
-                FinalResponse::Failed | FinalResponse::DeadlineExceeded | FinalResponse::IncompleteRequest => Answer::Failed,
+                FinalResponse::Rejected(wait) => ClientResponse::Rejected(wait.map(|wait| wait.0)),
+                FinalResponse::Failed | FinalResponse::DeadlineExceeded | FinalResponse::IncompleteRequest => ClientResponse::Failed,
             }),
         }
     }
 
-    fn befall(self: &Rc<Self>, agent: usize, what: What) {
+    fn apply_agent_event(self: &Rc<Self>, agent: usize, what: EventKind) {
         match what {
-            What::KillAgent => {
+            EventKind::KillAgent => {
                 if let Some(life) = self.end(agent) {
                     life.dead.set(true);
                     life.runs.abort();
                     life.net.end();
                 }
             }
-            What::StopAgent => {
+            EventKind::StopAgent => {
                 if let Some(life) = self.end(agent) {
                     life.pool.close();
                 }
             }
-            What::StartAgent if self.lives.borrow()[agent].is_none() => self.start(agent),
-            What::UpgradeAgent => {
+            EventKind::StartAgent if self.lives.borrow()[agent].is_none() => self.start(agent),
+            EventKind::UpgradeAgent => {
                 let old = self.end(agent);
                 self.start(agent);
                 if let Some(old) = old {
                     old.pool.close();
                 }
             }
-            What::ReloadAgent => {
+            EventKind::ReloadAgent => {
                 if let Some(life) = &self.lives.borrow()[agent] {
                     let settings = &self.world.scenario.settings;
                     let classes = (0..settings.classes.len()).map(ClassId).collect();
@@ -546,43 +557,44 @@
 
 /// Writes down, evenly over the run, what the process holds beside what the run itself writes down.
 fn look_at_memory(world: &Rc<World>) {
-    let (meter, world, pause) = (Meter::begin(), Rc::clone(world), world.scenario.length / (LOOKS + 1));
+    let (meter, world, pause) =
+        (HeapMeter::start(), Rc::clone(world), world.scenario.duration / (SAMPLES + 1));
     spawn_local(async move {
-        for look in 1..=LOOKS {
-            sleep_until(world.at(look * pause)).await;
-            let (now, held) = (world.now(), meter.held() - world.written());
+        for look in 1..=SAMPLES {
+            sleep_until(world.instant(look * pause)).await;
+            let (now, held) = (world.now(), meter.held_bytes() - world.recorded_bytes());
             world.ledger.borrow_mut().memory.push((now, held));
         }
     });
 }
 
 /// Plays a scenario with a seed; `progress` hears how far it has come.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64, progress: impl Fn(Micros)) -> Run {
+pub fn run(scenario: &Scenario, policy: Policy, seed: u64, progress: impl Fn(Micros)) -> Run {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime without sockets");
     let begun = std::time::Instant::now();
     let mut run = LocalSet::new().block_on(&runtime, async {
         let world = World::new(scenario, seed);
-        world.drive();
-        if scenario.holds.memory_growth.is_some() {
+        world.spawn_servers();
+        if scenario.requirements.memory_growth.is_some() {
             look_at_memory(&world);
         }
         let whole = match policy {
             Policy::Heronhoist => {
                 let engines = Engines::new(&world, seed);
-                let whole = stage::play(&world, &engines, seed, progress).await;
+                let whole = emulation::run_clients(&world, &engines, seed, progress).await;
                 for life in engines.lives.borrow().iter().flatten() {
                     life.pool.close();
                 }
                 whole
             }
             _ => {
-                let nets = (0..scenario.agents).map(|agent| Net::new(&world, agent)).collect();
-                let plain = Plain::new(policy, Rc::clone(&world), nets, !seed);
-                stage::play(&world, &plain, seed, progress).await
+                let nets = (0..scenario.agents).map(|agent| AgentConnections::new(&world, agent)).collect();
+                let plain = PlainPolicy::new(policy, Rc::clone(&world), nets, !seed);
+                emulation::run_clients(&world, &plain, seed, progress).await
             }
         };
-        Run::told(&world, Mode::Virtual, policy, seed, whole)
+        Run::from_emulation(&world, Mode::Virtual, policy, seed, whole)
     });
     run.seconds = begun.elapsed().as_secs_f64();
     run
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::judge::Rule;
+use crate::checker::Rule;
 use crate::scenario::parse;
 
 fn scenario(fleet: &str, rate: f64, faults: &str) -> Scenario {
@@ -12,7 +12,7 @@
 }
 
 fn run(scenario: &Scenario, policy: Policy, seed: u64) -> Run {
-    play(scenario, policy, seed, |_| {})
+    super::run(scenario, policy, seed, |_| {})
 }
 
 const RELEASE: &str = "[[fault]]\nat_ms = 1000\nwhat = \"drain\"\nserver = 0\n\
@@ -38,9 +38,9 @@
     let scenario = scenario("servers = 4", 300.0, RELEASE);
     for seed in 1..=3 {
         let run = run(&scenario, Policy::Heronhoist, seed);
-        assert_eq!(run.verdict.breaches, Default::default(), "seed {seed}");
-        assert!(run.calls > 2000 && run.sends > 1000 && run.connects > 20);
-        assert!(run.verdict.service.whole > 0.7, "seed {seed}: {:?}", run.verdict.service);
+        assert_eq!(run.result.violations, Default::default(), "seed {seed}");
+        assert!(run.calls > 2000 && run.sends > 1000 && run.connections_opened > 20);
+        assert!(run.result.service.overall > 0.7, "seed {seed}: {:?}", run.result.service);
     }
 }
 
@@ -50,9 +50,9 @@
     let start = "[[fault]]\nat_ms = 1000\nwhat = \"kill\"\nserver = 0\n[[fault]]\nat_ms = 1500\nwhat = \"start\"\nserver = 0\n";
     let fleet = "servers = 3\ncold_share = 0.05\nwarm_after_ms = 60000\nroom = 500";
     let careless = run(&scenario(fleet, 400.0, start), Policy::RoundRobin, 1);
-    assert!(careless.verdict.breaches.contains_key(&Rule::Cold), "{:?}", careless.verdict);
+    assert!(careless.result.violations.contains_key(&Rule::ColdStart), "{:?}", careless.result);
     let careful = run(&scenario(fleet, 400.0, start), Policy::Heronhoist, 1);
-    assert_eq!(careful.verdict.breaches, Default::default());
+    assert_eq!(careful.result.violations, Default::default());
 }
 
 /// Discovery that is short of room for a while delays agents; it does not stop them.
@@ -62,6 +62,6 @@
             [[fault]]\nat_ms = 800\nwhat = \"kill\"\nserver = 0\n\
             [[fault]]\nat_ms = 4000\nwhat = \"registry-up\"\n[registry]\nlines_per_s = 5\n";
     let run = run(&scenario("servers = 4", 200.0, faults), Policy::Heronhoist, 3);
-    assert_eq!(run.verdict.breaches, Default::default());
-    assert!(run.lines >= 5, "each agent was told in the end: {}", run.lines);
+    assert_eq!(run.result.violations, Default::default());
+    assert!(run.list_entries >= 5, "each agent was told in the end: {}", run.list_entries);
 }
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -5,7 +5,7 @@
 use tokio::net::TcpStream;
 
 /// A message longer than this is not read on.
-const MOST: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// A whole message.
 #[derive(Debug, Default, Clone)]
@@ -20,7 +20,7 @@
     /// All of it.
     pub body: Vec<u8>,
     /// The other side closes after it.
-    pub last: bool,
+    pub closes: bool,
 }
 
 impl Message {
@@ -32,17 +32,17 @@
 
 /// A connection, and what has been read of it beyond the last message.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
     rest: Vec<u8>,
 }
 
-impl Line {
+impl Connection {
     /// One from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Line { stream, rest: Vec::new() }
+        Connection { stream, rest: Vec::new() }
     }
 
     /// Ends with a reset, as a process that dies does.
@@ -51,18 +51,18 @@
     }
 
     /// Something has come that was not asked for.
-    pub fn has_more(&self) -> bool {
+    pub fn has_unread_data(&self) -> bool {
         !self.rest.is_empty() || matches!(self.stream.try_read(&mut [0]), Ok(1))
     }
 
     /// Reads until there is something of the next message; false at the end.
-    pub async fn begin(&mut self) -> io::Result<bool> {
-        Ok(!self.rest.is_empty() || self.more().await?)
+    pub async fn wait_for_data(&mut self) -> io::Result<bool> {
+        Ok(!self.rest.is_empty() || self.read_more().await?)
     }
 
     /// Reads on, whatever it is; false at the end.
-    pub async fn more(&mut self) -> io::Result<bool> {
-        if self.rest.len() > MOST {
+    pub async fn read_more(&mut self) -> io::Result<bool> {
+        if self.rest.len() > MAX_MESSAGE_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "a message beyond all bounds"));
         }
         self.rest.reserve(2048);
@@ -70,18 +70,18 @@
     }
 
     /// Waits until the other side has ended; what it sends meanwhile is kept.
-    pub async fn ended(&mut self) {
-        while matches!(self.more().await, Ok(true)) {}
+    pub async fn closed(&mut self) {
+        while matches!(self.read_more().await, Ok(true)) {}
     }
 
     /// Reads one whole message; `None` if the other side has ended between two.
-    pub async fn read(&mut self, is_answer: bool) -> io::Result<Option<Message>> {
+    pub async fn read(&mut self, is_response: bool) -> io::Result<Option<Message>> {
         loop {
-            if let Some((message, used)) = parse(&self.rest, is_answer)? {
+            if let Some((message, used)) = parse(&self.rest, is_response)? {
                 self.rest.drain(..used);
                 return Ok(Some(message));
             }
-            if !self.more().await? {
+            if !self.read_more().await? {
                 return match self.rest.is_empty() {
                     true => Ok(None),
                     false => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -91,7 +91,7 @@
     }
 
     /// Writes a request and reads its answer; `None` if the other side has ended without one.
-    pub async fn ask(&mut self, request: &[u8]) -> io::Result<Option<Message>> {
+    pub async fn exchange(&mut self, request: &[u8]) -> io::Result<Option<Message>> {
         self.write(request).await?;
         self.read(true).await
     }
@@ -103,11 +103,11 @@
 }
 
 /// A message at the beginning of what was read, and how long it is; `None` if it is not whole.
-fn parse(bytes: &[u8], is_answer: bool) -> io::Result<Option<(Message, usize)>> {
+fn parse(bytes: &[u8], is_response: bool) -> io::Result<Option<(Message, usize)>> {
     let bad = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut message = Message::default();
-    let (head, headers) = if is_answer {
+    let (head, headers) = if is_response {
         let mut answer = httparse::Response::new(&mut headers);
         let parsed = answer.parse(bytes).map_err(|e| bad(e.to_string()))?;
         let httparse::Status::Complete(head) = parsed else { return Ok(None) };
@@ -123,7 +123,7 @@
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
     message.headers = headers.iter().map(|h| (h.name.to_string(), text(h.value))).collect();
-    message.last = message.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+    message.closes = message.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     if message.header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked")) {
         return Ok(chunks(&bytes[head..])?.map(|(body, used)| {
             message.body = body;
@@ -134,7 +134,7 @@
         None => 0,
         Some(value) => value.parse::<usize>().map_err(|e| bad(format!("Content-Length {value:?}: {e}")))?,
     };
-    if length > MOST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(bad(format!("a body of {length} bytes")));
     }
     let Some(body) = bytes.get(head..head + length) else { return Ok(None) };
@@ -149,7 +149,7 @@
         let parsed = httparse::parse_chunk_size(&bytes[at..])
             .map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "a bad chunk size"))?;
         let httparse::Status::Complete((used, size)) = parsed else { return Ok(None) };
-        let size = usize::try_from(size).ok().filter(|size| *size <= MOST);
+        let size = usize::try_from(size).ok().filter(|size| *size <= MAX_MESSAGE_BYTES);
         let size =
             size.ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "a chunk beyond all bounds"))?;
         at += used;
