--- a/crates/disruption/src/denial.rs
+++ b/crates/disruption/src/denial.rs
@@ -11,14 +11,14 @@
     /// A record cannot be read or written.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The permits of a site cannot be read, or do not allow it.
+    /// The record of a site's permits cannot be read, or allows no further permit.
     #[error(transparent)]
     Permits(#[from] permit::PermitDenial),
-    /// No rules have been written.
-    #[error("no budget is stated; `heronhoist fleet budgets FILE` does")]
+    /// No rules have been set.
+    #[error("no disruption budgets are set; set them with `heronhoist fleet budgets FILE`")]
     NoRules,
     /// The rules do not name this server, or the fleet has no such agent.
-    #[error("the budgets know no server {0}")]
+    #[error("{0} is neither a server in the budget rules nor an agent of the fleet")]
     UnknownUnit(String),
     /// More units of a group would be unavailable than its rule allows.
     #[error("{group}: {limit} may be out, and {} already: {}", Amount(*.unavailable), .causes.join(", "))]
@@ -27,14 +27,14 @@
         group: String,
         /// How many of its units may be unavailable.
         limit: u32,
-        /// How many are, in units; a server that is warming up counts as a fraction.
+        /// How many of its units are unavailable; a server that is warming up counts as a fraction of a unit.
         unavailable: f64,
         /// Each unavailable unit, with the cause in parentheses.
         causes: Vec<String>,
     },
 }
 
-/// A number of units with its verb; with two decimals if it is not whole.
+/// Displays a number of units followed by its verb, with two decimals unless the number is an integer.
 struct Amount(f64);
 
 impl fmt::Display for Amount {
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -1,8 +1,9 @@
 //! Draining of record servers by all agents together.
 //!
-//! There is one record per drain, and one record per agent that acknowledges the drains for which the agent sends nothing
-//! any more. A server may stop once every agent that may still hold its lease has acknowledged. An agent whose lease has
-//! expired can be anywhere, so it is not waited for but named.
+//! There is one record per drain, and one record per agent that lists the drains that the agent has acknowledged: it has
+//! nothing in flight to those servers and sends nothing new to them. A server may stop once every agent that may still hold
+//! its lease has acknowledged the drain. Whether an agent whose lease has expired still sends cannot be known, so the drain
+//! does not wait for it but lists it as unconfirmed.
 
 use crate::denial::BudgetDenial;
 use crate::records::{self, drain_key, read, Drain, RecordError, Versioned, ACKNOWLEDGEMENT_PREFIX};
@@ -13,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of drains at a time, which bounds the size of the agents' acknowledgements: each names all of them.
+/// Maximum number of drains at a time. It bounds the size of an agent's acknowledgement, which may list all of them.
 pub const MAX_DRAINS: usize = 256;
 
 /// The drains that one agent has acknowledged.
@@ -22,13 +23,13 @@
 pub struct DrainAcknowledgement {
     /// The agent's incarnation; an acknowledgement of an earlier one does not count.
     pub incarnation: u64,
-    /// The ids of the drains, by server: this agent has nothing in flight to it, and sends nothing new.
+    /// The ids of the drains, by server. The agent has nothing in flight to these servers, and sends nothing new to them.
     #[serde(rename = "servers")]
     pub drain_ids: BTreeMap<String, u64>,
 }
 
 impl DrainAcknowledgement {
-    /// The transaction by which the agent of this name records its acknowledgement.
+    /// Returns the transaction that records this acknowledgement for the agent of this name.
     ///
     /// # Errors
     /// [`RecordError::Unwritable`] if the record cannot be expressed as JSON.
@@ -48,13 +49,13 @@
     format!("{ACKNOWLEDGEMENT_PREFIX}{agent}")
 }
 
-/// Why a drain is not entered or ended.
+/// Why a drain is not started or ended.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DrainDenial {
     /// A record cannot be read or written.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The budgets do not allow it.
+    /// The budgets do not allow the drain.
     #[error(transparent)]
     Budget(#[from] BudgetDenial),
     /// The server is draining already.
@@ -66,18 +67,19 @@
         drain: Drain,
     },
     /// The server is not draining.
-    #[error("{0} does not drain")]
+    #[error("{0} is not draining")]
     NotDraining(String),
     /// [`MAX_DRAINS`] servers are draining.
-    #[error("{MAX_DRAINS} servers drain already; there may be no more")]
+    #[error("{MAX_DRAINS} servers are already draining, which is the maximum")]
     TooMany,
 }
 
-/// The transaction that enters a drain. `over_budget` enters it whatever the budgets say, on an operator's responsibility.
+/// Returns the transaction that starts a drain. With `override_budgets` an operator takes the responsibility, and the
+/// budgets are not checked.
 ///
 /// # Errors
-/// [`DrainDenial`], if the drain is not entered.
-pub fn start(view: &View, server: &str, drain: Drain, over_budget: bool) -> Result<Txn, DrainDenial> {
+/// [`DrainDenial`], if the drain may not start.
+pub fn start(view: &View, server: &str, drain: Drain, override_budgets: bool) -> Result<Txn, DrainDenial> {
     let drains = records::drains(view)?;
     if let Some(drain) = drains.get(server) {
         return Err(DrainDenial::AlreadyDraining { server: server.into(), drain: drain.clone() });
@@ -87,13 +89,13 @@
     }
     let key = drain_key(server);
     let mut checks = vec![Check::Absent(key.clone())];
-    if !over_budget {
+    if !override_budgets {
         checks.extend(Unavailable::count(view)?.allow(UnitKind::Servers, server)?);
     }
     Ok(Txn { checks, writes: vec![records::put(key, &drain)?] })
 }
 
-/// The transaction that ends a drain. Agents then send to the server again, with a slow start.
+/// Returns the transaction that ends a drain. Agents then send to the server again, with a slow start.
 ///
 /// # Errors
 /// [`DrainDenial::NotDraining`] if there is no drain, [`DrainDenial::Record`] if it cannot be read.
@@ -105,7 +107,7 @@
     Ok(Txn { checks: vec![Check::At(key.clone(), revision)], writes: vec![Write::Delete(key)] })
 }
 
-/// The progress of a drain: the server may stop once the barrier is open.
+/// The progress of a drain. The server may stop once the barrier is open.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Barrier {
     /// The drain.
@@ -114,7 +116,7 @@
     pub waiting_for: Vec<String>,
     /// Agents that have acknowledged the drain.
     pub acknowledged: Vec<String>,
-    /// Agents whose leases have expired: whether they still send is not known.
+    /// Agents whose leases have expired; whether they still send to the server cannot be known.
     pub unconfirmed: Vec<String>,
 }
 
@@ -126,11 +128,11 @@
     }
 }
 
-/// The progress of a server's drain; `None` if the server is not draining. The view must be a linearizable read of all
-/// members and of the records below [`DRAIN_PREFIX`](crate::records::DRAIN_PREFIX) and [`ACKNOWLEDGEMENT_PREFIX`].
+/// Returns the progress of a server's drain; `None` if the server is not draining. The view must be a linearizable read of
+/// all members and of the records below [`DRAIN_PREFIX`](crate::records::DRAIN_PREFIX) and [`ACKNOWLEDGEMENT_PREFIX`].
 ///
 /// # Errors
-/// [`RecordError::Unreadable`] if the drain's or an acknowledgement's record is not of the expected form.
+/// [`RecordError::Unreadable`] if the record of the drain or of an acknowledgement does not have the expected form.
 pub fn barrier(view: &View, server: &str) -> Result<Option<Barrier>, RecordError> {
     let Some(Versioned { value: drain, .. }) = read::<Drain>(view, &drain_key(server))? else {
         return Ok(None);
--- a/crates/disruption/src/drain_observer.rs
+++ b/crates/disruption/src/drain_observer.rs
@@ -1,4 +1,5 @@
-//! The agent's side of drains: it follows the drains' records, and acknowledges those for which it sends nothing any more.
+//! The agent's side of drains: it follows the records of the drains, and acknowledges a drain once it has nothing in flight
+//! to the server and sends nothing new to it.
 
 use crate::drain::DrainAcknowledgement;
 use crate::records::{self, RecordError, DRAIN_PREFIX};
@@ -13,11 +14,11 @@
     drain_ids: BTreeMap<String, u64>,
     /// The acknowledgement that was written last.
     acknowledged: Option<DrainAcknowledgement>,
-    /// Where the watch goes on; `None` if all drains are to be read.
+    /// The position from which the watch continues; `None` if all drains must be read next.
     position: Option<WatchPosition>,
 }
 
-/// The agreed state that a watch goes on from.
+/// The position in the history of the coordination records from which a watch continues.
 #[derive(Debug, Clone, Copy)]
 struct WatchPosition {
     /// The id of the cluster whose revisions are counted.
@@ -26,7 +27,7 @@
 }
 
 impl DrainObserver {
-    /// The request to send next: a read of all drains, or a watch for changes since they were read.
+    /// Returns the request to send next: a read of all drains, or a watch for changes since they were read.
     #[must_use]
     pub fn next_request(&self) -> Request {
         let prefix = DRAIN_PREFIX.to_string();
@@ -38,11 +39,11 @@
         }
     }
 
-    /// Takes the response to that request, or `None` if there was none. Returns whether it held the drains as they are now.
-    /// The drains that are known stay in force until a read replaces them.
+    /// Handles the response to that request; `None` means that there was no response. Returns whether the response held all
+    /// current drains. The known drains stay in force until a read replaces them.
     ///
     /// # Errors
-    /// [`RecordError::Unreadable`] if a drain's record is not of the expected form; the drains that are known stay in force.
+    /// [`RecordError::Unreadable`] if the record of a drain does not have the expected form. The known drains stay in force.
     pub fn on_response(&mut self, response: Option<&Response>) -> Result<bool, RecordError> {
         self.position = self.position_after(response);
         let Some(Response::Read(view)) = response else { return Ok(false) };
@@ -58,20 +59,20 @@
             Some(Response::Changes { changes, upto }) if changes.is_empty() => {
                 self.position.map(|position| WatchPosition { revision: *upto, ..position })
             }
-            // Something has changed, or the watch does not reach back far enough, or the next request goes to another
-            // process, which may be behind the one that answered this one: all drains are read again.
+            // All drains are read again: something has changed, the watch does not reach back far enough, or the next
+            // request goes to another process, whose state may be older than that of the process that responded last.
             _ => None,
         }
     }
 
-    /// The servers that are draining, as far as the agent has observed.
+    /// Returns the servers that are draining, as far as the agent has observed.
     #[must_use]
     pub fn draining_servers(&self) -> BTreeSet<String> {
         self.drain_ids.keys().cloned().collect()
     }
 
-    /// The acknowledgement that the agent of this incarnation has to write now; `None` if it has written the same.
-    /// `has_stopped_sending` tells of a server whether nothing is in flight to it and nothing new will be sent.
+    /// Returns the acknowledgement that the agent of this incarnation has to write now; `None` if it has already written the
+    /// same one. `has_stopped_sending` returns for a server whether nothing is in flight to it and nothing new will be sent.
     #[must_use]
     pub fn pending_acknowledgement(
         &self,
@@ -86,7 +87,7 @@
         (*acknowledged != pending).then_some(pending)
     }
 
-    /// Notes that an acknowledgement was written.
+    /// Records that an acknowledgement was written.
     pub fn on_acknowledged(&mut self, acknowledgement: DrainAcknowledgement) {
         self.acknowledged = Some(acknowledgement);
     }
--- a/crates/disruption/src/lib.rs
+++ b/crates/disruption/src/lib.rs
@@ -1,15 +1,16 @@
 //! Disruption budgets, and draining of record servers that all agents of a fleet carry out together.
 //!
-//! Free of I/O and of clocks: each function takes a [`View`](heronhoist_coordination::wire::View) of the coordination records
-//! and returns the transaction to write, with the checks under which it still holds.
+//! The package does no I/O and reads no clock. Its functions take a [`View`](heronhoist_coordination::wire::View) of the
+//! coordination records. Those that change something return the transaction to write, which contains the checks under which
+//! the change is still allowed.
 //!
-//! - [`records`]: keys of the records, reading and writing them.
+//! - [`records`]: the keys of the records, and how they are read and written.
 //! - [`rules`]: the rules of the budgets and their validation.
 //! - [`observed`]: what each agent observes of the record servers, and the fleet's median of it.
-//! - [`unavailable`]: counting what is unavailable, for whatever cause.
+//! - [`unavailable`]: counts the agents and servers that are unavailable, whatever the cause.
 //! - [`denial`]: why a budget allows no further disruption.
 //! - [`permits`]: permits under the budgets.
-//! - [`drain`]: entering and ending drains, and when a draining server may stop.
+//! - [`drain`]: starting and ending drains, and when a draining server may stop.
 //! - [`drain_observer`]: the agent's side of drains.
 
 pub mod denial;
--- a/crates/disruption/src/observed.rs
+++ b/crates/disruption/src/observed.rs
@@ -1,7 +1,7 @@
 //! What agents observe of the record servers.
 //!
-//! Each agent keeps one record of its own, and writes it only when what it observes has changed by a step. The fleet goes by
-//! the upper median over its living agents, so that one agent with a bad link neither makes a server unavailable nor
+//! Each agent writes one record, and rewrites it only when an observation has changed by at least one step. The fleet uses
+//! the upper median over its living agents, so that one agent with a bad link can make a server neither unavailable nor
 //! available again.
 
 use crate::records::{self, read_all, RecordError, OBSERVED_PREFIX};
@@ -10,8 +10,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Missing capacity is rounded up to a multiple of 1 / this, so that a record changes seldom while a server warms up.
-const STEPS: f64 = 4.0;
+/// Missing capacity is rounded up to a multiple of 1 / `CAPACITY_STEPS`, so that a record changes seldom while a server
+/// warms up.
+const CAPACITY_STEPS: f64 = 4.0;
 /// Maximum number of servers in one agent's record, which bounds its size; those with the most missing capacity are kept.
 pub const MAX_OBSERVED_SERVERS: usize = 512;
 
@@ -21,14 +22,15 @@
 pub struct ObservedServers {
     /// The agent's incarnation.
     pub incarnation: u64,
-    /// The fraction of its capacity that a server is missing, by the server's name: 1 if it cannot be reached, less while it
-    /// is warming up. Servers with their whole capacity are left out.
+    /// The fraction of its capacity that a server is missing, by the server's name: 1 if it is unreachable, less while it is
+    /// warming up. Servers that miss no capacity are left out.
     #[serde(rename = "lacks")]
     pub missing_capacity: BTreeMap<String, f64>,
 }
 
 impl ObservedServers {
-    /// What an agent of this incarnation observes, rounded up to steps and bounded by [`MAX_OBSERVED_SERVERS`].
+    /// Creates the record of an agent of this incarnation. Missing capacity is rounded up to steps, and the number of servers
+    /// is bounded by [`MAX_OBSERVED_SERVERS`].
     #[must_use]
     pub fn new(
         incarnation: u64,
@@ -44,7 +46,7 @@
         ObservedServers { incarnation, missing_capacity: servers.into_iter().collect() }
     }
 
-    /// The transaction by which the agent of this name records what it observes.
+    /// Returns the transaction that records these observations for the agent of this name.
     ///
     /// # Errors
     /// [`RecordError::Unwritable`] if the record cannot be expressed as JSON.
@@ -57,14 +59,14 @@
 }
 
 fn round_up_to_step(missing: f64) -> f64 {
-    (missing.clamp(0.0, 1.0) * STEPS).ceil() / STEPS
+    (missing.clamp(0.0, 1.0) * CAPACITY_STEPS).ceil() / CAPACITY_STEPS
 }
 
-/// The fraction of its capacity that each server is missing as the fleet sees it, by the server's name: the upper median
-/// over what the living agents observe. Servers with their whole capacity are left out.
+/// Returns the fraction of its capacity that each server is missing, by the server's name: the upper median over the
+/// observations of the living agents. Servers that miss no capacity are left out.
 ///
 /// # Errors
-/// [`RecordError::Unreadable`] if one of the agents' records is not of the expected form.
+/// [`RecordError::Unreadable`] if the record of an agent does not have the expected form.
 pub fn missing_capacity(view: &View) -> Result<BTreeMap<String, f64>, RecordError> {
     let mut observations: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let mut observers = 0;
@@ -89,7 +91,7 @@
         .is_some_and(|member| member.incarnation == incarnation && member.status == MemberStatus::Living)
 }
 
-/// The upper median over all observers; those that left the server out observe its whole capacity.
+/// Returns the upper median over all observers. An observer that left the server out has observed no missing capacity.
 fn upper_median(mut missing: Vec<f64>, observers: usize) -> f64 {
     missing.resize(observers, 0.0);
     missing.sort_by(f64::total_cmp);
--- a/crates/disruption/src/permits.rs
+++ b/crates/disruption/src/permits.rs
@@ -1,8 +1,8 @@
 //! Permits under the disruption budgets.
 //!
-//! The count goes over many records and all agents, and may be out of date when the permit is written. The checks that
-//! [`Unavailable::allow`] returns make the coordination service compare, in the step that grants the permit, whether
-//! anything that was counted has changed since. A budget that crashes have overdrawn allows nothing new.
+//! The count covers many records and all agents, and may be out of date when the permit is written. The checks that
+//! [`Unavailable::allow`] returns make the coordination service verify, in the step that grants the permit, that nothing
+//! that was counted has changed since. A budget that crashes have already exceeded allows no further disruption.
 
 use crate::denial::BudgetDenial;
 use crate::rules::{UnitKind, ROUNDING_TOLERANCE};
@@ -11,14 +11,15 @@
 use heronhoist_coordination::state::{ChangeScope, Check, Revision, Txn};
 use heronhoist_coordination::wire::View;
 
-/// The first part of the keys of permits and rules.
+/// The first part of the keys under which permits and rules are stored.
 const BUDGET_RECORDS: &str = "budget";
-/// The kinds of records that a count goes over: the first parts of their keys.
+/// The kinds of records that a count covers, named by the first part of their keys.
 const COUNTED_RECORDS: [&str; 3] = [BUDGET_RECORDS, "drain", "site"];
 
 impl Unavailable {
-    /// Whether the budgets allow to take this unit out of service now, and the checks under which that still holds when the
-    /// transaction is carried out. A unit that is wholly unavailable takes nothing more, and is always allowed.
+    /// Checks whether the budgets allow taking this unit out of service now. Returns the checks under which this is still
+    /// allowed when the transaction is executed. A unit that is already fully unavailable is always allowed, because taking
+    /// it out adds nothing to the count.
     ///
     /// # Errors
     /// [`BudgetDenial::UnknownUnit`] if the unit is not counted, [`BudgetDenial::LimitReached`] if a rule does not allow it.
@@ -46,16 +47,16 @@
     }
 }
 
-/// The checks that nothing that a count goes over has changed since a revision.
+/// Returns the checks that nothing that a count covers has changed since a revision.
 fn unchanged_since(revision: Revision) -> Vec<Check> {
     let records = COUNTED_RECORDS.map(|kind| ChangeScope::Kind(kind.into()));
     let counted = [ChangeScope::Agents].into_iter().chain(records);
-    counted.map(|of| Check::Unchanged(of, revision)).collect()
+    counted.map(|scope| Check::Unchanged(scope, revision)).collect()
 }
 
-/// The transaction that takes a permit to take an agent out of service, under its site's number of permits and, where rules
-/// have been written, under all of them in the same step. `key` is the record of the site's permits, `taker` the name and
-/// incarnation of the lease that the permit is taken under.
+/// Returns the transaction that acquires a permit to take an agent out of service. The permit must fit the site's number of
+/// permits and, if rules have been set, all rules in the same step. `key` is the key of the site's permits, `holder` the
+/// name and incarnation of the lease under which the permit is acquired.
 ///
 /// # Errors
 /// [`BudgetDenial`], if no permit is granted.
@@ -63,13 +64,13 @@
     view: &View,
     key: &str,
     agent: &str,
-    taker: (&str, u64),
+    holder: (&str, u64),
     reason: &str,
 ) -> Result<Txn, BudgetDenial> {
-    let mut transaction = permit::acquire(view, key, agent, taker, reason)?;
+    let mut transaction = permit::acquire(view, key, agent, holder, reason)?;
     match Unavailable::count(view) {
         Ok(unavailable) => transaction.checks.extend(unavailable.allow(UnitKind::Agents, agent)?),
-        // Rules that are written meanwhile change the records of this kind.
+        // No rules are set. Setting rules changes a record of this kind, so this check fails if rules are set meanwhile.
         Err(BudgetDenial::NoRules) => {
             let budget_records = ChangeScope::Kind(BUDGET_RECORDS.into());
             transaction.checks.push(Check::Unchanged(budget_records, view.revision));
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -1,7 +1,7 @@
 //! The coordination records of budgets, drains and observations: their keys, and how they are read and written.
 //!
-//! Every record is one JSON object. Agents of several versions read each other's records, so the words in them are fixed;
-//! fields with another name in the code keep theirs by serde's `rename`.
+//! Every record is one JSON object. Agents of different versions read each other's records, so the names in the records are
+//! fixed; serde's `rename` maps a field that has another name in the code.
 
 use heronhoist_coordination::state::{Revision, Write};
 use heronhoist_coordination::wire::View;
@@ -19,17 +19,17 @@
 /// The key of the [`ObservedServers`](crate::observed::ObservedServers) of an agent is this prefix and the agent's name.
 pub const OBSERVED_PREFIX: &str = "site/seen/";
 
-/// A drain of one record server.
+/// The record of one server's drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Drawn at random when the drain is entered; distinguishes it from earlier drains of the same server.
+    /// A random number that distinguishes this drain from earlier drains of the same server.
     #[serde(rename = "number")]
     pub id: u64,
-    /// Who entered it.
+    /// The operator who requested the drain.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// Why, in the operator's words.
+    /// The reason that the operator gave.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -37,7 +37,7 @@
 /// A record that cannot be read or written.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum RecordError {
-    /// The record's value is not of the expected form: another version wrote it, or somebody by hand.
+    /// The record's value does not have the expected form: another version wrote it, or somebody edited it manually.
     #[error("the record {key} can't be read: {source}")]
     Unreadable {
         /// The record's key.
@@ -55,7 +55,7 @@
     },
 }
 
-/// Two errors are equal if they say the same of the same record.
+/// Two errors are equal if they have the same message, which contains the record's key.
 impl PartialEq for RecordError {
     fn eq(&self, other: &RecordError) -> bool {
         self.to_string() == other.to_string()
@@ -70,17 +70,17 @@
     pub(crate) revision: Revision,
 }
 
-/// Reads one record; `None` if there is none of this key.
+/// Reads one record; `None` if no record has this key.
 ///
 /// # Errors
-/// [`RecordError::Unreadable`] if its value is not of the expected form.
+/// [`RecordError::Unreadable`] if the record's value does not have the expected form.
 pub(crate) fn read<T: DeserializeOwned>(view: &View, key: &str) -> Result<Option<Versioned<T>>, RecordError> {
     let Some(record) = view.records.get(key) else { return Ok(None) };
     let value = parse(key, &record.value)?;
     Ok(Some(Versioned { value, revision: record.revision }))
 }
 
-/// Reads all records whose keys begin with a prefix, each with the rest of its key.
+/// Reads all records whose keys begin with a prefix, and returns each with the rest of its key.
 pub(crate) fn read_all<'view, T: DeserializeOwned>(
     view: &'view View,
     prefix: &'view str,
@@ -91,7 +91,7 @@
         .map(move |(key, record)| (&key[prefix.len()..], parse(key, &record.value)))
 }
 
-/// The write that stores a value under a key.
+/// Returns the write that stores a value under a key.
 ///
 /// # Errors
 /// [`RecordError::Unwritable`] if the value cannot be expressed as JSON.
@@ -107,15 +107,15 @@
         .map_err(|source| RecordError::Unreadable { key: key.into(), source: Arc::new(source) })
 }
 
-/// The key of a server's drain.
+/// Returns the key of a server's drain.
 pub(crate) fn drain_key(server: &str) -> String {
     format!("{DRAIN_PREFIX}{server}")
 }
 
-/// All drains, by the names of the servers.
+/// Returns all drains, by the names of the servers.
 ///
 /// # Errors
-/// [`RecordError::Unreadable`] if the record of one of them is not of the expected form.
+/// [`RecordError::Unreadable`] if the record of a drain does not have the expected form.
 pub fn drains(view: &View) -> Result<BTreeMap<String, Drain>, RecordError> {
     read_all::<Drain>(view, DRAIN_PREFIX).map(|(server, drain)| Ok((server.to_string(), drain?))).collect()
 }
--- a/crates/disruption/src/rules.rs
+++ b/crates/disruption/src/rules.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of rules, which bounds the size of their record and the work of a count.
+/// Maximum number of rules. It bounds the size of their record and the work of a count.
 pub const MAX_RULES: usize = 64;
-/// Sums of fractions are compared with this much room for rounding, in units (agents or servers).
+/// Tolerance for rounding errors where sums of fractions are compared, in units (agents or servers).
 pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The kind of the units that a rule counts.
@@ -21,11 +21,11 @@
     Servers,
 }
 
-/// Which units of a kind a rule counts together as one group.
+/// How a rule groups the units that it counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// All of them are one group.
+    /// All units are one group.
     All,
     /// One group per site.
     Site,
@@ -37,7 +37,7 @@
 }
 
 impl Scope {
-    /// The name of the group that a unit of this placement belongs to.
+    /// Returns the name of the group that a unit of this placement belongs to.
     pub(crate) fn group_of(self, placement: &Server) -> &str {
         match self {
             Scope::All => "",
@@ -54,12 +54,12 @@
 pub enum Limit {
     /// This number of units.
     Number(u32),
-    /// This fraction of the group, 0 to 1; the resulting number of units is rounded down.
+    /// This fraction of the group, from 0 to 1. The resulting number of units is rounded down.
     Share(f64),
 }
 
 impl Limit {
-    /// The limit in units, for a group of this size.
+    /// Returns the limit in units for a group of this size.
     pub(crate) fn for_group_of(self, size: usize) -> u32 {
         match self {
             Limit::Number(number) => number,
@@ -72,22 +72,22 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// The units that it counts.
+    /// The kind of units that the rule counts.
     #[serde(rename = "of")]
     pub unit_kind: UnitKind,
-    /// How they are grouped.
+    /// How the units are grouped.
     #[serde(rename = "by")]
     pub scope: Scope,
-    /// The one site, machine type or cell that the rule applies to; `None` applies it to each group separately.
+    /// The one site, machine type or cell that the rule applies to; with `None` it applies to each group separately.
     #[serde(default)]
     pub only: Option<String>,
-    /// How many units of a group may be unavailable.
+    /// How many units of a group may be unavailable at a time.
     #[serde(rename = "most")]
     pub limit: Limit,
 }
 
 impl Rule {
-    /// Whether the rule applies to the group of this name.
+    /// Returns whether the rule applies to the group of this name.
     pub(crate) fn applies_to(&self, group: &str) -> bool {
         self.only.as_deref().is_none_or(|only| only == group)
     }
@@ -111,34 +111,34 @@
     pub cell: String,
 }
 
-/// The rules of all budgets, and the record servers that they count.
+/// The rules of all budgets, and the record servers to which they apply.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// The rules, all of which must hold.
+    /// The rules; all of them must be met.
     pub rules: Vec<Rule>,
-    /// The servers, by the names that agents know them by.
+    /// The servers, by the names that the agents use for them.
     #[serde(default)]
     pub servers: BTreeMap<String, Server>,
 }
 
-/// A fault in the rules. Rules are named by their index, from 0.
+/// A fault in the rules. A rule is identified by its index, counted from 0.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRule {
     /// There are more than [`MAX_RULES`] rules.
-    #[error("rule {MAX_RULES}: there may be {MAX_RULES} rules at most")]
+    #[error("rule {MAX_RULES}: at most {MAX_RULES} rules are allowed")]
     TooMany,
     /// The share is not between 0 and 1.
-    #[error("rule {0}: most: wanted a share from 0 to 1")]
+    #[error("rule {0}: most: the share must be from 0 to 1")]
     ShareOutOfRange(usize),
-    /// Agents are grouped by something that is not known of them.
-    #[error("rule {0}: by: agents are counted by all or by site")]
+    /// Agents are grouped by something other than the site, which is all that is known of their placement.
+    #[error("rule {0}: by: agents can be grouped only by \"all\" or \"site\"")]
     UnsupportedAgentScope(usize),
     /// `only` is given for a rule that counts all units together.
-    #[error("rule {0}: only: goes with by = \"site\", \"kind\" or \"cell\"")]
+    #[error("rule {0}: only: requires by = \"site\", \"kind\" or \"cell\"")]
     OnlyWithoutGroups(usize),
     /// No server belongs to the group that `only` names.
-    #[error("rule {rule}: only: no server is of {group:?}")]
+    #[error("rule {rule}: only: no server belongs to {group:?}")]
     UnknownGroup {
         /// The rule.
         rule: usize,
@@ -146,17 +146,17 @@
         group: String,
     },
     /// Two rules set different limits for the same groups.
-    #[error("rules {first} and {second} are of the same group and say different numbers")]
+    #[error("rules {first} and {second} set different limits for the same groups")]
     Contradiction {
         /// The earlier rule.
         first: usize,
         /// The later rule.
         second: usize,
     },
-    /// The share of the smallest group is less than one unit, so the rule never allows a disruption there, and it does not
-    /// state the number 0.
+    /// The share of the smallest group is less than one unit, so the rule never allows a disruption there. A rule that is
+    /// meant to allow none sets the number 0.
     #[error(
-        "rule {rule}: its share of {group_size} is less than one: it never gives anything; say number 0 if that is meant"
+        "rule {rule}: its share of {group_size} is less than one, so it never allows a disruption; use the number 0 if that is intended"
     )]
     NeverAllows {
         /// The rule.
@@ -167,7 +167,7 @@
 }
 
 impl Rules {
-    /// The faults of all rules, in the order of the rules. Rules without any may be written.
+    /// Returns the faults of all rules, in the order of the rules. Only rules without faults may be written.
     #[must_use]
     pub fn validate(&self) -> Vec<InvalidRule> {
         let too_many = (self.rules.len() > MAX_RULES).then_some(InvalidRule::TooMany);
@@ -208,7 +208,7 @@
         (is_share_valid && is_below_one_unit).then_some(InvalidRule::NeverAllows { rule: index, group_size })
     }
 
-    /// The size of the smallest group of servers that a rule applies to; `None` if it applies to none.
+    /// Returns the size of the smallest group of servers that a rule applies to; `None` if it applies to no group.
     fn smallest_group(&self, rule: &Rule) -> Option<usize> {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
         for server in self.servers.values() {
@@ -218,7 +218,7 @@
         sizes.map(|(_, size)| size).min()
     }
 
-    /// The transaction that replaces the rules in force. Permits and drains that have been granted stay.
+    /// Returns the transaction that replaces the rules in force. Permits and drains that have already been granted stay.
     ///
     /// # Errors
     /// [`RecordError::Unwritable`] if the rules cannot be expressed as JSON.
--- a/crates/disruption/src/unavailable.rs
+++ b/crates/disruption/src/unavailable.rs
@@ -1,7 +1,8 @@
-//! Counting what is unavailable.
+//! Counts the agents and record servers that are unavailable.
 //!
-//! A unit (an agent or a record server) counts for whatever cause: taken out by a permit, draining, gone, its lease ended,
-//! not ready, unreachable. A server that is warming up counts by the capacity that it is missing.
+//! A unit (an agent or a record server) counts whatever the cause: it is taken out by a permit, is draining, has left, has
+//! an expired lease, is not ready, is being replaced or is unreachable. A server that is warming up counts by the fraction
+//! of its capacity that it is missing.
 
 use crate::denial::BudgetDenial;
 use crate::observed;
@@ -12,7 +13,7 @@
 use heronhoist_coordination::wire::View;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Something that a rule counts.
+/// An agent or record server that a rule counts.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Unit {
     pub(crate) placement: Server,
@@ -22,21 +23,21 @@
 /// How much of a unit is unavailable, and why.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Outage {
-    /// 0 if the unit is available, 1 if it is wholly unavailable.
+    /// 0 if the unit is available, 1 if it is fully unavailable.
     pub(crate) fraction: f64,
-    /// For operators; empty if the unit is available.
+    /// The cause as shown to operators; empty if the unit is available.
     pub(crate) cause: &'static str,
 }
 
 impl Outage {
     const NONE: Outage = Outage { fraction: 0.0, cause: "" };
 
-    fn whole(cause: &'static str) -> Outage {
+    fn full(cause: &'static str) -> Outage {
         Outage { fraction: 1.0, cause }
     }
 }
 
-/// All units and what of them is unavailable, as of one revision.
+/// All units and how much of each is unavailable, as of one revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Unavailable {
     rules: Rules,
@@ -44,16 +45,16 @@
     revision: Revision,
 }
 
-/// One group of one rule, as operators see it.
+/// The status of one group of one rule, as shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupStatus {
-    /// Its name, such as `servers of site east`.
+    /// The group's name, such as `servers of site east`.
     pub name: String,
-    /// How many units it has.
+    /// How many units the group has.
     pub total: usize,
     /// How many of its units may be unavailable.
     pub limit: u32,
-    /// How many are, in units; a server that is warming up counts as a fraction.
+    /// How many of its units are unavailable; a server that is warming up counts as a fraction of a unit.
     pub unavailable: f64,
     /// Each unavailable unit, with the cause in parentheses.
     pub causes: Vec<String>,
@@ -63,7 +64,7 @@
     /// Counts what is unavailable. The view must hold all members and all records, as of one linearizable read.
     ///
     /// # Errors
-    /// [`BudgetDenial::NoRules`] if no rules have been written; [`BudgetDenial::Record`] or [`BudgetDenial::Permits`] if a
+    /// [`BudgetDenial::NoRules`] if no rules have been set; [`BudgetDenial::Record`] or [`BudgetDenial::Permits`] if a
     /// record cannot be read.
     pub fn count(view: &View) -> Result<Unavailable, BudgetDenial> {
         let rules = records::read::<Rules>(view, RULES_KEY)?.ok_or(BudgetDenial::NoRules)?.value;
@@ -82,22 +83,22 @@
         Ok(Unavailable { rules, units, revision: view.revision })
     }
 
-    /// The revision as of which the units were counted.
+    /// Returns the revision as of which the units were counted.
     pub(crate) fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The unit of this kind and name, if it is counted.
+    /// Returns the unit of this kind and name, if it is counted.
     pub(crate) fn unit(&self, kind: UnitKind, name: &str) -> Option<&Unit> {
         self.units.get(&(kind, name.to_string()))
     }
 
-    /// The rules that count units of a kind.
+    /// Returns the rules that count units of a kind.
     pub(crate) fn rules_for(&self, kind: UnitKind) -> impl Iterator<Item = &Rule> {
         self.rules.rules.iter().filter(move |rule| rule.unit_kind == kind)
     }
 
-    /// The status of one group of a rule.
+    /// Returns the status of one group of a rule.
     pub(crate) fn group(&self, rule: &Rule, group: &str) -> GroupStatus {
         let mut total = 0;
         let mut unavailable = 0.0;
@@ -116,7 +117,7 @@
         GroupStatus { name: group_name(rule, group), total, limit, unavailable, causes }
     }
 
-    /// The status of every group of every rule, in the order of the rules and of the groups' names.
+    /// Returns the status of every group of every rule, in the order of the rules and then of the groups' names.
     #[must_use]
     pub fn groups(&self) -> Vec<GroupStatus> {
         let statuses_of = |rule| {
@@ -139,16 +140,16 @@
 
 fn agent_outage(member: &Member, has_permit: bool) -> Outage {
     match member.status {
-        _ if has_permit => Outage::whole("taken out"),
+        _ if has_permit => Outage::full("taken out"),
         MemberStatus::Living if member.ready => Outage::NONE,
-        MemberStatus::Living => Outage::whole("not ready"),
-        MemberStatus::Superseded => Outage::whole("being replaced"),
-        MemberStatus::Left => Outage::whole("left"),
-        MemberStatus::Expired => Outage::whole("its lease ended"),
+        MemberStatus::Living => Outage::full("not ready"),
+        MemberStatus::Superseded => Outage::full("being replaced"),
+        MemberStatus::Left => Outage::full("left"),
+        MemberStatus::Expired => Outage::full("its lease ended"),
     }
 }
 
-/// What the records say of the servers' availability.
+/// The missing capacity and the drains of all servers, as read from the records.
 struct ServerOutages {
     missing_capacity: BTreeMap<String, f64>,
     drains: BTreeMap<String, Drain>,
@@ -163,17 +164,17 @@
 
     fn of(&self, server: &str) -> Outage {
         if self.drains.contains_key(server) {
-            return Outage::whole("drained");
+            return Outage::full("drained");
         }
         match self.missing_capacity.get(server) {
-            Some(missing) if *missing >= 1.0 => Outage::whole("can't be reached"),
+            Some(missing) if *missing >= 1.0 => Outage::full("can't be reached"),
             Some(missing) => Outage { fraction: *missing, cause: "cold" },
             None => Outage::NONE,
         }
     }
 }
 
-/// The name of a group as operators read it.
+/// Returns the name of a group as shown to operators.
 fn group_name(rule: &Rule, group: &str) -> String {
     let kind = match rule.unit_kind {
         UnitKind::Agents => "agents",
--- a/crates/disruption/tests/common/mod.rs
+++ b/crates/disruption/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! What the tests of this package share: the coordination state, without processes or sockets.
+//! Helpers shared by the tests of this package: the state of the coordination service, without processes or sockets.
 
 use heronhoist_coordination::state::{ClusterId, Command, CommandRequest, CommandResult, Peer, State, Txn};
 use heronhoist_coordination::wire::View;
 use heronhoist_coordination::Limits;
 use std::collections::BTreeMap;
 
-/// The agreed state of a coordination service.
+/// The replicated state of a coordination service.
 #[derive(Clone)]
 pub struct Coordination(pub State);
 
@@ -18,13 +18,14 @@
         self.0.apply(&CommandRequest { session: None, command }, &Limits::default())
     }
 
-    /// Adds a member of this site that is ready; returns its incarnation.
+    /// Adds a member that is at this site and ready, and returns its incarnation.
     pub fn join(&mut self, name: &str, site: &str) -> u64 {
         let nonce = self.0.revision + 1;
         let [site, version, address] = [site, "1", ""].map(String::from);
-        let after = self.0.members.get(name).map_or(0, |member| member.incarnation);
-        let joining = Command::Join { name: name.into(), nonce, follows: after, site, version, address };
-        let incarnation = match self.apply(joining) {
+        let previous_incarnation = self.0.members.get(name).map_or(0, |member| member.incarnation);
+        let join =
+            Command::Join { name: name.into(), nonce, follows: previous_incarnation, site, version, address };
+        let incarnation = match self.apply(join) {
             CommandResult::Joined { incarnation } => incarnation,
             other => panic!("{other:?}"),
         };
@@ -32,10 +33,10 @@
         incarnation
     }
 
-    /// Carries out a transaction whose checks hold.
+    /// Executes a transaction whose checks must pass.
     pub fn commit(&mut self, transaction: Txn) {
-        let reply = self.apply(Command::Write(transaction));
-        assert!(matches!(reply, CommandResult::Done(_)), "{reply:?}");
+        let result = self.apply(Command::Write(transaction));
+        assert!(matches!(result, CommandResult::Done(_)), "{result:?}");
     }
 
     pub fn view(&self) -> View {
--- a/crates/disruption/tests/disruption.rs
+++ b/crates/disruption/tests/disruption.rs
@@ -1,4 +1,4 @@
-//! Budgets, drains and observations, over the agreed state of the coordination service.
+//! Tests budgets, drains and observations on the replicated state of the coordination service.
 
 mod common;
 
@@ -20,7 +20,7 @@
     coordination.apply(Command::Expire(vec![(name.into(), incarnation)]));
 }
 
-/// Writes what an agent observes.
+/// Writes the record of what an agent observes.
 fn observe<const N: usize>(
     coordination: &mut Coordination,
     agent: &str,
@@ -36,7 +36,8 @@
     Rule { unit_kind, scope, only: None, limit }
 }
 
-/// Two sites of three servers each; one server of a site may be unavailable, two in all, and two agents of a site.
+/// Returns rules for two sites of three servers each: at most one server per site, two servers in all and two agents per
+/// site may be unavailable.
 fn rules() -> Rules {
     let server = |n: usize| {
         let site = if n < 3 { "east" } else { "west" };
@@ -69,21 +70,30 @@
     coordination.commit(drain::start(&coordination.view(), "s1", drain(7), false).expect("allowed"));
     assert!(denied(drain::start(&coordination.view(), "s1", drain(8), false)).contains("for op: disk"));
     let mut observers = [(); 4].map(|()| DrainObserver::default());
-    for (at, observer) in observers.iter_mut().enumerate().take(2) {
+    for (index, observer) in observers.iter_mut().enumerate().take(2) {
         observer.on_response(Some(&Response::Read(coordination.view()))).expect("readable");
         assert_eq!(observer.draining_servers().into_iter().collect::<Vec<_>>(), ["s1"]);
-        assert_eq!(observer.pending_acknowledgement(agents[at], |_| false), None, "something is still out");
-        let acknowledgement =
-            observer.pending_acknowledgement(agents[at], |server| server == "s1").expect("to be said");
-        coordination.commit(acknowledgement.to_transaction(&format!("n{}", at + 1)).expect("writable"));
+        assert_eq!(
+            observer.pending_acknowledgement(agents[index], |_| false),
+            None,
+            "a request is still in flight"
+        );
+        let acknowledgement = observer
+            .pending_acknowledgement(agents[index], |server| server == "s1")
+            .expect("an acknowledgement to write");
+        coordination.commit(acknowledgement.to_transaction(&format!("n{}", index + 1)).expect("writable"));
         observer.on_acknowledged(acknowledgement);
-        assert_eq!(observer.pending_acknowledgement(agents[at], |_| true), None, "it is said already");
+        assert_eq!(
+            observer.pending_acknowledgement(agents[index], |_| true),
+            None,
+            "it is already acknowledged"
+        );
     }
     let barrier = |coordination: &Coordination| {
-        drain::barrier(&coordination.view(), "s1").expect("readable").expect("it drains")
+        drain::barrier(&coordination.view(), "s1").expect("readable").expect("draining")
     };
     assert_eq!(barrier(&coordination).waiting_for, ["n3", "n4"]);
-    // A newer process takes over from one that may still hold its lease; then the lease expires.
+    // A newer process replaces one that may still hold its lease; then the old lease expires.
     let join = |nonce| Command::Join {
         name: "n3".into(),
         nonce,
@@ -99,15 +109,15 @@
         (barrier(&coordination).waiting_for, barrier(&coordination).unconfirmed),
         (vec!["n4".into()], vec!["n3".into()])
     );
-    // An acknowledgement of an earlier incarnation does not count for this one.
+    // An acknowledgement of an earlier incarnation does not count for the current one.
     expire(&mut coordination, "n2", agents[1]);
-    let again = coordination.join("n2", "east");
+    let rejoined = coordination.join("n2", "east");
     assert_eq!(barrier(&coordination).waiting_for, ["n2", "n4"]);
     observers[1].on_response(Some(&Response::Read(coordination.view()))).expect("readable");
     coordination.commit(
         observers[1]
-            .pending_acknowledgement(again, |_| true)
-            .expect("again")
+            .pending_acknowledgement(rejoined, |_| true)
+            .expect("a new acknowledgement")
             .to_transaction("n2")
             .expect("writable"),
     );
@@ -118,8 +128,8 @@
         (vec!["n1".into(), "n2".into()], vec!["n3".into()])
     );
 
-    // A drain that is ended and entered anew has another id.
-    coordination.commit(drain::end(&coordination.view(), "s1").expect("it drains"));
+    // A drain that is ended and started again has another id, so earlier acknowledgements do not count.
+    coordination.commit(drain::end(&coordination.view(), "s1").expect("draining"));
     assert_eq!(drain::barrier(&coordination.view(), "s1"), Ok(None));
     assert!(drain::end(&coordination.view(), "s1").is_err());
     coordination.commit(drain::start(&coordination.view(), "s1", drain(9), false).expect("allowed"));
@@ -130,74 +140,78 @@
 fn a_server_counts_as_unavailable_whatever_the_cause() {
     let mut coordination = Coordination::new();
     let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| coordination.join(name, "east"));
-    let servers = |coordination: &Coordination| {
+    let allowed_servers = |coordination: &Coordination| {
         let count = Unavailable::count(&coordination.view()).expect("counted");
         (0..6).map(|n| count.allow(UnitKind::Servers, &format!("s{n}")).is_ok()).collect::<Vec<_>>()
     };
     assert_eq!(Unavailable::count(&coordination.view()).expect_err("no rules"), BudgetDenial::NoRules);
     coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
-    assert_eq!(servers(&coordination), [true; 6]);
+    assert_eq!(allowed_servers(&coordination), [true; 6]);
     assert!(matches!(
         Unavailable::count(&coordination.view()).expect("counted").allow(UnitKind::Servers, "s9"),
         Err(BudgetDenial::UnknownUnit(_))
     ));
     coordination.commit(drain::start(&coordination.view(), "s0", drain(1), false).expect("allowed"));
     assert_eq!(
-        servers(&coordination),
+        allowed_servers(&coordination),
         [true, false, false, true, true, true],
-        "one of a site, and itself takes nothing more"
+        "one per site; the draining server itself adds nothing"
     );
-    // A server is unreachable by the median: not if one agent of three can't reach it, but if two can't.
+    // The median decides whether a server is unreachable: one agent of three is not enough, two are.
     observe(&mut coordination, "n1", n1, [("s3", 1.0)]);
     observe(&mut coordination, "n2", n2, []);
     observe(&mut coordination, "n3", n3, []);
-    assert_eq!(servers(&coordination), [true, false, false, true, true, true]);
+    assert_eq!(allowed_servers(&coordination), [true, false, false, true, true, true]);
     observe(&mut coordination, "n2", n2, [("s3", 1.0)]);
-    assert_eq!(servers(&coordination), [true, false, false, true, false, false]);
-    let said = denied(drain::start(&coordination.view(), "s4", drain(2), false));
-    assert_eq!(said, "servers of site west: 1 may be out, and 1 are already: s3 (can't be reached)");
-    // It is back and warming up: the capacity that it is missing counts.
+    assert_eq!(allowed_servers(&coordination), [true, false, false, true, false, false]);
+    let denial = denied(drain::start(&coordination.view(), "s4", drain(2), false));
+    assert_eq!(denial, "servers of site west: 1 may be out, and 1 are already: s3 (can't be reached)");
+    // The server is reachable again and warming up: the fraction of its capacity that it is missing counts.
     observe(&mut coordination, "n1", n1, [("s3", 0.2)]);
     observe(&mut coordination, "n2", n2, [("s3", 0.2)]);
     assert_eq!(
         observed::missing_capacity(&coordination.view()).expect("readable"),
         BTreeMap::from([("s3".to_string(), 0.25)])
     );
-    let said = denied(drain::start(&coordination.view(), "s4", drain(2), false));
-    assert_eq!(said, "servers of site west: 1 may be out, and 0.25 are already: s3 (cold)");
-    // An operator may override the budgets; an overdrawn budget allows nothing more.
-    coordination.commit(drain::start(&coordination.view(), "s4", drain(2), true).expect("a person's word"));
-    let overdrawn = Unavailable::count(&coordination.view()).expect("counted");
-    let Err(BudgetDenial::LimitReached { unavailable, limit, .. }) = overdrawn.allow(UnitKind::Servers, "s1")
+    let denial = denied(drain::start(&coordination.view(), "s4", drain(2), false));
+    assert_eq!(denial, "servers of site west: 1 may be out, and 0.25 are already: s3 (cold)");
+    // An operator may override the budgets; a budget that is exceeded allows no further disruption.
+    coordination
+        .commit(drain::start(&coordination.view(), "s4", drain(2), true).expect("budgets overridden"));
+    let exceeded = Unavailable::count(&coordination.view()).expect("counted");
+    let Err(BudgetDenial::LimitReached { unavailable, limit, .. }) = exceeded.allow(UnitKind::Servers, "s1")
     else {
-        panic!("given")
+        panic!("allowed")
     };
     assert!(unavailable > f64::from(limit) - 1.0);
 }
 
-/// Crashed, not ready, and taken out by a permit.
+/// The causes are a crash, a process that is not ready and a permit.
 #[test]
 fn an_agent_counts_as_unavailable_whatever_the_cause() {
     let mut coordination = Coordination::new();
     let [_, n2, n3] = ["n1", "n2", "n3"].map(|name| coordination.join(name, "east"));
     coordination.commit(rules().to_transaction(&coordination.view()).expect("writable"));
-    let agents = |coordination: &Coordination, name| {
+    let allow_agent = |coordination: &Coordination, name| {
         Unavailable::count(&coordination.view()).expect("counted").allow(UnitKind::Agents, name)
     };
-    assert!(agents(&coordination, "n1").is_ok());
+    assert!(allow_agent(&coordination, "n1").is_ok());
     expire(&mut coordination, "n2", n2);
-    assert!(agents(&coordination, "n1").is_ok());
+    assert!(allow_agent(&coordination, "n1").is_ok());
     coordination.apply(Command::Report { name: "n3".into(), incarnation: n3, number: 2, ready: false });
-    let Err(BudgetDenial::LimitReached { causes, .. }) = agents(&coordination, "n1") else { panic!("given") };
+    let Err(BudgetDenial::LimitReached { causes, .. }) = allow_agent(&coordination, "n1") else {
+        panic!("allowed")
+    };
     assert_eq!(causes, ["n2 (its lease ended)", "n3 (not ready)"]);
-    assert!(agents(&coordination, "n2").is_ok(), "it is out already");
+    assert!(allow_agent(&coordination, "n2").is_ok(), "it is already unavailable");
     coordination.apply(Command::Forget { name: "n2".into() });
-    assert!(agents(&coordination, "n1").is_ok(), "a person's word that it is no more");
+    assert!(allow_agent(&coordination, "n1").is_ok(), "an operator removed the crashed agent");
     let key = permit::agent_budget_key("east");
-    let taker = coordination.join("hold:x", "");
-    coordination.commit(permit::set_limit(&coordination.view(), &key, 9).expect("stated"));
+    let holder = coordination.join("hold:x", "");
+    coordination.commit(permit::set_limit(&coordination.view(), &key, 9).expect("limit set"));
     coordination.commit(
-        permit::acquire(&coordination.view(), &key, "n1", ("hold:x", taker), "kernel").expect("taken"),
+        permit::acquire(&coordination.view(), &key, "n1", ("hold:x", holder), "kernel")
+            .expect("permit acquired"),
     );
     let groups = Unavailable::count(&coordination.view()).expect("counted").groups();
     let east = groups.iter().find(|group| group.name == "agents of site east").expect("counted");
@@ -205,13 +219,13 @@
     assert_eq!(east.causes, ["n1 (taken out)", "n3 (not ready)"]);
 }
 
-/// Each of these events happens between the count and the step that relies on it.
+/// A transaction must fail if one of these events happens between the count and the execution of the transaction.
 #[test]
 fn a_count_that_is_out_of_date_grants_nothing() {
     type Event = fn(&mut Coordination, u64);
     let events: [(&str, Event); 5] = [
-        ("an agent dies", |coordination, n1| expire(coordination, "n1", n1)),
-        ("an agent can't serve", |coordination, n1| {
+        ("an agent crashes", |coordination, n1| expire(coordination, "n1", n1)),
+        ("an agent is not ready", |coordination, n1| {
             coordination.apply(Command::Report {
                 name: "n1".into(),
                 incarnation: n1,
@@ -222,25 +236,25 @@
         ("another server is drained", |coordination, _| {
             coordination.commit(drain::start(&coordination.view(), "s2", drain(5), false).expect("allowed"));
         }),
-        ("a server is found down", |coordination, n1| {
+        ("a server is unreachable", |coordination, n1| {
             observe(coordination, "n1", n1, [("s2", 1.0)]);
         }),
-        ("the budget is made smaller", |coordination, _| {
-            let mut fewer = rules();
-            fewer.rules[0].limit = Limit::Number(0);
-            coordination.commit(fewer.to_transaction(&coordination.view()).expect("readable"));
+        ("a limit is lowered", |coordination, _| {
+            let mut lowered = rules();
+            lowered.rules[0].limit = Limit::Number(0);
+            coordination.commit(lowered.to_transaction(&coordination.view()).expect("readable"));
         }),
     ];
-    for (what, happens) in events {
+    for (name, apply_event) in events {
         let mut coordination = Coordination::new();
         let n1 = coordination.join("n1", "east");
         coordination.commit(rules().to_transaction(&coordination.view()).expect("readable"));
-        let txn = drain::start(&coordination.view(), "s1", drain(1), false).expect("allowed");
-        let mut still = coordination.clone();
-        still.commit(txn.clone());
-        happens(&mut coordination, n1);
-        let reply = coordination.apply(Command::Write(txn));
-        assert!(matches!(reply, CommandResult::Conflict { .. }), "{what}: {reply:?}");
+        let transaction = drain::start(&coordination.view(), "s1", drain(1), false).expect("allowed");
+        let mut without_event = coordination.clone();
+        without_event.commit(transaction.clone());
+        apply_event(&mut coordination, n1);
+        let result = coordination.apply(Command::Write(transaction));
+        assert!(matches!(result, CommandResult::Conflict { .. }), "{name}: {result:?}");
     }
 }
 
@@ -257,7 +271,7 @@
         Rule { only: Some("east".into()), ..rule(UnitKind::Agents, Scope::All, Limit::Number(1)) },
         rule(UnitKind::Servers, Scope::Cell, Limit::Share(0.2)),
     ];
-    let wanted = [
+    let expected = [
         InvalidRule::Contradiction { first: 0, second: 1 },
         InvalidRule::ShareOutOfRange(2),
         InvalidRule::UnsupportedAgentScope(3),
@@ -265,15 +279,18 @@
         InvalidRule::OnlyWithoutGroups(5),
         InvalidRule::NeverAllows { rule: 6, group_size: 3 },
     ];
-    assert_eq!(rules.validate(), wanted);
+    assert_eq!(rules.validate(), expected);
 }
 
 #[test]
 fn an_observation_is_bounded_and_rounded_up_to_steps() {
-    let many = (0..2000).map(|n| (format!("s{n}"), f64::from(n) / 2000.0));
-    let observed = ObservedServers::new(1, many);
+    let observations = (0..2000).map(|n| (format!("s{n}"), f64::from(n) / 2000.0));
+    let observed = ObservedServers::new(1, observations);
     assert_eq!(observed.missing_capacity.len(), observed::MAX_OBSERVED_SERVERS);
-    assert!(observed.missing_capacity.values().all(|missing| *missing >= 0.75), "those that lack most");
+    assert!(
+        observed.missing_capacity.values().all(|missing| *missing >= 0.75),
+        "the servers with the most missing capacity are kept"
+    );
     assert_eq!(ObservedServers::new(1, [("a".into(), 0.01)]), ObservedServers::new(1, [("a".into(), 0.24)]));
 }
 
--- a/crates/disruption/tests/golden.rs
+++ b/crates/disruption/tests/golden.rs
@@ -1,6 +1,7 @@
-//! Every record of budgets, drains and observations, byte by byte, with its key and with the transaction that writes it: the
-//! files below `golden/` are what the first version writes. A file is never changed to make a test pass: agents of both
-//! versions read each other's records. Each file has one value a line, in the order of the test.
+//! Compares every record of budgets, drains and observations, with its key and the transaction that writes it, byte for byte
+//! with the files below `golden/`. These hold what the first version writes, and are never changed to make a test pass,
+//! because agents of different versions read each other's records. Each file has one value per line, in the order of the
+//! test.
 
 mod common;
 #[macro_use]
@@ -24,19 +25,19 @@
 use std::fmt::Debug;
 use support::{assert_golden, golden_text};
 
-/// A form that people or an earlier version write, which leaves fields out.
+/// Checks that a text is read as this value. People and earlier versions write texts that leave fields out.
 #[track_caller]
 fn assert_reads<T: DeserializeOwned + PartialEq + Debug>(text: &str, value: &T) {
-    assert_eq!(&serde_json::from_str::<T>(text).expect("read"), value);
+    assert_eq!(&serde_json::from_str::<T>(text).expect("readable"), value);
 }
 
-/// A field that nobody knows is refused.
+/// Checks that a value with an unknown field is rejected.
 #[track_caller]
-fn assert_refuses_unknown_field<T: Serialize + DeserializeOwned + Debug>(value: &T) {
+fn assert_rejects_unknown_field<T: Serialize + DeserializeOwned + Debug>(value: &T) {
     let text = serde_json::to_string(value).expect("serializable");
-    let other = text.replacen('{', "{\"x\":1,", 1);
-    let fault = serde_json::from_str::<T>(&other).expect_err("refused");
-    assert!(fault.to_string().contains("unknown field `x`"), "{fault}");
+    let with_unknown_field = text.replacen('{', "{\"x\":1,", 1);
+    let error = serde_json::from_str::<T>(&with_unknown_field).expect_err("rejected");
+    assert!(error.to_string().contains("unknown field `x`"), "{error}");
 }
 
 fn unit_kinds() -> [UnitKind; 2] {
@@ -99,11 +100,12 @@
     assert_golden("rule.jsonl", &rules.rules);
     assert_golden("server.jsonl", &[Server::default(), server()]);
     assert_golden("rules.jsonl", &[Rules::default(), rules.clone()]);
-    assert_refuses_unknown_field(&rules.rules[0]);
-    assert_refuses_unknown_field(&server());
-    assert_refuses_unknown_field(&rules);
-    let short = Rule { unit_kind: UnitKind::Agents, scope: Scope::Site, only: None, limit: Limit::Number(2) };
-    assert_reads("{\"of\":\"agents\",\"by\":\"site\",\"most\":{\"number\":2}}", &short);
+    assert_rejects_unknown_field(&rules.rules[0]);
+    assert_rejects_unknown_field(&server());
+    assert_rejects_unknown_field(&rules);
+    let without_only =
+        Rule { unit_kind: UnitKind::Agents, scope: Scope::Site, only: None, limit: Limit::Number(2) };
+    assert_reads("{\"of\":\"agents\",\"by\":\"site\",\"most\":{\"number\":2}}", &without_only);
     assert_reads("{\"site\":\"west\"}", &Server { site: "west".into(), ..Server::default() });
     assert_reads("{\"rules\":[]}", &Rules::default());
 }
@@ -116,8 +118,8 @@
     };
     assert_golden("drain.jsonl", &[drain()]);
     assert_golden("quiet.jsonl", &[DrainAcknowledgement::default(), acknowledgement.clone()]);
-    assert_refuses_unknown_field(&drain());
-    assert_refuses_unknown_field(&acknowledgement);
+    assert_rejects_unknown_field(&drain());
+    assert_rejects_unknown_field(&acknowledgement);
 }
 
 #[test]
@@ -125,7 +127,7 @@
     let missing = [("s1", 0.1), ("s2", 1.0), ("s3", 0.0), ("s4", 0.6)];
     let observed = ObservedServers::new(3, missing.map(|(server, missing)| (server.into(), missing)));
     assert_golden("seen.jsonl", &[ObservedServers::default(), observed.clone()]);
-    assert_refuses_unknown_field(&observed);
+    assert_rejects_unknown_field(&observed);
 }
 
 #[test]
@@ -136,14 +138,14 @@
     assert_eq!(records::OBSERVED_PREFIX, "site/seen/");
 }
 
-/// Carries out transactions and keeps them.
+/// Executes transactions and records them.
 struct Recorder {
     coordination: Coordination,
     transactions: Vec<Txn>,
 }
 
 impl Recorder {
-    /// Keeps the transaction that is written next, and carries it out.
+    /// Records the transaction that is written next, and executes it.
     fn write(&mut self, transaction: impl FnOnce(&View) -> Txn) {
         let transaction = transaction(&self.coordination.view());
         self.transactions.push(transaction.clone());
@@ -151,37 +153,40 @@
     }
 }
 
-/// One transaction of each kind, in one history; and all records as they stand at its end.
+/// Executes one transaction of each kind, and compares the transactions and the records that exist at the end.
 #[test]
 fn transactions_and_the_records_that_they_leave() {
     let mut coordination = Coordination::new();
     let [n1, _, tool] = ["n1", "n2", "tool:r1"].map(|name| coordination.join(name, "east"));
     let mut recorder = Recorder { coordination, transactions: Vec::new() };
     let key = permit::agent_budget_key("east");
-    recorder.write(|view| permit::set_limit(view, &key, 1).expect("stated"));
-    let take = |view: &View| {
+    recorder.write(|view| permit::set_limit(view, &key, 1).expect("writable"));
+    let acquire = |view: &View| {
         permits::acquire_for_agent(view, &key, "n1", ("tool:r1", tool), "roll").expect("allowed")
     };
-    recorder.transactions.push(take(&recorder.coordination.view()));
-    recorder.write(|view| rules().to_transaction(view).expect("stated"));
-    recorder.write(|view| rules().to_transaction(view).expect("stated again"));
-    recorder.write(take);
+    recorder.transactions.push(acquire(&recorder.coordination.view()));
+    recorder.write(|view| rules().to_transaction(view).expect("writable"));
+    recorder.write(|view| rules().to_transaction(view).expect("writable again"));
+    recorder.write(acquire);
     recorder.write(|view| drain::start(view, "s1", drain(), false).expect("allowed"));
-    recorder.write(|view| drain::start(view, "s2", Drain { id: 45, ..drain() }, true).expect("forced"));
+    recorder.write(|view| {
+        drain::start(view, "s2", Drain { id: 45, ..drain() }, true).expect("budgets overridden")
+    });
     let mut observer = DrainObserver::default();
-    observer.on_response(Some(&Response::Read(recorder.coordination.view()))).expect("read");
+    observer.on_response(Some(&Response::Read(recorder.coordination.view()))).expect("readable");
     let acknowledgement =
-        observer.pending_acknowledgement(n1, |server| server == "s1").expect("something new");
+        observer.pending_acknowledgement(n1, |server| server == "s1").expect("an acknowledgement to write");
     recorder.write(|_| acknowledgement.to_transaction("n1").expect("writable"));
     recorder
         .write(|_| ObservedServers::new(n1, [("s3".into(), 0.3)]).to_transaction("n1").expect("writable"));
-    recorder.write(|view| drain::end(view, "s2").expect("it drains"));
+    recorder.write(|view| drain::end(view, "s2").expect("draining"));
     assert_golden("txn.jsonl", &recorder.transactions);
     let records: Vec<(String, Record)> = recorder.coordination.0.records.into_iter().collect();
     assert_golden("records.jsonl", &records);
 }
 
-/// The records of the file, read: drains, acknowledgements, missing capacity, and what is unavailable by which rule.
+/// Reads the records of the golden file: drains, acknowledgements, missing capacity, and what each rule counts as
+/// unavailable.
 #[test]
 fn records_that_were_written_are_read() {
     let mut coordination = Coordination::new();
@@ -193,12 +198,12 @@
         coordination.0.records.insert(key, record);
     }
     let view = coordination.view();
-    assert_eq!(records::drains(&view).expect("read"), BTreeMap::from([("s1".into(), drain())]));
-    let barrier = drain::barrier(&view, "s1").expect("read").expect("it drains");
+    assert_eq!(records::drains(&view).expect("readable"), BTreeMap::from([("s1".into(), drain())]));
+    let barrier = drain::barrier(&view, "s1").expect("readable").expect("draining");
     assert_eq!((barrier.acknowledged, barrier.waiting_for), (vec!["n1".to_string()], vec!["n2".to_string()]));
-    let missing = observed::missing_capacity(&view).expect("read");
+    let missing = observed::missing_capacity(&view).expect("readable");
     assert_eq!(missing, BTreeMap::from([("s3".into(), 0.5)]));
-    let unavailable = Unavailable::count(&view).expect("read");
+    let unavailable = Unavailable::count(&view).expect("readable");
     let groups: Vec<String> = unavailable
         .groups()
         .into_iter()
@@ -216,13 +221,13 @@
     assert_eq!(groups.join("\n") + "\n", golden_text("groups.txt"));
 }
 
-/// What an agent requests to follow the drains.
+/// Compares the requests that an agent sends to follow the drains.
 #[test]
 fn requests_of_a_drain_observer() {
     let mut observer = DrainObserver::default();
     let first = observer.next_request();
     let coordination = Coordination::new();
-    observer.on_response(Some(&Response::Read(coordination.view()))).expect("read");
+    observer.on_response(Some(&Response::Read(coordination.view()))).expect("readable");
     let requests: [Request; 2] = [first, observer.next_request()];
     assert_golden("listener_request.jsonl", &requests);
 }
