--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,6 +1,6 @@
-//! What the file may say.
+//! The agent's configuration file: its settings, and how they are read.
 
-use crate::council::Fleet;
+use crate::coordinator::Fleet;
 use crate::reader::*;
 use heronhoist_decision::{
     Class, DeduplicationScope, Discovery, Effect, Settings, SettingsError, Span, Tenant, ZoneId,
@@ -11,69 +11,69 @@
 use std::time::Duration;
 use toml::de::DeValue;
 
-/// How log lines look.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text for human readers.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A configuration without a fault.
+/// The agent's configuration, read from a file without faults.
 #[derive(Debug, Clone)]
 pub struct AgentConfig {
-    /// How log lines look.
+    /// The format of log lines.
     pub log_format: LogFormat,
-    /// What is logged: a level, or levels for targets, as `info,heronhoist::attempt=debug`.
+    /// What is logged: a level, or levels for targets, such as `info,heronhoist::attempt=debug`.
     pub log_level: String,
-    /// Where operators call, if anywhere.
+    /// The address of the operators' pages, if they are served.
     pub ops_address: Option<SocketAddr>,
-    /// Descriptors that the processes of the agent may hold together.
+    /// Maximum number of file descriptors that the processes of the agent hold together.
     pub max_descriptors: usize,
-    /// Megabytes of memory that they may use together.
+    /// Maximum memory that the processes of the agent use together, in megabytes.
     pub max_memory_mb: f64,
     /// The names of the classes, in the order of each pool's [`Settings::classes`].
     pub classes: Vec<String>,
     /// The names of the tenants, in the order of each pool's [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// The fleets; at least one.
+    /// The pools of record servers; at least one.
     pub pools: Vec<Pool>,
-    /// Where clients come; at least one.
+    /// The fronts; at least one.
     pub fronts: Vec<Front>,
-    /// The directory of the mapping files, as the file names it; there is one if a front is [`Protocol::Legacy`].
+    /// The directory of the mapping files, as written in the file. It is set if a front is [`Protocol::Legacy`].
     pub mappings_directory: Option<String>,
-    /// Which pool a request goes to, by its place in `pools`.
+    /// The routes, which select a pool for each request by its index in `pools`.
     pub routes: Table,
     /// How the agent takes part in a fleet, if it does.
     pub fleet: Option<Fleet>,
-    /// All values in force, and who said so.
+    /// All values in force, and where each comes from.
     pub effective_values: Vec<EffectiveValue>,
 }
 
-/// Where clients come.
+/// An address on which the agent accepts clients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Front {
-    /// Its name, which routes can ask for.
+    /// Its name, which routes can match.
     pub name: String,
-    /// Its address; no two are the same.
+    /// The address on which it listens, which is unique.
     pub listen: SocketAddr,
-    /// What its clients speak.
+    /// The protocol of its clients.
     pub protocol: Protocol,
 }
 
-/// What the clients of a front speak.
+/// The protocol of the clients of a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Protocol {
-    /// The servers' own HTTP.
+    /// The HTTP interface of the record servers.
     Http,
-    /// The old dialects of the mapping files; each request is translated.
+    /// The legacy dialects that the mapping files describe; each request is translated.
     Legacy,
 }
 
 impl Protocol {
-    /// Its name, as the file has it.
+    /// Returns the name that the file uses.
     pub const fn name(self) -> &'static str {
         match self {
             Protocol::Http => "http",
@@ -82,33 +82,33 @@
     }
 }
 
-/// A fleet of servers.
+/// A pool of record servers.
 #[derive(Debug, Clone)]
 pub struct Pool {
     /// Its name.
     pub name: String,
-    /// What its decision module is told.
+    /// The settings of its decision module.
     pub settings: Settings,
-    /// The names of the zones, in the order of their numbers.
+    /// The names of the zones, indexed by zone id.
     pub zones: Vec<String>,
-    /// Who says which servers there are.
+    /// Where the list of its servers comes from.
     pub membership: Membership,
-    /// Its servers, where this file says which there are.
+    /// Its servers, if they are listed in this file.
     pub servers: Vec<Server>,
-    /// A connection that is not up by then has failed.
+    /// A connection attempt that takes longer has failed.
     pub connect_timeout: Duration,
-    /// A server closes a connection that has stood idle this long.
+    /// A server closes a connection that has been idle for this long.
     pub keepalive: Duration,
-    /// The kinds of machine that speak the old dialect, where discovery tells the kinds.
+    /// The machine types whose servers use the legacy dialect, if discovery reports machine types.
     pub legacy_machine_types: Vec<String>,
 }
 
-/// Who says which servers a pool has.
+/// Where the list of the servers of a pool comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Membership {
-    /// This file.
+    /// This configuration file.
     Static,
-    /// The platform's discovery, at this address.
+    /// The platform's discovery service, at this address.
     Platform(SocketAddr),
 }
 
@@ -117,34 +117,37 @@
 pub struct Server {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// The group of servers that drop each other's repeats.
+    /// Its deduplication cell: the servers that recognise each other's repeated requests.
     pub cell: u32,
-    /// What it does.
+    /// Whether it takes requests or is draining.
     pub state: ServerState,
-    /// Its size among the others.
+    /// Its capacity relative to the other servers of the pool.
     pub weight: f64,
-    /// It speaks the old dialect of the mapping files.
+    /// Whether it uses the legacy dialect of the mapping files.
     pub is_legacy: bool,
 }
 
-/// What a static server does.
+/// The state of a static server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
     /// It takes requests.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests that it has, and takes no new ones.
     Draining,
 }
 
-const ADDRESS: &str = "an address as 127.0.0.1:8080";
-const NAME: &str = "a name";
-const MS: &str = "milliseconds above 0";
+const EXPECTED_ADDRESS: &str = "an address such as 127.0.0.1:8080";
+const EXPECTED_NAME: &str = "a name";
+const EXPECTED_MS: &str = "milliseconds above 0";
 
-/// Reads a file, with `environment` to look up what its addresses name.
+/// Parses the agent's configuration file. `environment` looks up the variables in its addresses.
+///
+/// # Errors
+/// All faults of the file, in the order of their positions.
 pub fn parse(text: &str, environment: Environment<'_>) -> Result<AgentConfig, Vec<Fault>> {
     let table = parse_toml(text)?;
     let (mut reader, root) = Reader::new(text, &table, environment);
@@ -171,22 +174,22 @@
     number(value).filter(|n| (0.0..=1e12).contains(n))
 }
 
-fn count(least: i64) -> impl Fn(&DeValue<'_>) -> Option<u32> {
-    move |value| integer(value).filter(|n| *n >= least).and_then(|n| u32::try_from(n).ok())
+fn count(min: i64) -> impl Fn(&DeValue<'_>) -> Option<u32> {
+    move |value| integer(value).filter(|n| *n >= min).and_then(|n| u32::try_from(n).ok())
 }
 
-/// For a key that must or may not be there.
-fn needed<T>(needed: bool) -> Absent<T> {
-    match needed {
+/// Returns how an absent key is treated: as a fault if the key is required, otherwise as no value.
+fn required_if<T>(is_required: bool) -> Absent<T> {
+    match is_required {
         true => Absent::Fault,
         false => Absent::Nothing,
     }
 }
 
-fn one_of<T: Copy>(words: &'static [(&'static str, T)]) -> impl Fn(&DeValue<'_>) -> Option<T> {
+fn one_of<T: Copy>(variants: &'static [(&'static str, T)]) -> impl Fn(&DeValue<'_>) -> Option<T> {
     move |value| {
-        let word = text(value)?;
-        words.iter().find(|(name, _)| *name == word).map(|(_, meaning)| *meaning)
+        let text = text(value)?;
+        variants.iter().find(|(name, _)| *name == text).map(|(_, variant)| *variant)
     }
 }
 
@@ -200,15 +203,15 @@
         "\"text\" or \"json\"",
         one_of(formats),
     );
-    let level = "a level, or levels for targets, as \"info,heronhoist::attempt=debug\"";
-    let log_level = reader.get(&mut log, "level", Absent::Default("info".to_string()), level, |v| {
-        text(v).filter(|t| is_levels(t))
+    let expected_level = "a level, or levels for targets, such as \"info,heronhoist::attempt=debug\"";
+    let log_level = reader.get(&mut log, "level", Absent::Default("info".to_string()), expected_level, |v| {
+        text(v).filter(|t| is_log_filter(t))
     });
     reader.end(log);
 
     let mut ops = reader.section(&mut root, "ops");
-    let needs = needed(ops.is_present());
-    let ops_address = reader.get_expanded(&mut ops, "listen", needs, ADDRESS, address);
+    let absent = required_if(ops.is_present());
+    let ops_address = reader.get_expanded(&mut ops, "listen", absent, EXPECTED_ADDRESS, address);
     reader.end(ops);
 
     let mut limits = reader.section(&mut root, "limits");
@@ -224,11 +227,11 @@
     let tenants = tenants(reader, &mut root);
     let pools = pools(reader, &mut root, &classes, &tenants);
     let mut translate = reader.section(&mut root, "translate");
-    let absent = needed(translate.is_present());
+    let absent = required_if(translate.is_present());
     let mappings_directory = reader.get(&mut translate, "mappings", absent, "a directory", text);
     reader.end(translate);
     let fronts = fronts(reader, &mut root, ops_address, mappings_directory.is_some());
-    let fleet = crate::council::fleet(reader, &mut root);
+    let fleet = crate::coordinator::fleet(reader, &mut root);
     let routes = routes(reader, &mut root, &classes, &tenants, &pools, &fronts);
     reader.end(root);
     Some(AgentConfig {
@@ -248,8 +251,9 @@
     })
 }
 
-/// A level, or a comma-separated list of `target=level` in which one may stand without a target.
-fn is_levels(text: &str) -> bool {
+/// Returns whether a text is a comma-separated list of `target=level` or `level`. A level without a target is the default
+/// for all other targets.
+fn is_log_filter(text: &str) -> bool {
     const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
     text.split(',').all(|part| {
         let (target, level) = part.trim().rsplit_once('=').unwrap_or(("any", part.trim()));
@@ -257,7 +261,8 @@
     })
 }
 
-/// What has a name, and a value unless it has a fault: its name still counts for whatever refers to it.
+/// Named items, in the order of the file. The value is `None` if the item has a fault; its name is kept so that references
+/// to the item are not reported as faults too.
 type Named<T> = Vec<(String, Option<T>)>;
 
 fn names_of<T>(list: &Named<T>) -> Vec<String> {
@@ -268,25 +273,29 @@
     list.iter().filter_map(|(_, value)| value.clone()).collect()
 }
 
-/// The name of one of several tables, which no other of them may have.
-fn name<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>, taken: &mut Vec<String>) -> Option<String> {
-    let name: String = reader.get(section, "name", Absent::Fault, NAME, text)?;
-    if taken.contains(&name) {
-        reader.add_fault(section, "name", format!("found {name:?} a second time; wanted a name of its own"));
+/// Reads the name of one of several tables. A name that is in `used_names` already is a fault.
+fn unique_name<'t>(
+    reader: &mut Reader<'t>,
+    section: &mut Section<'t>,
+    used_names: &mut Vec<String>,
+) -> Option<String> {
+    let name: String = reader.get(section, "name", Absent::Fault, EXPECTED_NAME, text)?;
+    if used_names.contains(&name) {
+        reader.add_fault(section, "name", format!("found {name:?} a second time; wanted a unique name"));
         return None;
     }
-    taken.push(name.clone());
+    used_names.push(name.clone());
     Some(name)
 }
 
 fn classes<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Named<Class> {
-    let (mut taken, mut classes) = (Vec::new(), Vec::new());
+    let (mut used_names, mut classes) = (Vec::new(), Vec::new());
     let sections = reader.sections(root, "class");
     if sections.is_empty() {
         reader.add_fault(root, "class", "found none; wanted one [[class]] at least".into());
     }
     for mut section in sections {
-        let name = name(reader, &mut section, &mut taken);
+        let name = unique_name(reader, &mut section, &mut used_names);
         let class = class(reader, &mut section);
         classes.extend(name.map(|name| (name, class)));
         reader.end(section);
@@ -295,74 +304,74 @@
 }
 
 fn class<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>) -> Option<Class> {
-    let standard = Class::default();
+    let defaults = Class::default();
     let effects = &[("idempotent", 0), ("at_most_once", 1), ("deduplicated", 2)];
-    let wanted = "\"idempotent\", \"at_most_once\" or \"deduplicated\"";
-    let effect = reader.get(section, "effect", Absent::Fault, wanted, one_of(effects));
-    let groups = &[
+    let expected = "\"idempotent\", \"at_most_once\" or \"deduplicated\"";
+    let effect = reader.get(section, "effect", Absent::Fault, expected, one_of(effects));
+    let scopes = &[
         ("all", DeduplicationScope::All),
         ("zone", DeduplicationScope::Zone),
         ("cell", DeduplicationScope::Cell),
     ];
-    let group = reader.get(
+    let dedup_scope = reader.get(
         section,
         "dedup_group",
-        needed(effect == Some(2)),
-        "\"all\", \"zone\" or \"cell\": the servers that drop each other's repeats",
-        one_of(groups),
+        required_if(effect == Some(2)),
+        "\"all\", \"zone\" or \"cell\": the servers that drop each other's duplicates",
+        one_of(scopes),
     );
-    let window = reader.get(section, "dedup_window_ms", needed(effect == Some(2)), MS, positive);
-    let aim = reader.get(section, "aim_ms", Absent::Fault, MS, positive);
-    let deadline = reader.get(section, "deadline_ms", Absent::Fault, MS, positive);
-    let worth =
-        reader.get(section, "worth", Absent::Default(standard.priority_weight), "a number", not_negative);
-    let late =
-        reader.get(section, "late_worth", Absent::Default(standard.late_weight_share), "0 to 1", |v| {
+    let dedup_window =
+        reader.get(section, "dedup_window_ms", required_if(effect == Some(2)), EXPECTED_MS, positive);
+    let latency_objective = reader.get(section, "aim_ms", Absent::Fault, EXPECTED_MS, positive);
+    let deadline = reader.get(section, "deadline_ms", Absent::Fault, EXPECTED_MS, positive);
+    let priority_weight =
+        reader.get(section, "worth", Absent::Default(defaults.priority_weight), "a number", not_negative);
+    let late_weight_share =
+        reader.get(section, "late_worth", Absent::Default(defaults.late_weight_share), "0 to 1", |v| {
             number(v).filter(|n| (0.0..=1.0).contains(n))
         });
-    if let (Some(aim), Some(deadline)) = (aim, deadline) {
-        if aim > deadline {
+    if let (Some(latency_objective), Some(deadline)) = (latency_objective, deadline) {
+        if latency_objective > deadline {
             reader.add_fault(
                 section,
                 "aim_ms",
-                format!("found {aim}; wanted no more than deadline_ms, {deadline}"),
+                format!("found {latency_objective}; wanted no more than deadline_ms, {deadline}"),
             );
         }
     }
     let effect = match effect? {
         0 => Effect::Idempotent,
         1 => Effect::AtMostOnce,
-        _ => Effect::Deduplicated { scope: group?, window: Span::from_ms(window?) },
+        _ => Effect::Deduplicated { scope: dedup_scope?, window: Span::from_ms(dedup_window?) },
     };
     Some(Class {
         effect,
-        latency_objective: Span::from_ms(aim?),
+        latency_objective: Span::from_ms(latency_objective?),
         deadline: Span::from_ms(deadline?),
-        priority_weight: worth?,
-        late_weight_share: late?,
-        ..standard
+        priority_weight: priority_weight?,
+        late_weight_share: late_weight_share?,
+        ..defaults
     })
 }
 
 fn tenants<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Named<Tenant> {
-    let (mut taken, mut tenants) = (Vec::new(), Vec::new());
+    let (mut used_names, mut tenants) = (Vec::new(), Vec::new());
     for mut section in reader.sections(root, "tenant") {
-        let name = name(reader, &mut section, &mut taken);
-        let fraction =
+        let name = unique_name(reader, &mut section, &mut used_names);
+        let quota_fraction =
             reader.get(&mut section, "fraction", Absent::Fault, "a share of the service, 0 to 1", |v| {
                 number(v).filter(|n| (0.0..=1.0).contains(n))
             });
-        let allowance = reader.get(
+        let quota_per_second = reader.get(
             &mut section,
             "allowance_per_s",
             Absent::Default(0.0),
             "requests a second",
             not_negative,
         );
-        let tenant = fraction.zip(allowance).map(|(fraction, allowance_per_s)| Tenant {
-            quota_fraction: fraction,
-            quota_per_second: allowance_per_s,
-        });
+        let tenant = quota_fraction
+            .zip(quota_per_second)
+            .map(|(fraction, per_second)| Tenant { quota_fraction: fraction, quota_per_second: per_second });
         tenants.extend(name.map(|name| (name, tenant)));
         reader.end(section);
     }
@@ -375,13 +384,13 @@
     classes: &Named<Class>,
     tenants: &Named<Tenant>,
 ) -> Named<Pool> {
-    let (mut taken, mut pools) = (Vec::new(), Vec::new());
+    let (mut used_names, mut pools) = (Vec::new(), Vec::new());
     let sections = reader.sections(root, "pool");
     if sections.is_empty() {
         reader.add_fault(root, "pool", "found none; wanted one [[pool]] at least".into());
     }
     for mut section in sections {
-        let name = name(reader, &mut section, &mut taken);
+        let name = unique_name(reader, &mut section, &mut used_names);
         let pool = pool(reader, &mut section, classes, tenants);
         pools.extend(name.map(|name| (name.clone(), pool.map(|pool| Pool { name, ..pool }))));
         reader.end(section);
@@ -395,29 +404,34 @@
     classes: &Named<Class>,
     tenants: &Named<Tenant>,
 ) -> Option<Pool> {
-    let standard = Settings::default();
-    let kinds = &[("static", false), ("platform", true)];
-    let platform =
-        reader.get(section, "membership", Absent::Fault, "\"static\" or \"platform\"", one_of(kinds));
-    let needs = needed(platform == Some(true));
-    let discovery = reader.get_expanded(section, "discovery", needs, ADDRESS, address);
-    if platform == Some(false) && discovery.is_some() {
-        reader.add_fault(section, "discovery", "found an address; a static pool asks nobody".into());
+    let defaults = Settings::default();
+    let sources = &[("static", false), ("platform", true)];
+    let is_platform =
+        reader.get(section, "membership", Absent::Fault, "\"static\" or \"platform\"", one_of(sources));
+    let absent = required_if(is_platform == Some(true));
+    let discovery = reader.get_expanded(section, "discovery", absent, EXPECTED_ADDRESS, address);
+    if is_platform == Some(false) && discovery.is_some() {
+        reader.add_fault(
+            section,
+            "discovery",
+            "found an address; a static pool does not use discovery".into(),
+        );
     }
     let legacy_machine_types =
         reader.get(section, "old_kinds", Absent::Default(Vec::new()), "a list of kinds", text_list);
-    if platform == Some(false) && legacy_machine_types.as_ref().is_some_and(|kinds| !kinds.is_empty()) {
-        let what = "found kinds; a static pool's servers say dialect = \"old\" themselves".into();
-        reader.add_fault(section, "old_kinds", what);
+    if is_platform == Some(false) && legacy_machine_types.as_ref().is_some_and(|kinds| !kinds.is_empty()) {
+        let message = "found kinds; each server of a static pool sets dialect = \"old\" itself".into();
+        reader.add_fault(section, "old_kinds", message);
     }
-    let pushed = reader.get(section, "discovery_pushed", Absent::Default(false), "true or false", flag);
+    let is_discovery_pushed =
+        reader.get(section, "discovery_pushed", Absent::Default(false), "true or false", flag);
     let sections = reader.sections(section, "server");
-    match (platform, sections.is_empty()) {
+    match (is_platform, sections.is_empty()) {
         (Some(true), false) => {
             reader.add_fault(
                 section,
                 "server",
-                "found servers; those of a platform pool come from discovery".into(),
+                "found servers; a platform pool gets its servers from discovery".into(),
             );
         }
         (Some(false), true) => {
@@ -425,22 +439,22 @@
         }
         _ => {}
     }
-    let (mut taken, mut servers) = (Vec::new(), Vec::new());
+    let (mut used_names, mut servers) = (Vec::new(), Vec::new());
     for mut section in sections {
-        let name = name(reader, &mut section, &mut taken);
+        let name = unique_name(reader, &mut section, &mut used_names);
         let server = server(reader, &mut section);
         servers.extend(name.zip(server).map(|(name, server)| Server { name, ..server }));
         reader.end(section);
     }
-    let mut ms = |section: &mut Section<'t>, key, standard: Span| {
-        reader.get(section, key, Absent::Default(standard.as_ms()), MS, positive).map(Span::from_ms)
+    let mut ms = |section: &mut Section<'t>, key, default: Span| {
+        reader.get(section, key, Absent::Default(default.as_ms()), EXPECTED_MS, positive).map(Span::from_ms)
     };
     let drain_grace = ms(section, "drain_grace_ms", Span::from_ms(500.0));
     let connect_timeout = ms(section, "connect_timeout_ms", Span::from_ms(250.0));
     let keepalive = ms(section, "keepalive_ms", Span::from_ms(10_000.0));
-    let max_retry_after = ms(section, "max_retry_after_ms", standard.max_retry_after);
-    let warm_after = ms(section, "warm_after_ms", standard.warm_up_time);
-    let fall_after = ms(section, "fall_after_ms", standard.overload_tolerance);
+    let max_retry_after = ms(section, "max_retry_after_ms", defaults.max_retry_after);
+    let warm_up_time = ms(section, "warm_after_ms", defaults.warm_up_time);
+    let overload_tolerance = ms(section, "fall_after_ms", defaults.overload_tolerance);
     let zone =
         reader.get(section, "zone", Absent::Default(String::new()), "the name of the agent's zone", |v| {
             match v {
@@ -451,35 +465,35 @@
     let balancers = reader.get(
         section,
         "balancers",
-        Absent::Default(standard.balancers),
-        "how many agents there are",
+        Absent::Default(defaults.balancers),
+        "the number of agents",
         count(1),
     );
     let max_attempts = reader.get(
         section,
         "max_attempts",
-        Absent::Default(standard.max_attempts),
+        Absent::Default(defaults.max_attempts),
         "1 attempt or more",
         count(1),
     );
-    let second_copies =
-        reader.get(section, "second_copies", Absent::Default(standard.hedging), "true or false", flag);
-    let cancel = reader.get(section, "cancel", Absent::Default(standard.cancel), "true or false", flag);
-    let probes =
-        reader.get(section, "probes", Absent::Default(standard.health_checks), "true or false", flag);
+    let hedging =
+        reader.get(section, "second_copies", Absent::Default(defaults.hedging), "true or false", flag);
+    let cancel = reader.get(section, "cancel", Absent::Default(defaults.cancel), "true or false", flag);
+    let health_checks =
+        reader.get(section, "probes", Absent::Default(defaults.health_checks), "true or false", flag);
     let retry_after = reader.get(section, "retry_after", Absent::Default(true), "true or false", flag);
-    let cold_share =
-        reader.get(section, "cold_share", Absent::Default(standard.initial_capacity_share), "0 to 1", |v| {
+    let initial_capacity_share =
+        reader.get(section, "cold_share", Absent::Default(defaults.initial_capacity_share), "0 to 1", |v| {
             number(v).filter(|n| (0.0..=1.0).contains(n))
         });
     let overload_factor = reader.get(
         section,
         "overload_factor",
-        Absent::Default(standard.overload_factor),
+        Absent::Default(defaults.overload_factor),
         "a factor above 0",
         positive,
     );
-    // The agent's own zone has the first number, and stands for servers that name none.
+    // The agent's own zone has index 0, and is also the zone of servers that name none.
     let zone = zone?;
     let mut zones = vec![zone.clone()];
     for server in &mut servers {
@@ -495,29 +509,29 @@
         zone: ZoneId(0),
         classes: values_of(classes),
         tenants: values_of(tenants),
-        discovery: match (platform?, pushed?) {
+        discovery: match (is_platform?, is_discovery_pushed?) {
             (true, false) => Discovery::OnRequest,
             (true, true) | (false, _) => Discovery::Pushed,
         },
         max_attempts: max_attempts?,
-        hedging: second_copies?,
+        hedging: hedging?,
         cancel: cancel?,
-        health_checks: probes?,
+        health_checks: health_checks?,
         retry_after: retry_after?,
         max_retry_after: max_retry_after?,
         drain_grace: drain_grace?,
-        initial_capacity_share: cold_share?,
-        warm_up_time: warm_after?,
+        initial_capacity_share: initial_capacity_share?,
+        warm_up_time: warm_up_time?,
         overload_factor: overload_factor?,
-        overload_tolerance: fall_after?,
-        ..standard
+        overload_tolerance: overload_tolerance?,
+        ..defaults
     };
     match settings.validate() {
-        // What is wrong with the classes has been said at their place.
+        // Missing classes have already been reported.
         Ok(()) | Err(SettingsError::NoClasses) => {}
         Err(fault) => reader.add_fault(section, "name", fault.to_string()),
     }
-    let membership = if platform? { Membership::Platform(discovery?) } else { Membership::Static };
+    let membership = if is_platform? { Membership::Platform(discovery?) } else { Membership::Static };
     let (connect_timeout, keepalive) = (connect_timeout?.into(), keepalive?.into());
     Some(Pool {
         name: String::new(),
@@ -532,69 +546,66 @@
 }
 
 fn server<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>) -> Option<Server> {
-    let place = reader.get_expanded(section, "address", Absent::Fault, ADDRESS, address);
+    let server_address = reader.get_expanded(section, "address", Absent::Fault, EXPECTED_ADDRESS, address);
     let zone = reader.get(section, "zone", Absent::Default(String::new()), "the name of a zone", text);
     let cell = reader.get(section, "cell", Absent::Default(0), "a whole number", count(0));
     let states = &[("serving", ServerState::Serving), ("draining", ServerState::Draining)];
-    let serving = Absent::Default(ServerState::Serving);
-    let state = reader.get(section, "state", serving, "\"serving\" or \"draining\"", one_of(states));
-    let weight = reader.get(section, "weight", Absent::Default(1.0), "a size above 0", positive);
+    let absent = Absent::Default(ServerState::Serving);
+    let state = reader.get(section, "state", absent, "\"serving\" or \"draining\"", one_of(states));
+    let weight = reader.get(section, "weight", Absent::Default(1.0), "a number above 0", positive);
     let dialects = &[("new", false), ("old", true)];
     let is_legacy =
         reader.get(section, "dialect", Absent::Default(false), "\"new\" or \"old\"", one_of(dialects));
-    let (name, address, is_legacy) = (String::new(), place?, is_legacy?);
+    let (name, address, is_legacy) = (String::new(), server_address?, is_legacy?);
     Some(Server { is_legacy, name, address, zone: zone?, cell: cell?, state: state?, weight: weight? })
 }
 
 fn fronts<'t>(
     reader: &mut Reader<'t>,
     root: &mut Section<'t>,
-    operators: Option<SocketAddr>,
-    translates: bool,
+    ops_address: Option<SocketAddr>,
+    has_mappings: bool,
 ) -> Named<Front> {
-    let (mut taken, mut fronts) = (Vec::new(), Named::<Front>::new());
+    let (mut used_names, mut fronts) = (Vec::new(), Named::<Front>::new());
     let sections = reader.sections(root, "front");
     if sections.is_empty() {
         reader.add_fault(root, "front", "found none; wanted one [[front]] at least".into());
     }
     for mut section in sections {
-        let name = name(reader, &mut section, &mut taken);
-        let http = Absent::Default(Protocol::Http);
+        let name = unique_name(reader, &mut section, &mut used_names);
+        let absent = Absent::Default(Protocol::Http);
         let protocol =
-            reader.get(&mut section, "protocol", http, "\"http\" or \"legacy\"", one_of(PROTOCOLS));
-        if protocol == Some(Protocol::Legacy) && !translates {
-            let what = "found \"legacy\"; wanted [translate] with mappings = \"DIR\" beside it".into();
-            reader.add_fault(&section, "protocol", what);
+            reader.get(&mut section, "protocol", absent, "\"http\" or \"legacy\"", one_of(PROTOCOLS));
+        if protocol == Some(Protocol::Legacy) && !has_mappings {
+            let message = "found \"legacy\", which requires [translate] with mappings = \"DIR\"".into();
+            reader.add_fault(&section, "protocol", message);
         }
-        let listen = reader.get_expanded(&mut section, "listen", Absent::Fault, ADDRESS, address);
-        let others = fronts.iter().filter_map(|(_, front)| Some(front.as_ref()?.listen)).chain(operators);
-        if let Some(twice) =
+        let listen = reader.get_expanded(&mut section, "listen", Absent::Fault, EXPECTED_ADDRESS, address);
+        let others = fronts.iter().filter_map(|(_, front)| Some(front.as_ref()?.listen)).chain(ops_address);
+        if let Some(duplicate) =
             listen.filter(|listen| listen.port() != 0 && others.into_iter().any(|o| o == *listen))
         {
             reader.add_fault(
                 &section,
                 "listen",
-                format!("found {twice} a second time; wanted an address of its own"),
+                format!("found {duplicate} a second time; wanted a unique address"),
             );
         }
         let front = |name| Some(Front { name, listen: listen?, protocol: protocol? });
         fronts.extend(name.map(|name: String| (name.clone(), front(name))));
         reader.end(section);
     }
-    if fronts.len() > FRONTS_MOST {
-        reader.add_fault(
-            root,
-            "front",
-            format!("found {}; {FRONTS_MOST} at most can be served", fronts.len()),
-        );
+    if fronts.len() > MAX_FRONTS {
+        reader.add_fault(root, "front", format!("found {}; wanted {MAX_FRONTS} at most", fronts.len()));
     }
     fronts
 }
 
 const PROTOCOLS: &[(&str, Protocol)] =
     &[(Protocol::Http.name(), Protocol::Http), (Protocol::Legacy.name(), Protocol::Legacy)];
-/// A process passes its listening sockets to the next in one message, which holds no more.
-const FRONTS_MOST: usize = 16;
+/// Maximum number of fronts. At a hot restart, a process passes its listening sockets to its successor in one message, which
+/// holds no more.
+const MAX_FRONTS: usize = 16;
 
 fn routes<'t>(
     reader: &mut Reader<'t>,
@@ -606,38 +617,44 @@
 ) -> Option<Table> {
     let (fronts, classes) = (names_of(fronts), names_of(classes));
     let (tenants, pools) = (names_of(tenants), names_of(pools));
-    let place = |name: &str| pools.iter().position(|pool| pool == name);
-    let wanted = format!("one of the pools {}", pools.join(", "));
-    let only = (pools.len() == 1).then(|| pools[0].clone());
-    let absent = only.map_or(Absent::Nothing, Absent::Default);
-    let default =
-        reader.get(root, "default_pool", absent, &wanted, |v| text(v).filter(|t| place(t).is_some()));
-    let (mut taken, mut rules, mut at) = (Vec::new(), Vec::new(), Vec::new());
+    let pool_index = |name: &str| pools.iter().position(|pool| pool == name);
+    let expected_pool = format!("one of the pools {}", pools.join(", "));
+    let only_pool = (pools.len() == 1).then(|| pools[0].clone());
+    let absent = only_pool.map_or(Absent::Nothing, Absent::Default);
+    let default = reader
+        .get(root, "default_pool", absent, &expected_pool, |v| text(v).filter(|t| pool_index(t).is_some()));
+    let (mut used_names, mut rules, mut positions) = (Vec::new(), Vec::new(), Vec::new());
     let sections = reader.sections(root, "route");
     if sections.is_empty() && default.is_none() && pools.len() > 1 {
-        reader.add_fault(root, "default_pool", format!("found nothing and no [[route]]; wanted {wanted}"));
+        reader.add_fault(
+            root,
+            "default_pool",
+            format!("found nothing and no [[route]]; wanted {expected_pool}"),
+        );
     }
     for mut section in sections {
-        let name = name(reader, &mut section, &mut taken);
+        let name = unique_name(reader, &mut section, &mut used_names);
         let priority = reader.get(&mut section, "priority", Absent::Default(0), "a whole number", integer);
-        let mut list = |section: &mut Section<'t>, key, known: &[String], what: &str| {
-            let wanted = format!("{what}, one or a list, of {}", known.join(", "));
-            reader.get(section, key, Absent::Nothing, &wanted, |v| {
+        let mut list = |section: &mut Section<'t>, key, known: &[String], kind: &str| {
+            let expected = format!("{kind}, one or a list, of {}", known.join(", "));
+            reader.get(section, key, Absent::Nothing, &expected, |v| {
                 text_list(v).filter(|list| known.is_empty() || list.iter().all(|item| known.contains(item)))
             })
         };
         let front = list(&mut section, "front", &fronts, "fronts");
         let class = list(&mut section, "class", &classes, "classes");
         let tenant = list(&mut section, "tenant", &tenants, "tenants");
-        let path = reader.get(&mut section, "path", Absent::Nothing, "paths as \"/a/b\" or \"/a/*\"", |v| {
-            text_list(v).filter(|list| list.iter().all(|path| is_pattern(path)))
-        });
-        let table = reader.section(&mut section, "label");
-        let labels = reader.pairs(&table, "a value or a list of them", text_list);
+        let path =
+            reader.get(&mut section, "path", Absent::Nothing, "paths such as \"/a/b\" or \"/a/*\"", |v| {
+                text_list(v).filter(|list| list.iter().all(|path| is_path_pattern(path)))
+            });
+        let label_section = reader.section(&mut section, "label");
+        let labels = reader.pairs(&label_section, "a value or a list of them", text_list);
         let labels: BTreeMap<String, Vec<String>> =
             labels.into_iter().map(|(name, values)| (name.to_ascii_lowercase(), values)).collect();
-        let pool = reader
-            .get(&mut section, "pool", Absent::Fault, &wanted, |v| text(v).filter(|t| place(t).is_some()));
+        let pool = reader.get(&mut section, "pool", Absent::Fault, &expected_pool, |v| {
+            text(v).filter(|t| pool_index(t).is_some())
+        });
         let conditions = Conditions {
             fronts: front.unwrap_or_default(),
             classes: class.unwrap_or_default(),
@@ -645,31 +662,34 @@
             paths: path.unwrap_or_default(),
             labels,
         };
-        if let (Some(name), Some(priority), Some(pool)) = (name, priority, pool.and_then(|pool| place(&pool)))
+        if let (Some(name), Some(priority), Some(pool)) =
+            (name, priority, pool.and_then(|pool| pool_index(&pool)))
         {
             rules.push(Rule { name, priority, conditions, pool });
-            at.push(section.start());
+            positions.push(section.start());
         }
         reader.end(section);
     }
-    match Table::new(rules, default.and_then(|pool| place(&pool))) {
+    match Table::new(rules, default.and_then(|pool| pool_index(&pool))) {
         Ok(table) => Some(table),
         Err(faults) => {
             for fault in faults {
-                let (place, key) = match &fault {
-                    RouteFault::Unreachable { rule, .. } => (at[rule.0], format!("route[{}]", rule.0)),
-                    RouteFault::Overlap { second, .. } => (at[second.0], format!("route[{}]", second.0)),
-                    _ => (at[0], "route".into()),
+                let (position, key) = match &fault {
+                    RouteFault::Unreachable { rule, .. } => (positions[rule.0], format!("route[{}]", rule.0)),
+                    RouteFault::Overlap { second, .. } => {
+                        (positions[second.0], format!("route[{}]", second.0))
+                    }
+                    _ => (positions[0], "route".into()),
                 };
-                reader.add_fault_at(place, key, fault.to_string());
+                reader.add_fault_at(position, key, fault.to_string());
             }
             None
         }
     }
 }
 
-/// A path, with a star at most as its last part.
-fn is_pattern(path: &str) -> bool {
+/// Returns whether a text is a path that contains a star at most as its last segment.
+fn is_path_pattern(path: &str) -> bool {
     path.starts_with('/') && !path.strip_suffix("/*").unwrap_or(path).contains('*')
 }
 
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML by what is wanted of it, and collects every fault with its place instead of stopping at the first.
+//! Reads the expected keys of a TOML text, and collects all faults with their positions instead of stopping at the first.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,16 +6,16 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// What is wrong with a file, and where.
+/// A fault in a file and its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Counted from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// In characters, counted from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// The key, with the tables round it; empty where the text is no TOML.
+    /// The full path of the key; empty if the text is not valid TOML.
     pub key: String,
-    /// What was found there, and what is wanted.
+    /// What was found, and what is wanted.
     pub message: String,
 }
 
@@ -29,14 +29,14 @@
     }
 }
 
-/// Where a value in force comes from.
+/// The source of a value in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// This line of the file.
     Line(usize),
-    /// This line of the file, and the environment variables that it names.
+    /// This line of the file, and the environment variables that occur in the value.
     Environment(usize, Vec<String>),
-    /// The file does not say.
+    /// The default, because the file does not set the key.
     Default,
 }
 
@@ -53,47 +53,47 @@
 /// A value in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EffectiveValue {
-    /// The key, with the tables round it.
+    /// The full path of the key.
     pub key: String,
-    /// The value as the file would have it.
+    /// The value as it would be written in the file.
     pub value: String,
-    /// Who said so.
+    /// Where the value comes from.
     pub source: Source,
 }
 
-/// What stands for a key that the file does not have.
+/// What to do if the file does not have a key.
 pub enum Absent<T> {
-    /// This is in force.
+    /// Use this value.
     Default(T),
-    /// Nothing, and that is no fault.
+    /// Return no value, without a fault.
     Nothing,
-    /// It is a fault.
+    /// Report a fault.
     Fault,
 }
 
-/// The lookup of environment variables.
+/// Looks up an environment variable.
 pub type Environment<'e> = &'e dyn Fn(&str) -> Option<String>;
 
-/// One reading of a text.
+/// Reads one text, and collects its faults and the values in force.
 pub struct Reader<'t> {
     text: &'t str,
     environment: Environment<'t>,
-    /// What is wrong, in the order in which it was found.
+    /// The faults, in the order in which they were found.
     pub faults: Vec<Fault>,
-    /// What is in force, in the order in which it was asked for.
+    /// The values in force, in the order in which they were read.
     pub effective_values: Vec<EffectiveValue>,
 }
 
-/// A table that is being read. Keys of it that nobody has asked for are faults at its [end](Reader::end).
+/// A table that is being read. [`Reader::end`] reports the keys that have not been requested as faults.
 pub struct Section<'t> {
     path: String,
     table: Option<&'t DeTable<'t>>,
-    at: Range<usize>,
-    asked: BTreeSet<&'static str>,
+    span: Range<usize>,
+    known_keys: BTreeSet<&'static str>,
 }
 
 impl Section<'_> {
-    /// The key's full name.
+    /// Returns the full path of a key of this table.
     pub fn key(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
@@ -102,19 +102,19 @@
         }
     }
 
-    /// Where it begins in the text.
+    /// Returns the byte offset at which the table begins in the text.
     pub fn start(&self) -> usize {
-        self.at.start
+        self.span.start
     }
 
-    /// Whether the file has this table.
+    /// Returns whether the file has this table.
     pub fn is_present(&self) -> bool {
         self.table.is_some()
     }
 }
 
-/// A value in words, for faults.
-fn found(value: &DeValue<'_>) -> String {
+/// Describes a value in the message of a fault.
+fn describe(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("{text:?}"),
         DeValue::Integer(number) => number.to_string(),
@@ -126,7 +126,7 @@
     }
 }
 
-/// A number, whether written as whole or not.
+/// Reads a finite number, written as an integer or as a float.
 pub fn number(value: &DeValue<'_>) -> Option<f64> {
     match value {
         DeValue::Integer(n) => i64::from_str_radix(n.as_str(), n.radix()).ok().map(|n| n as f64),
@@ -135,7 +135,7 @@
     }
 }
 
-/// A whole number.
+/// Reads an integer.
 pub fn integer(value: &DeValue<'_>) -> Option<i64> {
     match value {
         DeValue::Integer(n) => i64::from_str_radix(n.as_str(), n.radix()).ok(),
@@ -143,7 +143,8 @@
     }
 }
 
-/// Text without `${...}`, which only [`Reader::get_expanded`] reads.
+/// Reads a string that is not empty. A string that contains `${` is rejected, because only [`Reader::get_expanded`] expands
+/// variables.
 pub fn text(value: &DeValue<'_>) -> Option<String> {
     match value {
         DeValue::String(text) if !text.is_empty() && !text.contains("${") => Some(text.to_string()),
@@ -151,7 +152,7 @@
     }
 }
 
-/// True or false.
+/// Reads a boolean.
 pub fn flag(value: &DeValue<'_>) -> Option<bool> {
     match value {
         DeValue::Boolean(flag) => Some(*flag),
@@ -159,233 +160,248 @@
     }
 }
 
-/// What one of these words stands for.
-pub fn one_of<T: Copy>(words: &'static [(&'static str, T)]) -> impl Fn(&DeValue<'_>) -> Option<T> {
+/// Reads the name of one of these variants.
+pub fn one_of<T: Copy>(variants: &'static [(&'static str, T)]) -> impl Fn(&DeValue<'_>) -> Option<T> {
     move |value| {
-        let word = text(value)?;
-        words.iter().find(|(name, _)| *name == word).map(|(_, meaning)| *meaning)
+        let text = text(value)?;
+        variants.iter().find(|(name, _)| *name == text).map(|(_, variant)| *variant)
     }
 }
 
-/// One text, or a list of them.
+/// Reads a string, or a list of strings that is not empty.
 pub fn text_list(value: &DeValue<'_>) -> Option<Vec<String>> {
     match value {
         DeValue::Array(items) if !items.is_empty() => items.iter().map(|item| text(item.get_ref())).collect(),
-        other => text(other).map(|one| vec![one]),
+        other => text(other).map(|text| vec![text]),
     }
 }
 
-/// The tables of a text, or the one fault that it is no TOML.
+/// Parses a text as TOML.
+///
+/// # Errors
+/// One fault, if the text is not valid TOML.
 pub fn parse_toml(text: &str) -> Result<Spanned<DeTable<'_>>, Vec<Fault>> {
-    DeTable::parse(text).map_err(|e| {
-        let (line, column) = position(text, e.span().map_or(0, |span| span.start));
-        vec![Fault { line, column, key: String::new(), message: format!("no TOML: {}", e.message()) }]
+    DeTable::parse(text).map_err(|error| {
+        let (line, column) = position(text, error.span().map_or(0, |span| span.start));
+        vec![Fault {
+            line,
+            column,
+            key: String::new(),
+            message: format!("invalid TOML: {}", error.message()),
+        }]
     })
 }
 
 impl<'t> Reader<'t> {
-    /// Begins to read the [TOML](parse_toml) of a text.
+    /// Creates a reader of a text and of the table into which [`parse_toml`] has parsed it. Also returns the root table.
     pub fn new(
         text: &'t str,
         table: &'t Spanned<DeTable<'t>>,
         environment: Environment<'t>,
     ) -> (Self, Section<'t>) {
         let reader = Reader { text, environment, faults: Vec::new(), effective_values: Vec::new() };
-        let section =
-            Section { path: String::new(), table: Some(table.get_ref()), at: 0..0, asked: BTreeSet::new() };
+        let section = Section {
+            path: String::new(),
+            table: Some(table.get_ref()),
+            span: 0..0,
+            known_keys: BTreeSet::new(),
+        };
         (reader, section)
     }
 
-    fn line(&self, at: usize) -> usize {
-        self.text[..at.min(self.text.len())].matches('\n').count() + 1
+    fn line_at(&self, offset: usize) -> usize {
+        self.text[..offset.min(self.text.len())].matches('\n').count() + 1
     }
 
-    /// Notes a fault at a place in the text.
-    pub fn add_fault_at(&mut self, at: usize, key: String, message: String) {
-        let (line, column) = position(self.text, at);
+    /// Adds a fault at a byte offset of the text.
+    pub fn add_fault_at(&mut self, offset: usize, key: String, message: String) {
+        let (line, column) = position(self.text, offset);
         self.faults.push(Fault { line, column, key, message });
     }
 
-    /// Notes a fault of a key, or of its table if it is not there.
+    /// Adds a fault at the position of a key, or of its table if the key is absent.
     pub fn add_fault(&mut self, section: &Section<'_>, key: &str, message: String) {
         let value = section.table.and_then(|table| table.get(key));
-        let at = value.map_or(section.at.start, |value| value.span().start);
-        self.add_fault_at(at, section.key(key), message);
+        let offset = value.map_or(section.span.start, |value| value.span().start);
+        self.add_fault_at(offset, section.key(key), message);
     }
 
-    /// The value of a key as `read` understands it. `wanted` says in words what that is.
+    /// Returns the value of a key as `parse` converts it. A value that `parse` rejects is a fault, whose message contains
+    /// `expected`, a description of the values that are allowed.
     pub fn get<T: fmt::Debug>(
         &mut self,
         section: &mut Section<'t>,
         key: &'static str,
         absent: Absent<T>,
-        wanted: &str,
-        read: impl Fn(&DeValue<'t>) -> Option<T>,
+        expected: &str,
+        parse: impl Fn(&DeValue<'t>) -> Option<T>,
     ) -> Option<T> {
-        section.asked.insert(key);
+        section.known_keys.insert(key);
         let name = section.key(key);
         match section.table.and_then(|table| table.get(key)) {
-            Some(value) => match read(value.get_ref()) {
-                Some(read) => {
-                    let source = Source::Line(self.line(value.span().start));
+            Some(value) => match parse(value.get_ref()) {
+                Some(parsed) => {
+                    let source = Source::Line(self.line_at(value.span().start));
                     let value = self.text.get(value.span()).unwrap_or_default().to_string();
                     self.effective_values.push(EffectiveValue { key: name, value, source });
-                    Some(read)
+                    Some(parsed)
                 }
                 None => {
-                    let what = format!("found {}; wanted {wanted}", found(value.get_ref()));
-                    self.add_fault_at(value.span().start, name, what);
+                    let message = format!("found {}; wanted {expected}", describe(value.get_ref()));
+                    self.add_fault_at(value.span().start, name, message);
                     None
                 }
             },
             None => match absent {
                 Absent::Default(value) => {
-                    let said = word(&format!("{value:?}"));
+                    let text = format_default(&format!("{value:?}"));
                     self.effective_values.push(EffectiveValue {
                         key: name,
-                        value: said,
+                        value: text,
                         source: Source::Default,
                     });
                     Some(value)
                 }
                 Absent::Nothing => None,
                 Absent::Fault => {
-                    self.add_fault_at(section.at.start, name, format!("found nothing; wanted {wanted}"));
+                    self.add_fault_at(section.span.start, name, format!("found nothing; wanted {expected}"));
                     None
                 }
             },
         }
     }
 
-    /// Text in which `${NAME}` stands for a variable of the environment; one that is not set is a fault.
+    /// Returns the value of a key, in which `${NAME}` is replaced by an environment variable. A variable that is not set is a
+    /// fault.
     pub fn get_expanded<T: fmt::Debug + Clone>(
         &mut self,
         section: &mut Section<'t>,
         key: &'static str,
         absent: Absent<T>,
-        wanted: &str,
-        read: impl Fn(&str) -> Option<T>,
+        expected: &str,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
         let value = section.table.and_then(|table| table.get(key));
         let Some((DeValue::String(raw), span)) = value.map(|value| (value.get_ref(), value.span())) else {
-            return self.get(section, key, absent, wanted, |_| None);
+            return self.get(section, key, absent, expected, |_| None);
         };
-        section.asked.insert(key);
+        section.known_keys.insert(key);
         let name = section.key(key);
         let mut names = Vec::new();
         let text = match expand(raw, self.environment, &mut names) {
             Ok(text) => text,
-            Err(what) => {
-                self.add_fault_at(span.start, name, what);
+            Err(message) => {
+                self.add_fault_at(span.start, name, message);
                 return None;
             }
         };
-        let line = self.line(span.start);
+        let line = self.line_at(span.start);
         let source = if names.is_empty() { Source::Line(line) } else { Source::Environment(line, names) };
-        match read(&text) {
-            Some(read) => {
+        match parse(&text) {
+            Some(parsed) => {
                 self.effective_values.push(EffectiveValue { key: name, value: format!("{text:?}"), source });
-                Some(read)
+                Some(parsed)
             }
             None => {
-                self.add_fault_at(span.start, name, format!("found {text:?}; wanted {wanted}"));
+                self.add_fault_at(span.start, name, format!("found {text:?}; wanted {expected}"));
                 None
             }
         }
     }
 
-    /// The table of a key; one that is not there reads as empty.
+    /// Returns the table of a key; an absent table is read as an empty one.
     pub fn section(&mut self, parent: &mut Section<'t>, key: &'static str) -> Section<'t> {
-        parent.asked.insert(key);
+        parent.known_keys.insert(key);
         let path = parent.key(key);
-        let (table, at) = match parent.table.and_then(|table| table.get_key_value(key)) {
+        let (table, span) = match parent.table.and_then(|table| table.get_key_value(key)) {
             Some((name, value)) => match value.get_ref() {
                 DeValue::Table(table) => (Some(table), name.span()),
                 other => {
-                    let what = format!("found {}; wanted a table [{path}]", found(other));
-                    self.add_fault_at(value.span().start, path.clone(), what);
+                    let message = format!("found {}; wanted a table [{path}]", describe(other));
+                    self.add_fault_at(value.span().start, path.clone(), message);
                     (None, value.span())
                 }
             },
-            None => (None, parent.at.clone()),
+            None => (None, parent.span.clone()),
         };
-        Section { path, table, at, asked: BTreeSet::new() }
+        Section { path, table, span, known_keys: BTreeSet::new() }
     }
 
-    /// The tables of a key that may stand several times, such as `[[pool]]`.
+    /// Returns the tables of a key that may occur several times, such as `[[pool]]`.
     pub fn sections(&mut self, parent: &mut Section<'t>, key: &'static str) -> Vec<Section<'t>> {
-        parent.asked.insert(key);
+        parent.known_keys.insert(key);
         let path = parent.key(key);
         let Some(value) = parent.table.and_then(|table| table.get(key)) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
-            let what = format!("found {}; wanted tables [[{path}]]", found(value.get_ref()));
-            self.add_fault_at(value.span().start, path, what);
+            let message = format!("found {}; wanted tables [[{path}]]", describe(value.get_ref()));
+            self.add_fault_at(value.span().start, path, message);
             return Vec::new();
         };
         let mut sections = Vec::new();
-        for (n, item) in items.iter().enumerate() {
+        for (index, item) in items.iter().enumerate() {
             match item.get_ref() {
                 DeValue::Table(table) => sections.push(Section {
-                    path: format!("{path}[{n}]"),
+                    path: format!("{path}[{index}]"),
                     table: Some(table),
-                    at: item.span(),
-                    asked: BTreeSet::new(),
+                    span: item.span(),
+                    known_keys: BTreeSet::new(),
                 }),
                 other => {
-                    let what = format!("found {}; wanted a table", found(other));
-                    self.add_fault_at(item.span().start, format!("{path}[{n}]"), what);
+                    let message = format!("found {}; wanted a table", describe(other));
+                    self.add_fault_at(item.span().start, format!("{path}[{index}]"), message);
                 }
             }
         }
         sections
     }
 
-    /// The names and values of a table whose keys are anybody's.
+    /// Returns the keys and values of a table in which any key is allowed.
     pub fn pairs<T>(
         &mut self,
         section: &Section<'t>,
-        wanted: &str,
-        read: impl Fn(&DeValue<'t>) -> Option<T>,
+        expected: &str,
+        parse: impl Fn(&DeValue<'t>) -> Option<T>,
     ) -> Vec<(String, T)> {
         let mut pairs = Vec::new();
         for (name, value) in section.table.into_iter().flatten() {
-            match read(value.get_ref()) {
-                Some(read) => pairs.push((name.get_ref().to_string(), read)),
+            match parse(value.get_ref()) {
+                Some(parsed) => pairs.push((name.get_ref().to_string(), parsed)),
                 None => {
-                    let what = format!("found {}; wanted {wanted}", found(value.get_ref()));
-                    self.add_fault_at(value.span().start, section.key(name.get_ref()), what);
+                    let message = format!("found {}; wanted {expected}", describe(value.get_ref()));
+                    self.add_fault_at(value.span().start, section.key(name.get_ref()), message);
                 }
             }
         }
         pairs
     }
 
-    /// All of a table has been asked for that may be: whatever else stands there is a fault.
+    /// Finishes the reading of a table: each key that has not been requested is a fault.
     pub fn end(&mut self, section: Section<'t>) {
         let unknown = section.table.into_iter().flatten();
         let unknown: Vec<_> = unknown
-            .filter(|(name, _)| !section.asked.contains(&**name.get_ref()))
+            .filter(|(name, _)| !section.known_keys.contains(&**name.get_ref()))
             .map(|(name, _)| (name.span().start, name.get_ref().to_string()))
             .collect();
-        let known: Vec<&str> = section.asked.iter().copied().collect();
-        for (at, name) in unknown {
-            let what = format!("no such key; there are {}", known.join(", "));
-            self.add_fault_at(at, section.key(&name), what);
+        let known: Vec<&str> = section.known_keys.iter().copied().collect();
+        for (offset, name) in unknown {
+            let message = format!("no such key; there are {}", known.join(", "));
+            self.add_fault_at(offset, section.key(&name), message);
         }
     }
 }
 
-/// A value of an enumeration as the file would have it.
-fn word(value: &str) -> String {
+/// Formats the debug text of a default as it would be written in the file: the name of an enum variant becomes a quoted
+/// string in lower case.
+fn format_default(value: &str) -> String {
     match value.starts_with(|c: char| c.is_ascii_uppercase()) {
         true => format!("{:?}", value.to_ascii_lowercase()),
         false => value.into(),
     }
 }
 
-/// Line and column of a place in a text, both counted from 1.
-pub fn position(text: &str, at: usize) -> (usize, usize) {
-    let before = text.get(..at).unwrap_or(text);
+/// Returns the line and column of a byte offset in a text, both counted from 1.
+pub fn position(text: &str, offset: usize) -> (usize, usize) {
+    let before = text.get(..offset).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
     (line, column)
@@ -394,12 +410,12 @@
 fn expand(raw: &str, environment: Environment<'_>, names: &mut Vec<String>) -> Result<String, String> {
     let (mut text, mut rest) = (String::new(), raw);
     while let Some((before, after)) = rest.split_once("${") {
-        let (name, behind) = after.split_once('}').ok_or(format!("found {raw:?}; wanted }} after ${{"))?;
+        let (name, remaining) = after.split_once('}').ok_or(format!("found {raw:?}; wanted }} after ${{"))?;
         let value = environment(name).filter(|value| !value.is_empty());
         text += before;
         text += &value.ok_or(format!("found ${{{name}}}, which is not set in the environment"))?;
         names.push(name.to_string());
-        rest = behind;
+        rest = remaining;
     }
     Ok(text + rest)
 }
