--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Lets balancers decide on the simulator's wire: a line of events in, a line of actions out.
+//! Hosts instances of the decision module on the simulator's line protocol: for each line of events on the standard input,
+//! it writes one line of actions to the standard output.
 
 mod host;
 mod wire;
@@ -6,7 +7,10 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Reads batches until the input ends; the error is what a person should read.
+/// Processes batches until the end of the input.
+///
+/// # Errors
+/// A message for the user.
 fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), String> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
@@ -17,12 +21,12 @@
         if read == 0 {
             return Ok(());
         }
-        let after = || last_round.map_or("the first round".into(), |r| format!("the round after {r}"));
+        let position = || last_round.map_or("the first round".into(), |r| format!("the round after {r}"));
         let batch: wire::Batch<'_> =
-            serde_json::from_slice(&line).map_err(|e| format!("{}: not a batch: {e}", after()))?;
+            serde_json::from_slice(&line).map_err(|e| format!("{}: not a batch: {e}", position()))?;
         let round = batch.round;
         last_round = Some(round);
-        let reply = host.play(batch).map_err(|fault| format!("round {round}: {fault}"))?;
+        let reply = host.process_batch(batch).map_err(|fault| format!("round {round}: {fault}"))?;
         let mut text = serde_json::to_vec(&reply).map_err(|e| format!("round {round}: {e}"))?;
         text.push(b'\n');
         output
@@ -33,7 +37,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of the decision code goes out on the wire; the hook's own lines would only repeat it.
+    // A panic of the decision module is sent as a BUG message; the output of the default hook would only repeat it.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/simhost/src/tests.rs
+++ b/crates/simhost/src/tests.rs
@@ -1,4 +1,4 @@
-//! Decoding, encoding and dispatch, with lines of the project's own making.
+//! Tests decoding, encoding and dispatch with handwritten lines.
 
 use super::run;
 
@@ -38,7 +38,7 @@
     format!("{{\"tMs\":{ms},\"round\":{round},\"parts\":[{}]}}\n", parts.join(","))
 }
 
-fn play(input: &str) -> (Result<(), String>, Vec<serde_json::Value>) {
+fn run_lines(input: &str) -> (Result<(), String>, Vec<serde_json::Value>) {
     let mut output = Vec::new();
     let end = run(&mut input.as_bytes(), &mut output);
     let text = String::from_utf8(output).expect("UTF-8");
@@ -51,21 +51,21 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_fault() {
-    let (end, replies) = play(&batch(1, "8412.25", &[]));
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
+    let (end, replies) = run_lines(&batch(1, "8412.25", &[]));
     assert_eq!(end, Ok(()));
     assert_eq!(replies, [serde_json::json!({"round": 1, "parts": []})]);
 }
 
 #[test]
-fn a_request_is_routed_and_its_outcome_taken_with_times_to_the_microsecond() {
+fn a_request_is_routed_and_its_outcome_handled_with_times_to_the_microsecond() {
     let first = batch(
         1,
         "358835696.557",
         &[(4, &[attach(), catalog(3, &["backend_a"]), registry("Persisted", 3), request("r-1")])],
     );
     let done = r#"{"DONE":{"ticket":"r-1","backend":"backend_a","finished":false,"timeTakenMs":3.001,"ending":"econnrefused","attempt":0,"gauge":[1,2]}}"#;
-    let (end, replies) = play(&(first + &batch(2, "358835699.558", &[(4, &[done.to_string()])])));
+    let (end, replies) = run_lines(&(first + &batch(2, "358835699.558", &[(4, &[done.to_string()])])));
     assert_eq!(end, Ok(()));
     let route = actions(&replies[0], "ROUTE");
     let expected = serde_json::json!({"ticket": "r-1", "backend": "backend_a", "untilMs": 358_836_336.682});
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_catalogue_number_is_taken_over_within_a_batch() {
+fn a_catalogue_can_be_replaced_within_a_batch() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -87,22 +87,22 @@
         registry("Complete", 0),
         request("r-1"),
     ];
-    let (end, replies) = play(&batch(1, "10", &[(0, &inbox)]));
+    let (end, replies) = run_lines(&batch(1, "10", &[(0, &inbox)]));
     assert_eq!(end, Ok(()));
     assert_eq!(actions(&replies[0], "ROUTE")[0]["backend"], "backend_b");
 }
 
 #[test]
-fn a_new_life_in_the_same_batch_does_not_speak_for_the_old_one() {
+fn an_instance_attached_again_in_the_same_batch_knows_nothing_of_the_retired_one() {
     let start = batch(1, "10", &[(0, &[attach(), catalog(0, &["backend_a"]), registry("Complete", 0)])]);
     let inbox = [request("old"), r#"{"RETIRE":{}}"#.into(), attach(), request("new")];
-    let (end, replies) = play(&(start + &batch(2, "20", &[(0, &inbox)])));
+    let (end, replies) = run_lines(&(start + &batch(2, "20", &[(0, &inbox)])));
     assert_eq!(end, Ok(()));
     assert!(actions(&replies[1], "ROUTE").is_empty(), "neither the old request nor the old list is known");
 }
 
 #[test]
-fn mail_probes_and_news_of_dropped_requests_are_taken() {
+fn mail_probe_results_and_events_of_unknown_requests_are_accepted() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -114,38 +114,38 @@
         r#"{"FIRST_BYTE":{"ticket":"never","attempt":0,"backend":"backend_a","timeTakenMs":1}}"#.into(),
         r#"{"ELAPSED":{"keyBack":77}}"#.into(),
     ];
-    assert_eq!(play(&batch(1, "10", &[(0, &inbox)])).0, Ok(()));
+    assert_eq!(run_lines(&batch(1, "10", &[(0, &inbox)])).0, Ok(()));
 }
 
 #[test]
-fn megabytes_in_one_batch() {
+fn a_batch_of_megabytes_is_processed() {
     let mut inbox = vec![attach(), catalog(0, &["backend_a", "backend_b"]), registry("Complete", 0)];
     inbox.extend((0..20_000).map(|i| request(&format!("{i:036}"))));
     let line = batch(1, "10", &[(0, &inbox)]);
     assert!(line.len() > 2_000_000);
-    let (end, replies) = play(&line);
+    let (end, replies) = run_lines(&line);
     assert_eq!(end, Ok(()));
     assert!(!actions(&replies[0], "ROUTE").is_empty());
 }
 
 #[test]
-fn a_fault_names_the_round_and_what_is_wrong() {
+fn an_error_contains_the_round_and_the_fault() {
     let attached = |inbox: &str| batch(6, "10", &[(0, &[attach(), inbox.to_string()])]);
-    for (line, words) in [
+    for (line, message) in [
         ("{\"tMs\":1\n".to_string(), "the first round: not a batch"),
         (attached(r#"{"SURPRISE":{}}"#), "SURPRISE"),
         (attached(r#"{"ELAPSED":{"keyBack":"x"}}"#), "invalid type"),
         (attached(&registry("Partial", 5)), "round 6: instance 0: REGISTRY names catalogue 5"),
-        (batch(6, "10", &[(3, &[request("r")])]), "round 6: instance 3: an event came before ATTACH"),
+        (batch(6, "10", &[(3, &[request("r")])]), "round 6: instance 3: an event was received before ATTACH"),
         (attached(r#"{"MAIL":{"srcPeer":1,"raw":"6"}}"#), "round 6: instance 0: MAIL"),
         (
             batch(6, "10", &[(0, &[r#"{"ATTACH":{"salt":1,"params":{}}}"#.to_string()])]),
             "round 6: instance 0: settings name no request class",
         ),
     ] {
-        let (end, replies) = play(&line);
-        let fault = end.expect_err(words);
-        assert!(fault.contains(words), "{fault}");
+        let (end, replies) = run_lines(&line);
+        let fault = end.expect_err(message);
+        assert!(fault.contains(message), "{fault}");
         assert!(replies.is_empty());
     }
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,10 +1,10 @@
-//! The simulator's words: what its lines hold, and nothing of what to do about them.
+//! The messages of the simulator's line protocol. Fields and variants have the names that the protocol uses.
 
 use heronhoist_settings::SettingsFile;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// One line of input: what has happened to some of the instances by the time of the clock.
+/// One line of input: the events of some of the instances up to the time of the clock.
 #[derive(Debug, Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "tMs")]
@@ -22,7 +22,7 @@
     pub inbox: Vec<Incoming<'a>>,
 }
 
-/// An event as it stands on the wire.
+/// An event, as encoded in the protocol.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Incoming<'a> {
@@ -109,7 +109,7 @@
     Error,
 }
 
-/// A server as the list names it.
+/// A server of a list.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Entry<'a> {
@@ -164,7 +164,7 @@
     pub outbox: Vec<Outgoing>,
 }
 
-/// An action as it stands on the wire.
+/// An action, as encoded in the protocol.
 #[derive(Debug, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "camelCase")]
 pub enum Outgoing {
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Each message kind, key and word of the simulator's wire, by itself.
+//! Tests each message kind, key and enum value of the simulator's line protocol separately.
 
 use super::*;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn lists_are_read_by_their_keys_and_words() {
+fn lists_are_read_by_their_keys_and_values() {
     let attach = read(r#"{"ATTACH":{"salt":9,"params":{"balancers":5}}}"#);
     assert!(matches!(attach, Incoming::Attach { salt: 9, params } if params.settings().balancers == 5));
     let text = r#"{"CATALOG":{"ref":6,"membersList":[
@@ -29,8 +29,8 @@
     assert!(matches!(first.status, EntryStatus::Serving));
     assert!(matches!(members_list[1].status, EntryStatus::Draining));
     assert!(matches!(members_list[2].status, EntryStatus::Deleted));
-    let form = |word: &str| {
-        let text = format!(r#"{{"REGISTRY":{{"form":"{word}","rev":1,"ref":7}}}}"#);
+    let form = |name: &str| {
+        let text = format!(r#"{{"REGISTRY":{{"form":"{name}","rev":1,"ref":7}}}}"#);
         match serde_json::from_str(&text).expect("a list event") {
             Incoming::Registry { form, r#ref: Some(7), .. } => form,
             other => panic!("{other:?}"),
@@ -57,21 +57,21 @@
     assert!(matches!(aborted, Incoming::Aborted { ticket } if ticket == "r"));
     let text = r#"{"DONE":{"ticket":"r","finished":true,"timeTakenMs":1.5,"ending":"busy","attempt":2,"gauge":[3.5]}}"#;
     let Incoming::Done { ticket, finished, time_taken_ms, ending, attempt, gauge } = read(text) else {
-        panic!("an end")
+        panic!("a finished attempt")
     };
     assert_eq!((&*ticket, finished, time_taken_ms, attempt, gauge), ("r", true, 1.5, 2, Some(vec![3.5])));
     assert!(matches!(ending, Ending::Busy));
 }
 
 #[test]
-fn other_events_are_read_by_their_keys_and_words() {
+fn other_events_are_read_by_their_keys_and_values() {
     assert!(matches!(read(r#"{"ELAPSED":{"keyBack":8}}"#), Incoming::Elapsed { key_back: 8 }));
     let mail = read(r#"{"MAIL":{"srcPeer":3,"raw":"6a"}}"#);
     assert!(matches!(mail, Incoming::Mail { src_peer: 3, raw } if raw == "6a"));
-    let ending = |word: &str| {
+    let ending = |name: &str| {
         let text =
-            format!(r#"{{"PROBED":{{"backend":"a","ending":"{word}","timeTakenMs":1.5,"gauge":[2.5]}}}}"#);
-        match serde_json::from_str(&text).expect("a probe's end") {
+            format!(r#"{{"PROBED":{{"backend":"a","ending":"{name}","timeTakenMs":1.5,"gauge":[2.5]}}}}"#);
+        match serde_json::from_str(&text).expect("a probe result") {
             Incoming::Probed { backend, ending, time_taken_ms: 1.5, gauge: Some(gauge) } => {
                 assert_eq!((&*backend, gauge), ("a", vec![2.5]));
                 ending
