--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -5,7 +5,7 @@
 use heronhoist_decision::{
     Class, DeduplicationScope, Discovery, Effect, Settings, SettingsError, Span, Tenant, ZoneId,
 };
-use heronhoist_routing::{Conditions, Fault as RouteFault, Rule, Table};
+use heronhoist_routing::{Conditions, Rule, Table, TableError};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -623,7 +623,7 @@
     let absent = only_pool.map_or(Absent::Nothing, Absent::Default);
     let default = reader
         .get(root, "default_pool", absent, &expected_pool, |v| text(v).filter(|t| pool_index(t).is_some()));
-    let (mut used_names, mut rules, mut positions) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut used_names, mut rules, mut starts) = (Vec::new(), Vec::new(), Vec::new());
     let sections = reader.sections(root, "route");
     if sections.is_empty() && default.is_none() && pools.len() > 1 {
         reader.add_fault(
@@ -666,7 +666,7 @@
             (name, priority, pool.and_then(|pool| pool_index(&pool)))
         {
             rules.push(Rule { name, priority, conditions, pool });
-            positions.push(section.start());
+            starts.push(section.start());
         }
         reader.end(section);
     }
@@ -674,14 +674,12 @@
         Ok(table) => Some(table),
         Err(faults) => {
             for fault in faults {
-                let (position, key) = match &fault {
-                    RouteFault::Unreachable { rule, .. } => (positions[rule.0], format!("route[{}]", rule.0)),
-                    RouteFault::Overlap { second, .. } => {
-                        (positions[second.0], format!("route[{}]", second.0))
-                    }
-                    _ => (positions[0], "route".into()),
+                let (start, key) = match &fault {
+                    TableError::Unreachable { rule, .. } => (starts[rule.0], format!("route[{}]", rule.0)),
+                    TableError::Overlap { second, .. } => (starts[second.0], format!("route[{}]", second.0)),
+                    _ => (starts[0], "route".into()),
                 };
-                reader.add_fault_at(position, key, fault.to_string());
+                reader.add_fault_at(start, key, fault.to_string());
             }
             None
         }
