--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -249,32 +249,26 @@
 
     fn encode(&mut self, action: Action) -> Outgoing {
         let backend = |server: ServerId, names: &[Rc<str>]| names[server.0 as usize].to_string();
-        let unknown_request = || Outgoing::Bug { what: "an action for a request that is not open".into() };
+        let not_open = || Outgoing::Bug { what: "an action for a request that is not open".into() };
         match action {
             // The simulator sends an attempt at once, so the time by which it must begin is ignored.
             Action::Send { request, server, timeout_at, begin_by: _ } => {
                 let backend = backend(server, &self.server_names);
-                let Some((ticket, open_request)) = self.open_request(request) else {
-                    return unknown_request();
-                };
+                let Some((ticket, open_request)) = self.open_request(request) else { return not_open() };
                 open_request.attempts_in_flight += 1;
                 Outgoing::Route { ticket, backend, until_ms: timeout_at.as_ms() }
             }
             Action::Cancel { request, attempt } => {
-                let Some((ticket, _)) = self.open_request(request) else { return unknown_request() };
+                let Some((ticket, _)) = self.open_request(request) else { return not_open() };
                 Outgoing::Abandon { ticket, attempt: attempt.0 }
             }
             Action::Reject { request, retry_after } => {
-                let Some((ticket, open_request)) = self.open_request(request) else {
-                    return unknown_request();
-                };
+                let Some((ticket, open_request)) = self.open_request(request) else { return not_open() };
                 open_request.is_finished = true;
                 Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::as_ms) }
             }
             Action::Fail { request } => {
-                let Some((ticket, open_request)) = self.open_request(request) else {
-                    return unknown_request();
-                };
+                let Some((ticket, open_request)) = self.open_request(request) else { return not_open() };
                 open_request.is_finished = true;
                 Outgoing::Abort { ticket }
             }
