--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/formation.rs
@@ -55,8 +55,8 @@
             let own = self.identity.borrow().clone();
             let reason = match bootstrap::next_step(&own, &peers, &responses, new_id) {
                 BootstrapStep::Form(cluster) => return self.form_cluster(own, cluster),
-                BootstrapStep::Outside { is_replaced, .. } => {
-                    let reason = self.outside_reason(is_replaced);
+                BootstrapStep::Excluded { is_disk_replaced, .. } => {
+                    let reason = self.outside_reason(is_disk_replaced);
                     tracing::warn!(target: LOG_TARGET, "{reason}");
                     *self.not_serving_reason.borrow_mut() = reason;
                     return Ok(stored);
@@ -117,8 +117,8 @@
                 continue;
             }
             let response =
-                Link::new(*address).request(&self.envelope(), &Request::Hello, HELLO_TIMEOUT).await;
-            if let Ok(Response::Hello(identity)) = response {
+                Link::new(*address).request(&self.envelope(), &Request::Identify, HELLO_TIMEOUT).await;
+            if let Ok(Response::Identity(identity)) = response {
                 identities.insert(name.clone(), identity);
             }
         }
--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/link.rs
@@ -310,8 +310,8 @@
         refusal,
         Refusal::Unknown
             | Refusal::NotFormed(_)
-            | Refusal::Over(_)
-            | Refusal::OtherFleet { .. }
-            | Refusal::OtherProtocol { .. }
+            | Refusal::LimitExceeded(_)
+            | Refusal::FleetMismatch { .. }
+            | Refusal::ProtocolMismatch { .. }
     )
 }
--- a/crates/coordination/src/state/command.rs
+++ b/crates/coordination/src/state/command.rs
@@ -13,7 +13,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Opens a session for a client that is not a member.
-    Open,
+    #[serde(rename = "open")]
+    OpenSession,
     /// Makes a process a member.
     Join {
         /// Its name.
@@ -23,7 +24,7 @@
         /// The last incarnation of the name that the process knows of, 0 for none. A command that arrives late, when the name
         /// has another incarnation, has no effect.
         #[serde(rename = "after")]
-        follows: Incarnation,
+        previous_incarnation: Incarnation,
         /// The site it runs at.
         site: String,
         /// The version of its program.
@@ -76,7 +77,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum CommandResult {
     /// A session with this number was opened.
-    Opened(Revision),
+    #[serde(rename = "opened")]
+    SessionOpened(Revision),
     /// The process is a member.
     Joined {
         /// Its incarnation, which is the number of its session too.
@@ -88,7 +90,8 @@
         incarnation: Incarnation,
     },
     /// The name has another incarnation than the command states. Nothing was done.
-    Present {
+    #[serde(rename = "present")]
+    IncarnationMismatch {
         /// The name's incarnation, 0 for none.
         incarnation: Incarnation,
     },
@@ -106,7 +109,8 @@
     /// A later command of the session, or a later report of the member, was executed already.
     Outdated,
     /// A limit would be exceeded. Nothing was done.
-    Over(LimitExceeded),
+    #[serde(rename = "over")]
+    LimitExceeded(LimitExceeded),
     /// The command is invalid, for this reason. Nothing was done.
     Refused(String),
 }
@@ -137,13 +141,13 @@
 
     fn execute(&mut self, command: &Command, limits: &Limits) -> CommandResult {
         match command {
-            Command::Open => {
+            Command::OpenSession => {
                 self.revision += 1;
-                CommandResult::Opened(self.open_session(limits))
+                CommandResult::SessionOpened(self.open_session(limits))
             }
-            Command::Join { name, nonce, follows, site, version, address } => {
-                let (nonce, follows) = (*nonce, *follows);
-                self.join(&JoinRequest { name, nonce, follows, site, version, address }, limits)
+            Command::Join { name, nonce, previous_incarnation, site, version, address } => {
+                let (nonce, previous_incarnation) = (*nonce, *previous_incarnation);
+                self.join(&JoinRequest { name, nonce, previous_incarnation, site, version, address }, limits)
             }
             Command::Report { name, incarnation, number, ready } => {
                 self.report(name, *incarnation, *number, *ready, limits)
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -32,7 +32,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Request {
     /// Asks for the identity of a process that is not part of a cluster yet.
-    Hello,
+    #[serde(rename = "hello")]
+    Identify,
     /// Changes the replicated state.
     Command(CommandRequest),
     /// Renews the sender's lease.
@@ -59,14 +60,16 @@
     /// Asks for the status of this process.
     Status,
     /// Adds a process to the cluster, removes one, or both at once.
-    Replace {
+    #[serde(rename = "replace")]
+    ChangePeers {
         /// The process to add.
         add: Option<(NodeId, Peer)>,
         /// The process to remove.
         remove: Option<NodeId>,
     },
     /// Asks for a backup of the whole state.
-    Copy,
+    #[serde(rename = "copy")]
+    Backup,
 }
 
 /// The response to a request.
@@ -74,15 +77,18 @@
 #[serde(rename_all = "snake_case")]
 pub enum Response {
     /// The identity of the process.
-    Hello(Identity),
+    #[serde(rename = "hello")]
+    Identity(Identity),
     /// The result of a command, and the terms of leases.
     Reply(CommandResult, LeaseTerms),
     /// The lease is renewed.
     Renewed(LeaseTerms),
     /// The lease has expired; the sender must not act on it.
-    Ended,
+    #[serde(rename = "ended")]
+    Expired,
     /// The lease is not renewed: a newer process has the name, or waits for it.
-    Displaced,
+    #[serde(rename = "displaced")]
+    Superseded,
     /// The members and records that were read.
     Read(View),
     /// Changes for a watch.
@@ -95,9 +101,11 @@
     /// The status of the process and, if it leads, the microseconds since each member renewed its lease.
     Status(NodeStatus, BTreeMap<String, Time>),
     /// The processes of the cluster have been changed.
-    Replaced,
+    #[serde(rename = "replaced")]
+    PeersChanged,
     /// The whole state as JSON.
-    Copy(String),
+    #[serde(rename = "copy")]
+    Backup(String),
     /// The request is refused.
     Refused(Refusal),
 }
@@ -126,20 +134,26 @@
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
     /// The sender belongs to another fleet.
-    #[error("this is fleet {own:?}; the message is of {theirs:?}")]
-    OtherFleet {
+    #[error("this is fleet {expected:?}; the message is of {received:?}")]
+    #[serde(rename = "other_fleet")]
+    FleetMismatch {
         /// The fleet of this process.
-        own: String,
+        #[serde(rename = "own")]
+        expected: String,
         /// The sender's.
-        theirs: String,
+        #[serde(rename = "theirs")]
+        received: String,
     },
     /// The sender speaks another version of the protocol.
-    #[error("this process speaks version {own}; the message is of {theirs}")]
-    OtherProtocol {
+    #[error("this process speaks version {expected}; the message is of {received}")]
+    #[serde(rename = "other_protocol")]
+    ProtocolMismatch {
         /// The version of this process.
-        own: u32,
+        #[serde(rename = "own")]
+        expected: u32,
         /// The sender's.
-        theirs: u32,
+        #[serde(rename = "theirs")]
+        received: u32,
     },
     /// A newer process has the sender's name.
     #[error("{name} has a newer incarnation, {newer}")]
@@ -160,7 +174,8 @@
     Unknown,
     /// A limit would be exceeded.
     #[error(transparent)]
-    Over(LimitExceeded),
+    #[serde(rename = "over")]
+    LimitExceeded(LimitExceeded),
     /// The changes that a watch asks for are not kept any more, or are of another cluster. Read everything, and watch from
     /// there.
     #[error("changes are only kept from revision {oldest} of history {cluster_id} on")]
@@ -176,20 +191,21 @@
     NotFormed(String),
     /// The request cannot be carried out, for this reason.
     #[error("{0}")]
-    Impossible(String),
+    #[serde(rename = "impossible")]
+    FailedPrecondition(String),
 }
 
 /// Checks that a request is of this fleet and this version of the protocol.
 ///
 /// # Errors
 ///
-/// [`Refusal::OtherFleet`] or [`Refusal::OtherProtocol`].
+/// [`Refusal::FleetMismatch`] or [`Refusal::ProtocolMismatch`].
 pub fn check_envelope(envelope: &Envelope, fleet: &str) -> Result<(), Refusal> {
     if envelope.fleet != fleet {
-        return Err(Refusal::OtherFleet { own: fleet.into(), theirs: envelope.fleet.clone() });
+        return Err(Refusal::FleetMismatch { expected: fleet.into(), received: envelope.fleet.clone() });
     }
     if envelope.protocol != PROTOCOL {
-        return Err(Refusal::OtherProtocol { own: PROTOCOL, theirs: envelope.protocol });
+        return Err(Refusal::ProtocolMismatch { expected: PROTOCOL, received: envelope.protocol });
     }
     Ok(())
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -97,7 +97,7 @@
     Command::Join {
         name: "n1".into(),
         nonce: 77,
-        follows: after,
+        previous_incarnation: after,
         site: "east".into(),
         version: "1.2".into(),
         address: "n1.example:9100".into(),
@@ -106,7 +106,7 @@
 
 fn commands() -> Vec<Command> {
     vec![
-        Command::Open,
+        Command::OpenSession,
         joining(2),
         Command::Report { name: "n1".into(), incarnation: 3, number: 4, ready: true },
         Command::Leave { name: "n1".into(), incarnation: 3 },
@@ -118,16 +118,16 @@
 
 fn replies() -> Vec<CommandResult> {
     vec![
-        CommandResult::Opened(6),
+        CommandResult::SessionOpened(6),
         CommandResult::Joined { incarnation: 3 },
         CommandResult::Wait { incarnation: 3 },
-        CommandResult::Present { incarnation: 0 },
+        CommandResult::IncarnationMismatch { incarnation: 0 },
         CommandResult::Done(9),
         CommandResult::Conflict { check: 1 },
         CommandResult::NotLiving,
         CommandResult::NoSession,
         CommandResult::Outdated,
-        CommandResult::Over(excess()),
+        CommandResult::LimitExceeded(excess()),
         CommandResult::Refused("why".into()),
     ]
 }
@@ -186,16 +186,16 @@
 
 fn refusals() -> Vec<Refusal> {
     vec![
-        Refusal::OtherFleet { own: "gulf".into(), theirs: "lake".into() },
-        Refusal::OtherProtocol { own: 1, theirs: 2 },
+        Refusal::FleetMismatch { expected: "gulf".into(), received: "lake".into() },
+        Refusal::ProtocolMismatch { expected: 1, received: 2 },
         Refusal::OlderIncarnation { name: "n1".into(), newer: 8 },
         Refusal::NotLeader { leader: None },
         Refusal::NotLeader { leader: Some(peer("c2")) },
         Refusal::Unknown,
-        Refusal::Over(excess()),
+        Refusal::LimitExceeded(excess()),
         Refusal::Compacted { cluster_id: ClusterId(5), oldest: 9 },
         Refusal::NotFormed("it waits for c2".into()),
-        Refusal::Impossible("why".into()),
+        Refusal::FailedPrecondition("why".into()),
     ]
 }
 
@@ -209,27 +209,27 @@
 #[test]
 fn request() {
     let mut requests = vec![
-        Request::Hello,
-        Request::Command(CommandRequest { session: Some((6, 1)), command: Command::Open }),
+        Request::Identify,
+        Request::Command(CommandRequest { session: Some((6, 1)), command: Command::OpenSession }),
         Request::Renew,
         Request::Read { stale: true, prefix: "drain/".into(), members: false },
         Request::Watch { cluster_id: ClusterId(5), after: 12, prefix: "drain/".into() },
         Request::Status,
-        Request::Replace { add: Some((13, peer("c3"))), remove: Some(12) },
-        Request::Replace { add: None, remove: None },
-        Request::Copy,
+        Request::ChangePeers { add: Some((13, peer("c3"))), remove: Some(12) },
+        Request::ChangePeers { add: None, remove: None },
+        Request::Backup,
     ];
     has_every_variant!(
         requests,
         Request,
-        Request::Hello,
+        Request::Identify,
         Request::Command(_),
         Request::Renew,
         Request::Read { .. },
         Request::Watch { .. },
         Request::Status,
-        Request::Replace { .. },
-        Request::Copy,
+        Request::ChangePeers { .. },
+        Request::Backup,
     );
     let command = |command| Request::Command(CommandRequest { session: None, command });
     requests.extend(commands().into_iter().map(command));
@@ -241,35 +241,35 @@
     let [empty, full] = <[View; 2]>::try_from(views()).expect("two");
     let [leader, without_leader] = <[NodeStatus; 2]>::try_from(standpoints()).expect("two");
     let silent = BTreeMap::from([("n1".into(), 250_000)]);
-    let mut responses: Vec<Response> = identities().into_iter().map(Response::Hello).collect();
+    let mut responses: Vec<Response> = identities().into_iter().map(Response::Identity).collect();
     responses.extend(replies().into_iter().map(|reply| Response::Reply(reply, terms())));
     responses.extend([
         Response::Renewed(terms()),
-        Response::Ended,
-        Response::Displaced,
+        Response::Expired,
+        Response::Superseded,
         Response::Read(empty),
         Response::Read(full),
         Response::Changes { changes: changes(), upto: 12 },
         Response::Changes { changes: Vec::new(), upto: 0 },
         Response::Status(leader, silent),
         Response::Status(without_leader, BTreeMap::new()),
-        Response::Replaced,
-        Response::Copy("{\"history\":5}".into()),
+        Response::PeersChanged,
+        Response::Backup("{\"history\":5}".into()),
     ]);
     responses.extend(refusals().into_iter().map(Response::Refused));
     has_every_variant!(
         responses,
         Response,
-        Response::Hello(_),
+        Response::Identity(_),
         Response::Reply(..),
         Response::Renewed(_),
-        Response::Ended,
-        Response::Displaced,
+        Response::Expired,
+        Response::Superseded,
         Response::Read(_),
         Response::Changes { .. },
         Response::Status(..),
-        Response::Replaced,
-        Response::Copy(_),
+        Response::PeersChanged,
+        Response::Backup(_),
         Response::Refused(_),
     );
     assert_golden("response.jsonl", &responses);
@@ -287,15 +287,15 @@
     has_every_variant!(
         refusals,
         Refusal,
-        Refusal::OtherFleet { .. },
-        Refusal::OtherProtocol { .. },
+        Refusal::FleetMismatch { .. },
+        Refusal::ProtocolMismatch { .. },
         Refusal::OlderIncarnation { .. },
         Refusal::NotLeader { .. },
         Refusal::Unknown,
-        Refusal::Over(_),
+        Refusal::LimitExceeded(_),
         Refusal::Compacted { .. },
         Refusal::NotFormed(_),
-        Refusal::Impossible(_),
+        Refusal::FailedPrecondition(_),
     );
     assert_golden("refusal.jsonl", &refusals);
     assert_golden("excess.jsonl", &[excess()]);
@@ -308,7 +308,7 @@
     has_every_variant!(
         commands,
         Command,
-        Command::Open,
+        Command::OpenSession,
         Command::Join { .. },
         Command::Report { .. },
         Command::Leave { .. },
@@ -318,7 +318,7 @@
     );
     assert_golden("command.jsonl", &commands);
     let calls = [
-        CommandRequest { session: None, command: Command::Open },
+        CommandRequest { session: None, command: Command::OpenSession },
         CommandRequest { session: Some((6, 1)), command: Command::Forget { name: "n1".into() } },
     ];
     assert_golden("call.jsonl", &calls);
@@ -350,16 +350,16 @@
     has_every_variant!(
         replies,
         CommandResult,
-        CommandResult::Opened(_),
+        CommandResult::SessionOpened(_),
         CommandResult::Joined { .. },
         CommandResult::Wait { .. },
-        CommandResult::Present { .. },
+        CommandResult::IncarnationMismatch { .. },
         CommandResult::Done(_),
         CommandResult::Conflict { .. },
         CommandResult::NotLiving,
         CommandResult::NoSession,
         CommandResult::Outdated,
-        CommandResult::Over(_),
+        CommandResult::LimitExceeded(_),
         CommandResult::Refused(_),
     );
     assert_golden("reply.jsonl", &replies);
@@ -409,7 +409,8 @@
 }
 
 fn permits() -> BTreeMap<String, Permit> {
-    let permit = Permit { taker: ("tool:r1".into(), 4), why: "roll".into(), started: None, finished: false };
+    let permit =
+        Permit { taker: ("tool:r1".into(), 4), reason: "roll".into(), started: None, finished: false };
     let finished = Permit { started: Some(12), finished: true, ..permit.clone() };
     BTreeMap::from([(permit::agent_unit("n1"), permit), (permit::agent_unit("n2"), finished)])
 }
@@ -432,7 +433,7 @@
     let short: Budget = serde_json::from_str("{\"most\":2}").expect("read");
     assert_eq!(short, Budget { max: 2, permits: BTreeMap::new() });
     let short: Permit = serde_json::from_str("{\"taker\":[\"t\",4],\"why\":\"w\"}").expect("read");
-    assert_eq!(short, Permit { taker: ("t".into(), 4), why: "w".into(), started: None, finished: false });
+    assert_eq!(short, Permit { taker: ("t".into(), 4), reason: "w".into(), started: None, finished: false });
     // Fields that nobody knows.
     serde_json::from_str::<Budget>("{\"most\":2,\"x\":1}").expect_err("refused");
     serde_json::from_str::<Permit>("{\"taker\":[\"t\",4],\"why\":\"w\",\"x\":1}").expect_err("refused");
@@ -465,7 +466,7 @@
         Box::new(|view| permit::acquire(view, &key, "n1", taker, "roll")),
         Box::new(|view| permit::start(view, &key, "n1", taker)),
         Box::new(|view| permit::finish(view, &key, "n1", taker)),
-        Box::new(|view| permit::give_back(view, &key, "n1", n1)),
+        Box::new(|view| permit::release(view, &key, "n1", n1)),
         Box::new(|view| permit::acquire(view, &key, "n1", taker, "roll again")),
     ];
     for step in steps {
@@ -479,7 +480,7 @@
         &call(None, Command::Leave { name: taker.0.into(), incarnation: taker.1 }),
         &Limits::default(),
     );
-    txns.push(permit::give_back(&view(&state), &key, "n1", n1).expect("the taker has gone"));
+    txns.push(permit::release(&view(&state), &key, "n1", n1).expect("the taker has gone"));
     assert_golden("permit_txn.jsonl", &txns);
 }
 
@@ -506,7 +507,7 @@
     let mut node = Node::new(11, &initial_state(&formation), settings, 1, 0).expect("a node");
     node.submit(0, Operation::Read);
     let answers = node.advance(&mut Recorder::default(), 0).expect("worked").results;
-    let over = OperationResult::Over(LimitExceeded { limit: "in_flight".into(), max: 0 });
+    let over = OperationResult::LimitExceeded(LimitExceeded { limit: "in_flight".into(), max: 0 });
     assert_eq!(answers.into_iter().map(|(_, answer)| answer).collect::<Vec<_>>(), [over]);
 }
 
@@ -519,7 +520,7 @@
     let join = |name: &str, nonce, after| Command::Join {
         name: name.into(),
         nonce,
-        follows: after,
+        previous_incarnation: after,
         site: "east".into(),
         version: "1.2".into(),
         address: format!("{name}.example:9100"),
@@ -541,7 +542,7 @@
     for n in 0..70 {
         apply(None, put("note/many", &n.to_string()));
     }
-    assert_eq!(apply(None, Command::Open), CommandResult::Opened(80));
+    assert_eq!(apply(None, Command::OpenSession), CommandResult::SessionOpened(80));
     let conflict = Txn { checks: vec![Check::Absent("note/many".into())], writes: Vec::new() };
     assert_eq!(apply(Some((80, 1)), Command::Write(conflict)), CommandResult::Conflict { check: 0 });
     apply(None, put("drain/s1", "{\"number\":4,\"by\":\"anna\",\"why\":\"disk\"}"));
@@ -641,19 +642,20 @@
     }
     let mut answers = Vec::new();
     for command in [
-        Command::Open,
+        Command::OpenSession,
         joining(0),
         Command::Write(Txn { checks: vec![Check::Absent("note/a".into())], writes: writes() }),
     ] {
         node.submit(now, Operation::Command(call(None, command)));
         answers.extend(node.advance(&mut disk, now).expect("worked").results);
     }
-    node.submit(now, Operation::Replace { add: Some((12, peer("c2"))), remove: None });
+    node.submit(now, Operation::ChangePeers { add: Some((12, peer("c2"))), remove: None });
     answers.extend(node.advance(&mut disk, now).expect("worked").results);
     let answers: Vec<OperationResult> = answers.into_iter().map(|(_, answer)| answer).collect();
-    let done = [CommandResult::Opened(1), CommandResult::Joined { incarnation: 2 }, CommandResult::Done(3)]
-        .map(OperationResult::Reply);
-    assert_eq!(answers, [&done[..], &[OperationResult::Replaced]].concat());
+    let done =
+        [CommandResult::SessionOpened(1), CommandResult::Joined { incarnation: 2 }, CommandResult::Done(3)]
+            .map(OperationResult::Reply);
+    assert_eq!(answers, [&done[..], &[OperationResult::PeersChanged]].concat());
     (disk.image, node.state().clone())
 }
 
--- a/crates/disruption/tests/common/mod.rs
+++ b/crates/disruption/tests/common/mod.rs
@@ -23,8 +23,7 @@
         let nonce = self.0.revision + 1;
         let [site, version, address] = [site, "1", ""].map(String::from);
         let previous_incarnation = self.0.members.get(name).map_or(0, |member| member.incarnation);
-        let join =
-            Command::Join { name: name.into(), nonce, follows: previous_incarnation, site, version, address };
+        let join = Command::Join { name: name.into(), nonce, previous_incarnation, site, version, address };
         let incarnation = match self.apply(join) {
             CommandResult::Joined { incarnation } => incarnation,
             other => panic!("{other:?}"),
