--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -527,7 +527,7 @@
         ..defaults
     };
     match settings.validate() {
-        // Missing classes have already been reported.
+        // Missing and faulty classes have already been reported.
         Ok(()) | Err(SettingsError::NoClasses) => {}
         Err(fault) => reader.add_fault(section, "name", fault.to_string()),
     }
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -121,7 +121,7 @@
 }
 
 impl Barrier {
-    /// Whether the server may stop.
+    /// Returns whether the server may stop.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.waiting_for.is_empty()
