--- a/crates/agent/src/fleet/budgets.rs
+++ b/crates/agent/src/fleet/budgets.rs
@@ -1,7 +1,7 @@
 //! `heronhoist fleet budgets`: the rules of the disruption budgets from a file, and what is unavailable against them.
 
 use super::client::{Client, ClientError, Where, OPERATOR};
-use heronhoist_config::reader::{integer, one_of, parse_toml, text, Absent, Reader, Section};
+use heronhoist_config::reader::{integer, one_of, parse_toml, text, Presence, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_disruption::denial::BudgetDenial;
 use heronhoist_disruption::records::{RecordError, RULES_KEY};
@@ -109,12 +109,12 @@
     for section in reader.sections(&mut root, "server") {
         parse_server(&mut reader, section, &mut rules);
     }
-    reader.end(root);
+    reader.finish(root);
     // Rules are validated once each of them can be read.
     if reader.faults.is_empty() {
         report_invalid_rules(&mut reader, &rule_sections, &rules);
     }
-    rule_sections.into_iter().for_each(|section| reader.end(section));
+    rule_sections.into_iter().for_each(|section| reader.finish(section));
     let mut faults = std::mem::take(&mut reader.faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
     if faults.is_empty() {
@@ -126,11 +126,11 @@
 
 /// Reads one rule. What can't be read is replaced, so that each rule keeps its index.
 fn parse_rule<'text>(reader: &mut Reader<'text>, section: &mut Section<'text>) -> Rule {
-    let unit_kind = reader.get(section, "of", Absent::Fault, "agents or servers", one_of(&UNIT_KINDS));
-    let scope = reader.get(section, "by", Absent::Fault, "all, site, kind or cell", one_of(&SCOPES));
-    let only = reader.get(section, "only", Absent::Nothing, "a site, kind or cell", text);
+    let unit_kind = reader.get(section, "of", Presence::Required, "agents or servers", one_of(&UNIT_KINDS));
+    let scope = reader.get(section, "by", Presence::Required, "all, site, kind or cell", one_of(&SCOPES));
+    let only = reader.get(section, "only", Presence::Optional, "a site, kind or cell", text);
     let wanted = "a number as 2, or a share as \"25%\"";
-    let limit = reader.get(section, "most", Absent::Fault, wanted, limit);
+    let limit = reader.get(section, "most", Presence::Required, wanted, limit);
     Rule {
         unit_kind: unit_kind.unwrap_or(UnitKind::Servers),
         scope: scope.unwrap_or(Scope::All),
@@ -141,8 +141,8 @@
 
 /// Reads one server into the rules.
 fn parse_server<'text>(reader: &mut Reader<'text>, mut section: Section<'text>, rules: &mut Rules) {
-    let name = reader.get(&mut section, "name", Absent::Fault, "a server's name", text);
-    let mut placement = |key| reader.get(&mut section, key, Absent::Default(String::new()), "a name", text);
+    let name = reader.get(&mut section, "name", Presence::Required, "a server's name", text);
+    let mut placement = |key| reader.get(&mut section, key, Presence::Default(String::new()), "a name", text);
     let [site, machine_type, cell] =
         ["site", "kind", "cell"].map(&mut placement).map(Option::unwrap_or_default);
     if let Some(name) = name {
@@ -151,7 +151,7 @@
         }
         rules.servers.insert(name, Server { site, machine_type, cell });
     }
-    reader.end(section);
+    reader.finish(section);
 }
 
 /// Reports the faults of rules that can each be read, at the places of their keys.
--- a/crates/config/src/coordinator.rs
+++ b/crates/config/src/coordinator.rs
@@ -67,12 +67,12 @@
     if !section.is_present() {
         return None;
     }
-    let fleet = reader.get(&mut section, "name", Absent::Fault, EXPECTED_NAME, name);
-    let member = reader.get(&mut section, "member", Absent::Fault, EXPECTED_NAME, name);
-    let site = reader.get(&mut section, "site", Absent::Default("main".to_string()), EXPECTED_NAME, name);
+    let fleet = reader.get(&mut section, "name", Presence::Required, EXPECTED_NAME, name);
+    let member = reader.get(&mut section, "member", Presence::Required, EXPECTED_NAME, name);
+    let site = reader.get(&mut section, "site", Presence::Default("main".to_string()), EXPECTED_NAME, name);
     let expected = "addresses of the coordinator processes, such as [\"127.0.0.1:7101\"]";
-    let coordinators = reader.get(&mut section, "council", Absent::Fault, expected, addresses);
-    reader.end(section);
+    let coordinators = reader.get(&mut section, "council", Presence::Required, expected, addresses);
+    reader.finish(section);
     Some(Fleet { name: fleet?, member: member?, site: site?, coordinators: coordinators? })
 }
 
@@ -99,21 +99,21 @@
 
 fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<CoordinatorConfig> {
     let mut section = reader.section(&mut root, "council");
-    let fleet = reader.get(&mut section, "fleet", Absent::Fault, EXPECTED_NAME, name);
-    let own_name = reader.get(&mut section, "name", Absent::Default("c1".to_string()), EXPECTED_NAME, name);
-    let listen = reader.get_expanded(&mut section, "listen", Absent::Fault, EXPECTED_ADDRESS, address);
-    let store_path = reader.get(&mut section, "disk", Absent::Fault, "a file", text);
-    let ops_address = reader.get_expanded(&mut section, "ops", Absent::Nothing, EXPECTED_ADDRESS, address);
+    let fleet = reader.get(&mut section, "fleet", Presence::Required, EXPECTED_NAME, name);
+    let own_name = reader.get(&mut section, "name", Presence::Default("c1".to_string()), EXPECTED_NAME, name);
+    let listen = reader.get_expanded(&mut section, "listen", Presence::Required, EXPECTED_ADDRESS, address);
+    let store_path = reader.get(&mut section, "disk", Presence::Required, "a file", text);
+    let ops_address = reader.get_expanded(&mut section, "ops", Presence::Optional, EXPECTED_ADDRESS, address);
     let mut ms = |section: &mut Section<'t>, key, default: f64, min: f64| {
         let expected = format!("{min} milliseconds or more, up to an hour");
         let parse = move |value: &DeValue<'_>| number(value).filter(|n| (min..=3.6e6).contains(n));
-        let ms = reader.get(section, key, Absent::Default(default), &expected, parse);
+        let ms = reader.get(section, key, Presence::Default(default), &expected, parse);
         ms.map(|ms| Duration::from_secs_f64(ms / 1e3))
     };
     let lease_duration = ms(&mut section, "lease_ms", 9000.0, 300.0);
     let election_timeout = ms(&mut section, "election_ms", 500.0, 50.0);
     let max_clock_drift =
-        reader.get(&mut section, "drift", Absent::Default(0.01), "a share, 0 to 0.2", |value| {
+        reader.get(&mut section, "drift", Presence::Default(0.01), "a share, 0 to 0.2", |value| {
             number(value).filter(|n| (0.0..=0.2).contains(n))
         });
     if let (Some(lease_duration), Some(election_timeout)) = (lease_duration, election_timeout) {
@@ -127,19 +127,20 @@
         let parse = |value: &DeValue<'_>| {
             integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| (64..=1 << 20).contains(n))
         };
-        reader.get(section, key, Absent::Default(4096), "64 to 1048576", parse)
+        reader.get(section, key, Presence::Default(4096), "64 to 1048576", parse)
     };
     let max_log_entries = count(&mut section, "log_entries");
     let max_changes = count(&mut section, "changes");
     let mut peers: Vec<(String, SocketAddr)> = Vec::new();
     for mut peer in reader.sections(&mut section, "peer") {
-        let name = reader.get(&mut peer, "name", Absent::Fault, EXPECTED_NAME, name);
-        let address = reader.get_expanded(&mut peer, "address", Absent::Fault, EXPECTED_ADDRESS, address);
+        let name = reader.get(&mut peer, "name", Presence::Required, EXPECTED_NAME, name);
+        let address =
+            reader.get_expanded(&mut peer, "address", Presence::Required, EXPECTED_ADDRESS, address);
         if name.as_ref().is_some_and(|name| peers.iter().any(|(other, _)| other == name)) {
             reader.add_fault(&peer, "name", "found a second time; wanted a unique name".into());
         }
         peers.extend(name.zip(address));
-        reader.end(peer);
+        reader.finish(peer);
     }
     if let (Some(own_name), Some(listen)) = (&own_name, listen) {
         if !peers.iter().any(|(name, _)| name == own_name) {
@@ -155,8 +156,8 @@
         let message = format!("found {}; wanted one, three or five processes", peers.len());
         reader.add_fault(&section, "peer", message);
     }
-    reader.end(section);
-    reader.end(root);
+    reader.finish(section);
+    reader.finish(root);
     Some(CoordinatorConfig {
         fleet: fleet?,
         name: own_name?,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -178,11 +178,11 @@
     move |value| integer(value).filter(|n| *n >= min).and_then(|n| u32::try_from(n).ok())
 }
 
-/// Returns how an absent key is treated: as a fault if the key is required, otherwise as no value.
-fn required_if<T>(is_required: bool) -> Absent<T> {
+/// Returns the presence of a key that is either required or optional.
+fn required_if<T>(is_required: bool) -> Presence<T> {
     match is_required {
-        true => Absent::Fault,
-        false => Absent::Nothing,
+        true => Presence::Required,
+        false => Presence::Optional,
     }
 }
 
@@ -199,41 +199,42 @@
     let log_format = reader.get(
         &mut log,
         "format",
-        Absent::Default(LogFormat::Text),
+        Presence::Default(LogFormat::Text),
         "\"text\" or \"json\"",
         one_of(formats),
     );
     let expected_level = "a level, or levels for targets, such as \"info,heronhoist::attempt=debug\"";
-    let log_level = reader.get(&mut log, "level", Absent::Default("info".to_string()), expected_level, |v| {
-        text(v).filter(|t| is_log_filter(t))
-    });
-    reader.end(log);
+    let log_level =
+        reader.get(&mut log, "level", Presence::Default("info".to_string()), expected_level, |v| {
+            text(v).filter(|t| is_log_filter(t))
+        });
+    reader.finish(log);
 
     let mut ops = reader.section(&mut root, "ops");
-    let absent = required_if(ops.is_present());
-    let ops_address = reader.get_expanded(&mut ops, "listen", absent, EXPECTED_ADDRESS, address);
-    reader.end(ops);
+    let presence = required_if(ops.is_present());
+    let ops_address = reader.get_expanded(&mut ops, "listen", presence, EXPECTED_ADDRESS, address);
+    reader.finish(ops);
 
     let mut limits = reader.section(&mut root, "limits");
     let max_descriptors =
-        reader.get(&mut limits, "sockets", Absent::Default(1024), "64 descriptors or more", count(64));
+        reader.get(&mut limits, "sockets", Presence::Default(1024), "64 descriptors or more", count(64));
     let max_memory_mb =
-        reader.get(&mut limits, "memory_mb", Absent::Default(64.0), "16 megabytes or more", |v| {
+        reader.get(&mut limits, "memory_mb", Presence::Default(64.0), "16 megabytes or more", |v| {
             number(v).filter(|n| (16.0..=1e9).contains(n))
         });
-    reader.end(limits);
+    reader.finish(limits);
 
     let classes = classes(reader, &mut root);
     let tenants = tenants(reader, &mut root);
     let pools = pools(reader, &mut root, &classes, &tenants);
     let mut translate = reader.section(&mut root, "translate");
-    let absent = required_if(translate.is_present());
-    let mappings_directory = reader.get(&mut translate, "mappings", absent, "a directory", text);
-    reader.end(translate);
+    let presence = required_if(translate.is_present());
+    let mappings_directory = reader.get(&mut translate, "mappings", presence, "a directory", text);
+    reader.finish(translate);
     let fronts = fronts(reader, &mut root, ops_address, mappings_directory.is_some());
     let fleet = crate::coordinator::fleet(reader, &mut root);
     let routes = routes(reader, &mut root, &classes, &tenants, &pools, &fronts);
-    reader.end(root);
+    reader.finish(root);
     Some(AgentConfig {
         log_format: log_format?,
         log_level: log_level?,
@@ -279,7 +280,7 @@
     section: &mut Section<'t>,
     used_names: &mut Vec<String>,
 ) -> Option<String> {
-    let name: String = reader.get(section, "name", Absent::Fault, EXPECTED_NAME, text)?;
+    let name: String = reader.get(section, "name", Presence::Required, EXPECTED_NAME, text)?;
     if used_names.contains(&name) {
         reader.add_fault(section, "name", format!("found {name:?} a second time; wanted a unique name"));
         return None;
@@ -298,7 +299,7 @@
         let name = unique_name(reader, &mut section, &mut used_names);
         let class = class(reader, &mut section);
         classes.extend(name.map(|name| (name, class)));
-        reader.end(section);
+        reader.finish(section);
     }
     classes
 }
@@ -307,7 +308,7 @@
     let defaults = Class::default();
     let effects = &[("idempotent", 0), ("at_most_once", 1), ("deduplicated", 2)];
     let expected = "\"idempotent\", \"at_most_once\" or \"deduplicated\"";
-    let effect = reader.get(section, "effect", Absent::Fault, expected, one_of(effects));
+    let effect = reader.get(section, "effect", Presence::Required, expected, one_of(effects));
     let scopes = &[
         ("all", DeduplicationScope::All),
         ("zone", DeduplicationScope::Zone),
@@ -322,12 +323,12 @@
     );
     let dedup_window =
         reader.get(section, "dedup_window_ms", required_if(effect == Some(2)), EXPECTED_MS, positive);
-    let latency_objective = reader.get(section, "aim_ms", Absent::Fault, EXPECTED_MS, positive);
-    let deadline = reader.get(section, "deadline_ms", Absent::Fault, EXPECTED_MS, positive);
+    let latency_objective = reader.get(section, "aim_ms", Presence::Required, EXPECTED_MS, positive);
+    let deadline = reader.get(section, "deadline_ms", Presence::Required, EXPECTED_MS, positive);
     let priority_weight =
-        reader.get(section, "worth", Absent::Default(defaults.priority_weight), "a number", not_negative);
+        reader.get(section, "worth", Presence::Default(defaults.priority_weight), "a number", not_negative);
     let late_weight_share =
-        reader.get(section, "late_worth", Absent::Default(defaults.late_weight_share), "0 to 1", |v| {
+        reader.get(section, "late_worth", Presence::Default(defaults.late_weight_share), "0 to 1", |v| {
             number(v).filter(|n| (0.0..=1.0).contains(n))
         });
     if let (Some(latency_objective), Some(deadline)) = (latency_objective, deadline) {
@@ -359,13 +360,13 @@
     for mut section in reader.sections(root, "tenant") {
         let name = unique_name(reader, &mut section, &mut used_names);
         let quota_fraction =
-            reader.get(&mut section, "fraction", Absent::Fault, "a share of the service, 0 to 1", |v| {
+            reader.get(&mut section, "fraction", Presence::Required, "a share of the service, 0 to 1", |v| {
                 number(v).filter(|n| (0.0..=1.0).contains(n))
             });
         let quota_per_second = reader.get(
             &mut section,
             "allowance_per_s",
-            Absent::Default(0.0),
+            Presence::Default(0.0),
             "requests a second",
             not_negative,
         );
@@ -373,7 +374,7 @@
             .zip(quota_per_second)
             .map(|(fraction, per_second)| Tenant { quota_fraction: fraction, quota_per_second: per_second });
         tenants.extend(name.map(|name| (name, tenant)));
-        reader.end(section);
+        reader.finish(section);
     }
     tenants
 }
@@ -393,7 +394,7 @@
         let name = unique_name(reader, &mut section, &mut used_names);
         let pool = pool(reader, &mut section, classes, tenants);
         pools.extend(name.map(|name| (name.clone(), pool.map(|pool| Pool { name, ..pool }))));
-        reader.end(section);
+        reader.finish(section);
     }
     pools
 }
@@ -407,9 +408,9 @@
     let defaults = Settings::default();
     let sources = &[("static", false), ("platform", true)];
     let is_platform =
-        reader.get(section, "membership", Absent::Fault, "\"static\" or \"platform\"", one_of(sources));
-    let absent = required_if(is_platform == Some(true));
-    let discovery = reader.get_expanded(section, "discovery", absent, EXPECTED_ADDRESS, address);
+        reader.get(section, "membership", Presence::Required, "\"static\" or \"platform\"", one_of(sources));
+    let presence = required_if(is_platform == Some(true));
+    let discovery = reader.get_expanded(section, "discovery", presence, EXPECTED_ADDRESS, address);
     if is_platform == Some(false) && discovery.is_some() {
         reader.add_fault(
             section,
@@ -418,13 +419,13 @@
         );
     }
     let legacy_machine_types =
-        reader.get(section, "old_kinds", Absent::Default(Vec::new()), "a list of kinds", text_list);
+        reader.get(section, "old_kinds", Presence::Default(Vec::new()), "a list of kinds", text_list);
     if is_platform == Some(false) && legacy_machine_types.as_ref().is_some_and(|kinds| !kinds.is_empty()) {
         let message = "found kinds; each server of a static pool sets dialect = \"old\" itself".into();
         reader.add_fault(section, "old_kinds", message);
     }
     let is_discovery_pushed =
-        reader.get(section, "discovery_pushed", Absent::Default(false), "true or false", flag);
+        reader.get(section, "discovery_pushed", Presence::Default(false), "true or false", boolean);
     let sections = reader.sections(section, "server");
     match (is_platform, sections.is_empty()) {
         (Some(true), false) => {
@@ -444,10 +445,10 @@
         let name = unique_name(reader, &mut section, &mut used_names);
         let server = server(reader, &mut section);
         servers.extend(name.zip(server).map(|(name, server)| Server { name, ..server }));
-        reader.end(section);
+        reader.finish(section);
     }
     let mut ms = |section: &mut Section<'t>, key, default: Span| {
-        reader.get(section, key, Absent::Default(default.as_ms()), EXPECTED_MS, positive).map(Span::from_ms)
+        reader.get(section, key, Presence::Default(default.as_ms()), EXPECTED_MS, positive).map(Span::from_ms)
     };
     let drain_grace = ms(section, "drain_grace_ms", Span::from_ms(500.0));
     let connect_timeout = ms(section, "connect_timeout_ms", Span::from_ms(250.0));
@@ -456,7 +457,7 @@
     let warm_up_time = ms(section, "warm_after_ms", defaults.warm_up_time);
     let overload_tolerance = ms(section, "fall_after_ms", defaults.overload_tolerance);
     let zone =
-        reader.get(section, "zone", Absent::Default(String::new()), "the name of the agent's zone", |v| {
+        reader.get(section, "zone", Presence::Default(String::new()), "the name of the agent's zone", |v| {
             match v {
                 DeValue::String(zone) => Some(zone.to_string()),
                 _ => None,
@@ -465,31 +466,34 @@
     let balancers = reader.get(
         section,
         "balancers",
-        Absent::Default(defaults.balancers),
+        Presence::Default(defaults.balancers),
         "the number of agents",
         count(1),
     );
     let max_attempts = reader.get(
         section,
         "max_attempts",
-        Absent::Default(defaults.max_attempts),
+        Presence::Default(defaults.max_attempts),
         "1 attempt or more",
         count(1),
     );
     let hedging =
-        reader.get(section, "second_copies", Absent::Default(defaults.hedging), "true or false", flag);
-    let cancel = reader.get(section, "cancel", Absent::Default(defaults.cancel), "true or false", flag);
+        reader.get(section, "second_copies", Presence::Default(defaults.hedging), "true or false", boolean);
+    let cancel = reader.get(section, "cancel", Presence::Default(defaults.cancel), "true or false", boolean);
     let health_checks =
-        reader.get(section, "probes", Absent::Default(defaults.health_checks), "true or false", flag);
-    let retry_after = reader.get(section, "retry_after", Absent::Default(true), "true or false", flag);
-    let initial_capacity_share =
-        reader.get(section, "cold_share", Absent::Default(defaults.initial_capacity_share), "0 to 1", |v| {
-            number(v).filter(|n| (0.0..=1.0).contains(n))
-        });
+        reader.get(section, "probes", Presence::Default(defaults.health_checks), "true or false", boolean);
+    let retry_after = reader.get(section, "retry_after", Presence::Default(true), "true or false", boolean);
+    let initial_capacity_share = reader.get(
+        section,
+        "cold_share",
+        Presence::Default(defaults.initial_capacity_share),
+        "0 to 1",
+        |v| number(v).filter(|n| (0.0..=1.0).contains(n)),
+    );
     let overload_factor = reader.get(
         section,
         "overload_factor",
-        Absent::Default(defaults.overload_factor),
+        Presence::Default(defaults.overload_factor),
         "a factor above 0",
         positive,
     );
@@ -546,16 +550,17 @@
 }
 
 fn server<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>) -> Option<Server> {
-    let server_address = reader.get_expanded(section, "address", Absent::Fault, EXPECTED_ADDRESS, address);
-    let zone = reader.get(section, "zone", Absent::Default(String::new()), "the name of a zone", text);
-    let cell = reader.get(section, "cell", Absent::Default(0), "a whole number", count(0));
+    let server_address =
+        reader.get_expanded(section, "address", Presence::Required, EXPECTED_ADDRESS, address);
+    let zone = reader.get(section, "zone", Presence::Default(String::new()), "the name of a zone", text);
+    let cell = reader.get(section, "cell", Presence::Default(0), "a whole number", count(0));
     let states = &[("serving", ServerState::Serving), ("draining", ServerState::Draining)];
-    let absent = Absent::Default(ServerState::Serving);
-    let state = reader.get(section, "state", absent, "\"serving\" or \"draining\"", one_of(states));
-    let weight = reader.get(section, "weight", Absent::Default(1.0), "a number above 0", positive);
+    let presence = Presence::Default(ServerState::Serving);
+    let state = reader.get(section, "state", presence, "\"serving\" or \"draining\"", one_of(states));
+    let weight = reader.get(section, "weight", Presence::Default(1.0), "a number above 0", positive);
     let dialects = &[("new", false), ("old", true)];
     let is_legacy =
-        reader.get(section, "dialect", Absent::Default(false), "\"new\" or \"old\"", one_of(dialects));
+        reader.get(section, "dialect", Presence::Default(false), "\"new\" or \"old\"", one_of(dialects));
     let (name, address, is_legacy) = (String::new(), server_address?, is_legacy?);
     Some(Server { is_legacy, name, address, zone: zone?, cell: cell?, state: state?, weight: weight? })
 }
@@ -573,14 +578,15 @@
     }
     for mut section in sections {
         let name = unique_name(reader, &mut section, &mut used_names);
-        let absent = Absent::Default(Protocol::Http);
+        let presence = Presence::Default(Protocol::Http);
         let protocol =
-            reader.get(&mut section, "protocol", absent, "\"http\" or \"legacy\"", one_of(PROTOCOLS));
+            reader.get(&mut section, "protocol", presence, "\"http\" or \"legacy\"", one_of(PROTOCOLS));
         if protocol == Some(Protocol::Legacy) && !has_mappings {
             let message = "found \"legacy\", which requires [translate] with mappings = \"DIR\"".into();
             reader.add_fault(&section, "protocol", message);
         }
-        let listen = reader.get_expanded(&mut section, "listen", Absent::Fault, EXPECTED_ADDRESS, address);
+        let listen =
+            reader.get_expanded(&mut section, "listen", Presence::Required, EXPECTED_ADDRESS, address);
         let others = fronts.iter().filter_map(|(_, front)| Some(front.as_ref()?.listen)).chain(ops_address);
         if let Some(duplicate) =
             listen.filter(|listen| listen.port() != 0 && others.into_iter().any(|o| o == *listen))
@@ -593,7 +599,7 @@
         }
         let front = |name| Some(Front { name, listen: listen?, protocol: protocol? });
         fronts.extend(name.map(|name: String| (name.clone(), front(name))));
-        reader.end(section);
+        reader.finish(section);
     }
     if fronts.len() > MAX_FRONTS {
         reader.add_fault(root, "front", format!("found {}; wanted {MAX_FRONTS} at most", fronts.len()));
@@ -620,9 +626,9 @@
     let pool_index = |name: &str| pools.iter().position(|pool| pool == name);
     let expected_pool = format!("one of the pools {}", pools.join(", "));
     let only_pool = (pools.len() == 1).then(|| pools[0].clone());
-    let absent = only_pool.map_or(Absent::Nothing, Absent::Default);
+    let presence = only_pool.map_or(Presence::Optional, Presence::Default);
     let default = reader
-        .get(root, "default_pool", absent, &expected_pool, |v| text(v).filter(|t| pool_index(t).is_some()));
+        .get(root, "default_pool", presence, &expected_pool, |v| text(v).filter(|t| pool_index(t).is_some()));
     let (mut used_names, mut rules, mut starts) = (Vec::new(), Vec::new(), Vec::new());
     let sections = reader.sections(root, "route");
     if sections.is_empty() && default.is_none() && pools.len() > 1 {
@@ -634,10 +640,10 @@
     }
     for mut section in sections {
         let name = unique_name(reader, &mut section, &mut used_names);
-        let priority = reader.get(&mut section, "priority", Absent::Default(0), "a whole number", integer);
+        let priority = reader.get(&mut section, "priority", Presence::Default(0), "a whole number", integer);
         let mut list = |section: &mut Section<'t>, key, known: &[String], kind: &str| {
             let expected = format!("{kind}, one or a list, of {}", known.join(", "));
-            reader.get(section, key, Absent::Nothing, &expected, |v| {
+            reader.get(section, key, Presence::Optional, &expected, |v| {
                 text_list(v).filter(|list| known.is_empty() || list.iter().all(|item| known.contains(item)))
             })
         };
@@ -645,14 +651,14 @@
         let class = list(&mut section, "class", &classes, "classes");
         let tenant = list(&mut section, "tenant", &tenants, "tenants");
         let path =
-            reader.get(&mut section, "path", Absent::Nothing, "paths such as \"/a/b\" or \"/a/*\"", |v| {
+            reader.get(&mut section, "path", Presence::Optional, "paths such as \"/a/b\" or \"/a/*\"", |v| {
                 text_list(v).filter(|list| list.iter().all(|path| is_path_pattern(path)))
             });
         let label_section = reader.section(&mut section, "label");
         let labels = reader.pairs(&label_section, "a value or a list of them", text_list);
         let labels: BTreeMap<String, Vec<String>> =
             labels.into_iter().map(|(name, values)| (name.to_ascii_lowercase(), values)).collect();
-        let pool = reader.get(&mut section, "pool", Absent::Fault, &expected_pool, |v| {
+        let pool = reader.get(&mut section, "pool", Presence::Required, &expected_pool, |v| {
             text(v).filter(|t| pool_index(t).is_some())
         });
         let conditions = Conditions {
@@ -668,7 +674,7 @@
             rules.push(Rule { name, priority, conditions, pool });
             starts.push(section.start());
         }
-        reader.end(section);
+        reader.finish(section);
     }
     match Table::new(rules, default.and_then(|pool| pool_index(&pool))) {
         Ok(table) => Some(table),
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -61,14 +61,14 @@
     pub source: Source,
 }
 
-/// What to do if the file does not have a key.
-pub enum Absent<T> {
-    /// Use this value.
+/// Whether a key must be present, and what applies if it is absent.
+pub enum Presence<T> {
+    /// The key may be absent; this value applies then.
     Default(T),
-    /// Return no value, without a fault.
-    Nothing,
-    /// Report a fault.
-    Fault,
+    /// The key may be absent; there is no value then.
+    Optional,
+    /// An absent key is a fault.
+    Required,
 }
 
 /// Looks up an environment variable.
@@ -84,7 +84,7 @@
     pub effective_values: Vec<EffectiveValue>,
 }
 
-/// A table that is being read. [`Reader::end`] reports the keys that have not been requested as faults.
+/// A table that is being read. [`Reader::finish`] reports the keys that have not been requested as faults.
 pub struct Section<'t> {
     path: String,
     table: Option<&'t DeTable<'t>>,
@@ -153,7 +153,7 @@
 }
 
 /// Reads a boolean.
-pub fn flag(value: &DeValue<'_>) -> Option<bool> {
+pub fn boolean(value: &DeValue<'_>) -> Option<bool> {
     match value {
         DeValue::Boolean(flag) => Some(*flag),
         _ => None,
@@ -232,7 +232,7 @@
         &mut self,
         section: &mut Section<'t>,
         key: &'static str,
-        absent: Absent<T>,
+        presence: Presence<T>,
         expected: &str,
         parse: impl Fn(&DeValue<'t>) -> Option<T>,
     ) -> Option<T> {
@@ -252,8 +252,8 @@
                     None
                 }
             },
-            None => match absent {
-                Absent::Default(value) => {
+            None => match presence {
+                Presence::Default(value) => {
                     let text = format_default(&format!("{value:?}"));
                     self.effective_values.push(EffectiveValue {
                         key: name,
@@ -262,8 +262,8 @@
                     });
                     Some(value)
                 }
-                Absent::Nothing => None,
-                Absent::Fault => {
+                Presence::Optional => None,
+                Presence::Required => {
                     self.add_fault_at(section.span.start, name, format!("found nothing; wanted {expected}"));
                     None
                 }
@@ -277,13 +277,13 @@
         &mut self,
         section: &mut Section<'t>,
         key: &'static str,
-        absent: Absent<T>,
+        presence: Presence<T>,
         expected: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
         let value = section.table.and_then(|table| table.get(key));
         let Some((DeValue::String(raw), span)) = value.map(|value| (value.get_ref(), value.span())) else {
-            return self.get(section, key, absent, expected, |_| None);
+            return self.get(section, key, presence, expected, |_| None);
         };
         section.known_keys.insert(key);
         let name = section.key(key);
@@ -376,7 +376,7 @@
     }
 
     /// Finishes the reading of a table: each key that has not been requested is a fault.
-    pub fn end(&mut self, section: Section<'t>) {
+    pub fn finish(&mut self, section: Section<'t>) {
         let unknown = section.table.into_iter().flatten();
         let unknown: Vec<_> = unknown
             .filter(|(name, _)| !section.known_keys.contains(&**name.get_ref()))
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -3,7 +3,7 @@
 
 use crate::world::Micros;
 use heronhoist_config::reader::{
-    flag, integer, number, one_of, parse_toml, text, text_list, Absent, Reader, Section,
+    boolean, integer, number, one_of, parse_toml, text, text_list, Presence, Reader, Section,
 };
 use heronhoist_config::Fault;
 use heronhoist_coordination::lease::LeaseTerms;
@@ -213,11 +213,11 @@
     reader: &mut Reader<'t>,
     section: &mut Section<'t>,
     key: &'static str,
-    absent: Absent<f64>,
+    presence: Presence<f64>,
 ) -> Option<Micros> {
     let wanted = "milliseconds, 0 to 1e8";
     let read = |value: &DeValue<'_>| number(value).filter(|n| (0.0..=1e8).contains(n));
-    reader.get(section, key, absent, wanted, read).map(|n| (n * 1e3) as Micros)
+    reader.get(section, key, presence, wanted, read).map(|n| (n * 1e3) as Micros)
 }
 
 fn count<'t>(
@@ -229,87 +229,87 @@
     let read = move |value: &DeValue<'_>| {
         integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| (least..=most).contains(n))
     };
-    reader.get(section, key, Absent::Default(absent), &format!("{least} to {most}"), read)
+    reader.get(section, key, Presence::Default(absent), &format!("{least} to {most}"), read)
 }
 
 fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<Plan> {
-    let name = reader.get(&mut root, "name", Absent::Fault, "a name", text);
-    let length = ms(reader, &mut root, "length_ms", Absent::Fault);
-    let measured = reader.get(&mut root, "measured", Absent::Default(false), "true or false", flag);
+    let name = reader.get(&mut root, "name", Presence::Required, "a name", text);
+    let length = ms(reader, &mut root, "length_ms", Presence::Required);
+    let measured = reader.get(&mut root, "measured", Presence::Default(false), "true or false", boolean);
     let planted = reader.get(
         &mut root,
         "planted",
-        Absent::Default(Planted::Nothing),
+        Presence::Default(Planted::Nothing),
         &format!("one of {}", words(&PLANTED)),
         one_of(&PLANTED),
     );
 
     let mut section = reader.section(&mut root, "council");
     let council = count(reader, &mut section, "processes", (3, 1, 9));
-    let term = ms(reader, &mut section, "lease_ms", Absent::Default(3000.0));
-    let drift = reader.get(&mut section, "drift", Absent::Default(0.01), "0 to 0.2", |value| {
+    let term = ms(reader, &mut section, "lease_ms", Presence::Default(3000.0));
+    let drift = reader.get(&mut section, "drift", Presence::Default(0.01), "0 to 0.2", |value| {
         number(value).filter(|n| (0.0..=0.2).contains(n))
     });
-    let tick = ms(reader, &mut section, "tick_ms", Absent::Default(50.0));
+    let tick = ms(reader, &mut section, "tick_ms", Presence::Default(50.0));
     let log_entries = count(reader, &mut section, "log_entries", (4096, 8, 1 << 20));
     let changes = count(reader, &mut section, "changes", (4096, 64, 1 << 20));
-    reader.end(section);
+    reader.finish(section);
 
     let mut section = reader.section(&mut root, "agents");
     let agents = count(reader, &mut section, "count", (6, 0, 10_000));
     let sites = count(reader, &mut section, "sites", (3, 1, 100));
-    reader.end(section);
+    reader.finish(section);
 
     let mut section = reader.section(&mut root, "clients");
     let clients = count(reader, &mut section, "count", (0, 0, 1000));
-    let pause = ms(reader, &mut section, "pause_ms", Absent::Default(100.0));
+    let pause = ms(reader, &mut section, "pause_ms", Presence::Default(100.0));
     let watchers = count(reader, &mut section, "watchers", (0, 0, 1000));
-    reader.end(section);
+    reader.finish(section);
 
     let mut section = reader.section(&mut root, "permits");
     let operators = count(reader, &mut section, "operators", (0, 0, 100));
     let permits = count(reader, &mut section, "most", (2, 1, 1000));
-    reader.end(section);
+    reader.finish(section);
 
     let mut section = reader.section(&mut root, "servers");
     let servers = count(reader, &mut section, "count", (0, 0, 1000));
     let drainers = count(reader, &mut section, "drainers", (0, 0, 100));
     let servers_out = count(reader, &mut section, "most_out", (2, 1, 1000));
-    reader.end(section);
+    reader.finish(section);
 
     let mut section = reader.section(&mut root, "links");
-    let one_way = ms(reader, &mut section, "one_way_ms", Absent::Default(1.0));
-    let spread = ms(reader, &mut section, "spread_ms", Absent::Default(1.0));
-    reader.end(section);
+    let one_way = ms(reader, &mut section, "one_way_ms", Presence::Default(1.0));
+    let spread = ms(reader, &mut section, "spread_ms", Presence::Default(1.0));
+    reader.finish(section);
 
     let mut section = reader.section(&mut root, "chaos");
-    let every = ms(reader, &mut section, "every_ms", Absent::Default(0.0));
-    let most = ms(reader, &mut section, "most_ms", Absent::Default(5000.0));
+    let every = ms(reader, &mut section, "every_ms", Presence::Default(0.0));
+    let most = ms(reader, &mut section, "most_ms", Presence::Default(5000.0));
     let wanted = format!("a list of {}", words(&KINDS));
-    let faults = reader.get(&mut section, "of", Absent::Default(Vec::new()), &wanted, |value| {
+    let faults = reader.get(&mut section, "of", Presence::Default(Vec::new()), &wanted, |value| {
         let kind = |word: &String| KINDS.iter().find(|(name, _)| name == word).map(|(_, kind)| *kind);
         text_list(value)?.iter().map(kind).collect()
     });
-    reader.end(section);
+    reader.finish(section);
 
     let mut listed = Vec::new();
     for mut section in reader.sections(&mut root, "fault") {
-        let at = ms(reader, &mut section, "at_ms", Absent::Fault);
+        let at = ms(reader, &mut section, "at_ms", Presence::Required);
         let what = reader.get(
             &mut section,
             "what",
-            Absent::Fault,
+            Presence::Required,
             &format!("one of {}", words(&KINDS)),
             one_of(&KINDS),
         );
         let process = "a process as c0, a3, o1, or leader";
-        let who = reader.get(&mut section, "who", Absent::Nothing, process, text);
-        let to = reader.get(&mut section, "to", Absent::Nothing, process, text);
-        let length = ms(reader, &mut section, "for_ms", Absent::Default(3000.0));
-        reader.end(section);
+        let who = reader.get(&mut section, "who", Presence::Optional, process, text);
+        let to = reader.get(&mut section, "to", Presence::Optional, process, text);
+        let length = ms(reader, &mut section, "for_ms", Presence::Default(3000.0));
+        reader.finish(section);
         listed.extend((|| Some(Listed { at: at?, what: what?, who, to, length: length? }))());
     }
-    reader.end(root);
+    reader.finish(root);
     Some(Plan {
         name: name?,
         length: length?,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -5,7 +5,7 @@
 use crate::record::Mode;
 use crate::speech::Speech;
 use crate::world::{Kind, Micros};
-use heronhoist_config::reader::{flag, integer, number, parse_toml, text, Absent, Reader, Section};
+use heronhoist_config::reader::{boolean, integer, number, parse_toml, text, Presence, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_decision::{
     Class, DeduplicationScope, Effect, ReportField, ReportSource, Settings, Span, Tenant,
@@ -284,10 +284,10 @@
 }
 
 fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<Scenario> {
-    let name = reader.get(&mut root, "name", Absent::Fault, "a name", text);
-    let length = reader.get(&mut root, "length_ms", Absent::Fault, MS, ms);
+    let name = reader.get(&mut root, "name", Presence::Required, "a name", text);
+    let length = reader.get(&mut root, "length_ms", Presence::Required, MS, ms);
     let mode =
-        reader.get(&mut root, "mode", Absent::Default(Mode::Virtual), "\"virtual\" or \"real\"", |v| {
+        reader.get(&mut root, "mode", Presence::Default(Mode::Virtual), "\"virtual\" or \"real\"", |v| {
             match text(v)?.as_str() {
                 "virtual" => Some(Mode::Virtual),
                 "real" => Some(Mode::Real),
@@ -297,22 +297,22 @@
     let fleet = fleet(reader, &mut root);
 
     let mut section = reader.section(&mut root, "registry");
-    let late = reader.get(&mut section, "late_ms", Absent::Default(200_000), "milliseconds", ms_or_none);
-    let lines = reader.get(&mut section, "lines_per_s", Absent::Nothing, "lines a second", positive);
-    reader.end(section);
+    let late = reader.get(&mut section, "late_ms", Presence::Default(200_000), "milliseconds", ms_or_none);
+    let lines = reader.get(&mut section, "lines_per_s", Presence::Optional, "lines a second", positive);
+    reader.finish(section);
 
     let mut agents = reader.section(&mut root, "agents");
-    let number = reader.get(&mut agents, "count", Absent::Fault, "how many agents", count);
-    let told = reader.get(&mut agents, "balancers", Absent::Nothing, "how many agents are told", count);
-    let attempts = reader.get(&mut agents, "max_attempts", Absent::Default(3), "how many attempts", count);
-    let copies = reader.get(&mut agents, "second_copies", Absent::Default(true), "true or false", flag);
-    let cancel = reader.get(&mut agents, "cancel", Absent::Default(true), "true or false", flag);
-    let probes = reader.get(&mut agents, "probes", Absent::Default(true), "true or false", flag);
-    let reports = reader.get(&mut agents, "load_reports", Absent::Default(false), "true or false", flag);
-    let advises = reader.get(&mut agents, "retry_after", Absent::Default(true), "true or false", flag);
-    let leak = reader.get(&mut agents, "leak_bytes", Absent::Default(0), "bytes", count);
-    let grace = reader.get(&mut agents, "drain_grace_ms", Absent::Default(500_000), MS, ms);
-    reader.end(agents);
+    let number = reader.get(&mut agents, "count", Presence::Required, "how many agents", count);
+    let told = reader.get(&mut agents, "balancers", Presence::Optional, "how many agents are told", count);
+    let attempts = reader.get(&mut agents, "max_attempts", Presence::Default(3), "how many attempts", count);
+    let copies = reader.get(&mut agents, "second_copies", Presence::Default(true), "true or false", boolean);
+    let cancel = reader.get(&mut agents, "cancel", Presence::Default(true), "true or false", boolean);
+    let probes = reader.get(&mut agents, "probes", Presence::Default(true), "true or false", boolean);
+    let reports = reader.get(&mut agents, "load_reports", Presence::Default(false), "true or false", boolean);
+    let advises = reader.get(&mut agents, "retry_after", Presence::Default(true), "true or false", boolean);
+    let leak = reader.get(&mut agents, "leak_bytes", Presence::Default(0), "bytes", count);
+    let grace = reader.get(&mut agents, "drain_grace_ms", Presence::Default(500_000), MS, ms);
+    reader.finish(agents);
 
     let clients = clients(reader, &mut root);
     let mixed = mixed(reader, &mut root, fleet.as_ref().map_or(0, |fleet| fleet.servers));
@@ -327,7 +327,7 @@
     }
     let servers = fleet.as_ref().map_or(usize::MAX, |fleet| fleet.servers);
     let events = events(reader, &mut root, servers, number.unwrap_or(usize::MAX), length.unwrap_or(0));
-    reader.end(root);
+    reader.finish(root);
     let (mixes, terms): (Vec<ClassMix>, Vec<Class>) = classes?.into_iter().unzip();
     let (mut fleet, tenants) = (fleet?, tenants?);
     let parts: f64 = mixes.iter().map(|mix| mix.share).sum();
@@ -370,27 +370,28 @@
 
 fn fleet<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Option<Fleet> {
     let mut fleet = reader.section(root, "fleet");
-    let servers = reader.get(&mut fleet, "servers", Absent::Fault, "how many servers", count);
-    let buildings = reader.get(&mut fleet, "buildings", Absent::Default(1), "how many buildings", count);
-    let cores = reader.get(&mut fleet, "cores", Absent::Default(2), "how many cores", count);
-    let speed = reader.get(&mut fleet, "speed", Absent::Default(1.0), "a speed above 0", positive);
-    let room = reader.get(&mut fleet, "room", Absent::Default(20), "how many may wait", count);
-    let crowding = reader.get(&mut fleet, "crowding", Absent::Default(0.0), "a factor", factor);
-    let connections = reader.get(&mut fleet, "connections", Absent::Default(10_000), "how many", count);
-    let connect = reader.get(&mut fleet, "connect_work_ms", Absent::Default(0), "milliseconds", ms_or_none);
-    let cancels = reader.get(&mut fleet, "cancels", Absent::Default(true), "true or false", flag);
-    let late = reader.get(&mut fleet, "reports_late_ms", Absent::Default(0), "milliseconds", ms_or_none);
-    let cold_share = reader.get(&mut fleet, "cold_share", Absent::Default(0.2), "0 to 1", share);
-    let warm_after = reader.get(&mut fleet, "warm_after_ms", Absent::Default(20_000_000), MS, ms);
-    let warm_work = reader.get(&mut fleet, "warm_work_ms", Absent::Nothing, MS, ms);
-    let bears_chance = reader.get(&mut fleet, "bears_chance", Absent::Default(false), "true or false", flag);
-    let one_way = reader.get(&mut fleet, "one_way_ms", Absent::Default(500), MS, ms);
+    let servers = reader.get(&mut fleet, "servers", Presence::Required, "how many servers", count);
+    let buildings = reader.get(&mut fleet, "buildings", Presence::Default(1), "how many buildings", count);
+    let cores = reader.get(&mut fleet, "cores", Presence::Default(2), "how many cores", count);
+    let speed = reader.get(&mut fleet, "speed", Presence::Default(1.0), "a speed above 0", positive);
+    let room = reader.get(&mut fleet, "room", Presence::Default(20), "how many may wait", count);
+    let crowding = reader.get(&mut fleet, "crowding", Presence::Default(0.0), "a factor", factor);
+    let connections = reader.get(&mut fleet, "connections", Presence::Default(10_000), "how many", count);
+    let connect = reader.get(&mut fleet, "connect_work_ms", Presence::Default(0), "milliseconds", ms_or_none);
+    let cancels = reader.get(&mut fleet, "cancels", Presence::Default(true), "true or false", boolean);
+    let late = reader.get(&mut fleet, "reports_late_ms", Presence::Default(0), "milliseconds", ms_or_none);
+    let cold_share = reader.get(&mut fleet, "cold_share", Presence::Default(0.2), "0 to 1", share);
+    let warm_after = reader.get(&mut fleet, "warm_after_ms", Presence::Default(20_000_000), MS, ms);
+    let warm_work = reader.get(&mut fleet, "warm_work_ms", Presence::Optional, MS, ms);
+    let bears_chance =
+        reader.get(&mut fleet, "bears_chance", Presence::Default(false), "true or false", boolean);
+    let one_way = reader.get(&mut fleet, "one_way_ms", Presence::Default(500), MS, ms);
     let mut part = |key, absent, wanted, read: fn(&DeValue<'_>) -> Option<f64>| {
-        reader.get(&mut fleet, key, Absent::Default(absent), wanted, read)
+        reader.get(&mut fleet, key, Presence::Default(absent), wanted, read)
     };
     let slow = (part("slow_share", 0.0, "0 to 1", share), part("slow_pace", 0.5, "a factor", positive));
     let noisy = (part("noisy_share", 0.0, "0 to 1", share), part("noisy_pace", 0.3, "a factor", positive));
-    reader.end(fleet);
+    reader.finish(fleet);
     let kind = Kind {
         cores: cores?,
         speed: speed?,
@@ -414,20 +415,21 @@
 
 fn clients<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Option<Clients> {
     let mut section = reader.section(root, "clients");
-    let rate = reader.get(&mut section, "rate_per_s", Absent::Fault, "requests a second", positive);
-    let wave = reader.get(&mut section, "wave", Absent::Default(0.0), "0 to 1", share);
-    let wave_period = reader.get(&mut section, "wave_period_ms", Absent::Default(20_000_000), MS, ms);
-    let tries = reader.get(&mut section, "tries", Absent::Default(1), "how many tries", count);
-    let backoff = reader.get(&mut section, "backoff_ms", Absent::Default(100_000), MS, ms);
-    let heeds_waits = reader.get(&mut section, "heeds_waits", Absent::Default(true), "true or false", flag);
-    let impatient = reader.get(&mut section, "impatient", Absent::Default(0.0), "0 to 1", share);
+    let rate = reader.get(&mut section, "rate_per_s", Presence::Required, "requests a second", positive);
+    let wave = reader.get(&mut section, "wave", Presence::Default(0.0), "0 to 1", share);
+    let wave_period = reader.get(&mut section, "wave_period_ms", Presence::Default(20_000_000), MS, ms);
+    let tries = reader.get(&mut section, "tries", Presence::Default(1), "how many tries", count);
+    let backoff = reader.get(&mut section, "backoff_ms", Presence::Default(100_000), MS, ms);
+    let heeds_waits =
+        reader.get(&mut section, "heeds_waits", Presence::Default(true), "true or false", boolean);
+    let impatient = reader.get(&mut section, "impatient", Presence::Default(0.0), "0 to 1", share);
     let mut spans = |key, size: &'static str| {
         let mut spans = Some(Vec::new());
         for mut section in reader.sections(&mut section, key) {
-            let from = reader.get(&mut section, "at_ms", Absent::Fault, "milliseconds", ms_or_none);
-            let long = reader.get(&mut section, "for_ms", Absent::Fault, MS, ms);
-            let size = reader.get(&mut section, size, Absent::Fault, "a number above 0", positive);
-            reader.end(section);
+            let from = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", ms_or_none);
+            let long = reader.get(&mut section, "for_ms", Presence::Required, MS, ms);
+            let size = reader.get(&mut section, size, Presence::Required, "a number above 0", positive);
+            reader.finish(section);
             spans = spans.zip(from.zip(long).zip(size)).map(|(mut spans, ((from, long), size))| {
                 spans.push((from..from + long, size));
                 spans
@@ -436,7 +438,7 @@
         spans
     };
     let (surges, herds) = (spans("surge", "times"), spans("herd", "requests"));
-    reader.end(section);
+    reader.finish(section);
     Some(Clients {
         rate: rate?,
         wave: wave?,
@@ -452,13 +454,14 @@
 
 fn holds<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Holds {
     let mut section = reader.section(root, "hold");
-    let mut least = |key| reader.get(&mut section, key, Absent::Nothing, "0 to 1", share);
+    let mut least = |key| reader.get(&mut section, key, Presence::Optional, "0 to 1", share);
     let (whole, worst_window) = (least("whole"), least("worst_window"));
     let (worst_class, waits_kept) = (least("worst_class"), least("waits_kept"));
-    let connections = reader.get(&mut section, "connections_per_server", Absent::Nothing, "how many", count);
-    let memory_mb = reader.get(&mut section, "memory_mb", Absent::Nothing, "megabytes", positive);
-    let memory_growth = reader.get(&mut section, "memory_growth", Absent::Nothing, "0 to 1", share);
-    reader.end(section);
+    let connections =
+        reader.get(&mut section, "connections_per_server", Presence::Optional, "how many", count);
+    let memory_mb = reader.get(&mut section, "memory_mb", Presence::Optional, "megabytes", positive);
+    let memory_growth = reader.get(&mut section, "memory_growth", Presence::Optional, "0 to 1", share);
+    reader.finish(section);
     Holds { whole, worst_window, worst_class, waits_kept, connections, memory_mb, memory_growth }
 }
 
@@ -467,17 +470,17 @@
     let up_to =
         |value: &DeValue<'_>| integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| *n <= servers);
     let old_servers =
-        reader.get(&mut section, "old_servers", Absent::Nothing, "so many of the servers", up_to);
-    let old_clients = reader.get(&mut section, "old_clients", Absent::Default(0.5), "0 to 1", share);
-    let own_keys = reader.get(&mut section, "own_keys", Absent::Default(0.0), "0 to 1", share);
-    let nothing = Absent::Default(Planted::Nothing);
+        reader.get(&mut section, "old_servers", Presence::Optional, "so many of the servers", up_to);
+    let old_clients = reader.get(&mut section, "old_clients", Presence::Default(0.5), "0 to 1", share);
+    let own_keys = reader.get(&mut section, "own_keys", Presence::Default(0.0), "0 to 1", share);
+    let nothing = Presence::Default(Planted::Nothing);
     let planted =
         reader.get(&mut section, "planted", nothing, "\"keys\" or \"fields\"", |v| match text(v)?.as_str() {
             "keys" => Some(Planted::Keys),
             "fields" => Some(Planted::Fields),
             _ => None,
         });
-    reader.end(section);
+    reader.finish(section);
     let (old_clients, own_keys, planted) = (old_clients?, own_keys?, planted?);
     Some(old_servers.map(|old_servers| Mixed { old_servers, old_clients, own_keys, planted }))
 }
@@ -485,11 +488,11 @@
 fn tenants<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Option<Vec<(String, Tenant)>> {
     let mut tenants = Some(Vec::new());
     for mut section in reader.sections(root, "tenant") {
-        let name = reader.get(&mut section, "name", Absent::Fault, "a name", text);
-        let fraction = reader.get(&mut section, "share", Absent::Default(1.0), "a part above 0", positive);
+        let name = reader.get(&mut section, "name", Presence::Required, "a name", text);
+        let fraction = reader.get(&mut section, "share", Presence::Default(1.0), "a part above 0", positive);
         let allowance =
-            reader.get(&mut section, "allowance_per_s", Absent::Default(0.0), "requests a second", factor);
-        reader.end(section);
+            reader.get(&mut section, "allowance_per_s", Presence::Default(0.0), "requests a second", factor);
+        reader.finish(section);
         let tenant = name.zip(fraction.zip(allowance));
         tenants = tenants.zip(tenant).map(|(mut tenants, (name, (fraction, allowance_per_s)))| {
             tenants.push((name, Tenant { quota_fraction: fraction, quota_per_second: allowance_per_s }));
@@ -510,7 +513,7 @@
     let mut classes = Some(Vec::new());
     for mut section in sections {
         let class = class(reader, &mut section);
-        reader.end(section);
+        reader.finish(section);
         classes = classes.zip(class).map(|(mut classes, class)| {
             classes.push(class);
             classes
@@ -522,19 +525,19 @@
 fn class<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>) -> Option<(ClassMix, Class)> {
     let plain =
         |v: &DeValue<'_>| text(v).filter(|n| n.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-'));
-    let name = reader.get(section, "name", Absent::Fault, "a name of letters, digits and -", plain);
+    let name = reader.get(section, "name", Presence::Required, "a name of letters, digits and -", plain);
     let wanted = "\"idempotent\", \"at_most_once\" or \"deduplicated\"";
-    let effect = reader.get(section, "effect", Absent::Fault, wanted, |v| match text(v)?.as_str() {
+    let effect = reader.get(section, "effect", Presence::Required, wanted, |v| match text(v)?.as_str() {
         "idempotent" => Some(0),
         "at_most_once" => Some(1),
         "deduplicated" => Some(2),
         _ => None,
     });
-    let window = reader.get(section, "dedup_window_ms", Absent::Default(60_000_000), MS, ms);
+    let window = reader.get(section, "dedup_window_ms", Presence::Default(60_000_000), MS, ms);
     let group = reader.get(
         section,
         "dedup_group",
-        Absent::Default(DeduplicationScope::Cell),
+        Presence::Default(DeduplicationScope::Cell),
         "\"all\" or \"cell\"",
         |v| match text(v)?.as_str() {
             "all" => Some(DeduplicationScope::All),
@@ -542,17 +545,17 @@
             _ => None,
         },
     );
-    let part = reader.get(section, "share", Absent::Default(1.0), "a part above 0", positive);
-    let work = reader.get(section, "work_ms", Absent::Fault, MS, ms);
-    let spread = reader.get(section, "work_spread", Absent::Default(0.5), "0 to 3", |v| {
+    let part = reader.get(section, "share", Presence::Default(1.0), "a part above 0", positive);
+    let work = reader.get(section, "work_ms", Presence::Required, MS, ms);
+    let spread = reader.get(section, "work_spread", Presence::Default(0.5), "0 to 3", |v| {
         number(v).filter(|n| (0.0..=3.0).contains(n))
     });
-    let tail = reader.get(section, "work_tail", Absent::Nothing, "above 1, up to 10", |v| {
+    let tail = reader.get(section, "work_tail", Presence::Optional, "above 1, up to 10", |v| {
         number(v).filter(|n| *n > 1.0 && *n <= 10.0)
     });
-    let hints = reader.get(section, "hints", Absent::Default(false), "true or false", flag);
-    let aim = reader.get(section, "aim_ms", Absent::Fault, MS, ms);
-    let deadline = reader.get(section, "deadline_ms", Absent::Fault, MS, ms);
+    let hints = reader.get(section, "hints", Presence::Default(false), "true or false", boolean);
+    let aim = reader.get(section, "aim_ms", Presence::Required, MS, ms);
+    let deadline = reader.get(section, "deadline_ms", Presence::Required, MS, ms);
     let (window, group) = (window?, group?);
     let (effect, repeats) = match effect? {
         0 => (Effect::Idempotent, Repeats::Harmless),
@@ -585,10 +588,10 @@
     let wanted = format!("one of {}", names.join(", "));
     let mut events = Some(Vec::new());
     for mut section in reader.sections(root, "fault") {
-        let at = reader.get(&mut section, "at_ms", Absent::Fault, "milliseconds", ms_or_none);
-        let pace = reader.get(&mut section, "pace", Absent::Nothing, "a factor above 0", positive);
-        let spoilt = reader.get(&mut section, "share", Absent::Nothing, "0 to 1", share);
-        let kind = reader.get(&mut section, "what", Absent::Fault, &wanted, |v| {
+        let at = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", ms_or_none);
+        let pace = reader.get(&mut section, "pace", Presence::Optional, "a factor above 0", positive);
+        let spoilt = reader.get(&mut section, "share", Presence::Optional, "0 to 1", share);
+        let kind = reader.get(&mut section, "what", Presence::Required, &wanted, |v| {
             let name = text(v)?;
             KINDS.iter().find(|(known, ..)| *known == name).map(|(_, what, to)| (*what, *to))
         });
@@ -602,18 +605,18 @@
         };
         let at_one = kind.is_some_and(|(_, to)| to != '-');
         let first = match at_one {
-            true => reader.get(&mut section, on, Absent::Fault, wanted, index(most)),
+            true => reader.get(&mut section, on, Presence::Required, wanted, index(most)),
             false => Some(0),
         };
         let last = match at_one {
-            true => reader.get(&mut section, to, Absent::Nothing, wanted, index(most)),
+            true => reader.get(&mut section, to, Presence::Optional, wanted, index(most)),
             false => None,
         };
         // One after the other: the same again, so much later, for the next ones.
-        let times = reader.get(&mut section, "times", Absent::Default(1), "how many times", count);
-        let every = reader.get(&mut section, "every_ms", Absent::Default(1_000_000), MS, ms);
+        let times = reader.get(&mut section, "times", Presence::Default(1), "how many times", count);
+        let every = reader.get(&mut section, "every_ms", Presence::Default(1_000_000), MS, ms);
         // Around and around instead, as long as the run is.
-        let wraps = reader.get(&mut section, "wraps", Absent::Default(false), "true or false", flag);
+        let wraps = reader.get(&mut section, "wraps", Presence::Default(false), "true or false", boolean);
         if kind.is_some_and(|(what, _)| matches!(what, What::Pace(_))) && pace.is_none() {
             reader.add_fault(&section, "pace", "found nothing; wanted a factor above 0".into());
         }
@@ -625,7 +628,7 @@
         if wraps == Some(false) && times.zip(first).is_some_and(beyond) {
             reader.add_fault(&section, "times", format!("goes beyond the last of {most}"));
         }
-        reader.end(section);
+        reader.finish(section);
         let what = kind.map(|(what, _)| match what {
             What::Pace(_) => What::Pace(pace.unwrap_or(1.0)),
             What::Spoil(_) => What::Spoil(spoilt.unwrap_or(0.0)),
