--- a/crates/coordination/src/node/apply.rs
+++ b/crates/coordination/src/node/apply.rs
@@ -1,4 +1,4 @@
-//! The application of committed entries to the state.
+//! Applies committed entries to the state.
 
 use super::context::RequestContext;
 use super::operation::{OperationId, OperationResult};
@@ -8,7 +8,7 @@
 use raft::eraftpb::{ConfChangeV2, Entry, EntryType};
 
 impl Node {
-    /// Applies committed entries, then serves the rounds that waited for them.
+    /// Applies committed entries, then finishes the read rounds that waited for them.
     pub(super) fn apply_entries(&mut self, entries: Vec<Entry>) -> Result<(), NodeError> {
         for entry in entries {
             self.applied_index = entry.index;
@@ -16,7 +16,7 @@
                 // A new leader proposes an empty entry.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => self.apply_command(&entry)?,
-                // Only changes of the second version are proposed here.
+                // A node proposes only changes of the second version.
                 EntryType::EntryConfChange | EntryType::EntryConfChangeV2 => {
                     self.apply_conf_change(&entry)?;
                 }
@@ -44,7 +44,7 @@
 
     fn apply_conf_change(&mut self, entry: &Entry) -> Result<(), NodeError> {
         let change = ConfChangeV2::parse_from_bytes(&entry.data).unwrap_or_default();
-        let operation = self.apply_membership_change(&change)?;
+        let operation = self.apply_peer_change(&change)?;
         if let Some(id) = operation.filter(|_| entry.context == self.origin().encode()) {
             self.finish(id, OperationResult::PeersChanged);
         }
--- a/crates/coordination/src/node/election.rs
+++ b/crates/coordination/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Timers and elections: what happens at each tick, and what changes with the leader.
+//! Timers, elections, and what changes with the leader.
 
 use super::operation::{OperationId, OperationResult};
 use super::read_round::Round;
@@ -17,8 +17,8 @@
 }
 
 impl Node {
-    /// Replaces the election timeout that the library drew from the machine's random generator by a function of `boot_id` and
-    /// of what has happened, so that a simulated run is repeatable.
+    /// Replaces the library's random election timeout by one that is derived from `boot_id` and the state of the node, so that
+    /// a simulated run is repeatable.
     pub(super) fn draw_election_timeout(&mut self) {
         let base = self.settings.election_ticks as u64;
         let raft = &mut self.raw_node.raft;
@@ -59,7 +59,7 @@
         self.confirmed_rounds.retain(|confirmed| is_recent(&confirmed.round));
     }
 
-    /// A snapshot that has not been acknowledged in time counts as lost; the library sends another one then.
+    /// Reports snapshots that were not acknowledged in time as lost, so that the library sends new ones.
     fn time_out_snapshots(&mut self, now: Time) {
         let sent = self.snapshots_sent.iter().filter(|(_, sent_at)| self.is_timed_out(**sent_at, now));
         let lost: Vec<NodeId> = sent.map(|(node_id, _)| *node_id).collect();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Proposes to end the leases that have expired by this leader's count.
+    /// Proposes the expiry of the leases that have expired on this leader's clock.
     fn propose_expiries(&mut self, now: Time) {
         let holders = self.state.members.iter().filter(|(_, member)| member.status.may_hold_lease());
         let holders = holders.map(|(name, member)| (name.as_str(), member.incarnation));
@@ -81,12 +81,12 @@
         let command = Command::Expire(expired.clone());
         let request = CommandRequest { session: None, command };
         if self.propose(OperationId::NONE, &request).is_ok() {
-            // None of them is renewed from here on: the entry may be committed at any time.
+            // From now on none of them may be renewed, because the entry may be committed at any time.
             self.expiring.extend(expired);
         }
     }
 
-    /// Adapts to a change of the leader, or of the term in which this node leads.
+    /// Resets what depends on leadership when this node becomes the leader, stops being it, or leads in a new term.
     pub(super) fn observe_leadership(&mut self) {
         let leading_term = self.is_leader().then_some(self.raw_node.raft.term);
         if leading_term == self.leading_term {
@@ -101,8 +101,8 @@
         }
     }
 
-    /// This node leads no more: it grants no renewals, and does not learn whether what it proposed is committed. Reads go on
-    /// through the new leader.
+    /// Ends the operations that only a leader can finish: this node no longer grants renewals, and does not learn whether its
+    /// proposals are committed. Reads continue through the new leader.
     fn abandon_leader_operations(&mut self) {
         let rounds = self.rounds_in_flight.values_mut();
         let confirmed = self.confirmed_rounds.iter_mut().map(|confirmed| &mut confirmed.round);
--- a/crates/coordination/src/node/message.rs
+++ b/crates/coordination/src/node/message.rs
@@ -8,11 +8,13 @@
 use raft::StateRole;
 
 impl Node {
-    /// Takes an encoded Raft message from another process. One that cannot be decoded, or is for another node, is ignored.
+    /// Processes an encoded Raft message from another process. A message that cannot be decoded, or is addressed to another
+    /// node, is ignored.
     ///
     /// # Errors
     ///
-    /// Fails if the message proves that this node's disk, or a majority of the others', was replaced by an older copy.
+    /// Fails if the message proves that the disk of this node, or the disks of a majority of the others, were replaced by older
+    /// copies.
     pub fn receive(&mut self, now: Time, message: &[u8]) -> Result<(), NodeError> {
         if let Some(failure) = &self.failure {
             return Err(failure.clone());
@@ -32,13 +34,14 @@
             }
             _ => {}
         }
-        // A message that the library rejects counts as lost.
+        // A message that the library rejects is treated as lost.
         let _ = self.raw_node.step(message);
         self.draw_election_timeout();
         Ok(())
     }
 
-    /// A leader's heartbeat states what this node acknowledged to it: the disk must still contain that.
+    /// Checks that the log still contains the entries that this node acknowledged to the leader: the commit index of a
+    /// heartbeat never exceeds them.
     fn check_own_disk(&self, message: &Message) -> Result<(), NodeError> {
         let raft = &self.raw_node.raft;
         let last_index = raft.raft_log.last_index();
@@ -48,14 +51,14 @@
         Ok(())
     }
 
-    /// The leader's entries must be those that this node knows to be committed.
+    /// Checks that the leader's entries equal those that this node knows to be committed.
     fn check_same_history(&self, message: &Message) -> Result<(), NodeError> {
         let raft = &self.raw_node.raft;
         if message.term < raft.term {
             return Ok(());
         }
         let log = &raft.raft_log;
-        // The terms of compacted entries are not known any more.
+        // The terms of compacted entries are no longer known.
         let committed = log.first_index()..=log.committed;
         let mut entries = message.entries.iter().filter(|entry| committed.contains(&entry.index));
         let differs = |index, term| log.term(index).is_ok_and(|own_term| own_term != term);
@@ -65,8 +68,8 @@
         }
     }
 
-    /// Whether a follower rejects entries from before those that it acknowledged to this leader: the response is late, or its
-    /// disk was replaced by an older copy.
+    /// Returns whether a follower rejects entries and reports a shorter log than it acknowledged to this leader. Either the
+    /// response is delayed, or the follower's disk was replaced by an older copy.
     fn reports_lost_entries(&self, message: &Message) -> bool {
         let raft = &self.raw_node.raft;
         if !message.reject || message.term != raft.term || raft.state != StateRole::Leader {
@@ -75,8 +78,9 @@
         message.reject_hint < self.acknowledged_index(message.from)
     }
 
-    /// Sends the follower a heartbeat with what it acknowledged. The library would send it the lost entries again, and nobody
-    /// would notice; this way a follower that lost them ends, and for any other this is a heartbeat like every other.
+    /// Sends the follower a heartbeat with the index that it acknowledged. A follower that lost these entries stops with an
+    /// error; any other treats this as an ordinary heartbeat. The library would instead send the lost entries again, and the
+    /// loss would go unnoticed.
     fn send_acknowledged_index(&mut self, message: &Message) {
         let raft = &self.raw_node.raft;
         let mut heartbeat = Message::default();
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One coordination process: the replicated state behind the core of the Raft library.
+//! One coordination process: the replicated state on top of the Raft library.
 //!
-//! Input comes in by [`Node::tick`], [`Node::receive`] and [`Node::submit`]. [`Node::advance`] then stores what must be durable
-//! and returns the messages to send and the results of operations. Nothing here waits, and time is an argument.
+//! Input arrives through [`Node::tick`], [`Node::receive`] and [`Node::submit`]. [`Node::advance`] then stores what must be
+//! durable and returns the messages to send and the results of operations. No method blocks, and time is an argument.
 
 mod apply;
 mod context;
@@ -29,11 +29,11 @@
 use read_round::{ConfirmedRound, Round};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most bytes of entries in one message.
+/// The maximum size of the entries in one message.
 const MAX_MESSAGE_ENTRY_BYTES: u64 = 1 << 20;
-/// The most messages with entries in flight to one follower.
+/// The maximum number of messages with entries in flight to one follower.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
-/// The most bytes of entries that are proposed and not committed; further proposals are rejected.
+/// The maximum size of entries that are proposed but not committed; further proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
 
 /// One coordination process.
@@ -42,39 +42,39 @@
     settings: NodeSettings,
     state: State,
     applied_index: LogIndex,
-    /// Distinguishes this node's proposals from those of its earlier starts.
+    /// Distinguishes this node's proposals from those before its last restart.
     boot_id: u64,
-    /// The next operation or round.
+    /// The number of the next operation or read round.
     next_number: u64,
-    /// The operations without a result, and when each was submitted.
+    /// Operations without a result, and when each was submitted.
     pending: BTreeMap<OperationId, Time>,
     /// Reads and renewals that wait for the next round.
     next_round: Round,
     rounds_in_flight: BTreeMap<u64, Round>,
     confirmed_rounds: Vec<ConfirmedRound>,
-    /// There was a tick since the last round started.
+    /// Whether there was a tick since the last round started.
     has_ticked: bool,
-    /// The state contains everything that was done before this time.
+    /// The state contains all changes that completed before this time.
     fresh_as_of: Option<Time>,
     last_round_at: Time,
-    /// The term in which this node leads.
+    /// The current term, if this node is its leader.
     leading_term: Option<Term>,
     leases: LeaseTable,
-    /// Leases that this leader has proposed to end.
+    /// Leases whose expiry this leader has proposed.
     expiring: BTreeSet<(String, Incarnation)>,
-    /// When snapshots were sent that have not been acknowledged.
+    /// When each snapshot that is not acknowledged yet was sent, by receiver.
     snapshots_sent: BTreeMap<NodeId, Time>,
     results: Vec<(OperationId, OperationResult)>,
-    /// Messages that do not come from the library.
+    /// Messages that this node sends in addition to those of the Raft library.
     extra_messages: Vec<(NodeId, Vec<u8>)>,
     tick_count: u64,
     now: Time,
-    /// The error after which the node must not go on: its memory may be ahead of the disk.
+    /// The error that stopped the node. Its memory may be ahead of the disk.
     failure: Option<NodeError>,
 }
 
 impl Node {
-    /// A node as its disk stores it. `node_id` is that of the disk; `boot_id` is a random number of this start.
+    /// Creates a node from the data on its disk. `node_id` is the id of that disk; `boot_id` is a random number for this start.
     ///
     /// # Errors
     ///
@@ -123,32 +123,32 @@
         Ok(node)
     }
 
-    /// The replicated state, as far as this node has applied it.
+    /// Returns the replicated state up to the last log entry that this node has applied.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The id of this node.
+    /// Returns the id of this node.
     pub fn node_id(&self) -> NodeId {
         self.raw_node.raft.id
     }
 
-    /// The terms of leases.
+    /// Returns the terms of leases.
     pub fn lease_terms(&self) -> LeaseTerms {
         self.settings.lease_terms
     }
 
-    /// Whether this node believes that it is the leader.
+    /// Returns whether this node considers itself the leader.
     pub fn is_leader(&self) -> bool {
         self.failure.is_none() && self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// The leader that this node knows.
+    /// Returns the leader that this node knows, if any.
     pub fn leader(&self) -> Option<NodeId> {
         Some(self.raw_node.raft.leader_id).filter(|node_id| *node_id != raft::INVALID_ID)
     }
 
-    /// The whole state as JSON: a backup, and the data of snapshots.
+    /// Returns the whole state as JSON, for backups and snapshots.
     pub fn export_state(&self) -> Vec<u8> {
         serde_json::to_vec(&self.state).unwrap_or_default()
     }
--- a/crates/coordination/src/node/operation.rs
+++ b/crates/coordination/src/node/operation.rs
@@ -5,25 +5,25 @@
 use crate::state::{Command, CommandRequest, CommandResult, Peer};
 use crate::{Incarnation, LimitExceeded, NodeId, Time};
 
-/// Identifies an operation on one node since its start.
+/// Identifies an operation on a node. Ids are unique until the node restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperationId(pub u64);
 
 impl OperationId {
-    /// The id of what the node proposes by itself; no operation has it.
+    /// The id in proposals of the node itself; no operation has it.
     pub(super) const NONE: OperationId = OperationId(0);
 }
 
 /// An operation on a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Operation {
-    /// Executes a command. Only the leader takes it.
+    /// Executes a command. Only the leader accepts it.
     Command(CommandRequest),
-    /// Waits until the state contains everything that was done before this operation was submitted. Any node takes it.
+    /// Waits until the state contains all changes that completed before this operation was submitted. Any node accepts it.
     Read,
-    /// Renews the lease of this member and incarnation. Only the leader takes it.
+    /// Renews the lease of this member and incarnation. Only the leader accepts it.
     Renew(String, Incarnation),
-    /// Adds a process to the cluster, removes one, or both at once. Only the leader takes it.
+    /// Adds a process to the cluster, removes one, or both at once. Only the leader accepts it.
     ChangePeers {
         /// The process to add.
         add: Option<(NodeId, Peer)>,
@@ -37,28 +37,28 @@
 pub enum OperationResult {
     /// The command was executed, with this result.
     Reply(CommandResult),
-    /// The state may be read now, until the next call of a `&mut` method of the node.
+    /// The state may be read until the next call of a `&mut` method of the node.
     Readable,
-    /// The lease is renewed, counted from when the operation was submitted.
+    /// The lease is renewed; its duration counts from the submission of the operation.
     Renewed,
-    /// The lease has expired, or is about to.
+    /// The lease has expired, or its expiry has been proposed.
     Expired,
-    /// A newer process has the name, or waits for it.
+    /// A newer process of the same name has joined, or waits to join.
     Superseded,
     /// The processes of the cluster have been changed.
     PeersChanged,
-    /// This node is not the leader; that one is, if any is known.
+    /// This node is not the leader. Contains the leader, if this node knows it.
     NotLeader(Option<NodeId>),
-    /// The outcome is unknown: the operation may have been carried out, or may still be.
+    /// The outcome is unknown: the operation may have been executed, or may still be.
     Unknown,
     /// A limit would be exceeded. Nothing was done.
     LimitExceeded(LimitExceeded),
-    /// The operation cannot be carried out, for this reason.
+    /// The operation cannot be executed, for this reason.
     Refused(String),
 }
 
 impl Node {
-    /// Submits an operation. Its result is part of the output of this or a later [`Node::advance`].
+    /// Submits an operation. The next or a later call of [`Node::advance`] returns its result.
     pub fn submit(&mut self, now: Time, operation: Operation) -> OperationId {
         self.now = self.now.max(now);
         let id = OperationId(self.take_number());
@@ -81,14 +81,14 @@
                 self.next_round.renewals.push(renewal);
             }
             Operation::Command(request) => self.submit_command(id, &request),
-            Operation::ChangePeers { add, remove } => self.propose_replacement(id, add, remove),
+            Operation::ChangePeers { add, remove } => self.propose_peer_change(id, add, remove),
         }
         id
     }
 
     fn submit_command(&mut self, id: OperationId, request: &CommandRequest) {
         if matches!(request.command, Command::Expire(_)) {
-            let reason = "leases run out by the leader's count alone".into();
+            let reason = "only the leader itself expires leases".into();
             self.finish(id, OperationResult::Refused(reason));
         } else if self.propose(id, request).is_err() {
             self.finish(id, OperationResult::NotLeader(self.leader()));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The next number for an operation or a round.
+    /// Returns the next number for an operation or a read round.
     pub(super) fn take_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
--- a/crates/coordination/src/node/read_round.rs
+++ b/crates/coordination/src/node/read_round.rs
@@ -1,5 +1,5 @@
-//! Rounds of confirmation. Reads and renewals of leases do not go through the log: a majority confirms, after they were
-//! submitted, that the leader still leads (Raft's read index). One round serves everything that waits.
+//! Read rounds. Reads and renewals of leases do not go through the log: a majority confirms, after they were submitted, that
+//! the leader still leads (Raft's read index). One round serves all waiting reads and renewals.
 
 use super::context::RequestContext;
 use super::operation::{OperationId, OperationResult};
@@ -23,15 +23,15 @@
     pub(super) renewals: Vec<PendingRenewal>,
 }
 
-/// A round that a majority has confirmed. It is served once this node has applied the log up to an index.
+/// A round that a majority has confirmed. It is finished once this node has applied the log up to `read_index`.
 pub(super) struct ConfirmedRound {
     pub(super) read_index: LogIndex,
     pub(super) round: Round,
 }
 
 impl Node {
-    /// Starts a round for everything that waits, unless one is in flight. Renewals alone wait for a tick, so that one round
-    /// serves all renewals of a tick.
+    /// Starts a round for all waiting reads and renewals, unless one is in flight. Renewals alone wait for a tick, so that one
+    /// round serves all renewals of a tick.
     pub(super) fn start_round(&mut self) {
         if self.is_round_in_flight() || !self.is_round_due() || self.leader().is_none() {
             return;
@@ -46,7 +46,7 @@
         self.raw_node.read_index(context.encode());
     }
 
-    /// A round without confirmation for as long as an election takes counts as lost.
+    /// Returns whether a round is in flight. One that is not confirmed within the minimum election timeout counts as lost.
     fn is_round_in_flight(&self) -> bool {
         let lost_after = self.settings.tick_interval * self.settings.election_ticks as Time;
         self.rounds_in_flight.values().any(|round| self.now < round.started_at + lost_after)
@@ -59,7 +59,7 @@
         has_reads || has_renewals || is_freshness_due
     }
 
-    /// Takes the rounds that a majority has confirmed.
+    /// Records which rounds a majority has confirmed.
     pub(super) fn confirm_rounds(&mut self, states: Vec<raft::ReadState>) {
         for state in states {
             let context = RequestContext::decode(&state.request_ctx);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Serves the confirmed rounds that the applied log has reached.
+    /// Finishes the confirmed rounds whose read index is applied.
     pub(super) fn finish_rounds(&mut self) {
         for confirmed in std::mem::take(&mut self.confirmed_rounds) {
             if confirmed.read_index > self.applied_index {
@@ -94,17 +94,18 @@
         if is_living && !self.expiring.contains(&(name.clone(), incarnation)) {
             self.leases.record_renewal(&name, incarnation, received_at);
             self.finish(id, OperationResult::Renewed);
-        } else if self.is_displaced(&name, incarnation) {
+        } else if self.is_superseded(&name, incarnation) {
             self.finish(id, OperationResult::Superseded);
         } else {
             self.finish(id, OperationResult::Expired);
         }
     }
 
-    /// Whether a newer process has the name, or waits for it.
-    fn is_displaced(&self, name: &str, incarnation: Incarnation) -> bool {
+    /// Returns whether a newer process of the name has joined, or waits to join.
+    fn is_superseded(&self, name: &str, incarnation: Incarnation) -> bool {
         let Some(member) = self.state.members.get(name) else { return false };
-        let is_superseded = member.incarnation == incarnation && member.status == MemberStatus::Superseded;
-        member.incarnation > incarnation || is_superseded
+        let has_waiting_successor =
+            member.incarnation == incarnation && member.status == MemberStatus::Superseded;
+        member.incarnation > incarnation || has_waiting_successor
     }
 }
--- a/crates/coordination/src/node/ready.rs
+++ b/crates/coordination/src/node/ready.rs
@@ -1,4 +1,4 @@
-//! The driving of the Raft library: what it has ready is stored, then sent and applied.
+//! Processes the output of the Raft library: stores it, then sends messages and applies committed entries.
 
 use super::operation::{OperationId, OperationResult};
 use super::{decode_state, Node, NodeError};
@@ -7,22 +7,23 @@
 use raft::eraftpb::{Message, MessageType, Snapshot};
 use raft::Ready;
 
-/// What a node hands out after a step.
+/// The output of [`Node::advance`].
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Encoded Raft messages, each with the process that it is for.
+    /// Encoded Raft messages, each with its receiver.
     pub messages: Vec<(NodeId, Vec<u8>)>,
     /// Results of operations.
     pub results: Vec<(OperationId, OperationResult)>,
 }
 
 impl Node {
-    /// Processes all input since the last call: stores what must be durable, then returns what is to be sent.
+    /// Processes all input since the last call: stores what must be durable, then returns the messages to send and the results
+    /// of operations.
     ///
     /// # Errors
     ///
-    /// After an error nothing is sent, and every later call fails with the same error: the process ends, or makes a new node
-    /// where [the store failed](NodeError::is_store_failure).
+    /// After an error nothing is sent, and every later call fails with the same error. The caller ends the process or, if
+    /// [the store failed](NodeError::is_store_failure), creates a new node.
     pub fn advance(&mut self, disk: &mut dyn Disk, now: Time) -> Result<Output, NodeError> {
         if let Some(failure) = &self.failure {
             return Err(failure.clone());
@@ -58,7 +59,7 @@
         self.apply_entries(committed)?;
         let mut light_ready = self.raw_node.advance(ready);
         if let Some(commit) = light_ready.commit_index() {
-            // Not stored by itself: after a restart it is learned again from the others.
+            // The commit index alone is not stored: after a restart the node learns it again from the others.
             self.raw_node.mut_store().set_commit(commit);
         }
         messages.append(&mut light_ready.take_messages());
@@ -70,7 +71,8 @@
         Ok(())
     }
 
-    /// Stores a snapshot, entries and Raft's hard state, in memory and on disk. Nothing that rests on them may be sent before.
+    /// Stores a received snapshot, entries and Raft's hard state in memory and on disk. Messages that depend on them may only
+    /// be sent afterwards.
     fn store(&mut self, ready: &Ready, disk: &mut dyn Disk) -> Result<(), NodeError> {
         let mut batch = WriteBatch::default();
         if ready.snapshot().get_metadata().index != 0 {
@@ -91,7 +93,7 @@
         Ok(())
     }
 
-    /// Takes a snapshot that the leader sent in place of the state and the log.
+    /// Replaces the state and the log by a snapshot that the leader sent.
     fn install_snapshot(&mut self, snapshot: Snapshot, batch: &mut WriteBatch) -> Result<(), NodeError> {
         self.state = decode_state(snapshot.get_data())?;
         let metadata = snapshot.get_metadata();
@@ -111,7 +113,8 @@
         output.messages.push((message.to, encode(message)));
     }
 
-    /// Once the log is long enough, makes a snapshot and drops the older half of the log.
+    /// Makes a snapshot and shortens the log to half its limit, if the log has reached the limit or the Raft library needs a
+    /// newer snapshot.
     fn compact(&mut self, disk: &mut dyn Disk) -> Result<(), NodeError> {
         let max_entries = self.settings.limits.log_entries;
         let log = self.raw_node.store();
@@ -122,7 +125,7 @@
         let snapshot = self.make_snapshot()?;
         let encoded = encode(&snapshot);
         let compacted = self.raw_node.mut_store().compact(snapshot, max_entries as u64 / 2);
-        // Written too, so that the stored commit index is not before the snapshot.
+        // The hard state is stored too, so that the stored commit index is not behind the snapshot.
         let hard_state = encode(self.raw_node.store().hard_state());
         disk.save(&WriteBatch {
             hard_state: Some(hard_state),
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -6,19 +6,19 @@
 /// The settings of a coordination process. `lease_terms` and `limits` must be the same on all processes of a cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
-    /// The duration of leases and the drift of clocks.
+    /// The duration of leases and the maximum clock drift.
     pub lease_terms: LeaseTerms,
     /// Upper limits of the state and of operations.
     pub limits: Limits,
     /// The interval at which [`Node::tick`](super::Node::tick) is called, in microseconds.
     pub tick_interval: Time,
-    /// A follower that hears nothing for one to two times this many ticks starts an election.
+    /// A follower that receives nothing from a leader for one to two times this many ticks starts an election.
     pub election_ticks: usize,
-    /// A leader sends heartbeats every so many ticks.
+    /// The interval of a leader's heartbeats, in ticks.
     pub heartbeat_ticks: usize,
-    /// An operation without a result after this many microseconds ends as unknown.
+    /// An operation without a result after this many microseconds ends with an unknown outcome.
     pub operation_timeout: Time,
-    /// The interval at which a process confirms how fresh its state is, in microseconds.
+    /// The interval at which a process confirms the age of its state, in microseconds.
     pub freshness_interval: Time,
 }
 
--- a/crates/coordination/src/node/status.rs
+++ b/crates/coordination/src/node/status.rs
@@ -1,11 +1,11 @@
-//! What a node reports about itself.
+//! The status of a node.
 
 use super::Node;
 use crate::state::MemberStatus;
 use crate::{Incarnation, LogIndex, NodeId, Term, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a node reports about itself.
+/// The status of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Its id.
@@ -15,10 +15,10 @@
     pub term: Term,
     /// The leader that it knows, 0 for none.
     pub leader: NodeId,
-    /// The last entry of its log.
+    /// The index of the last entry of its log.
     #[serde(rename = "last")]
     pub last_index: LogIndex,
-    /// The last entry that it knows to be committed.
+    /// The index of the last entry that it knows to be committed.
     #[serde(rename = "committed")]
     pub commit_index: LogIndex,
     /// The number of log entries that it keeps.
@@ -28,13 +28,13 @@
     pub snapshot_bytes: u64,
     /// The voting nodes.
     pub voters: Vec<NodeId>,
-    /// How old its state is at most, in microseconds; none if it cannot tell.
+    /// The maximum age of its state in microseconds; none if it is unknown.
     #[serde(rename = "age")]
     pub max_staleness: Option<Time>,
 }
 
 impl Node {
-    /// The status of this node.
+    /// Returns the status of this node.
     pub fn status(&self) -> NodeStatus {
         let raft = &self.raw_node.raft;
         let log = raft.store();
@@ -51,18 +51,18 @@
         }
     }
 
-    /// How old the state is at most, in microseconds: it contains everything that was done before that. None until a
-    /// majority has confirmed a round.
+    /// Returns the maximum age of the state in microseconds: it contains all changes that completed before that. Returns none
+    /// until a majority has confirmed a read round.
     pub fn max_staleness(&self) -> Option<Time> {
         self.fresh_as_of.map(|as_of| self.now.saturating_sub(as_of))
     }
 
-    /// Microseconds since a member last renewed its lease. Only the leader knows.
+    /// Returns the microseconds since a member last renewed its lease. Only the leader knows this.
     pub fn time_since_renewal(&self, name: &str) -> Option<Time> {
         self.leases.time_since_renewal(name, self.now)
     }
 
-    /// The members whose leases are held, each a name and an incarnation.
+    /// Returns the members whose leases are held, each as a name and an incarnation.
     pub fn living_members(&self) -> impl Iterator<Item = (&str, Incarnation)> {
         let living = self.state.members.iter().filter(|(_, member)| member.status == MemberStatus::Living);
         living.map(|(name, member)| (name.as_str(), member.incarnation))
