--- a/crates/coordination/src/state/change.rs
+++ b/crates/coordination/src/state/change.rs
@@ -1,4 +1,4 @@
-//! The latest changes, which are kept for watchers.
+//! The latest changes, which are kept for watches.
 
 use super::member::{is_agent, Member};
 use super::record::AGENTS_SCOPE;
@@ -10,14 +10,14 @@
 /// A change of one record or member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its revision. The writes of one transaction share one.
+    /// Its revision, which all writes of one transaction share.
     pub revision: Revision,
-    /// What has changed.
+    /// The changed record or member.
     #[serde(rename = "what")]
     pub item: ChangedItem,
 }
 
-/// What has changed, with its new value.
+/// A changed record or member, with its new value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangedItem {
@@ -27,16 +27,16 @@
     Member(String, Option<Member>),
 }
 
-/// The changes after a revision are not all kept any more: read everything, and watch from there.
+/// Some changes after the requested revision are no longer kept: read the state, and watch from its revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("changes are only kept from revision {oldest} on; read all, and watch from there")]
+#[error("only changes after revision {oldest} are kept; read the state, and watch from its revision")]
 pub struct Compacted {
     /// The oldest revision that can be watched from.
     pub oldest: Revision,
 }
 
 impl State {
-    /// Keeps a change at the current revision for watchers.
+    /// Records a change at the current revision.
     pub(super) fn record_change(&mut self, item: ChangedItem, limits: &Limits) {
         let scope = match &item {
             ChangedItem::Record(key, _) => Some(kind_of(key)),
@@ -49,7 +49,8 @@
         self.drop_oldest_changes(limits.changes.max(MAX_TXN_OPERATIONS));
     }
 
-    /// Drops the oldest changes down to a number, always whole revisions, and never the current one.
+    /// Drops the oldest changes until no more than `max` are left. Drops all changes of a revision together, and never those of
+    /// the current one.
     fn drop_oldest_changes(&mut self, max: usize) {
         while self.changes.len() > max {
             let Some(oldest) = self.changes.front().map(|change| change.revision) else { return };
@@ -63,12 +64,12 @@
         }
     }
 
-    /// The changes after a revision, in order, and the revision up to which they are complete. Returns about `max` changes;
-    /// those of one revision stay together.
+    /// Returns about `max` changes after a revision, in order, and the revision up to which they are complete. The changes of
+    /// one revision are never split.
     ///
     /// # Errors
     ///
-    /// Fails if not all changes after this revision are kept any more.
+    /// Fails if some changes after this revision are no longer kept.
     pub fn changes_after(
         &self,
         revision: Revision,
--- a/crates/coordination/src/state/command.rs
+++ b/crates/coordination/src/state/command.rs
@@ -21,8 +21,8 @@
         name: String,
         /// A random number that it drew at its start, by which a repeated command is recognised.
         nonce: u64,
-        /// The last incarnation of the name that the process knows of, 0 for none. A command that arrives late, when the name
-        /// has another incarnation, has no effect.
+        /// The last incarnation of the name that the process knows, 0 for none. The command has no effect if the name has
+        /// another one, for instance because the command arrives late.
         #[serde(rename = "after")]
         previous_incarnation: Incarnation,
         /// The site it runs at.
@@ -38,20 +38,20 @@
         name: String,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// The number of the report, which grows with each; a report that arrives late has no effect.
+        /// The number of the report, which increases with each report. A report that arrives late has no effect.
         number: u64,
         /// Whether it can serve.
         ready: bool,
     },
-    /// Ends a membership on behalf of the member, which does not act on its lease any more.
+    /// Ends a membership on behalf of the member, which no longer acts on its lease.
     Leave {
         /// Its name.
         name: String,
         /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// Ends memberships, each a name and an incarnation, whose leases the leader counts as expired. Only the leader itself
-    /// proposes this.
+    /// Ends memberships, each a name and an incarnation, whose leases have expired on the leader's clock. Only the leader
+    /// itself proposes this.
     Expire(Vec<(String, Incarnation)>),
     /// Removes a member that left or expired.
     Forget {
@@ -62,11 +62,11 @@
     Write(Txn),
 }
 
-/// A command with its place in the sender's session.
+/// A command and its number in the sender's session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// The session and the command's number in it. A command that is repeated under its number is not executed again.
-    /// Numbers grow; the next command is sent when the one before has its result.
+    /// The session and the command's number in it. A command that is repeated with the same number is not executed again.
+    /// Numbers increase, and the next command is sent only after the result of the previous one.
     pub session: Option<(Revision, u64)>,
     /// The command.
     pub command: Command,
@@ -81,10 +81,10 @@
     SessionOpened(Revision),
     /// The process is a member.
     Joined {
-        /// Its incarnation, which is the number of its session too.
+        /// Its incarnation, which is also the number of its session.
         incarnation: Incarnation,
     },
-    /// An older process of the name may still hold a lease: repeat the command later.
+    /// An older process of the name may still hold a lease. Repeat the command later.
     Wait {
         /// The older process's incarnation.
         incarnation: Incarnation,
@@ -95,7 +95,7 @@
         /// The name's incarnation, 0 for none.
         incarnation: Incarnation,
     },
-    /// Done as of this revision.
+    /// The command was executed; its effect is part of the state from this revision on.
     Done(Revision),
     /// A check of the transaction failed. Nothing was done.
     Conflict {
@@ -104,9 +104,9 @@
     },
     /// There is no such member, it has another incarnation, or it has left or expired.
     NotLiving,
-    /// There is no such session, or it was dropped. It is unknown whether an earlier command was executed.
+    /// There is no such session, or it was dropped. Whether the command was executed earlier is unknown.
     NoSession,
-    /// A later command of the session, or a later report of the member, was executed already.
+    /// A later command of the session, or a later report of the member, was already executed.
     Outdated,
     /// A limit would be exceeded. Nothing was done.
     #[serde(rename = "over")]
@@ -116,8 +116,8 @@
 }
 
 impl State {
-    /// Executes a command, unless it is a repetition of one that was executed. Deterministic: the same commands in the same
-    /// order have the same results on every process.
+    /// Executes a command, unless it repeats one that was already executed. Deterministic: the same commands in the same order
+    /// have the same results on every process.
     pub fn apply(&mut self, request: &CommandRequest, limits: &Limits) -> CommandResult {
         let Some((session_number, number)) = request.session else {
             return self.execute(&request.command, limits);
--- a/crates/coordination/src/state/member.rs
+++ b/crates/coordination/src/state/member.rs
@@ -1,4 +1,4 @@
-//! Members: the processes of the fleet, and whether each one's lease is counted as held.
+//! Members: the processes of the fleet, and the status of their leases.
 
 use super::change::ChangedItem;
 use super::command::CommandResult;
@@ -7,13 +7,13 @@
 use crate::{Incarnation, LimitExceeded, Limits};
 use serde::{Deserialize, Serialize};
 
-/// Whether a member's lease is counted as held.
+/// The status of a member's lease, as the leader sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberStatus {
-    /// Its lease has not expired by the leader's count.
+    /// Its lease has not expired on the leader's clock.
     Living,
-    /// A newer process of its name waits for its lease to end. It is not renewed any more.
+    /// A newer process of its name waits for its lease to end. The lease is no longer renewed.
     Superseded,
     /// It left.
     Left,
@@ -22,7 +22,7 @@
 }
 
 impl MemberStatus {
-    /// Whether the member may still act on its lease.
+    /// Returns whether the member may still act on its lease.
     #[must_use]
     pub fn may_hold_lease(self) -> bool {
         matches!(self, MemberStatus::Living | MemberStatus::Superseded)
@@ -32,7 +32,7 @@
 /// A member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Higher with each process of this name.
+    /// Its incarnation, which increases with each process of this name.
     pub incarnation: Incarnation,
     /// The random number that the process drew at its start, by which a repeated join is recognised.
     pub nonce: u64,
@@ -47,14 +47,14 @@
     /// The number of its last report.
     #[serde(rename = "report")]
     pub last_report: u64,
-    /// Whether its lease is counted as held.
+    /// The status of its lease.
     #[serde(rename = "standing")]
     pub status: MemberStatus,
     /// The revision of the last change of this member.
     pub revision: Revision,
 }
 
-/// Whether a member of this name is an agent. Other members, such as operators' tools, have a colon in their names.
+/// Returns whether a member of this name is an agent. Other members, such as operators' tools, have a colon in their names.
 #[must_use]
 pub fn is_agent(name: &str) -> bool {
     !name.contains(':')
@@ -88,8 +88,8 @@
         if let Err(invalid) = request.validate() {
             return CommandResult::Refused(invalid.to_string());
         }
-        if let Some(obstacle) = self.obstacle_to_join(request, limits) {
-            return obstacle;
+        if let Some(result) = self.join_without_new_member(request, limits) {
+            return result;
         }
         self.revision += 1;
         let incarnation = self.open_session(limits);
@@ -109,8 +109,12 @@
         CommandResult::Joined { incarnation }
     }
 
-    /// The result of a join that makes no new member.
-    fn obstacle_to_join(&mut self, request: &JoinRequest<'_>, limits: &Limits) -> Option<CommandResult> {
+    /// Returns the result of a join that creates no member; none if the member can be created.
+    fn join_without_new_member(
+        &mut self,
+        request: &JoinRequest<'_>,
+        limits: &Limits,
+    ) -> Option<CommandResult> {
         let Some(member) = self.members.get(request.name) else {
             if request.previous_incarnation != 0 {
                 return Some(CommandResult::IncarnationMismatch { incarnation: 0 });
@@ -121,7 +125,7 @@
         };
         let incarnation = member.incarnation;
         if member.nonce == request.nonce {
-            // A repetition, since the result was lost.
+            // The join is repeated, because its result was lost.
             return Some(match member.status {
                 MemberStatus::Living => CommandResult::Joined { incarnation },
                 _ => CommandResult::NotLiving,
@@ -140,13 +144,13 @@
         }
     }
 
-    /// The member of this name, if it has this incarnation and its lease is held.
+    /// Returns the member of this name, if it has this incarnation and its lease is held.
     pub fn living_member(&self, name: &str, incarnation: Incarnation) -> Option<&Member> {
         let member = self.members.get(name)?;
         (member.incarnation == incarnation && member.status == MemberStatus::Living).then_some(member)
     }
 
-    /// Whether this incarnation of the name may still act on its lease.
+    /// Returns whether this incarnation of the name may still act on its lease.
     pub(super) fn may_hold_lease(&self, name: &str, incarnation: Incarnation) -> bool {
         let member = self.members.get(name);
         member.is_some_and(|member| member.incarnation == incarnation && member.status.may_hold_lease())
@@ -174,7 +178,7 @@
         self.update_member(name, limits, |member| member.ready = ready)
     }
 
-    /// Ends a membership. `status` says how.
+    /// Ends a membership with this status.
     pub(super) fn end_member(
         &mut self,
         name: &str,
--- a/crates/coordination/src/state/mod.rs
+++ b/crates/coordination/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine. Every coordination process applies the same commands in the same order, and so has the same
-//! state after each of them.
+//! The replicated state machine. Every coordination process applies the same commands in the same order, and therefore has the
+//! same state after each of them.
 
 mod change;
 mod command;
@@ -24,20 +24,21 @@
 
 /// The kinds of records, which are the first part of each key.
 pub const RECORD_KINDS: [&str; 7] = ["budget", "drain", "note", "permit", "release", "site", "work"];
-/// The longest key, name, site, version or address, in bytes.
+/// The maximum length of a key, name, site, version or address, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The most checks, and the most writes, of one transaction.
+/// The maximum number of checks, and of writes, in one transaction.
 pub const MAX_TXN_OPERATIONS: usize = 64;
-/// By how much a restored state's revisions exceed those of its backup: more than any cluster advances after a backup.
+/// The number that is added to the revision when a backup is restored. The original cluster never makes this many changes after
+/// the backup, so that its revisions and those of the restored cluster do not overlap.
 const RESTORE_REVISION_GAP: u64 = 1 << 40;
 
-/// The id of a cluster. A restored cluster has another one, so that revisions of the two are never mixed up.
+/// The id of a cluster. A restored cluster gets a new id, so that its revisions are not confused with those of the original.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClusterId(pub u64);
 
 impl ClusterId {
-    /// No cluster: the state of a process that is not part of one yet.
+    /// The id in the state of a process that is not part of a cluster yet.
     pub const NONE: ClusterId = ClusterId(0);
 }
 
@@ -59,7 +60,7 @@
 /// The replicated state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The cluster.
+    /// The id of the cluster.
     #[serde(rename = "history")]
     pub cluster_id: ClusterId,
     /// The revision of the last change.
@@ -70,14 +71,14 @@
     pub members: BTreeMap<String, Member>,
     /// The records by key.
     pub records: BTreeMap<String, Record>,
-    /// Bytes of all keys and values.
+    /// The size of all keys and values, in bytes.
     #[serde(rename = "bytes")]
     record_bytes: usize,
     /// The sessions by number, which is the revision at which each was opened.
     sessions: BTreeMap<Revision, Session>,
-    /// The latest changes, for watchers.
+    /// The latest changes, for watches.
     changes: VecDeque<Change>,
-    /// The last change of each kind of record and, under an empty name, of the agents.
+    /// The revision of the last change to each kind of record and, under an empty name, to the agents.
     #[serde(rename = "touched")]
     last_changed: BTreeMap<String, Revision>,
     /// The oldest revision after which all changes are kept.
@@ -86,7 +87,7 @@
 }
 
 impl State {
-    /// The empty state of a new cluster.
+    /// Returns the empty state of a new cluster.
     pub fn new(cluster_id: ClusterId, peers: BTreeMap<NodeId, Peer>) -> State {
         State {
             cluster_id,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Turns a backup into the first state of another cluster: records stay, all members count as expired, sessions and
-    /// changes are dropped, and later revisions exceed every one that was given since the backup was made.
+    /// Converts a backup into the first state of another cluster: records are kept, all members are expired, sessions and
+    /// changes are dropped, and new revisions are higher than any that the original cluster assigns after the backup.
     #[must_use]
     pub fn restored_as(mut self, cluster_id: ClusterId, peers: BTreeMap<NodeId, Peer>) -> State {
         self.cluster_id = cluster_id;
@@ -112,7 +113,7 @@
         self.oldest_watchable = self.revision;
         self.changes.clear();
         self.sessions.clear();
-        // No check against an earlier revision may pass.
+        // Checks against an earlier revision must fail.
         for kind in RECORD_KINDS.iter().copied().chain([record::AGENTS_SCOPE]) {
             self.last_changed.insert(kind.into(), self.revision);
         }
--- a/crates/coordination/src/state/record.rs
+++ b/crates/coordination/src/state/record.rs
@@ -7,7 +7,7 @@
 use crate::{Incarnation, LimitExceeded, Limits};
 use serde::{Deserialize, Serialize};
 
-/// The key of [`ChangeScope::Agents`] among the last changes; no kind of record has an empty name.
+/// The key of [`ChangeScope::Agents`] in `last_changed`; no kind of record has an empty name.
 pub(super) const AGENTS_SCOPE: &str = "";
 
 /// A record.
@@ -29,9 +29,9 @@
     At(String, Revision),
     /// The member of this name has this incarnation, and its lease is held.
     Living(String, Incarnation),
-    /// This incarnation of the name does not hold a lease any more.
+    /// This incarnation of the name no longer holds a lease.
     Ended(String, Incarnation),
-    /// Nothing in this scope has changed after the revision, so that what was counted over all of it is still true.
+    /// Nothing in this scope has changed after the revision, so that a count over the whole scope is still correct.
     Unchanged(ChangeScope, Revision),
 }
 
@@ -39,8 +39,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeScope {
-    /// Which agents are members, their incarnations and their readiness. Other members, which [`is_agent`] tells apart, join
-    /// and leave all the time and do not count.
+    /// The members that are agents, their incarnations and their readiness. Other members, which [`is_agent`] distinguishes,
+    /// are not included, because they join and leave often.
     ///
     /// [`is_agent`]: super::is_agent
     Agents,
@@ -75,12 +75,12 @@
     }
 }
 
-/// Writes that are all executed, if all checks pass, or not at all.
+/// Writes that are executed together if all checks pass; otherwise none is executed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
     /// The preconditions.
     pub checks: Vec<Check>,
-    /// The writes, each of another key.
+    /// The writes, each to a different key.
     pub writes: Vec<Write>,
 }
 
@@ -127,7 +127,7 @@
     }
 
     pub(super) fn execute_transaction(&mut self, txn: &Txn, limits: &Limits) -> CommandResult {
-        // Everything that can be wrong is found before anything is changed.
+        // All checks are made before the first change, so that a failed transaction changes nothing.
         match self.check_transaction(txn, limits) {
             Ok(record_bytes) => self.record_bytes = record_bytes,
             Err(error) => return error.into(),
@@ -154,7 +154,7 @@
         self.record_change(ChangedItem::Record(key.clone(), value), limits);
     }
 
-    /// Checks the preconditions, the keys and the limits. Returns the bytes of all records after the transaction.
+    /// Checks the preconditions, the keys and the limits. Returns the size of all records after the transaction, in bytes.
     fn check_transaction(&self, txn: &Txn, limits: &Limits) -> Result<usize, TxnError> {
         if txn.checks.len() > MAX_TXN_OPERATIONS || txn.writes.len() > MAX_TXN_OPERATIONS {
             return Err(limit_exceeded("checks and writes", MAX_TXN_OPERATIONS));
@@ -169,8 +169,8 @@
             if txn.writes[..position].iter().any(|earlier| earlier.key() == key) {
                 return Err(InvalidInput::DuplicateKey(key.into()).into());
             }
-            if let Some(old) = self.records.get(key) {
-                bytes -= key.len() + old.value.len();
+            if let Some(existing) = self.records.get(key) {
+                bytes -= key.len() + existing.value.len();
                 records -= 1;
             }
             if let Write::Put(_, value) = write {
@@ -181,7 +181,7 @@
                 records += 1;
             }
         }
-        // A state that is over a limit, since the limit was lowered, may still shrink.
+        // A state that exceeds a limit, because the limit was lowered, may still shrink.
         if records > limits.records && records > self.records.len() {
             return Err(limit_exceeded("records", limits.records));
         }
@@ -191,7 +191,7 @@
         Ok(bytes)
     }
 
-    /// Bytes of all keys and values.
+    /// Returns the size of all keys and values, in bytes.
     pub fn record_bytes(&self) -> usize {
         self.record_bytes
     }
--- a/crates/coordination/src/state/session.rs
+++ b/crates/coordination/src/state/session.rs
@@ -1,11 +1,11 @@
-//! Sessions: a command that is repeated under the same number is executed once.
+//! Sessions: a command that is repeated with the same number is executed once.
 
 use super::command::CommandResult;
 use super::{Revision, State};
 use crate::Limits;
 use serde::{Deserialize, Serialize};
 
-/// The last command of a client.
+/// The last command of a client, by which a repetition is recognised.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Session {
     /// Its number and its result.
@@ -35,7 +35,7 @@
         oldest.map(|(number, _)| *number)
     }
 
-    /// A member's session has the number of its incarnation.
+    /// Returns whether a session belongs to a member that may hold a lease. It has the number of the member's incarnation.
     fn is_session_of_member(&self, number: Revision) -> bool {
         self.members.values().any(|member| member.incarnation == number && member.status.may_hold_lease())
     }
--- a/crates/coordination/src/state/validation.rs
+++ b/crates/coordination/src/state/validation.rs
@@ -2,7 +2,8 @@
 
 use super::{MAX_NAME_BYTES, RECORD_KINDS};
 
-/// A key or name that a command must not contain. The message reaches the client.
+/// An invalid key or name in a command. The message is returned to the client, and kept in its session as part of the
+/// replicated state, so that it must stay the same in all versions.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum InvalidInput {
     #[error("key {0:?}: wanted KIND/NAME, where KIND is one of {kinds}", kinds = RECORD_KINDS.join(", "))]
@@ -25,7 +26,7 @@
     validate_text("key", key)
 }
 
-/// Checks the length and the characters of a text, which the error names.
+/// Checks the length and the characters of a text. The error contains `what`, the name of the text.
 pub(super) fn validate_text(what: &'static str, text: &str) -> Result<(), InvalidInput> {
     if text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
         return Err(InvalidInput::Text(what));
@@ -33,7 +34,7 @@
     Ok(())
 }
 
-/// The kind of a record, by its key.
+/// Returns the kind of a record, which is the first part of its key.
 pub(super) fn kind_of(key: &str) -> &str {
     key.split('/').next().unwrap_or_default()
 }
