--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -1,8 +1,8 @@
 //! How a cluster of coordination processes is formed, and how a backup is restored.
 //!
-//! Each disk draws a random number when it is new, which is its process's [`NodeId`]. A process that returns under its old name
-//! with an empty disk is therefore another node, whose vote does not count. A cluster is formed once, by all processes that the
-//! configuration names, when all of them are known to have empty disks.
+//! A random number is drawn for each new disk and is the [`NodeId`] of its process. A process that restarts under its old name
+//! with an empty disk is therefore another node, which has no vote. A cluster is formed once, by all configured processes
+//! together, when all of them are known to have empty disks.
 
 use crate::log::{encode, DurableState, LogPosition};
 use crate::state::{ClusterId, Peer, State};
@@ -11,52 +11,51 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The position of the snapshot with which every node of a new cluster begins.
+/// The position of the snapshot with which every node of a new cluster starts.
 const INITIAL_POSITION: LogPosition = LogPosition { index: 1, term: 1 };
 
 /// A cluster: its id, and the processes in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterInfo {
-    /// A random number that the process draws which forms the cluster.
+    /// A random number, drawn by the process that forms the cluster.
     #[serde(rename = "history")]
     pub cluster_id: ClusterId,
     /// The processes.
     pub peers: BTreeMap<NodeId, Peer>,
 }
 
-/// What a disk identifies itself by.
+/// The identity of a coordination process, as its disk stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Drawn when the disk was new.
+    /// The random number that was drawn when the disk was initialized.
     #[serde(rename = "number")]
     pub node_id: NodeId,
     /// The process's name.
     pub name: String,
-    /// The cluster it belongs to, if any yet.
+    /// The cluster that it belongs to, if any.
     #[serde(rename = "formation")]
     pub cluster: Option<ClusterInfo>,
 }
 
-/// What a process does next to become part of a cluster.
+/// The next step of a process towards being part of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BootstrapStep {
-    /// It asks these processes for their identities again; they have not responded.
+    /// The process waits for these others, and asks them for their identities again.
     Wait(Vec<String>),
-    /// It stores this cluster and becomes a node of it.
+    /// The process stores this cluster and becomes a node of it.
     Form(ClusterInfo),
-    /// Its disk is empty, and a cluster exists without it. It does not vote and forms no other cluster; an operator has to
-    /// add it.
+    /// The disk is empty, and a cluster exists without it. The process neither votes nor forms another cluster; an operator has
+    /// to add it.
     Excluded {
         /// The existing cluster.
         cluster_id: ClusterId,
-        /// The cluster knows its name by another disk.
+        /// Whether the cluster contains a process of the same name with another disk.
         is_disk_replaced: bool,
     },
 }
 
-/// Decides the next step of the process `own`. `peers` are all processes that the configuration names, itself included.
-/// `responses` are the identities of the others that responded, by name. `new_id` is the id of the cluster if this process
-/// forms one.
+/// Returns the next step of the process `own`. `peers` are all configured processes, including `own`. `responses` are the
+/// identities of the others that responded, by name. `new_id` is the id of the cluster if this process forms one.
 #[must_use]
 pub fn next_step(
     own: &Identity,
@@ -68,14 +67,15 @@
         return BootstrapStep::Form(cluster.clone());
     }
     if let Some(cluster) = responses.values().find_map(|other| other.cluster.as_ref()) {
-        return step_beside_cluster(own, cluster);
+        return step_for_existing_cluster(own, cluster);
     }
-    let is_silent = |peer: &&Peer| peer.name != own.name && !responses.contains_key(&peer.name);
-    let mut awaited: Vec<String> = peers.iter().filter(is_silent).map(|peer| peer.name.clone()).collect();
-    let first = peers.iter().map(|peer| &peer.name).min();
-    if awaited.is_empty() && first.is_some_and(|first| *first != own.name) {
-        // Only the first by name forms the cluster; the others learn of it from its identity.
-        awaited.extend(first.cloned());
+    let has_not_responded = |peer: &&Peer| peer.name != own.name && !responses.contains_key(&peer.name);
+    let mut awaited: Vec<String> =
+        peers.iter().filter(has_not_responded).map(|peer| peer.name.clone()).collect();
+    let lowest_name = peers.iter().map(|peer| &peer.name).min();
+    if awaited.is_empty() && lowest_name.is_some_and(|name| *name != own.name) {
+        // Only the process with the lowest name forms the cluster; the others learn of it from that process's identity.
+        awaited.extend(lowest_name.cloned());
     }
     if !awaited.is_empty() {
         return BootstrapStep::Wait(awaited);
@@ -85,7 +85,7 @@
     BootstrapStep::Form(ClusterInfo { cluster_id: new_id, peers })
 }
 
-fn step_beside_cluster(own: &Identity, cluster: &ClusterInfo) -> BootstrapStep {
+fn step_for_existing_cluster(own: &Identity, cluster: &ClusterInfo) -> BootstrapStep {
     if cluster.peers.contains_key(&own.node_id) {
         return BootstrapStep::Form(cluster.clone());
     }
@@ -93,13 +93,14 @@
     BootstrapStep::Excluded { cluster_id: cluster.cluster_id, is_disk_replaced }
 }
 
-/// What each node of a new cluster stores first; the same on all nodes.
+/// Returns the first durable state of the nodes of a new cluster, which is the same on all of them.
 #[must_use]
 pub fn initial_state(cluster: &ClusterInfo) -> DurableState {
     durable_state_of(&State::new(cluster.cluster_id, cluster.peers.clone()))
 }
 
-/// What the only node of a cluster stores first that is restored from a backup. Further nodes are added later.
+/// Returns the first durable state of the only node of a cluster that is restored from a backup. Further nodes are added
+/// later.
 #[must_use]
 pub fn restored_state(backup: State, cluster_id: ClusterId, node_id: NodeId, peer: Peer) -> DurableState {
     durable_state_of(&backup.restored_as(cluster_id, BTreeMap::from([(node_id, peer)])))
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,24 +1,24 @@
 //! The coordination service of a fleet: membership, leases, versioned records and permits, replicated by Raft.
 //!
-//! The package is sans-I/O. The current time and random numbers are arguments; messages to send and data to store are
-//! return values. The agent's `fleet` module runs it on sockets and files, the testbed runs it in simulated time.
+//! The package performs no I/O. The current time and random numbers are arguments; messages to send and data to store are
+//! return values. The agent's `fleet` module runs it on sockets and files, the emulator runs it in simulated time.
 //!
 //! Server side, from the outside in:
 //!
 //! - [`wire`]: the requests, responses and refusals that processes exchange.
 //! - [`service`]: serves requests and watches of clients in front of a node.
-//! - [`node`]: one coordination process: the replicated state behind the core of the Raft library.
-//! - [`state`]: the replicated state machine: members, records with revisions, sessions and changes for watchers.
-//! - [`log`]: the replicated log in memory, and what of it is written to disk.
-//! - [`lease`]: how long a holder may rely on its lease, and when the leader counts it as expired.
+//! - [`node`]: one coordination process: the replicated state on top of the Raft library.
+//! - [`state`]: the replicated state machine: members, records with revisions, sessions and changes for watches.
+//! - [`log`]: the replicated log in memory, and the data that is written to disk.
+//! - [`lease`]: how long a holder may rely on its lease, and when the leader considers it expired.
 //! - [`bootstrap`]: how processes with empty disks form a cluster, and how a backup is restored.
-//! - [`backoff`]: when a process whose store failed opens it again.
+//! - [`backoff`]: how long a process waits before it reopens a store that failed.
 //!
 //! Client side:
 //!
-//! - [`retry_schedule`]: which coordination process to call, and when to call again.
+//! - [`retry_schedule`]: which coordination process a client calls, and when it retries.
 //! - [`lease_holder`]: a member that joins, renews its lease and reports its readiness.
-//! - [`permit`]: permits out of a limited budget, as transactions over records.
+//! - [`permit`]: permits of a limited disruption budget, as transactions over records.
 
 pub mod backoff;
 pub mod bootstrap;
@@ -35,7 +35,7 @@
 /// Microseconds on the monotonic clock of one process, from an arbitrary origin. Never compared between processes.
 pub type Time = u64;
 
-/// The id of a coordination process in Raft: a random number that its disk draws when it is new, never 0.
+/// The Raft id of a coordination process: a random number other than 0, drawn when its disk is initialized.
 pub type NodeId = u64;
 
 /// A Raft term.
@@ -48,10 +48,10 @@
 pub type Incarnation = u64;
 
 /// Upper limits of what a coordination process holds. A request that would exceed one fails with a [`LimitExceeded`] that
-/// names the field.
+/// names the limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Members, including those that left or expired and were not forgotten.
+    /// Members, including those that left or expired and were not removed.
     pub members: usize,
     /// Records.
     pub records: usize,
@@ -61,13 +61,13 @@
     pub record_bytes: usize,
     /// Sessions. At the limit, the least recently used session of a non-member is dropped.
     pub sessions: usize,
-    /// Changes that are kept for watchers.
+    /// Changes that are kept for watches.
     pub changes: usize,
-    /// Log entries that are kept in front of the latest snapshot.
+    /// Log entries. At the limit, the process makes a snapshot and drops the older half of the log.
     pub log_entries: usize,
     /// Bytes of one message between processes.
     pub message_bytes: usize,
-    /// Operations that one process has in flight.
+    /// Operations in flight on one process.
     pub in_flight: usize,
 }
 
@@ -87,11 +87,11 @@
     }
 }
 
-/// A request would exceed one of the [`Limits`].
+/// The error of a request that would exceed one of the [`Limits`].
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
-#[error("over the bound of {limit}: {max}")]
+#[error("limit {limit} exceeded: at most {max}")]
 pub struct LimitExceeded {
-    /// The name of the limit, as the field of [`Limits`].
+    /// The name of the limit, usually a field of [`Limits`].
     #[serde(rename = "bound")]
     pub limit: String,
     /// Its value.
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -6,11 +6,11 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// Why a disk did not store, or does not return, what it was given.
+/// An error of the storage of a node.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DiskError {
-    /// A write, a sync or a read failed, for instance because the disk is full. The batch being written may be stored or
-    /// not; only reading it back tells. A later attempt may succeed.
+    /// A write, a sync or a read failed, for instance because the disk is full. Whether the batch is stored is unknown until it
+    /// is read back. A later attempt may succeed.
     #[error("{0}")]
     Failed(String),
     /// The stored data is damaged, or belongs to another process. No later attempt succeeds.
@@ -18,7 +18,7 @@
     Unusable(String),
 }
 
-/// The place of an entry in the log.
+/// The position of an entry in the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LogPosition {
     /// Its index.
@@ -27,44 +27,44 @@
     pub term: Term,
 }
 
-/// What is written in one atomic step.
+/// Data that is written atomically.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WriteBatch {
     /// Raft's term, vote and commit index, encoded.
     pub hard_state: Option<Vec<u8>>,
     /// The latest snapshot, encoded.
     pub snapshot: Option<Vec<u8>>,
-    /// The snapshot was received from the leader: all stored entries are dropped before those below are written.
+    /// Whether all stored entries are deleted before `entries` are written, because the snapshot was received from the leader.
     pub replaces_log: bool,
-    /// Encoded entries by index. Stored entries from the first of these indexes on are replaced.
+    /// Encoded entries by index. They replace all stored entries from the first of these indexes on.
     pub entries: Vec<(LogIndex, Vec<u8>)>,
-    /// Entries up to this one are dropped, since a snapshot covers them.
+    /// Entries up to this one are deleted, because a snapshot covers them.
     pub compacted: Option<LogPosition>,
 }
 
 impl WriteBatch {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == WriteBatch::default()
     }
 }
 
-/// Everything that a disk stores of a node.
+/// All data of a node on its disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DurableState {
     /// Raft's term, vote and commit index, encoded.
     pub hard_state: Option<Vec<u8>>,
     /// The latest snapshot, encoded.
     pub snapshot: Option<Vec<u8>>,
-    /// Encoded entries by index, without a gap.
+    /// Encoded entries by index, without gaps.
     pub entries: BTreeMap<LogIndex, Vec<u8>>,
-    /// The last entry that was dropped; the first stored one follows it.
+    /// The last deleted entry; the first stored one follows it.
     pub compacted: LogPosition,
 }
 
 impl DurableState {
-    /// Applies a batch, as a disk does that stores it.
+    /// Applies a batch, with the same effect as storing it on a disk.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if batch.hard_state.is_some() {
             self.hard_state.clone_from(&batch.hard_state);
@@ -92,7 +92,8 @@
     ///
     /// # Errors
     ///
-    /// After an error it is unknown whether the batch is stored: drop the node, and make a new one from what is read back.
+    /// After an error it is unknown whether the batch is stored: drop the node, and create a new one from the data that is read
+    /// back.
     fn save(&mut self, batch: &WriteBatch) -> Result<(), DiskError>;
 }
 
@@ -103,7 +104,7 @@
     snapshot: Snapshot,
     entries: Vec<Entry>,
     compacted: LogPosition,
-    /// The Raft library needs a snapshot that is newer than the latest one.
+    /// Whether the Raft library needs a snapshot that is newer than the latest one.
     is_snapshot_requested: Cell<bool>,
 }
 
@@ -117,11 +118,11 @@
 
 /// Encodes one of the Raft library's messages.
 pub(crate) fn encode<M: protobuf::Message>(message: &M) -> Vec<u8> {
-    // Fails only for required fields, which these messages do not have.
+    // Encoding fails only if a required field is missing, and these messages have no required fields.
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// Decodes entries that must follow a position without a gap.
+/// Decodes entries, which must follow the index `after` without gaps.
 fn decode_entries(stored: &BTreeMap<LogIndex, Vec<u8>>, after: LogIndex) -> Result<Vec<Entry>, DiskError> {
     let mut entries = Vec::new();
     for (expected, (index, bytes)) in (after + 1..).zip(stored) {
@@ -135,12 +136,11 @@
 }
 
 impl ReplicatedLog {
-    /// The log that a disk stores.
+    /// Creates the log from the data on a disk.
     ///
     /// # Errors
     ///
-    /// Fails if something cannot be decoded, if an entry is missing, or if the log ends before its snapshot or its commit
-    /// index.
+    /// Fails if the data cannot be decoded, if an entry is missing, or if the log ends before its snapshot or its commit index.
     pub fn new(stored: &DurableState) -> Result<ReplicatedLog, DiskError> {
         let hard_state: HardState = decode_or_default("the vote", stored.hard_state.as_deref())?;
         let snapshot: Snapshot = decode_or_default("the snapshot", stored.snapshot.as_deref())?;
@@ -150,7 +150,7 @@
         let is_snapshot_outside = snapshot_index < stored.compacted.index || snapshot_index > last_index;
         if is_snapshot_outside || hard_state.commit >= (last_index + 1).max(1) {
             return Err(DiskError::Unusable(format!(
-                "the log ends at {last_index}, before its snapshot at {snapshot_index} or what was committed, {}",
+                "the log ends at {last_index}, which does not fit its snapshot at {snapshot_index} or its commit index {}",
                 hard_state.commit
             )));
         }
@@ -165,27 +165,27 @@
         })
     }
 
-    /// The latest snapshot.
+    /// Returns the latest snapshot.
     pub fn latest_snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_entry_index(&self) -> LogIndex {
         self.compacted.index + self.entries.len() as LogIndex
     }
 
-    /// The number of entries in memory.
+    /// Returns the number of entries in memory.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is in memory.
+    /// Returns whether no entry is in memory.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether the Raft library has asked for a newer snapshot since the last call.
+    /// Returns whether the Raft library has requested a newer snapshot since the last call.
     pub(crate) fn take_snapshot_request(&self) -> bool {
         self.is_snapshot_requested.replace(false)
     }
@@ -219,7 +219,7 @@
         self.snapshot = snapshot;
     }
 
-    /// Appends entries; those from the first of their indexes on are replaced.
+    /// Appends entries. They replace existing entries from the first of their indexes on.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         if let Some(first) = entries.first() {
             let kept = first.index.saturating_sub(self.compacted.index + 1) as usize;
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Sets a snapshot that this process made, and drops entries but for the last `keep` before it. Returns the last entry
-    /// that was dropped.
+    /// Sets a snapshot that this process made, and drops all but the last `keep` entries before it. Returns the position of the
+    /// last dropped entry.
     pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: u64) -> LogPosition {
         let up_to = snapshot.get_metadata().index.saturating_sub(keep).max(self.compacted.index);
         let term = self.term(up_to).unwrap_or(self.compacted.term);
@@ -239,7 +239,7 @@
         self.compacted
     }
 
-    /// Where an entry that is in memory stands.
+    /// Returns the position in `entries` of the entry with this index.
     fn offset(&self, index: LogIndex) -> usize {
         (index - self.compacted.index - 1) as usize
     }
@@ -287,13 +287,13 @@
         Ok(self.last_entry_index())
     }
 
-    /// The latest snapshot, if it covers `request_index` and names the process `to`. A process that joined the cluster after
-    /// the snapshot was made would reject it, so that a newer one is requested.
+    /// Returns the latest snapshot, if it covers `request_index` and contains the process `to`. Otherwise a newer one is
+    /// requested: a process that was added after the snapshot was made would reject it.
     fn snapshot(&self, request_index: LogIndex, to: u64) -> raft::Result<Snapshot> {
         let metadata = self.snapshot.get_metadata();
         let conf_state = metadata.get_conf_state();
-        let names_receiver = conf_state.voters.contains(&to) || conf_state.learners.contains(&to);
-        if metadata.index < request_index || !names_receiver {
+        let contains_receiver = conf_state.voters.contains(&to) || conf_state.learners.contains(&to);
+        if metadata.index < request_index || !contains_receiver {
             self.is_snapshot_requested.set(true);
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
