--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,42 +1,42 @@
-//! Leases. A holder stops relying on its lease before the leader counts it as expired, whatever their clocks show, as long as
-//! neither clock runs faster or slower than true time by more than a configured share. Wall clocks are never read.
+//! Leases. A holder stops relying on its lease before the leader considers it expired. Their clocks may show different times,
+//! as long as neither runs faster or slower than real time by more than a configured fraction. Wall clocks are never read.
 //!
-//! The holder counts from *before* it sent a renewal, the leader from *after* it received it. The leader grants a renewal
-//! only when a majority has confirmed, after its receipt, that this process still leads. A later leader was therefore elected
-//! later, and counts a whole lease from its election.
+//! The duration counts for the holder from *before* it sends a renewal, and for the leader from *after* it has received it. The
+//! leader grants a renewal only after a majority has confirmed, since the receipt, that this process still leads. Any later
+//! leader is therefore elected later, and counts a full lease from its election.
 
 use crate::{Incarnation, Time};
 use std::collections::BTreeMap;
 
-/// The duration of leases and the drift of clocks; all processes of a fleet use the same.
+/// The duration of leases and the maximum clock drift, which are the same in all processes of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LeaseTerms {
     /// Microseconds on the leader's clock from the receipt of the last renewal until the lease has expired.
     #[serde(rename = "term")]
     pub duration: Time,
-    /// The share by which a clock runs faster or slower than true time at most; 0.01 is 1 %.
+    /// The maximum fraction by which a clock runs faster or slower than real time; 0.01 is 1 %.
     #[serde(rename = "drift")]
     pub max_clock_drift: f64,
 }
 
 /// A holder renews this many times within a lease's duration, so that two renewals in a row may be lost.
 const RENEWALS_PER_LEASE: f64 = 3.0;
-/// The share of the renewal interval by which jitter shortens it at most, so that holders do not renew in step.
+/// The maximum fraction by which jitter shortens the renewal interval, so that holders do not renew simultaneously.
 const RENEWAL_JITTER: f64 = 0.2;
 
 impl LeaseTerms {
-    /// Microseconds on the holder's clock, from before it sent the renewal, during which it may rely on the lease.
+    /// Returns how long the holder may rely on the lease, in microseconds on its clock from before it sent the renewal.
     ///
     /// With clock rates within `1 - drift` and `1 + drift`, the holder relies on the lease for at most
-    /// `holder_duration / (1 - drift)` of true time, and the leader waits for at least `duration / (1 + drift)`.
+    /// `holder_duration / (1 - drift)` of real time, and the leader waits for at least `duration / (1 + drift)`.
     #[must_use]
     pub fn holder_duration(&self) -> Time {
         let drift = self.max_clock_drift;
         (self.duration as f64 * (1.0 - drift) / (1.0 + drift)).floor() as Time
     }
 
-    /// Microseconds from one renewal to the next: a third of the duration, less a jitter of up to a fifth of that. `random` is
-    /// uniform in 0 to 1.
+    /// Returns the microseconds from one renewal to the next: a third of the duration, shortened by a jitter of up to a fifth.
+    /// `random` is uniform in 0 to 1.
     #[must_use]
     pub fn renewal_delay(&self, random: f64) -> Time {
         let interval = self.duration as f64 / RENEWALS_PER_LEASE;
@@ -57,18 +57,18 @@
         self.expires_at = self.expires_at.max(sent_at + terms.holder_duration());
     }
 
-    /// Ends the lease: the holder gives it up, or the service reports that it expired.
+    /// Ends the lease, because the holder gives it up or the service reports that it expired.
     pub fn release(&mut self) {
         self.expires_at = 0;
     }
 
-    /// Whether the holder may act on the lease now. Call it right before the action, with the clock read anew.
+    /// Returns whether the holder may act on the lease now. Call this right before the action, with a new reading of the clock.
     #[must_use]
     pub fn is_held(&self, now: Time) -> bool {
         now < self.expires_at
     }
 
-    /// When the lease expires, on the holder's clock; 0 without a lease.
+    /// Returns when the lease expires, on the holder's clock; 0 without a lease.
     #[must_use]
     pub fn expires_at(&self) -> Time {
         self.expires_at
@@ -83,7 +83,7 @@
 }
 
 /// The leader's view of all leases: when each member last renewed. It is neither replicated nor stored; a new leader counts a
-/// whole lease from its election for every member.
+/// full lease from its election for every member.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseTable {
     leading_since: Option<Time>,
@@ -92,14 +92,14 @@
 }
 
 impl LeaseTable {
-    /// Starts anew when this process becomes leader, or stops being it.
+    /// Resets the table when this process becomes the leader or stops being it.
     pub fn set_leading(&mut self, now: Time, is_leader: bool) {
         self.renewals.clear();
         self.last_checked = None;
         self.leading_since = is_leader.then_some(now);
     }
 
-    /// Records that a member joined now.
+    /// Records that a member joined at `now`.
     pub fn record_join(&mut self, name: &str, incarnation: Incarnation, now: Time) {
         if self.leading_since.is_some() {
             self.renewals.insert(name.into(), Renewal { incarnation, received_at: now });
@@ -118,8 +118,8 @@
 
     /// Returns those of the members, each a name and an incarnation, whose leases have expired.
     ///
-    /// A leader that was itself stopped for more than a quarter of a lease grants every member a whole lease anew: it cannot
-    /// know whose renewals it missed.
+    /// A leader that was itself paused for more than a quarter of a lease counts a full lease again for every member, because
+    /// it cannot know whose renewals it missed.
     pub fn find_expired<'m>(
         &mut self,
         members: impl Iterator<Item = (&'m str, Incarnation)>,
@@ -148,7 +148,7 @@
         expired
     }
 
-    /// Microseconds since this member last renewed, if this process leads and knows.
+    /// Returns the microseconds since this member last renewed, if this process is the leader and has received a renewal.
     #[must_use]
     pub fn time_since_renewal(&self, name: &str, now: Time) -> Option<Time> {
         let renewal = self.renewals.get(name)?;
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -1,17 +1,18 @@
-//! The client side of a lease: a member that joins, renews its lease, reports its readiness, and knows whether it may act on its
-//! lease. It has one request in flight at a time, and repeats what fails.
+//! The client side of a lease: a member that joins, renews its lease, reports its readiness, and knows whether it may act on
+//! its lease. It has one request in flight at a time, and repeats failed requests.
 
 use crate::lease::{LeaseState, LeaseTerms};
 use crate::state::{Command, CommandRequest, CommandResult};
 use crate::wire::{Refusal, Request, Response};
 use crate::{Incarnation, Time};
 
-/// Microseconds after which a process asks again that waits for the lease of an older process of its name to end.
+/// The interval in microseconds at which a process tries to join while an older process of its name may hold a lease.
 const TAKEOVER_RETRY_INTERVAL: Time = 300_000;
-/// A failed renewal is repeated within this fraction of a lease's duration, so that the lease does not expire in between.
+/// The delay after a failed request is at most a lease's duration divided by this, so that the lease does not expire before the
+/// request is repeated.
 const MAX_BACKOFF_DIVISOR: Time = 8;
 
-/// What a process states about itself when it joins.
+/// The description of a process that it sends when it joins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberInfo {
     /// Its name, unique in the fleet.
@@ -24,7 +25,7 @@
     pub address: String,
 }
 
-/// Where a process stands with the coordination service.
+/// The state of a process's membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipState {
     /// It has not joined yet.
@@ -33,9 +34,9 @@
     Waiting,
     /// It is a member.
     Member,
-    /// The leader counts its lease as expired. It joins anew under another incarnation.
+    /// Its lease has expired, or it has left. After an expiry it joins again under another incarnation.
     Ended,
-    /// A newer process has its name. It has left, and does not join again.
+    /// A newer process of its name takes over. It leaves, and does not join again.
     Superseded,
 }
 
@@ -44,7 +45,7 @@
 pub struct LeaseHolder {
     info: MemberInfo,
     nonce: u64,
-    /// The last incarnation of its name that it knows of, 0 for none.
+    /// The last incarnation of its name that it knows, 0 for none.
     previous_incarnation: Incarnation,
     incarnation: Option<Incarnation>,
     last_report: u64,
@@ -58,12 +59,12 @@
     next_request_at: Time,
     /// When the request in flight was sent.
     requested_at: Option<Time>,
-    /// The longest pause after a failure, once the duration of leases is known.
+    /// The maximum delay after a failure; unlimited until the duration of leases is known.
     max_backoff: Time,
 }
 
 impl LeaseHolder {
-    /// A process that wants to join. `nonce` is a random number that it draws at its start.
+    /// Creates a process that wants to join. `nonce` is a random number that is drawn at its start.
     pub fn new(info: MemberInfo, nonce: u64, now: Time) -> LeaseHolder {
         LeaseHolder {
             info,
@@ -82,33 +83,33 @@
         }
     }
 
-    /// Its name.
+    /// Returns its name.
     pub fn name(&self) -> &str {
         &self.info.name
     }
 
-    /// When its lease expires, on its own clock.
+    /// Returns when its lease expires, on its own clock.
     pub fn lease_expires_at(&self) -> Time {
         self.lease.expires_at()
     }
 
-    /// Where it stands with the service.
+    /// Returns the state of its membership.
     pub fn membership_state(&self) -> MembershipState {
         self.membership_state
     }
 
-    /// The incarnation under which it may act now, if it holds a lease. Call it right before the action.
+    /// Returns the incarnation under which it may act now, if it holds a lease. Call this right before the action.
     #[must_use]
     pub fn held_incarnation(&self, now: Time) -> Option<Incarnation> {
         self.incarnation.filter(|_| self.lease.is_held(now))
     }
 
-    /// Its incarnation, whether or not its lease has expired; 0 before it has one.
+    /// Returns its incarnation, whether or not its lease has expired; 0 if it has none.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation.unwrap_or(0)
     }
 
-    /// Sets whether it can serve; a change is reported with the next request.
+    /// Sets whether it can serve. A change is reported with the next request.
     pub fn set_ready(&mut self, ready: bool, now: Time) {
         self.ready = ready;
         if self.reported_ready != ready && self.membership_state == MembershipState::Member {
@@ -116,12 +117,12 @@
         }
     }
 
-    /// When to call [`LeaseHolder::next_request`] next; none while a request is in flight.
+    /// Returns when to call [`LeaseHolder::next_request`] next; none while a request is in flight.
     pub fn next_request_at(&self) -> Option<Time> {
         self.requested_at.is_none().then_some(self.next_request_at)
     }
 
-    /// The request to send now, if one is due. Read the clock for `now` before anything is sent.
+    /// Returns the request to send now, if one is due. Read the clock for `now` before the request is sent.
     pub fn next_request(&mut self, now: Time) -> Option<Request> {
         if self.requested_at.is_some() || now < self.next_request_at {
             return None;
@@ -139,54 +140,54 @@
         })
     }
 
-    /// Takes the response to the request in flight, or none if it has timed out. `pause` is how long the caller waits after a
-    /// failure, in microseconds; `random` is uniform in 0 to 1. Returns whether the request is settled.
+    /// Processes the response to the request in flight, or none if it has timed out. `retry_delay` is the delay after a
+    /// failure, in microseconds; `random` is uniform in 0 to 1. Returns whether the request is completed.
     pub fn handle_response(
         &mut self,
         now: Time,
         response: Option<&Response>,
-        pause: Time,
+        retry_delay: Time,
         random: f64,
     ) -> bool {
         let Some(sent_at) = self.requested_at.take() else { return false };
         if self.membership_state == MembershipState::Superseded {
-            return self.handle_response_to_leave(now, response, pause);
+            return self.handle_response_to_leave(now, response, retry_delay);
         }
         match response {
             Some(Response::Renewed(terms)) => self.handle_renewal(sent_at, terms, now, random),
             Some(Response::Expired | Response::Reply(CommandResult::NotLiving, _)) => {
-                self.handle_expiry(now, pause);
+                self.handle_expiry(now, retry_delay);
             }
             Some(Response::Superseded | Response::Refused(Refusal::OlderIncarnation { .. })) => {
-                // The newer process only waits for this one to leave.
+                // The newer process waits until this one has left.
                 self.lease.release();
                 self.membership_state = MembershipState::Superseded;
                 self.next_request_at = now;
             }
-            Some(Response::Reply(result, _)) => return self.handle_command_result(result, now, pause),
-            _ => return self.retry_later(now, pause),
+            Some(Response::Reply(result, _)) => return self.handle_command_result(result, now, retry_delay),
+            _ => return self.retry_later(now, retry_delay),
         }
         true
     }
 
-    fn retry_later(&mut self, now: Time, pause: Time) -> bool {
-        self.next_request_at = now + pause.min(self.max_backoff);
+    fn retry_later(&mut self, now: Time, retry_delay: Time) -> bool {
+        self.next_request_at = now + retry_delay.min(self.max_backoff);
         false
     }
 
-    /// Returns whether the result settles the request.
-    fn handle_command_result(&mut self, result: &CommandResult, now: Time, pause: Time) -> bool {
-        // Most results are followed by another request at once.
+    /// Returns whether the result completes the request.
+    fn handle_command_result(&mut self, result: &CommandResult, now: Time, retry_delay: Time) -> bool {
+        // After most results another request is due at once.
         self.next_request_at = now;
         match result {
             CommandResult::Joined { incarnation } => {
-                // Only a renewal grants the lease: this result may repeat that of a join long ago.
+                // Only a renewal grants the lease: this may be the repeated result of a join long ago.
                 self.incarnation = Some(*incarnation);
                 self.membership_state = MembershipState::Member;
                 self.reported_ready = false;
             }
             CommandResult::IncarnationMismatch { incarnation } => self.previous_incarnation = *incarnation,
-            // A report that was believed lost was applied after all, and then its repetition arrived.
+            // A report that seemed lost was applied, and then its repetition arrived.
             CommandResult::Outdated => {}
             CommandResult::Wait { .. } => {
                 self.membership_state = MembershipState::Waiting;
@@ -194,18 +195,23 @@
             }
             // A report does not renew the lease; a renewal follows.
             CommandResult::Done(_) => self.reported_ready = self.ready_in_flight,
-            _ => return self.retry_later(now, pause),
+            _ => return self.retry_later(now, retry_delay),
         }
         true
     }
 
-    fn handle_response_to_leave(&mut self, now: Time, response: Option<&Response>, pause: Time) -> bool {
-        let is_settled = matches!(
+    fn handle_response_to_leave(
+        &mut self,
+        now: Time,
+        response: Option<&Response>,
+        retry_delay: Time,
+    ) -> bool {
+        let is_completed = matches!(
             response,
             Some(Response::Reply(..) | Response::Refused(Refusal::OlderIncarnation { .. }))
         );
-        self.next_request_at = if is_settled { Time::MAX } else { now + pause };
-        is_settled
+        self.next_request_at = if is_completed { Time::MAX } else { now + retry_delay };
+        is_completed
     }
 
     fn handle_renewal(&mut self, sent_at: Time, terms: &LeaseTerms, now: Time, random: f64) {
@@ -216,16 +222,16 @@
         self.next_request_at = next.max(now);
     }
 
-    /// The lease has expired: the process joins anew, as another one in the eyes of the service.
-    fn handle_expiry(&mut self, now: Time, pause: Time) {
+    /// Handles the end of the lease: the process joins again with a new nonce, so that the service treats it as another process.
+    fn handle_expiry(&mut self, now: Time, retry_delay: Time) {
         self.lease.release();
         self.previous_incarnation = self.incarnation.take().unwrap_or(self.previous_incarnation);
         self.membership_state = MembershipState::Ended;
         self.nonce = next_nonce(self.nonce);
-        self.next_request_at = now + pause.max(TAKEOVER_RETRY_INTERVAL);
+        self.next_request_at = now + retry_delay.max(TAKEOVER_RETRY_INTERVAL);
     }
 
-    /// Gives the lease up. Returns the request that says so, unless the process is no member.
+    /// Gives up the lease. Returns the request that reports this, if the process is a member.
     pub fn leave(&mut self) -> Option<Request> {
         self.lease.release();
         let incarnation = self.incarnation.take()?;
@@ -251,12 +257,12 @@
     }
 }
 
-/// A member's commands need no session: each is safe to repeat by itself.
+/// Returns the request for a member's command. It needs no session, because each of these commands is safe to repeat.
 fn command_request(command: Command) -> Request {
     Request::Command(CommandRequest { session: None, command })
 }
 
-/// The next number of Knuth's linear congruential generator (MMIX).
+/// Returns the next number of Knuth's linear congruential generator (MMIX).
 fn next_nonce(nonce: u64) -> u64 {
     nonce.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1)
 }
--- a/crates/coordination/src/retry_schedule.rs
+++ b/crates/coordination/src/retry_schedule.rs
@@ -1,16 +1,17 @@
-//! How a client calls the coordination service: which of its processes, how long a call may take, and when to call again.
+//! How a client calls the coordination service: which process it calls, how long a call may take, and when it retries.
 
 use crate::backoff::exponential_backoff;
 use crate::Time;
 
-/// A call that has no response after this many microseconds is given up.
+/// The timeout of a call, in microseconds.
 pub const CALL_TIMEOUT: Time = 2_000_000;
-/// The first pause after a failed call, in microseconds. It doubles with each failure up to [`MAX_BACKOFF`].
+/// The delay after the first failed call, in microseconds. It doubles with each further failure up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Time = 50_000;
-/// The longest pause after a failed call, in microseconds.
+/// The maximum delay after a failed call, in microseconds.
 const MAX_BACKOFF: Time = 2_000_000;
 
-/// Which process to call next, and after which pause. Processes are named by their position in the client's list.
+/// Selects the process to call next, and the delay before the call. Processes are identified by their index in the client's
+/// list.
 #[derive(Debug, Clone)]
 pub struct RetrySchedule {
     target_count: usize,
@@ -19,58 +20,58 @@
 }
 
 impl RetrySchedule {
-    /// A schedule over `target_count` processes, at least one. `random` selects the first one.
+    /// Creates a schedule for `target_count` processes, at least one. `random` selects the one that is called first.
     pub fn new(target_count: usize, random: u64) -> RetrySchedule {
         let target_count = target_count.max(1);
         let current = (random % target_count as u64) as usize;
         RetrySchedule { target_count, current, consecutive_failures: 0 }
     }
 
-    /// The position of the process to call.
+    /// Returns the index of the process to call.
     pub fn target(&self) -> usize {
         self.current
     }
 
-    /// Adds a process to the end of the list. Returns its position.
+    /// Adds a process to the end of the list. Returns its index.
     pub fn add_target(&mut self) -> usize {
         self.target_count += 1;
         self.target_count - 1
     }
 
-    /// Records a response that settles the request.
+    /// Records a response that completes the request. The next failure counts as the first.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Records a call without a response, or with one that settles nothing. Selects the next process. Returns the pause
-    /// before the next call, in microseconds. `random` is uniform in 0 to 1.
+    /// Records a call without a response, or with one that does not complete the request. Selects the next process. Returns the
+    /// delay before the next call, in microseconds. `random` is uniform in 0 to 1.
     pub fn record_failure(&mut self, random: f64) -> Time {
         self.current = (self.current + 1) % self.target_count;
-        self.next_pause(random)
+        self.next_delay(random)
     }
 
-    /// Records that the process is not the leader, and which process it takes for the leader. Selects that one, or the next
-    /// one where the hint is of no use. Returns the pause before the next call, in microseconds. `random` is uniform in
-    /// 0 to 1.
+    /// Records that the called process is not the leader, and the index of the process that it considers the leader. Selects
+    /// that one, or the next one if the index is unusable. Returns the delay before the next call, in microseconds. `random` is
+    /// uniform in 0 to 1.
     ///
-    /// The first redirect is followed at once. Later ones are followed after a pause, so that processes that redirect to
-    /// each other are not called in a tight loop.
+    /// The first redirect is followed at once. Later ones are delayed, so that processes that redirect to each other are not
+    /// called in a tight loop.
     pub fn record_redirect(&mut self, leader: Option<usize>, random: f64) -> Time {
         let usable = leader.filter(|leader| *leader < self.target_count && *leader != self.current);
         let Some(leader) = usable else {
             return self.record_failure(random);
         };
         self.current = leader;
-        let pause = self.next_pause(random);
+        let delay = self.next_delay(random);
         if self.consecutive_failures <= 1 {
             return 0;
         }
-        pause
+        delay
     }
 
-    fn next_pause(&mut self, random: f64) -> Time {
-        let pause = exponential_backoff(MIN_BACKOFF, MAX_BACKOFF, self.consecutive_failures, random);
+    fn next_delay(&mut self, random: f64) -> Time {
+        let delay = exponential_backoff(MIN_BACKOFF, MAX_BACKOFF, self.consecutive_failures, random);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        pause
+        delay
     }
 }
