--- a/crates/coordination/src/permit.rs
+++ b/crates/coordination/src/permit.rs
@@ -1,7 +1,7 @@
-//! Permits out of a limited budget, as transactions over records.
+//! Permits of a limited disruption budget, as transactions over records.
 //!
-//! A budget is one record that contains its permits, so that a permit is counted and taken by one compare-and-set. A permit is
-//! never released because somebody is silent: the agent that it was taken for returns it, or an operator releases it.
+//! A budget is one record that contains its permits, so that one compare-and-set both counts the permits and takes one. A
+//! permit has no timeout: it is released by the agent that it was taken for, or by an operator.
 //!
 //! The functions here read a [`View`] and return the transaction to write. The transaction conflicts if the budget has changed
 //! since the view was read.
@@ -16,42 +16,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// How many permits may be taken at a time.
+    /// The number of permits that may be taken at the same time.
     #[serde(rename = "most")]
     pub max: u32,
-    /// The permits that are taken, by the unit that each is for, such as `agent:n3`.
+    /// The taken permits by the unit that each is for, such as `agent:n3`.
     #[serde(default, rename = "out")]
     pub permits: BTreeMap<String, Permit>,
 }
 
-/// The permit to take one unit out of service.
+/// A permit to take one unit out of service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Permit {
     /// The name and incarnation of the member that took it.
     pub taker: (String, Incarnation),
-    /// The reason, for people.
+    /// The reason, which is shown to operators.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The revision from which on the taker may have touched the unit; none if it has not.
+    /// The revision after which the taker may have disrupted the unit; none if it has not started.
     #[serde(default)]
     pub started: Option<Revision>,
-    /// The taker has finished with the unit, which may be back in service or not.
+    /// Whether the taker has finished its work on the unit. The unit may still be out of service.
     #[serde(default)]
     pub finished: bool,
 }
 
-/// Why a permit cannot be taken, changed or returned.
+/// Why a permit cannot be taken, changed or released.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PermitDenial {
     /// The record of this key does not contain a budget, for this reason.
-    #[error("the record {0} is no budget: {1}")]
+    #[error("the record {0} does not contain a budget: {1}")]
     Unreadable(String, String),
     /// No limit has been set for the budget of this key.
-    #[error("no number of permits is stated for {0}")]
+    #[error("no limit is set for the budget {0}")]
     NoBudget(String),
     /// All permits are taken.
-    #[error("all {max} permits of {budget} are out: {units}")]
+    #[error("all {max} permits of {budget} are taken: {units}")]
     Exhausted {
         /// The budget's key.
         budget: String,
@@ -60,8 +60,8 @@
         /// The units that permits are taken for, separated by commas.
         units: String,
     },
-    /// A permit for this unit is taken already.
-    #[error("{unit} is out already, for {taker}: {reason}")]
+    /// A permit for this unit is already taken.
+    #[error("a permit for {unit} is already taken by {taker}: {reason}")]
     AlreadyTaken {
         /// The unit.
         unit: String,
@@ -71,15 +71,15 @@
         reason: String,
     },
     /// No permit for this unit is taken.
-    #[error("there is no permit for {0}")]
+    #[error("no permit for {0} is taken")]
     NotTaken(String),
-    /// The incarnation that was to be taken out cannot prove that this unit is back; only a newer one can.
-    #[error("{0} has not come back since it was taken out")]
+    /// This unit has the incarnation that was to be taken out of service; only a newer one proves that it is back.
+    #[error("{0} has not joined again since it was taken out of service")]
     NotRestarted(String),
     /// This member took the permit, and may still be working on the unit.
-    #[error("{0} may still be at it")]
+    #[error("{0} took the permit, and may still be using it")]
     TakerActive(String),
-    /// This member took the permit, and not the one that asks.
+    /// This member took the permit, not the one that wants to change it.
     #[error("the permit is {0}'s")]
     OtherTaker(String),
 }
@@ -87,26 +87,26 @@
 /// The prefix of the keys of budgets.
 const BUDGET_PREFIX: &str = "budget/";
 
-/// The key of the budget for the agents of a site.
+/// Returns the key of the budget for the agents of a site.
 #[must_use]
 pub fn agent_budget_key(site: &str) -> String {
     format!("{BUDGET_PREFIX}agents:{site}")
 }
 
-/// The unit by which a permit for an agent is listed in its budget.
+/// Returns the unit under which a budget lists the permit for an agent.
 #[must_use]
 pub fn agent_unit(name: &str) -> String {
     format!("agent:{name}")
 }
 
-/// A budget as it was read.
+/// A budget and the revision of its record.
 struct StoredBudget {
     budget: Budget,
     revision: Revision,
 }
 
 impl StoredBudget {
-    /// Reads the budget of a key, if there is a record.
+    /// Reads the budget of a key, if there is such a record.
     fn find(view: &View, key: &str) -> Result<Option<StoredBudget>, PermitDenial> {
         let Some(Record { value, revision }) = view.records.get(key) else { return Ok(None) };
         let budget: Budget =
@@ -114,12 +114,12 @@
         Ok(Some(StoredBudget { budget, revision: *revision }))
     }
 
-    /// Reads the budget of a key.
+    /// Reads the budget of a key; it is an error if there is none.
     fn read(view: &View, key: &str) -> Result<StoredBudget, PermitDenial> {
         StoredBudget::find(view, key)?.ok_or_else(|| PermitDenial::NoBudget(key.into()))
     }
 
-    /// The transaction that replaces the budget, unless it has changed since it was read.
+    /// Returns the transaction that replaces the budget, unless it has changed since it was read.
     fn replace(&self, key: &str, mut checks: Vec<Check>) -> Txn {
         checks.push(Check::At(key.into(), self.revision));
         Txn { checks, writes: vec![put_budget(key, &self.budget)] }
@@ -130,11 +130,11 @@
     Write::Put(key.into(), serde_json::to_string(budget).unwrap_or_default())
 }
 
-/// Sets the limit of a budget, and makes the budget if there is none. Permits that are taken stay.
+/// Sets the limit of a budget, and creates the budget if there is none. Taken permits stay taken.
 ///
 /// # Errors
 ///
-/// Fails if the record is no budget.
+/// Fails if the record does not contain a budget.
 pub fn set_limit(view: &View, key: &str, max: u32) -> Result<Txn, PermitDenial> {
     let Some(mut stored) = StoredBudget::find(view, key)? else {
         let budget = Budget { max, permits: BTreeMap::new() };
@@ -148,7 +148,7 @@
 ///
 /// # Errors
 ///
-/// Fails if there is no budget, if a permit for this agent is taken already, or if all permits are taken.
+/// Fails if there is no budget, if a permit for this agent is already taken, or if all permits are taken.
 pub fn acquire(
     view: &View,
     key: &str,
@@ -173,8 +173,8 @@
     Ok(stored.replace(key, vec![check]))
 }
 
-/// Records that the taker is about to touch the agent. It must not touch the agent before this is written, nor after its own
-/// lease has expired.
+/// Records that the taker is about to disrupt the agent. It must not do so before this is written, nor after its own lease has
+/// expired.
 ///
 /// # Errors
 ///
@@ -184,7 +184,7 @@
     change_permit(view, key, agent, taker, |permit| permit.started = Some(revision))
 }
 
-/// Records that the taker has finished with the agent.
+/// Records that the taker has finished its work on the agent.
 ///
 /// # Errors
 ///
@@ -210,22 +210,22 @@
     Ok(stored.replace(key, vec![Check::Living(taker.into(), incarnation)]))
 }
 
-/// The permit that is taken for an agent, if any.
+/// Returns the permit that is taken for an agent, if any.
 #[must_use]
 pub fn find(view: &View, key: &str, agent: &str) -> Option<Permit> {
     let mut stored = StoredBudget::find(view, key).ok()??;
     stored.budget.permits.remove(&agent_unit(agent))
 }
 
-/// Returns the permit for an agent, on behalf of that agent itself, which serves again under `incarnation`. That the agent can
-/// write this is the proof that it is back, provided that the taker has finished with it.
+/// Releases the permit for an agent on behalf of the agent itself, which serves again under `incarnation`. If the taker has
+/// finished, the agent proves that it is back in service by writing this.
 ///
-/// Where the taker's lease expired before it finished, only a newer incarnation than the one to be taken out proves that the
-/// agent is back, unless the taker had not started.
+/// If the taker's lease ended before it finished, only an incarnation that is newer than the start of its work proves that the
+/// agent is back. If the taker had not started, any incarnation proves it.
 ///
 /// # Errors
 ///
-/// Fails if there is no such permit, if the taker may still be working on the agent, or if the incarnation proves nothing.
+/// Fails if there is no such permit, if the taker may still be working on the agent, or if the incarnation is not new enough.
 pub fn release(view: &View, key: &str, agent: &str, incarnation: Incarnation) -> Result<Txn, PermitDenial> {
     let mut stored = StoredBudget::read(view, key)?;
     let unit = agent_unit(agent);
@@ -246,7 +246,7 @@
     Ok(stored.replace(key, checks))
 }
 
-/// Releases the permit for an agent on an operator's responsibility.
+/// Releases the permit for an agent without any check, on the responsibility of an operator.
 ///
 /// # Errors
 ///
@@ -260,7 +260,7 @@
     Ok(stored.replace(key, Vec::new()))
 }
 
-/// The keys of the budgets that contain a permit for an agent.
+/// Returns the keys of the budgets that contain a permit for an agent.
 #[must_use]
 pub fn budgets_with_permit_for(view: &View, agent: &str) -> Vec<String> {
     let unit = agent_unit(agent);
@@ -271,11 +271,11 @@
     view.records.keys().filter(has_permit).cloned().collect()
 }
 
-/// The units that permits are taken for from the budgets of all sites' agents.
+/// Returns the units for which permits are taken, out of the agent budgets of all sites.
 ///
 /// # Errors
 ///
-/// Fails if one of these records is no budget.
+/// Fails if one of these records does not contain a budget.
 pub fn units_with_permits(view: &View) -> Result<BTreeSet<String>, PermitDenial> {
     let prefix = agent_budget_key("");
     let mut units = BTreeSet::new();
--- a/crates/coordination/src/service.rs
+++ b/crates/coordination/src/service.rs
@@ -1,4 +1,4 @@
-//! The requests of clients in front of a [`Node`]: requests in, responses out. The caller carries the bytes.
+//! Serves the requests and watches of clients in front of a [`Node`]. The caller transports requests and responses.
 
 use crate::log::Disk;
 use crate::node::{Node, NodeError, Operation, OperationId, OperationResult};
@@ -7,21 +7,21 @@
 use crate::{LimitExceeded, NodeId, Time};
 use std::collections::BTreeMap;
 
-/// Changes in one response to a watch, about: those of one revision stay together.
+/// The approximate maximum of changes in one response to a watch. The changes of one revision are never split.
 const MAX_CHANGES_PER_RESPONSE: usize = 256;
 /// A watch without changes gets an empty response after this many microseconds, so that its client knows that the service is
-/// up.
+/// available.
 pub const WATCH_TIMEOUT: Time = 20_000_000;
-/// Watches that wait for changes at a time.
+/// The maximum number of watches that wait for changes.
 const MAX_WATCHES: usize = 4096;
 
-/// Identifies a waiting client; the response returns with it.
+/// Identifies a waiting client and the response to it.
 pub type CallerId = u64;
 
-/// What a process sends after a step.
+/// The output of [`Service::advance`].
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Encoded Raft messages, each with the process that it is for.
+    /// Encoded Raft messages, each with its receiver.
     pub messages: Vec<(NodeId, Vec<u8>)>,
     /// Responses to clients.
     pub responses: Vec<(CallerId, Response)>,
@@ -41,12 +41,12 @@
     pending: BTreeMap<OperationId, (CallerId, Request)>,
     watches: Vec<Watch>,
     responses: Vec<(CallerId, Response)>,
-    /// The revision that watches have been checked against.
+    /// The revision of the state when watches were last checked for changes.
     notified_revision: Revision,
 }
 
 impl Service {
-    /// A service in front of a node.
+    /// Creates a service in front of a node.
     pub fn new(node: Node) -> Service {
         Service {
             node,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The node.
+    /// Returns the node.
     pub fn node(&self) -> &Node {
         &self.node
     }
@@ -65,16 +65,16 @@
     /// Advances timers. Call it every [`NodeSettings::tick_interval`](crate::node::NodeSettings::tick_interval).
     pub fn tick(&mut self, now: Time) {
         self.node.tick(now);
-        let is_over = |watch: &Watch| now >= watch.deadline;
-        let (over, waiting) = std::mem::take(&mut self.watches).into_iter().partition(is_over);
+        let is_expired = |watch: &Watch| now >= watch.deadline;
+        let (expired, waiting) = std::mem::take(&mut self.watches).into_iter().partition(is_expired);
         self.watches = waiting;
-        for watch in over {
+        for watch in expired {
             let response = Response::Changes { changes: Vec::new(), upto: watch.after };
             self.responses.push((watch.caller, response));
         }
     }
 
-    /// Takes an encoded Raft message from another process.
+    /// Processes an encoded Raft message from another process.
     ///
     /// # Errors
     ///
@@ -83,14 +83,14 @@
         self.node.receive(now, message)
     }
 
-    /// Forgets a client that has disconnected. What it asked for may still be done.
+    /// Drops the requests and watches of a client that has disconnected. Its requests may still be executed.
     pub fn cancel(&mut self, caller: CallerId) {
         self.pending.retain(|_, (pending, _)| *pending != caller);
         self.watches.retain(|watch| watch.caller != caller);
     }
 
-    /// Takes a request whose envelope has passed [`check_envelope`](crate::wire::check_envelope). The response is part of the
-    /// output of this or a later [`Service::advance`].
+    /// Processes a request whose envelope has passed [`check_envelope`](crate::wire::check_envelope). The next or a later
+    /// call of [`Service::advance`] returns the response.
     pub fn handle_request(&mut self, now: Time, caller: CallerId, envelope: &Envelope, request: Request) {
         if let Some(refusal) = self.check_incarnation(envelope, &request) {
             self.respond(caller, Response::Refused(refusal));
@@ -114,7 +114,7 @@
                 return self.add_watch(*cluster_id, watch);
             }
             Request::Identify => {
-                let reason = "a council is formed already".into();
+                let reason = "a council has already been formed".into();
                 return self.respond(caller, Response::Refused(Refusal::FailedPrecondition(reason)));
             }
         };
@@ -126,7 +126,7 @@
         self.responses.push((caller, response));
     }
 
-    /// A process must not act any more when a newer process has its name. It may still read.
+    /// Refuses an action of a process if a newer process of its name has joined. Reads are still allowed.
     fn check_incarnation(&self, envelope: &Envelope, request: &Request) -> Option<Refusal> {
         let is_action = match request {
             Request::Renew => true,
@@ -162,7 +162,7 @@
         self.respond(watch.caller, response);
     }
 
-    /// The next changes that a watch is interested in, if there are any. Advances the watch past all others.
+    /// Returns the next changes that match a watch, if there are any. Advances the watch past changes that do not match.
     fn changes_for(&self, cluster_id: ClusterId, watch: &mut Watch) -> Result<Option<Response>, Refusal> {
         let state = self.node.state();
         if cluster_id != state.cluster_id {
@@ -172,7 +172,7 @@
             let (mut changes, upto) = state
                 .changes_after(watch.after, MAX_CHANGES_PER_RESPONSE)
                 .map_err(|compacted| Refusal::Compacted { cluster_id, oldest: compacted.oldest })?;
-            changes.retain(|change| is_of_interest(change, &watch.prefix));
+            changes.retain(|change| matches_prefix(change, &watch.prefix));
             if !changes.is_empty() {
                 return Ok(Some(Response::Changes { changes, upto }));
             }
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Processes all input since the last call. Returns what is to be sent.
+    /// Processes all input since the last call. Returns the messages and responses to send.
     ///
     /// # Errors
     ///
@@ -256,8 +256,8 @@
     }
 }
 
-/// Whether a watch with this prefix is notified of a change. Changes of members concern only watches without a prefix.
-fn is_of_interest(change: &Change, prefix: &str) -> bool {
+/// Returns whether a watch with this prefix receives a change. Changes of members match only an empty prefix.
+fn matches_prefix(change: &Change, prefix: &str) -> bool {
     match &change.item {
         ChangedItem::Record(key, _) => key.starts_with(prefix),
         ChangedItem::Member(..) => prefix.is_empty(),
--- a/crates/coordination/src/wire.rs
+++ b/crates/coordination/src/wire.rs
@@ -1,5 +1,5 @@
-//! The requests and responses that processes exchange, as JSON. Each request comes with an [`Envelope`]. The field and variant
-//! names on the wire are fixed; a serde `rename` keeps them where the name in the code differs.
+//! The requests and responses that processes exchange, as JSON. Each request is sent with an [`Envelope`]. The field and
+//! variant names on the wire are fixed; a serde `rename` keeps them where the name in the code differs.
 
 use crate::bootstrap::Identity;
 use crate::lease::LeaseTerms;
@@ -12,7 +12,7 @@
 /// The version of the protocol.
 pub const PROTOCOL: u32 = 1;
 
-/// What every request states about its sender.
+/// The fields that describe the sender of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The name of the fleet.
@@ -40,7 +40,7 @@
     Renew,
     /// Reads members and records.
     Read {
-        /// Accept the state that this process has, however old; otherwise the read is linearizable.
+        /// Whether the state of this process may be returned, however old it is; otherwise the read is linearizable.
         stale: bool,
         /// The prefix of the keys to read; empty for all records.
         prefix: String,
@@ -49,7 +49,7 @@
     },
     /// Waits for changes after a revision.
     Watch {
-        /// The cluster that the revision is of.
+        /// The cluster that the revision belongs to.
         #[serde(rename = "history")]
         cluster_id: ClusterId,
         /// The last revision that the sender knows.
@@ -86,19 +86,19 @@
     /// The lease has expired; the sender must not act on it.
     #[serde(rename = "ended")]
     Expired,
-    /// The lease is not renewed: a newer process has the name, or waits for it.
+    /// The lease is not renewed: a newer process of the same name has joined, or waits to join.
     #[serde(rename = "displaced")]
     Superseded,
     /// The members and records that were read.
     Read(View),
     /// Changes for a watch.
     Changes {
-        /// In order, without a gap.
+        /// The changes in order, without gaps.
         changes: Vec<Change>,
         /// The revision to watch from next.
         upto: Revision,
     },
-    /// The status of the process and, if it leads, the microseconds since each member renewed its lease.
+    /// The status of the process and, if it is the leader, the microseconds since each member renewed its lease.
     Status(NodeStatus, BTreeMap<String, Time>),
     /// The processes of the cluster have been changed.
     #[serde(rename = "replaced")]
@@ -110,22 +110,22 @@
     Refused(Refusal),
 }
 
-/// Members and records as of one revision.
+/// The members and records at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The cluster that the revision is of.
+    /// The cluster that the revision belongs to.
     #[serde(rename = "history")]
     pub cluster_id: ClusterId,
     /// The revision.
     pub revision: Revision,
-    /// How old this is at most, in microseconds; none if the process cannot tell. 0 for a linearizable read.
+    /// The maximum age of the view in microseconds; 0 for a linearizable read, none if it is unknown.
     #[serde(rename = "age")]
     pub max_staleness: Option<Time>,
     /// The processes of the cluster.
     pub peers: BTreeMap<NodeId, Peer>,
-    /// The members by name, if they were asked for.
+    /// The members by name, if they were requested.
     pub members: BTreeMap<String, Member>,
-    /// The records that were asked for, by key.
+    /// The requested records by key.
     pub records: BTreeMap<String, Record>,
 }
 
@@ -140,22 +140,22 @@
         /// The fleet of this process.
         #[serde(rename = "own")]
         expected: String,
-        /// The sender's.
+        /// The fleet in the message.
         #[serde(rename = "theirs")]
         received: String,
     },
-    /// The sender speaks another version of the protocol.
-    #[error("this process speaks version {expected}; the message is of {received}")]
+    /// The sender uses another version of the protocol.
+    #[error("this process uses version {expected} of the protocol; the message has version {received}")]
     #[serde(rename = "other_protocol")]
     ProtocolMismatch {
         /// The version of this process.
         #[serde(rename = "own")]
         expected: u32,
-        /// The sender's.
+        /// The version in the message.
         #[serde(rename = "theirs")]
         received: u32,
     },
-    /// A newer process has the sender's name.
+    /// A newer process of the sender's name has joined.
     #[error("{name} has a newer incarnation, {newer}")]
     OlderIncarnation {
         /// The name.
@@ -164,21 +164,21 @@
         newer: Incarnation,
     },
     /// This process is not the leader.
-    #[error("this process does not lead; {} may", .leader.as_ref().map_or("nobody that it knows", |peer| &peer.name))]
+    #[error("this process is not the leader; the leader is {}", .leader.as_ref().map_or("unknown", |peer| &peer.name))]
     NotLeader {
         /// The leader, if this process knows one.
         leader: Option<Peer>,
     },
-    /// The outcome is unknown: the request may have been carried out, or may still be. Repeat it with the same number.
-    #[error("whether it was done is unknown; ask again with the same number")]
+    /// The outcome is unknown: the request may have been executed, or may still be. Repeat it with the same number.
+    #[error("the outcome of the request is unknown; repeat it with the same number")]
     Unknown,
     /// A limit would be exceeded.
     #[error(transparent)]
     #[serde(rename = "over")]
     LimitExceeded(LimitExceeded),
-    /// The changes that a watch asks for are not kept any more, or are of another cluster. Read everything, and watch from
-    /// there.
-    #[error("changes are only kept from revision {oldest} of history {cluster_id} on")]
+    /// Some of the changes that a watch requests are no longer kept, or belong to another cluster. Read the state, and watch
+    /// from its revision.
+    #[error("only changes after revision {oldest} of cluster {cluster_id} are kept")]
     Compacted {
         /// The cluster of this process.
         #[serde(rename = "history")]
@@ -187,15 +187,15 @@
         oldest: Revision,
     },
     /// This process is not part of a cluster yet, for this reason.
-    #[error("this process takes part in no council: {0}")]
+    #[error("this process is not part of a council: {0}")]
     NotFormed(String),
-    /// The request cannot be carried out, for this reason.
+    /// The request cannot be executed, for this reason.
     #[error("{0}")]
     #[serde(rename = "impossible")]
     FailedPrecondition(String),
 }
 
-/// Checks that a request is of this fleet and this version of the protocol.
+/// Checks that a request belongs to this fleet and has this version of the protocol.
 ///
 /// # Errors
 ///
