--- a/crates/coordination/tests/no_wall_clock.rs
+++ b/crates/coordination/tests/no_wall_clock.rs
@@ -1,19 +1,19 @@
-//! Neither this package nor the agent code that runs it reads a wall clock, so that one which jumps changes nothing.
+//! Neither this package nor the agent code that runs it reads a wall clock, so that a jump of a wall clock has no effect.
 
 use std::path::Path;
 
-fn search(folder: &Path, found: &mut Vec<String>) -> usize {
+fn find_clock_uses(folder: &Path, found: &mut Vec<String>) -> usize {
     let mut files = 0;
     for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
         if entry.path().is_dir() {
-            files += search(&entry.path(), found);
+            files += find_clock_uses(&entry.path(), found);
             continue;
         }
         let text = std::fs::read_to_string(entry.path()).unwrap_or_default();
         files += 1;
-        for word in ["SystemTime", "UNIX_EPOCH", "chrono", "clock_gettime"] {
-            if text.contains(word) {
-                found.push(format!("{}: {word}", entry.path().display()));
+        for name in ["SystemTime", "UNIX_EPOCH", "chrono", "clock_gettime"] {
+            if text.contains(name) {
+                found.push(format!("{}: {name}", entry.path().display()));
             }
         }
     }
@@ -22,13 +22,13 @@
 
 #[test]
 fn no_source_file_reads_a_wall_clock() {
-    let here = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut found = Vec::new();
-    let folders = [here.join("src"), here.join("../agent/src/fleet")];
-    let files: Vec<usize> = folders.iter().map(|folder| search(folder, &mut found)).collect();
+    let folders = [package.join("src"), package.join("../agent/src/fleet")];
+    let files: Vec<usize> = folders.iter().map(|folder| find_clock_uses(folder, &mut found)).collect();
     assert!(files.iter().all(|files| *files > 5), "{files:?}");
     assert_eq!(found, Vec::<String>::new());
-    // The engine does read one, which proves that the search finds it.
-    search(&here.join("../engine/src"), &mut found);
+    // The engine reads one, which proves that the search works.
+    find_clock_uses(&package.join("../engine/src"), &mut found);
     assert!(!found.is_empty());
 }
