--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -1,13 +1,14 @@
-//! A model of the lease protocol, explored exhaustively: two incarnations of one name, up to two changes of leader, two messages
-//! in flight at a time, each lost or delayed by any time, holders that stop and restart, and clocks that run at two thirds or
-//! four thirds of true time, chosen anew at every step. All times are remaining times, so that the state space is finite.
+//! A model of the lease protocol, explored exhaustively: two incarnations of one name, up to two changes of leader, two
+//! messages in flight at a time, each lost or delayed by any time, holders that stop and restart, and clocks that run at two
+//! thirds or four thirds of real time, chosen again at every step. All times are remaining times, so that the state space is
+//! finite.
 
 use heronhoist_coordination::lease::LeaseTerms;
 use stateright::{Checker, Model, Property};
 
-/// The duration of a lease on the leader's clock, in thirds of a step of true time.
+/// The duration of a lease on the leader's clock, in thirds of a step of real time.
 const DURATION: u8 = 9;
-/// The thirds by which a clock may advance in one step.
+/// The numbers of thirds by which a clock may advance in one step.
 const RATES: [u8; 2] = [2, 4];
 const MAX_MESSAGES: usize = 2;
 const MAX_LEADERS: u8 = 2;
@@ -15,44 +16,45 @@
 /// An injected fault in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    Nothing,
-    /// The holder relies on the lease for as long as the leader counts it.
-    NoMargin,
-    /// The holder counts from the receipt of the grant.
-    FromReceipt,
+    NotInjected,
+    /// The holder relies on the lease for the leader's full duration.
+    NoDriftMargin,
+    /// The duration counts for the holder from the receipt of the grant.
+    CountedFromReceipt,
     /// A leader grants without confirmation that it still leads.
-    Unconfirmed,
-    /// A new leader does not count a whole lease from its election.
-    NoNewTerm,
-    /// A lease that is about to expire is renewed all the same.
-    RenewedWhileEnding,
+    UnconfirmedGrant,
+    /// A new leader does not count a full lease from its election.
+    NoLeaseFromElection,
+    /// A lease is renewed although its expiry has been proposed.
+    RenewedAfterProposal,
 }
 
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, PartialOrd, Ord)]
-enum Stage {
-    /// On its way to the leader.
+enum MessageState {
+    /// A renewal on its way to the leader.
     Renewal,
-    /// Received so long ago on the leader's clock by the leader of this number, which waits for confirmation.
+    /// A renewal that waits for confirmation: the time since its receipt on the leader's clock, and the number of the leader
+    /// that received it.
     Received(u8, u8),
-    /// On its way back to the holder.
+    /// A grant on its way to the holder.
     Grant,
 }
 
-/// A message of an incarnation, sent so long ago on its holder's clock.
+/// A message of an incarnation. Its age is the time on the holder's clock since the renewal was sent.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, PartialOrd, Ord)]
 struct Message {
-    stage: Stage,
-    of: usize,
+    state: MessageState,
+    incarnation: usize,
     age: u8,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 struct State {
-    /// The incarnation whose lease is counted as held, and its remaining time on the leader's clock.
+    /// The incarnation whose lease is held according to the leader, and its remaining time on the leader's clock.
     living: Option<usize>,
     remaining: u8,
-    /// The leader has proposed to end the lease.
-    ending: bool,
+    /// Whether the leader has proposed the expiry of the lease.
+    expiry_proposed: bool,
     joined: usize,
     leader: u8,
     /// The remaining time for which each holder relies on its lease.
@@ -64,14 +66,14 @@
 enum Action {
     Tick(u8, [u8; 2]),
     Send(usize),
-    Lose(usize),
-    Arrive(usize, u8),
+    Drop(usize),
+    ArriveAtLeader(usize, u8),
     Confirm(usize),
-    Receive(usize),
+    ArriveAtHolder(usize),
     Restart(usize),
-    ProposeEnd,
-    End,
-    Lead,
+    ProposeExpiry,
+    Expire,
+    ElectLeader,
     Join,
 }
 
@@ -80,7 +82,7 @@
 impl LeaseModel {
     fn holder_duration(&self) -> u8 {
         match self.0 {
-            Fault::NoMargin => DURATION,
+            Fault::NoDriftMargin => DURATION,
             _ => LeaseTerms { duration: DURATION.into(), max_clock_drift: 1.0 / 3.0 }.holder_duration() as u8,
         }
     }
@@ -95,7 +97,7 @@
         vec![State {
             living: Some(0),
             remaining: DURATION,
-            ending: false,
+            expiry_proposed: false,
             joined: 1,
             leader: 0,
             held_for,
@@ -109,31 +111,33 @@
                 actions.extend(RATES.map(|second| Action::Tick(leader_rate, [first, second])));
             }
         }
-        for of in 0..state.joined {
+        for incarnation in 0..state.joined {
             if state.messages.len() < MAX_MESSAGES {
-                actions.push(Action::Send(of));
+                actions.push(Action::Send(incarnation));
             }
-            if state.held_for[of] > 0 {
-                actions.push(Action::Restart(of));
+            if state.held_for[incarnation] > 0 {
+                actions.push(Action::Restart(incarnation));
             }
         }
-        for (at, message) in state.messages.iter().enumerate() {
-            actions.push(Action::Lose(at));
-            match message.stage {
-                // A deposed leader that does not know it receives messages too.
-                Stage::Renewal => actions.extend((0..=state.leader).map(|leader| Action::Arrive(at, leader))),
-                Stage::Received(..) => actions.push(Action::Confirm(at)),
-                Stage::Grant => actions.push(Action::Receive(at)),
+        for (index, message) in state.messages.iter().enumerate() {
+            actions.push(Action::Drop(index));
+            match message.state {
+                // A former leader that does not know of its replacement also receives messages.
+                MessageState::Renewal => {
+                    actions.extend((0..=state.leader).map(|leader| Action::ArriveAtLeader(index, leader)));
+                }
+                MessageState::Received(..) => actions.push(Action::Confirm(index)),
+                MessageState::Grant => actions.push(Action::ArriveAtHolder(index)),
             }
         }
-        if state.living.is_some() && state.remaining == 0 && !state.ending {
-            actions.push(Action::ProposeEnd);
+        if state.living.is_some() && state.remaining == 0 && !state.expiry_proposed {
+            actions.push(Action::ProposeExpiry);
         }
-        if state.ending {
-            actions.push(Action::End);
+        if state.expiry_proposed {
+            actions.push(Action::Expire);
         }
         if state.leader < MAX_LEADERS {
-            actions.push(Action::Lead);
+            actions.push(Action::ElectLeader);
         }
         if state.living.is_none() && state.joined < 2 {
             actions.push(Action::Join);
@@ -149,49 +153,56 @@
                     *held_for = held_for.saturating_sub(rate);
                 }
                 for message in &mut next.messages {
-                    message.age += holders[message.of];
-                    if let Stage::Received(received, _) = &mut message.stage {
+                    message.age += holders[message.incarnation];
+                    if let MessageState::Received(received, _) = &mut message.state {
                         *received = (*received + leader_rate).min(DURATION);
                     }
                 }
-                // So old a message has no effect any more, even on a holder that counts wrongly.
+                // Messages of this age have no effect any more, even with an injected fault in the holder.
                 next.messages.retain(|message| message.age < 2 * DURATION);
             }
-            Action::Send(of) => next.messages.push(Message { stage: Stage::Renewal, of, age: 0 }),
-            Action::Lose(at) => drop(next.messages.remove(at)),
-            Action::Arrive(at, leader) => next.messages[at].stage = Stage::Received(0, leader),
-            Action::Confirm(at) => {
-                let Message { stage: Stage::Received(received, leader), of, .. } = next.messages[at] else {
+            Action::Send(incarnation) => {
+                next.messages.push(Message { state: MessageState::Renewal, incarnation, age: 0 });
+            }
+            Action::Drop(index) => drop(next.messages.remove(index)),
+            Action::ArriveAtLeader(index, leader) => {
+                next.messages[index].state = MessageState::Received(0, leader);
+            }
+            Action::Confirm(index) => {
+                let Message { state: MessageState::Received(received, leader), incarnation, .. } =
+                    next.messages[index]
+                else {
                     return None;
                 };
                 let leads = leader == next.leader;
-                if !(leads || self.0 == Fault::Unconfirmed) {
+                if !(leads || self.0 == Fault::UnconfirmedGrant) {
                     return None;
                 }
-                let ending = leads && next.ending && self.0 != Fault::RenewedWhileEnding;
-                if (leads && next.living != Some(of)) || ending {
-                    next.messages.remove(at);
+                let is_ending = leads && next.expiry_proposed && self.0 != Fault::RenewedAfterProposal;
+                if (leads && next.living != Some(incarnation)) || is_ending {
+                    next.messages.remove(index);
                 } else {
                     if leads {
                         next.remaining = next.remaining.max(DURATION - received);
                     }
-                    next.messages[at].stage = Stage::Grant;
+                    next.messages[index].state = MessageState::Grant;
                 }
             }
-            Action::Receive(at) => {
-                let Message { of, age, .. } = next.messages.remove(at);
-                let age = if self.0 == Fault::FromReceipt { 0 } else { age };
-                next.held_for[of] = next.held_for[of].max(self.holder_duration().saturating_sub(age));
+            Action::ArriveAtHolder(index) => {
+                let Message { incarnation, age, .. } = next.messages.remove(index);
+                let age = if self.0 == Fault::CountedFromReceipt { 0 } else { age };
+                next.held_for[incarnation] =
+                    next.held_for[incarnation].max(self.holder_duration().saturating_sub(age));
             }
-            Action::Restart(of) => next.held_for[of] = 0,
-            Action::ProposeEnd => next.ending = true,
-            Action::End => (next.living, next.ending, next.remaining) = (None, false, 0),
-            Action::Lead => {
+            Action::Restart(incarnation) => next.held_for[incarnation] = 0,
+            Action::ProposeExpiry => next.expiry_proposed = true,
+            Action::Expire => (next.living, next.expiry_proposed, next.remaining) = (None, false, 0),
+            Action::ElectLeader => {
                 next.leader += 1;
-                // What the former leader proposed may be committed or not; here it is not.
-                next.ending = false;
+                // A proposal of the former leader may be committed or not; here it is not.
+                next.expiry_proposed = false;
                 next.remaining =
-                    if self.0 == Fault::NoNewTerm || next.living.is_none() { 0 } else { DURATION };
+                    if self.0 == Fault::NoLeaseFromElection || next.living.is_none() { 0 } else { DURATION };
             }
             Action::Join => (next.living, next.joined, next.remaining) = (Some(1), 2, DURATION),
         }
@@ -201,18 +212,23 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody believes in what has ended", |_, state: &State| {
-                (0..state.joined).all(|of| state.living == Some(of) || state.held_for[of] == 0)
+            Property::always("no holder relies on a lease that has ended", |_, state: &State| {
+                (0..state.joined)
+                    .all(|incarnation| state.living == Some(incarnation) || state.held_for[incarnation] == 0)
+            }),
+            Property::always("at most one holder relies on its lease", |_, state: &State| {
+                state.held_for.contains(&0)
+            }),
+            Property::sometimes("the second incarnation relies on its lease", |_, state: &State| {
+                state.held_for[1] > 0
             }),
-            Property::always("never two that believe", |_, state: &State| state.held_for.contains(&0)),
-            Property::sometimes("a second incarnation believes", |_, state: &State| state.held_for[1] > 0),
         ]
     }
 }
 
 #[test]
 fn at_most_one_holder_acts_and_none_acts_on_an_expired_lease() {
-    let checker = LeaseModel(Fault::Nothing).checker().threads(4).spawn_bfs().join();
+    let checker = LeaseModel(Fault::NotInjected).checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     // Exhaustive: every reachable state was visited.
     assert!(checker.is_done() && checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
@@ -221,11 +237,15 @@
 
 #[test]
 fn the_model_finds_each_injected_fault() {
-    for fault in
-        [Fault::NoMargin, Fault::FromReceipt, Fault::Unconfirmed, Fault::NoNewTerm, Fault::RenewedWhileEnding]
-    {
+    for fault in [
+        Fault::NoDriftMargin,
+        Fault::CountedFromReceipt,
+        Fault::UnconfirmedGrant,
+        Fault::NoLeaseFromElection,
+        Fault::RenewedAfterProposal,
+    ] {
         let checker = LeaseModel(fault).checker().threads(4).spawn_bfs().join();
-        let found = checker.discovery("nobody believes in what has ended");
+        let found = checker.discovery("no holder relies on a lease that has ended");
         assert!(found.is_some(), "{fault:?} is not found");
     }
 }
