--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Every form that the coordination side sends, stores or keeps in a snapshot, byte by byte: the files below `golden/` are
-//! what the first version of the protocol writes. A file is never changed to make a test pass: processes of both versions
-//! run side by side, and disks outlive them.
+//! Compares all data that coordination processes send, store or keep in a snapshot with golden files, byte by byte. The files
+//! in `golden/` are what the first version of the protocol writes. A file is never changed to make a test pass: processes of
+//! both versions run side by side, and disks outlive them.
 //!
-//! Each `.jsonl` file has one value a line, in the order of the test. A `.bytes` file has one named value a line, with
-//! bytes that are not printable ASCII as in a Rust byte string.
+//! Each `.jsonl` file has one value per line, in the order of the test. A `.bytes` file has one named value per line, with
+//! bytes that are not printable ASCII escaped as in a Rust byte string.
 
 #[path = "support/escaped_bytes.rs"]
 mod escaped_bytes;
@@ -26,15 +26,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use support::{assert_golden, golden_text};
 
-/// Named bytes are those of the file.
+/// Asserts that the named bytes are those of the file.
 #[track_caller]
 fn assert_golden_bytes(file: &str, values: &[(String, Vec<u8>)]) {
     let written: String =
         values.iter().map(|(name, bytes)| format!("{name}: {}\n", bytes.escape_ascii())).collect();
-    assert_eq!(written, golden_text(file), "{file} is not what is written");
+    assert_eq!(written, golden_text(file), "{file} differs from the serialized values");
 }
 
-/// The named bytes of a file.
+/// Returns the named bytes of a file.
 fn golden_bytes(file: &str) -> Vec<(String, Vec<u8>)> {
     let text = golden_text(file);
     let line = |line: &str| {
@@ -52,7 +52,7 @@
     BTreeMap::from([(11, peer("c1")), (12, peer("c2"))])
 }
 
-fn member(standing: MemberStatus) -> Member {
+fn member(status: MemberStatus) -> Member {
     Member {
         incarnation: 3,
         nonce: 77,
@@ -61,7 +61,7 @@
         address: "n1.example:9100".into(),
         ready: true,
         last_report: 4,
-        status: standing,
+        status,
         revision: 5,
     }
 }
@@ -74,7 +74,7 @@
     LeaseTerms { duration: 9_000_000, max_clock_drift: 0.01 }
 }
 
-fn excess() -> LimitExceeded {
+fn limit_exceeded() -> LimitExceeded {
     LimitExceeded { limit: "members".into(), max: 4096 }
 }
 
@@ -93,11 +93,11 @@
     vec![Write::Put("note/a".into(), "\"value\"".into()), Write::Delete("note/b".into())]
 }
 
-fn joining(after: u64) -> Command {
+fn join_command(previous_incarnation: u64) -> Command {
     Command::Join {
         name: "n1".into(),
         nonce: 77,
-        previous_incarnation: after,
+        previous_incarnation,
         site: "east".into(),
         version: "1.2".into(),
         address: "n1.example:9100".into(),
@@ -107,7 +107,7 @@
 fn commands() -> Vec<Command> {
     vec![
         Command::OpenSession,
-        joining(2),
+        join_command(2),
         Command::Report { name: "n1".into(), incarnation: 3, number: 4, ready: true },
         Command::Leave { name: "n1".into(), incarnation: 3 },
         Command::Expire(vec![("n1".into(), 3), ("n2".into(), 2)]),
@@ -116,7 +116,7 @@
     ]
 }
 
-fn replies() -> Vec<CommandResult> {
+fn command_results() -> Vec<CommandResult> {
     vec![
         CommandResult::SessionOpened(6),
         CommandResult::Joined { incarnation: 3 },
@@ -127,7 +127,7 @@
         CommandResult::NotLiving,
         CommandResult::NoSession,
         CommandResult::Outdated,
-        CommandResult::LimitExceeded(excess()),
+        CommandResult::LimitExceeded(limit_exceeded()),
         CommandResult::Refused("why".into()),
     ]
 }
@@ -142,10 +142,10 @@
 }
 
 fn identities() -> Vec<Identity> {
-    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
+    let cluster = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
     vec![
         Identity { node_id: 11, name: "c1".into(), cluster: None },
-        Identity { node_id: 11, name: "c1".into(), cluster: Some(formation) },
+        Identity { node_id: 11, name: "c1".into(), cluster: Some(cluster) },
     ]
 }
 
@@ -169,7 +169,7 @@
     vec![empty, full]
 }
 
-fn standpoints() -> Vec<NodeStatus> {
+fn node_statuses() -> Vec<NodeStatus> {
     let leader = NodeStatus {
         node_id: 11,
         term: 2,
@@ -192,7 +192,7 @@
         Refusal::NotLeader { leader: None },
         Refusal::NotLeader { leader: Some(peer("c2")) },
         Refusal::Unknown,
-        Refusal::LimitExceeded(excess()),
+        Refusal::LimitExceeded(limit_exceeded()),
         Refusal::Compacted { cluster_id: ClusterId(5), oldest: 9 },
         Refusal::NotFormed("it waits for c2".into()),
         Refusal::FailedPrecondition("why".into()),
@@ -239,10 +239,10 @@
 #[test]
 fn response() {
     let [empty, full] = <[View; 2]>::try_from(views()).expect("two");
-    let [leader, without_leader] = <[NodeStatus; 2]>::try_from(standpoints()).expect("two");
+    let [leader, without_leader] = <[NodeStatus; 2]>::try_from(node_statuses()).expect("two");
     let silent = BTreeMap::from([("n1".into(), 250_000)]);
     let mut responses: Vec<Response> = identities().into_iter().map(Response::Identity).collect();
-    responses.extend(replies().into_iter().map(|reply| Response::Reply(reply, terms())));
+    responses.extend(command_results().into_iter().map(|result| Response::Reply(result, terms())));
     responses.extend([
         Response::Renewed(terms()),
         Response::Expired,
@@ -276,13 +276,13 @@
 }
 
 #[test]
-fn view_and_standpoint() {
+fn view_and_node_status() {
     assert_golden("view.jsonl", &views());
-    assert_golden("standpoint.jsonl", &standpoints());
+    assert_golden("standpoint.jsonl", &node_statuses());
 }
 
 #[test]
-fn refusal_and_excess() {
+fn refusal_and_limit_exceeded() {
     let refusals = refusals();
     has_every_variant!(
         refusals,
@@ -298,12 +298,12 @@
         Refusal::FailedPrecondition(_),
     );
     assert_golden("refusal.jsonl", &refusals);
-    assert_golden("excess.jsonl", &[excess()]);
+    assert_golden("excess.jsonl", &[limit_exceeded()]);
     assert_golden("compacted.jsonl", &[Compacted { oldest: 9 }]);
 }
 
 #[test]
-fn command_and_call() {
+fn command_and_request() {
     let commands = commands();
     has_every_variant!(
         commands,
@@ -317,11 +317,11 @@
         Command::Write(_),
     );
     assert_golden("command.jsonl", &commands);
-    let calls = [
+    let requests = [
         CommandRequest { session: None, command: Command::OpenSession },
         CommandRequest { session: Some((6, 1)), command: Command::Forget { name: "n1".into() } },
     ];
-    assert_golden("call.jsonl", &calls);
+    assert_golden("call.jsonl", &requests);
 }
 
 #[test]
@@ -345,10 +345,10 @@
 }
 
 #[test]
-fn reply() {
-    let replies = replies();
+fn command_result() {
+    let command_results = command_results();
     has_every_variant!(
-        replies,
+        command_results,
         CommandResult,
         CommandResult::SessionOpened(_),
         CommandResult::Joined { .. },
@@ -362,7 +362,7 @@
         CommandResult::LimitExceeded(_),
         CommandResult::Refused(_),
     );
-    assert_golden("reply.jsonl", &replies);
+    assert_golden("reply.jsonl", &command_results);
 }
 
 #[test]
@@ -381,24 +381,24 @@
 
 #[test]
 fn member_peer_and_record() {
-    let standings =
+    let statuses =
         [MemberStatus::Living, MemberStatus::Superseded, MemberStatus::Left, MemberStatus::Expired];
     has_every_variant!(
-        standings,
+        statuses,
         MemberStatus,
         MemberStatus::Living,
         MemberStatus::Superseded,
         MemberStatus::Left,
         MemberStatus::Expired,
     );
-    assert_golden("standing.jsonl", &standings);
-    assert_golden("member.jsonl", &standings.map(member));
+    assert_golden("standing.jsonl", &statuses);
+    assert_golden("member.jsonl", &statuses.map(member));
     assert_golden("peer.jsonl", &[peer("c1")]);
     assert_golden("record.jsonl", &[record()]);
 }
 
 #[test]
-fn identity_and_formation() {
+fn identity_and_cluster_info() {
     assert_golden("identity.jsonl", &identities());
     assert_golden("formation.jsonl", &[ClusterInfo { cluster_id: ClusterId(5), peers: peers() }]);
 }
@@ -415,7 +415,7 @@
     BTreeMap::from([(permit::agent_unit("n1"), permit), (permit::agent_unit("n2"), finished)])
 }
 
-/// The numbers and names that are written beside the types.
+/// The numbers and names on the wire that are not part of a type.
 #[test]
 fn protocol_number_kinds_and_keys() {
     assert_eq!(PROTOCOL, 1);
@@ -429,25 +429,25 @@
     let budget = Budget { max: 2, permits: permits() };
     assert_golden("budget.jsonl", &[Budget { max: 0, permits: BTreeMap::new() }, budget.clone()]);
     assert_golden("permit.jsonl", &budget.permits.into_values().collect::<Vec<_>>());
-    // Fields that an earlier version did not write.
+    // Fields that an earlier version did not write may be missing.
     let short: Budget = serde_json::from_str("{\"most\":2}").expect("read");
     assert_eq!(short, Budget { max: 2, permits: BTreeMap::new() });
     let short: Permit = serde_json::from_str("{\"taker\":[\"t\",4],\"why\":\"w\"}").expect("read");
     assert_eq!(short, Permit { taker: ("t".into(), 4), reason: "w".into(), started: None, finished: false });
-    // Fields that nobody knows.
+    // Unknown fields are refused.
     serde_json::from_str::<Budget>("{\"most\":2,\"x\":1}").expect_err("refused");
     serde_json::from_str::<Permit>("{\"taker\":[\"t\",4],\"why\":\"w\",\"x\":1}").expect_err("refused");
 }
 
-fn call(session: Option<(u64, u64)>, command: Command) -> CommandRequest {
+fn command_request(session: Option<(u64, u64)>, command: Command) -> CommandRequest {
     CommandRequest { session, command }
 }
 
-/// What each step of a permit writes, as the commands that ask for it.
+/// The transactions that each step of a permit writes.
 #[test]
 fn transactions_of_permits() {
     let key = permit::agent_budget_key("east");
-    let mut state = agreed_state();
+    let mut state = populated_state();
     let mut txns = Vec::new();
     let view = |state: &State| View {
         cluster_id: state.cluster_id,
@@ -459,8 +459,8 @@
     };
     let taker = ("tool:r1", state.members["tool:r1"].incarnation);
     let n1 = state.members["n1"].incarnation;
-    type BootstrapStep<'s> = Box<dyn Fn(&View) -> Result<Txn, permit::PermitDenial> + 's>;
-    let steps: [BootstrapStep<'_>; 7] = [
+    type PermitStep<'s> = Box<dyn Fn(&View) -> Result<Txn, permit::PermitDenial> + 's>;
+    let steps: [PermitStep<'_>; 7] = [
         Box::new(|view| permit::set_limit(view, &key, 1)),
         Box::new(|view| permit::set_limit(view, &key, 2)),
         Box::new(|view| permit::acquire(view, &key, "n1", taker, "roll")),
@@ -471,56 +471,57 @@
     ];
     for step in steps {
         let txn = step(&view(&state)).expect("allowed");
-        let reply = state.apply(&call(None, Command::Write(txn.clone())), &Limits::default());
-        assert!(matches!(reply, CommandResult::Done(_)), "{reply:?}");
+        let result = state.apply(&command_request(None, Command::Write(txn.clone())), &Limits::default());
+        assert!(matches!(result, CommandResult::Done(_)), "{result:?}");
         txns.push(txn);
     }
     txns.push(permit::force_release(&view(&state), &key, "n1").expect("allowed"));
     state.apply(
-        &call(None, Command::Leave { name: taker.0.into(), incarnation: taker.1 }),
+        &command_request(None, Command::Leave { name: taker.0.into(), incarnation: taker.1 }),
         &Limits::default(),
     );
-    txns.push(permit::release(&view(&state), &key, "n1", n1).expect("the taker has gone"));
+    txns.push(permit::release(&view(&state), &key, "n1", n1).expect("the taker has left"));
     assert_golden("permit_txn.jsonl", &txns);
 }
 
-/// The names of bounds in replies, each provoked.
+/// The names of limits in results, each from a command that exceeds the limit.
 #[test]
-fn names_of_bounds() {
-    let bounds = Limits { members: 0, records: 1, state_bytes: 40, record_bytes: 20, ..Limits::default() };
+fn names_of_limits() {
+    let limits = Limits { members: 0, records: 1, state_bytes: 40, record_bytes: 20, ..Limits::default() };
     let put = |key: &str, length: usize| Write::Put(key.into(), "x".repeat(length));
     let write = |writes| Command::Write(Txn { checks: Vec::new(), writes });
     let state = State::new(ClusterId(5), peers());
-    let reply = |command| state.clone().apply(&call(None, command), &bounds);
-    let mut replies = vec![
-        reply(joining(0)),
-        reply(write(vec![put("note/a", 1); 65])),
-        reply(write(vec![put("note/a", 21)])),
-        reply(write(vec![put("note/a", 1), put("note/b", 1)])),
+    let execute = |command| state.clone().apply(&command_request(None, command), &limits);
+    let mut command_results = vec![
+        execute(join_command(0)),
+        execute(write(vec![put("note/a", 1); 65])),
+        execute(write(vec![put("note/a", 21)])),
+        execute(write(vec![put("note/a", 1), put("note/b", 1)])),
     ];
     let few_bytes = Limits { state_bytes: 10, ..Limits::default() };
-    replies.push(state.clone().apply(&call(None, write(vec![put("note/a", 20)])), &few_bytes));
-    assert_golden("bounds.jsonl", &replies);
-    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
-    let bounds = Limits { in_flight: 0, ..Limits::default() };
-    let settings = NodeSettings { limits: bounds, ..NodeSettings::default() };
-    let mut node = Node::new(11, &initial_state(&formation), settings, 1, 0).expect("a node");
+    command_results
+        .push(state.clone().apply(&command_request(None, write(vec![put("note/a", 20)])), &few_bytes));
+    assert_golden("bounds.jsonl", &command_results);
+    let cluster = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
+    let limits = Limits { in_flight: 0, ..Limits::default() };
+    let settings = NodeSettings { limits, ..NodeSettings::default() };
+    let mut node = Node::new(11, &initial_state(&cluster), settings, 1, 0).expect("a node");
     node.submit(0, Operation::Read);
-    let answers = node.advance(&mut Recorder::default(), 0).expect("worked").results;
+    let results = node.advance(&mut MemoryDisk::default(), 0).expect("no error").results;
     let over = OperationResult::LimitExceeded(LimitExceeded { limit: "in_flight".into(), max: 0 });
-    assert_eq!(answers.into_iter().map(|(_, answer)| answer).collect::<Vec<_>>(), [over]);
+    assert_eq!(results.into_iter().map(|(_, result)| result).collect::<Vec<_>>(), [over]);
 }
 
 /// A state with something in each of its fields.
-fn agreed_state() -> State {
+fn populated_state() -> State {
     let mut state = State::new(ClusterId(5), peers());
-    // Of this many changes only the last are kept.
-    let bounds = Limits { changes: 64, ..Limits::default() };
-    let mut apply = |session, command| state.apply(&call(session, command), &bounds);
-    let join = |name: &str, nonce, after| Command::Join {
+    // Fewer than are made below, so that only the last changes are kept.
+    let limits = Limits { changes: 64, ..Limits::default() };
+    let mut apply = |session, command| state.apply(&command_request(session, command), &limits);
+    let join = |name: &str, nonce, previous_incarnation| Command::Join {
         name: name.into(),
         nonce,
-        previous_incarnation: after,
+        previous_incarnation,
         site: "east".into(),
         version: "1.2".into(),
         address: format!("{name}.example:9100"),
@@ -549,133 +550,142 @@
     state
 }
 
-/// A whole state, as it stands in a snapshot and in a copy.
+/// A whole state, as it is part of snapshots and backups.
 #[test]
 fn whole_state() {
-    let state = agreed_state();
+    let state = populated_state();
     let restored = state.clone().restored_as(ClusterId(6), BTreeMap::from([(13, peer("c3"))]));
     assert_golden("state.jsonl", &[State::new(ClusterId(5), peers()), state, restored]);
 }
 
-/// The same as it is read: the next commands find the sessions, members, records and changes of the file.
+/// A state that is read from the file has its sessions, members, records and changes: further commands rely on them.
 #[test]
-fn a_state_that_was_read_goes_on() {
+fn a_deserialized_state_continues() {
     let golden = golden_text("state.jsonl");
     let mut state: State = serde_json::from_str(golden.lines().nth(1).expect("a state")).expect("read");
-    let bounds = Limits::default();
-    let again = Command::Report { name: "n1".into(), incarnation: 1, number: 9, ready: false };
-    assert_eq!(state.apply(&call(Some((1, 1)), again.clone()), &bounds), CommandResult::Done(5), "a repeat");
+    let limits = Limits::default();
+    let report = Command::Report { name: "n1".into(), incarnation: 1, number: 9, ready: false };
     assert_eq!(
-        state.apply(&call(Some((80, 1)), again.clone()), &bounds),
+        state.apply(&command_request(Some((1, 1)), report.clone()), &limits),
+        CommandResult::Done(5),
+        "a repeated command"
+    );
+    assert_eq!(
+        state.apply(&command_request(Some((80, 1)), report.clone()), &limits),
         CommandResult::Conflict { check: 0 }
     );
-    assert_eq!(state.apply(&call(Some((2, 1)), again), &bounds), CommandResult::Done(82));
+    assert_eq!(state.apply(&command_request(Some((2, 1)), report), &limits), CommandResult::Done(82));
     assert_eq!(state.changes_after(15, 4), Err(Compacted { oldest: 16 }));
     assert!(state.changes_after(16, 4).is_ok());
 }
 
-fn named_image(name: &str, image: &DurableState) -> Vec<(String, Vec<u8>)> {
-    let cut = format!("{},{}", image.compacted.index, image.compacted.term).into_bytes();
-    let mut named = vec![(format!("{name} cut"), cut)];
-    named.extend(image.hard_state.iter().map(|hard| (format!("{name} hard"), hard.clone())));
-    named.extend(image.snapshot.iter().map(|snapshot| (format!("{name} snapshot"), snapshot.clone())));
-    named.extend(image.entries.iter().map(|(index, entry)| (format!("{name} entry {index}"), entry.clone())));
+fn named_parts(name: &str, durable_state: &DurableState) -> Vec<(String, Vec<u8>)> {
+    let compacted =
+        format!("{},{}", durable_state.compacted.index, durable_state.compacted.term).into_bytes();
+    let mut named = vec![(format!("{name} cut"), compacted)];
+    named.extend(durable_state.hard_state.iter().map(|hard| (format!("{name} hard"), hard.clone())));
+    named
+        .extend(durable_state.snapshot.iter().map(|snapshot| (format!("{name} snapshot"), snapshot.clone())));
+    named.extend(
+        durable_state.entries.iter().map(|(index, entry)| (format!("{name} entry {index}"), entry.clone())),
+    );
     named
 }
 
-fn image_of(named: &[(String, Vec<u8>)], name: &str) -> DurableState {
-    let mut image = DurableState::default();
+fn durable_state_of(named: &[(String, Vec<u8>)], name: &str) -> DurableState {
+    let mut durable_state = DurableState::default();
     for (part, bytes) in named {
         let Some(part) = part.strip_prefix(name).and_then(|part| part.strip_prefix(' ')) else { continue };
         match part.split_once(' ') {
             Some((_, index)) => {
-                image.entries.insert(index.parse().expect("an index"), bytes.clone());
+                durable_state.entries.insert(index.parse().expect("an index"), bytes.clone());
             }
-            None if part == "hard" => image.hard_state = Some(bytes.clone()),
-            None if part == "snapshot" => image.snapshot = Some(bytes.clone()),
+            None if part == "hard" => durable_state.hard_state = Some(bytes.clone()),
+            None if part == "snapshot" => durable_state.snapshot = Some(bytes.clone()),
             None => {
-                let cut = std::str::from_utf8(bytes).ok().and_then(|cut| cut.split_once(','));
-                let (index, term) = cut.expect("an index and a term");
+                let compacted = std::str::from_utf8(bytes).ok().and_then(|text| text.split_once(','));
+                let (index, term) = compacted.expect("an index and a term");
                 let index = index.parse().expect("an index");
-                image.compacted = LogPosition { index, term: term.parse().expect("a term") };
+                durable_state.compacted = LogPosition { index, term: term.parse().expect("a term") };
             }
         }
     }
-    image
+    durable_state
 }
 
-/// What a disk has at first.
+/// The first data on the disk of a node, after the formation of a cluster and after a restore.
 #[test]
-fn first_images() {
+fn first_durable_states() {
     let formed = initial_state(&ClusterInfo { cluster_id: ClusterId(5), peers: peers() });
-    let restored = restored_state(agreed_state(), ClusterId(6), 13, peer("c3"));
-    let named = [named_image("formed", &formed), named_image("restored", &restored)].concat();
+    let restored = restored_state(populated_state(), ClusterId(6), 13, peer("c3"));
+    let named = [named_parts("formed", &formed), named_parts("restored", &restored)].concat();
     assert_golden_bytes("first_images.bytes", &named);
     let read = golden_bytes("first_images.bytes");
-    assert_eq!(image_of(&read, "formed"), formed);
-    assert_eq!(image_of(&read, "restored"), restored);
+    assert_eq!(durable_state_of(&read, "formed"), formed);
+    assert_eq!(durable_state_of(&read, "restored"), restored);
 }
 
-/// Keeps each step, and all of them.
+/// A disk that keeps all saved data in memory.
 #[derive(Default)]
-struct Recorder {
-    image: DurableState,
+struct MemoryDisk {
+    durable_state: DurableState,
 }
 
-impl Disk for Recorder {
-    fn save(&mut self, save: &WriteBatch) -> Result<(), DiskError> {
-        self.image.apply(save);
+impl Disk for MemoryDisk {
+    fn save(&mut self, batch: &WriteBatch) -> Result<(), DiskError> {
+        self.durable_state.apply(batch);
         Ok(())
     }
 }
 
-/// A council of one that has carried out some commands and taken a second process in, which does not answer.
-fn council_of_one() -> (DurableState, State) {
-    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: BTreeMap::from([(11, peer("c1"))]) };
-    let mut disk = Recorder { image: initial_state(&formation) };
-    let mut node = Node::new(11, &disk.image, NodeSettings::default(), 0x0102_0304, 0).expect("a node");
+/// A cluster of one process that has executed some commands and added a second process, which does not respond.
+fn cluster_of_one() -> (DurableState, State) {
+    let cluster = ClusterInfo { cluster_id: ClusterId(5), peers: BTreeMap::from([(11, peer("c1"))]) };
+    let mut disk = MemoryDisk { durable_state: initial_state(&cluster) };
+    let mut node =
+        Node::new(11, &disk.durable_state, NodeSettings::default(), 0x0102_0304, 0).expect("a node");
     let mut now = 0;
     while !node.is_leader() {
         now += 50_000;
         node.tick(now);
-        node.advance(&mut disk, now).expect("worked");
+        node.advance(&mut disk, now).expect("no error");
     }
-    let mut answers = Vec::new();
+    let mut results = Vec::new();
     for command in [
         Command::OpenSession,
-        joining(0),
+        join_command(0),
         Command::Write(Txn { checks: vec![Check::Absent("note/a".into())], writes: writes() }),
     ] {
-        node.submit(now, Operation::Command(call(None, command)));
-        answers.extend(node.advance(&mut disk, now).expect("worked").results);
+        node.submit(now, Operation::Command(command_request(None, command)));
+        results.extend(node.advance(&mut disk, now).expect("no error").results);
     }
     node.submit(now, Operation::ChangePeers { add: Some((12, peer("c2"))), remove: None });
-    answers.extend(node.advance(&mut disk, now).expect("worked").results);
-    let answers: Vec<OperationResult> = answers.into_iter().map(|(_, answer)| answer).collect();
+    results.extend(node.advance(&mut disk, now).expect("no error").results);
+    let results: Vec<OperationResult> = results.into_iter().map(|(_, result)| result).collect();
     let done =
         [CommandResult::SessionOpened(1), CommandResult::Joined { incarnation: 2 }, CommandResult::Done(3)]
             .map(OperationResult::Reply);
-    assert_eq!(answers, [&done[..], &[OperationResult::PeersChanged]].concat());
-    (disk.image, node.state().clone())
+    assert_eq!(results, [&done[..], &[OperationResult::PeersChanged]].concat());
+    (disk.durable_state, node.state().clone())
 }
 
-/// What a node writes to its log: calls and changes of the council as entries, with the bytes of their contexts.
+/// The log of a node: commands and changes of the cluster as entries, with their contexts.
 #[test]
 fn log_of_a_node() {
-    let (image, state) = council_of_one();
-    assert_golden_bytes("log.bytes", &named_image("c1", &image));
+    let (durable_state, state) = cluster_of_one();
+    assert_golden_bytes("log.bytes", &named_parts("c1", &durable_state));
     assert_golden("log_state.jsonl", &[state]);
 }
 
-/// A node that begins with the log of the file comes to the state of the file.
+/// A node that starts with the log of the file reaches the state of the file.
 #[test]
 fn a_log_that_was_written_is_read() {
-    let image = image_of(&golden_bytes("log.bytes"), "c1");
-    let mut disk = Recorder { image: image.clone() };
-    let mut node = Node::new(11, &image, NodeSettings::default(), 9, 0).expect("a node");
+    let durable_state = durable_state_of(&golden_bytes("log.bytes"), "c1");
+    let mut disk = MemoryDisk { durable_state: durable_state.clone() };
+    let mut node = Node::new(11, &durable_state, NodeSettings::default(), 9, 0).expect("a node");
     for now in (0..3_000_000).step_by(50_000) {
         node.tick(now);
-        node.advance(&mut disk, now).expect("worked");
+        node.advance(&mut disk, now).expect("no error");
     }
     let expected: State = serde_json::from_str(golden_text("log_state.jsonl").trim()).expect("read");
     assert_eq!(*node.state(), expected);
@@ -683,34 +693,35 @@
     assert_eq!(voters, BTreeSet::from([11, 12]));
 }
 
-/// What the processes of a council of two say to each other until a command of the first has been answered.
+/// The messages between two processes until a command of the first has its result.
 #[test]
 fn messages_between_nodes() {
-    let formation = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
-    let mut said = Vec::new();
-    let mut processes: Vec<(Node, Recorder)> = Vec::new();
-    for number in [11, 12] {
-        let disk = Recorder { image: initial_state(&formation) };
-        let node = Node::new(number, &disk.image, NodeSettings::default(), number, 0).expect("a node");
+    let cluster = ClusterInfo { cluster_id: ClusterId(5), peers: peers() };
+    let mut sent = Vec::new();
+    let mut processes: Vec<(Node, MemoryDisk)> = Vec::new();
+    for node_id in [11, 12] {
+        let disk = MemoryDisk { durable_state: initial_state(&cluster) };
+        let node =
+            Node::new(node_id, &disk.durable_state, NodeSettings::default(), node_id, 0).expect("a node");
         processes.push((node, disk));
     }
-    let (mut now, mut asked, mut answered) = (0, false, false);
-    while !answered {
+    let (mut now, mut submitted, mut completed) = (0, false, false);
+    while !completed {
         now += 50_000;
-        assert!(now < 10_000_000, "no answer: {said:?}");
-        // The second one's clock stands still: only the first one stands for election.
+        assert!(now < 10_000_000, "no result: {sent:?}");
+        // Only the first process has ticks, so that only the first is a candidate.
         processes[0].0.tick(now);
-        if processes[0].0.is_leader() && !asked {
-            asked = true;
-            processes[0].0.submit(now, Operation::Command(call(None, commands()[0].clone())));
+        if processes[0].0.is_leader() && !submitted {
+            submitted = true;
+            processes[0].0.submit(now, Operation::Command(command_request(None, commands()[0].clone())));
             processes[0].0.submit(now, Operation::Read);
         }
         loop {
             let mut messages = Vec::new();
             for (node, disk) in &mut processes {
-                let output = node.advance(disk, now).expect("worked");
-                answered |=
-                    output.results.iter().any(|(_, answer)| matches!(answer, OperationResult::Reply(_)));
+                let output = node.advance(disk, now).expect("no error");
+                completed |=
+                    output.results.iter().any(|(_, result)| matches!(result, OperationResult::Reply(_)));
                 messages.extend(output.messages);
             }
             if messages.is_empty() {
@@ -718,11 +729,11 @@
             }
             for (to, message) in messages {
                 let at = usize::from(to == 12);
-                processes[at].0.receive(now, &message).expect("heard");
-                said.push((format!("to {to}"), message));
+                processes[at].0.receive(now, &message).expect("accepted");
+                sent.push((format!("to {to}"), message));
             }
         }
     }
-    assert!(said.iter().any(|(_, message)| message.windows(6).any(|w| w == b"\"open\"")), "{said:?}");
-    assert_golden_bytes("messages.bytes", &said);
+    assert!(sent.iter().any(|(_, message)| message.windows(6).any(|w| w == b"\"open\"")), "{sent:?}");
+    assert_golden_bytes("messages.bytes", &sent);
 }
--- a/crates/coordination/tests/support/escaped_bytes.rs
+++ b/crates/coordination/tests/support/escaped_bytes.rs
@@ -1,6 +1,6 @@
-//! Bytes as they stand in golden files: printable ASCII as it is, everything else as in a Rust byte string.
+//! Decodes the bytes in golden files: printable ASCII is unchanged, everything else is escaped as in a Rust byte string.
 
-/// The bytes that an escaped text stands for.
+/// Returns the bytes of an escaped text.
 pub fn unescape(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut rest = text.bytes();
