--- a/crates/coordination/src/state/member.rs
+++ b/crates/coordination/src/state/member.rs
@@ -109,7 +109,8 @@
         CommandResult::Joined { incarnation }
     }
 
-    /// Returns the result of a join that creates no member; none if the member can be created.
+    /// Returns the result of a join that creates no member; none if the member can be created. An older process that is still
+    /// living is marked as superseded.
     fn join_without_new_member(
         &mut self,
         request: &JoinRequest<'_>,
