--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Config, ConfigError};
 use crate::fleet::command_error::CommandError;
-use crate::fleet::{drain, hold, tools};
+use crate::fleet::{drain, fleet_command, hold};
 use crate::log;
 use crate::plan::{PoolEndpoints, PoolPlan, ServingPlan};
 use crate::translate;
@@ -68,18 +68,18 @@
     /// Ask the fleet's council, and tell it what operators want.
     Fleet {
         #[command(subcommand)]
-        tool: tools::Tool,
+        tool: fleet_command::FleetCommand,
     },
     Hold(hold::Hold),
     /// Take record servers out of all agents together.
     Drain {
         #[command(subcommand)]
-        tool: drain::DrainTool,
+        tool: drain::DrainCommand,
     },
     /// Let agents send to record servers again.
     Undrain {
         #[command(subcommand)]
-        tool: drain::UndrainTool,
+        tool: drain::UndrainCommand,
     },
     /// Write a completion script for a shell to standard output.
     Completions {
@@ -118,7 +118,7 @@
             }
         },
         Some(Command::Council(what)) => fail(&become_coordinator(&what), 1),
-        Some(Command::Fleet { tool }) => match crate::run_local(tools::run(tool)) {
+        Some(Command::Fleet { tool }) => match crate::run_local(fleet_command::run(tool)) {
             Ok(Ok(text)) => print(&text),
             Ok(Err(error)) => fail(&error.to_string(), 1),
             Err(fault) => fail(&fault, 1),
@@ -128,7 +128,7 @@
             Err(fault) => fail(&fault, 1),
         },
         Some(Command::Drain { tool }) => shown(crate::run_local(drain::run(tool))),
-        Some(Command::Undrain { tool }) => shown(crate::run_local(drain::undo(tool))),
+        Some(Command::Undrain { tool }) => shown(crate::run_local(drain::run_undrain(tool))),
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Arguments::command(), "heronhoist", &mut io::stdout());
             ExitCode::SUCCESS
--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -23,7 +23,7 @@
 /// Exit codes: 0 it is done; 1 a record can't be read; 3 the budgets don't allow it, or the server drains already; 5 the council
 /// did not answer.
 #[derive(Subcommand)]
-pub enum DrainTool {
+pub enum DrainCommand {
     /// Enter a drain: agents send nothing new to the server and finish what they have.
     Server {
         /// Its name, as agents know it.
@@ -55,7 +55,7 @@
 
 /// Take a drain back: agents send to the server again, as to one that is cold.
 #[derive(Subcommand)]
-pub enum UndrainTool {
+pub enum UndrainCommand {
     /// A record server's.
     Server {
         /// Its name.
@@ -69,9 +69,9 @@
 ///
 /// # Errors
 /// [`CommandError`], with the command's exit code.
-pub async fn run(tool: DrainTool) -> Result<String, CommandError> {
+pub async fn run(tool: DrainCommand) -> Result<String, CommandError> {
     match tool {
-        DrainTool::Server { name, why, wait, over_budget, at } => {
+        DrainCommand::Server { name, why, wait, over_budget, at } => {
             let mut client = Client::new(&at, OPERATOR)?;
             let drain_id = enter(&mut client, &name, why, over_budget).await?;
             if wait {
@@ -80,7 +80,7 @@
                 Ok(format!("{name} drains; `heronhoist drain status` shows when it may stop\n"))
             }
         }
-        DrainTool::Status { watch, json, at } => status(watch, json, &at).await,
+        DrainCommand::Status { watch, json, at } => status(watch, json, &at).await,
     }
 }
 
@@ -139,7 +139,9 @@
 ///
 /// # Errors
 /// [`CommandError`], with the command's exit code.
-pub async fn undo(UndrainTool::Server { name, at }: UndrainTool) -> Result<String, CommandError> {
+pub async fn run_undrain(
+    UndrainCommand::Server { name, at }: UndrainCommand,
+) -> Result<String, CommandError> {
     let mut client = Client::new(&at, OPERATOR)?;
     client.change(DRAIN_PREFIX, |view| drain::end(view, &name)).await??;
     Ok(format!("{name} drains no more; agents send to it as to a cold server\n"))
--- a/crates/agent/src/fleet/tools.rs
+++ b/crates/agent/src/fleet/fleet_command.rs
@@ -24,7 +24,7 @@
 
 /// What can be asked.
 #[derive(Subcommand)]
-pub enum Tool {
+pub enum FleetCommand {
     /// Show the council, the members and the permits.
     Status {
         /// Go on showing.
@@ -107,7 +107,7 @@
 
 /// Why a command fails.
 #[derive(Debug, thiserror::Error)]
-pub enum ToolError {
+pub enum FleetCommandError {
     /// The coordination service can't be called, or gave no answer.
     #[error(transparent)]
     Client(#[from] ClientError),
@@ -165,24 +165,24 @@
 /// Carries out a command; returns what it prints.
 ///
 /// # Errors
-/// [`ToolError`], if it was not carried out, or its outcome is unknown.
-pub async fn run(tool: Tool) -> Result<String, ToolError> {
+/// [`FleetCommandError`], if it was not carried out, or its outcome is unknown.
+pub async fn run(tool: FleetCommand) -> Result<String, FleetCommandError> {
     match tool {
-        Tool::Status { watch: false, json, at } => Ok(status::page(&mut client(&at)?, json).await?),
-        Tool::Status { watch: true, json, at } => watch_status(json, &at).await,
-        Tool::Permits { site, most, at } => set_permits(&site, most, &at).await,
-        Tool::Budgets { file, at } => Ok(budgets::run(file.as_deref(), &at).await?),
-        Tool::Free { thing, why, at } => free(&thing, &why, &at).await,
-        Tool::Forget { name, at } => forget(name, &at).await,
-        Tool::Replace { name, with, at } => replace(&name, with, &at).await,
-        Tool::Add { address, at } => add(address, &at).await,
-        Tool::Remove { name, at } => remove(&name, &at).await,
-        Tool::Copy { out, at } => copy(&out, &at).await,
+        FleetCommand::Status { watch: false, json, at } => Ok(status::page(&mut client(&at)?, json).await?),
+        FleetCommand::Status { watch: true, json, at } => watch_status(json, &at).await,
+        FleetCommand::Permits { site, most, at } => set_permits(&site, most, &at).await,
+        FleetCommand::Budgets { file, at } => Ok(budgets::run(file.as_deref(), &at).await?),
+        FleetCommand::Free { thing, why, at } => free(&thing, &why, &at).await,
+        FleetCommand::Forget { name, at } => forget(name, &at).await,
+        FleetCommand::Replace { name, with, at } => replace(&name, with, &at).await,
+        FleetCommand::Add { address, at } => add(address, &at).await,
+        FleetCommand::Remove { name, at } => remove(&name, &at).await,
+        FleetCommand::Copy { out, at } => copy(&out, &at).await,
     }
 }
 
 /// Shows the status until the output is closed. What can't be read is shown in its place.
-async fn watch_status(json: bool, at: &Where) -> Result<String, ToolError> {
+async fn watch_status(json: bool, at: &Where) -> Result<String, FleetCommandError> {
     loop {
         let page = status::page(&mut client(at)?, json).await;
         let page = page.unwrap_or_else(|error| format!("{error}\n"));
@@ -193,14 +193,14 @@
     }
 }
 
-async fn set_permits(site: &str, most: u32, at: &Where) -> Result<String, ToolError> {
+async fn set_permits(site: &str, most: u32, at: &Where) -> Result<String, FleetCommandError> {
     let key = permit::agent_budget_key(site);
     client(at)?.change(BUDGET_PREFIX, |view| permit::set_limit(view, &key, most)).await??;
     Ok(format!("{most} agents of {site} may be out at a time\n"))
 }
 
-async fn free(unit: &str, why: &str, at: &Where) -> Result<String, ToolError> {
-    let agent = unit.strip_prefix("agent:").ok_or(ToolError::PermitName)?;
+async fn free(unit: &str, why: &str, at: &Where) -> Result<String, FleetCommandError> {
+    let agent = unit.strip_prefix("agent:").ok_or(FleetCommandError::PermitName)?;
     let mut client = client(at)?;
     let view = client.read(BUDGET_PREFIX).await?;
     let key = permit::budgets_with_permit_for(&view, agent).into_iter().next();
@@ -209,41 +209,42 @@
     Ok(format!("the permit for {unit} is freed on your word: {why}\n"))
 }
 
-async fn forget(name: String, at: &Where) -> Result<String, ToolError> {
+async fn forget(name: String, at: &Where) -> Result<String, FleetCommandError> {
     match client(at)?.forget(&name).await? {
         CommandResult::Done(_) => Ok(format!("{name} is not named any more\n")),
-        CommandResult::Refused(why) => Err(ToolError::NotForgotten(why)),
-        _ => Err(ToolError::UnknownMember(name)),
+        CommandResult::Refused(why) => Err(FleetCommandError::NotForgotten(why)),
+        _ => Err(FleetCommandError::UnknownMember(name)),
     }
 }
 
-async fn replace(name: &str, with: Option<SocketAddr>, at: &Where) -> Result<String, ToolError> {
+async fn replace(name: &str, with: Option<SocketAddr>, at: &Where) -> Result<String, FleetCommandError> {
     let mut client = client(at)?;
     let (old_id, old) = process_of_name(&mut client, name).await?;
-    let address = with.or_else(|| old.address.parse().ok()).ok_or(ToolError::NoAddress)?;
+    let address = with.or_else(|| old.address.parse().ok()).ok_or(FleetCommandError::NoAddress)?;
     let (new_id, new) = new_process(&client, address).await?;
     change_processes(&mut client, Some((new_id, new.clone())), Some(old_id)).await?;
     Ok(format!("{} at {address} is in the council in place of {name}\n", new.name))
 }
 
-async fn add(address: SocketAddr, at: &Where) -> Result<String, ToolError> {
+async fn add(address: SocketAddr, at: &Where) -> Result<String, FleetCommandError> {
     let mut client = client(at)?;
     let (new_id, new) = new_process(&client, address).await?;
     change_processes(&mut client, Some((new_id, new.clone())), None).await?;
     Ok(format!("{} at {address} is in the council\n", new.name))
 }
 
-async fn remove(name: &str, at: &Where) -> Result<String, ToolError> {
+async fn remove(name: &str, at: &Where) -> Result<String, FleetCommandError> {
     let mut client = client(at)?;
     let (id, _) = process_of_name(&mut client, name).await?;
     change_processes(&mut client, None, Some(id)).await?;
     Ok(format!("{name} is in the council no more\n"))
 }
 
-async fn copy(path: &Path, at: &Where) -> Result<String, ToolError> {
+async fn copy(path: &Path, at: &Where) -> Result<String, FleetCommandError> {
     match client(at)?.ask(&Request::Backup).await? {
         Response::Backup(text) => {
-            std::fs::write(path, &text).map_err(|source| ToolError::Copy { path: path.into(), source })?;
+            std::fs::write(path, &text)
+                .map_err(|source| FleetCommandError::Copy { path: path.into(), source })?;
             Ok(format!("{}: {} bytes\n", path.display(), text.len()))
         }
         other => Err(ClientError::unexpected("not a copy", other).into()),
@@ -251,22 +252,22 @@
 }
 
 /// The id and the address of a process of the service.
-async fn process_of_name(client: &mut Client, name: &str) -> Result<(u64, Peer), ToolError> {
+async fn process_of_name(client: &mut Client, name: &str) -> Result<(u64, Peer), FleetCommandError> {
     let view = client.read(NOTE_PREFIX).await?;
     let found = view.peers.into_iter().find(|(_, peer)| peer.name == name);
-    found.ok_or_else(|| ToolError::UnknownProcess(name.into()))
+    found.ok_or_else(|| FleetCommandError::UnknownProcess(name.into()))
 }
 
 /// The id and the address of the process that listens at an address, which must not belong to a cluster.
-async fn new_process(client: &Client, address: SocketAddr) -> Result<(u64, Peer), ToolError> {
-    let no_answer = |why| ToolError::NewProcess { address, why };
+async fn new_process(client: &Client, address: SocketAddr) -> Result<(u64, Peer), FleetCommandError> {
+    let no_answer = |why| FleetCommandError::NewProcess { address, why };
     let response = Link::new(address).request(&client.envelope(), &Request::Identify, HELLO_TIMEOUT).await;
     let identity = match response.map_err(|error| no_answer(error.to_string()))? {
         Response::Identity(identity) => identity,
         other => return Err(no_answer(format!("{other:?}"))),
     };
     if identity.cluster.is_some_and(|cluster| cluster.peers.contains_key(&identity.node_id)) {
-        return Err(ToolError::AlreadyInCluster { name: identity.name, address });
+        return Err(FleetCommandError::AlreadyInCluster { name: identity.name, address });
     }
     Ok((identity.node_id, Peer { name: identity.name, address: address.to_string() }))
 }
