--- a/crates/lab/src/emulation.rs
+++ b/crates/lab/src/emulation.rs
@@ -696,7 +696,7 @@
             !refused || matches!(mix.repeat_effect, RepeatEffect::Deduplicated { everywhere: true, .. }),
         );
         let tried = |change: &dyn Fn(&mut ClientAttempt)| {
-            change(&mut world.ledger.borrow_mut().client_attempts[number])
+            change(&mut world.ledger.borrow_mut().client_attempts[number]);
         };
         let wait = match reply {
             Ok(AgentReply::Response(answer)) => {
--- a/crates/lab/src/processes/cluster.rs
+++ b/crates/lab/src/processes/cluster.rs
@@ -287,7 +287,7 @@
             let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
             match self.settled(&open, PATIENCE).await {
                 Some(Response::Reply(CommandResult::SessionOpened(session), _)) => {
-                    self.session = Some(session)
+                    self.session = Some(session);
                 }
                 _ => return None,
             }
--- a/crates/lab/src/processes/world/drains.rs
+++ b/crates/lab/src/processes/world/drains.rs
@@ -189,7 +189,7 @@
         match response {
             None => {}
             Some(Response::Reply(CommandResult::SessionOpened(session), _)) => {
-                drainer.session = Some(session)
+                drainer.session = Some(session);
             }
             Some(Response::Read(view)) => self.drainer_reads(at, &view),
             Some(Response::Reply(reply, _)) => {
