--- a/crates/agent/src/framing.rs
+++ b/crates/agent/src/framing.rs
@@ -1,116 +1,121 @@
-//! Where requests begin and end on a client's connection, from the raw bytes, and what each head says of the length.
-//! hyper drops `Content-Length` where `Transfer-Encoding` stands beside it, in either order, so that nobody can see
-//! any more that both were there and that the body may hide another request.
+//! Finds where requests begin and end in the raw bytes of a client's connection, and what each head says of its length.
+//!
+//! hyper drops `Content-Length` where `Transfer-Encoding` is present too, in either order. Without a look at the raw head
+//! nobody could see that both were there and that the body may smuggle another request.
 
 use std::collections::VecDeque;
 
-/// Longer than the names that are looked for.
-const NAME_MOST: usize = 20;
-/// Heads that wait to be asked for; hyper reads no further ahead than its buffer holds.
-const HEADS_MOST: usize = 1024;
+/// The stored part of a header name, and of the value of `Content-Length`, in bytes: more than the names that are looked for have.
+const MAX_NAME_BYTES: usize = 20;
+/// Heads that have been read and not taken yet; hyper reads no further ahead than its buffer holds.
+const MAX_PENDING_HEADS: usize = 1024;
 /// What a request that follows another on its connection may begin with.
-const BEGINNINGS: [&[u8]; 2] = [b"GET ", b"POST "];
-const BEGINNING_MOST: usize = 5;
+const REQUEST_PREFIXES: [&[u8]; 2] = [b"GET ", b"POST "];
+const MAX_PREFIX_BYTES: usize = 5;
 
 /// What a head says of the length of its request.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct Framing {
-    /// Lines that state a length, and a transfer coding.
+    /// The number of `Content-Length` lines.
     pub lengths: u32,
-    /// And a transfer coding.
+    /// The number of `Transfer-Encoding` lines.
     pub encodings: u32,
-    /// The length that is stated, if it is a number.
+    /// The value of `Content-Length`, if it is a number.
     length: Option<u64>,
 }
 
 impl Framing {
-    /// It says once where the request ends, or that there is no body.
+    /// Whether the length is stated at most once, in one way.
     pub fn is_clear(&self) -> bool {
         matches!((self.lengths, self.encodings), (0 | 1, 0) | (0, 1))
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-enum Part {
+enum State {
     #[default]
     Head,
-    /// So many bytes of a body or of a chunk are to come; then what follows.
-    Bytes(u64, bool),
-    /// The line of a chunk's size: what it says so far, and whether its digits are over.
-    Size(u64, bool),
-    /// The lines behind the last chunk; the present one has text.
+    /// A body or a chunk: the number of bytes left, and whether it is a chunk.
+    Body(u64, bool),
+    /// The line with a chunk's size: the size so far, and whether its digits have ended.
+    ChunkSize(u64, bool),
+    /// The lines after the last chunk, and whether the present one has text.
     Trailer(bool),
-    /// It can't be told where the next request begins.
-    Lost,
+    /// It is unknown where the next request begins.
+    Desynchronized,
 }
 
-/// Follows a connection byte by byte; hyper still reads it and refuses what is malformed.
+/// Tracks the requests on a connection byte by byte. hyper still parses them and rejects what is malformed.
 #[derive(Default)]
 pub struct RequestTracker {
-    part: Part,
-    heads: VecDeque<Framing>,
-    /// What follows a request does not begin as another.
-    junk: bool,
-    followed: bool,
-    beginning: Vec<u8>,
+    state: State,
+    pending_heads: VecDeque<Framing>,
+    /// The bytes after a request are not the beginning of another.
+    has_trailing_garbage: bool,
+    /// At least one request has ended.
+    is_follow_up: bool,
+    /// The first bytes of a request that follows another.
+    prefix: Vec<u8>,
+    /// The number of lines of the present head.
     lines: u32,
     framing: Framing,
-    /// The present line up to its colon, in small letters, and whether its value is the length.
+    /// The present line up to its colon, in lower case.
     name: Vec<u8>,
-    value: Option<Vec<u8>>,
+    /// The value of the present line, if it is a `Content-Length` line.
+    length_value: Option<Vec<u8>>,
     in_name: bool,
     line_has_text: bool,
 }
 
 impl RequestTracker {
-    /// Takes in the next bytes.
+    /// Processes the next bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while let Some((&byte, rest)) = bytes.split_first() {
-            if let Part::Bytes(left, chunked) = self.part {
+            if let State::Body(left, chunked) = self.state {
                 let here = left.min(bytes.len() as u64);
                 bytes = &bytes[here as usize..];
-                self.part = match left - here {
-                    0 if chunked => Part::Size(0, false),
+                self.state = match left - here {
+                    0 if chunked => State::ChunkSize(0, false),
                     0 => self.next_request(),
-                    left => Part::Bytes(left, chunked),
+                    left => State::Body(left, chunked),
                 };
                 continue;
             }
             bytes = rest;
-            self.part = match self.part {
-                Part::Head => self.head(byte),
-                Part::Size(size, over) => match (byte, (byte as char).to_digit(16)) {
-                    (b'\n', _) if size == 0 => Part::Trailer(false),
-                    // With the line's end behind the chunk.
-                    (b'\n', _) => Part::Bytes(size.saturating_add(2), true),
-                    (_, Some(digit)) if !over => {
-                        Part::Size(size.saturating_mul(16) + u64::from(digit), false)
+            self.state = match self.state {
+                State::Head => self.head(byte),
+                State::ChunkSize(size, ended) => match (byte, (byte as char).to_digit(16)) {
+                    (b'\n', _) if size == 0 => State::Trailer(false),
+                    // Includes the line end after the chunk.
+                    (b'\n', _) => State::Body(size.saturating_add(2), true),
+                    (_, Some(digit)) if !ended => {
+                        State::ChunkSize(size.saturating_mul(16) + u64::from(digit), false)
                     }
-                    _ => Part::Size(size, true),
+                    _ => State::ChunkSize(size, true),
                 },
-                Part::Trailer(false) if byte == b'\n' => self.next_request(),
-                Part::Trailer(_) if byte == b'\n' => Part::Trailer(false),
-                Part::Trailer(text) => Part::Trailer(text || byte != b'\r'),
-                Part::Bytes(..) | Part::Lost => return,
+                State::Trailer(false) if byte == b'\n' => self.next_request(),
+                State::Trailer(_) if byte == b'\n' => State::Trailer(false),
+                State::Trailer(has_text) => State::Trailer(has_text || byte != b'\r'),
+                State::Body(..) | State::Desynchronized => return,
             };
         }
     }
 
-    fn next_request(&mut self) -> Part {
-        (self.followed, self.lines, self.framing) = (true, 0, Framing::default());
-        self.beginning.clear();
+    fn next_request(&mut self) -> State {
+        (self.is_follow_up, self.lines, self.framing) = (true, 0, Framing::default());
+        self.prefix.clear();
         (self.line_has_text, self.in_name) = (false, false);
-        Part::Head
+        State::Head
     }
 
-    fn head(&mut self, byte: u8) -> Part {
-        if self.followed && self.lines == 0 && !matches!(byte, b'\r' | b'\n') {
-            if self.beginning.len() < BEGINNING_MOST {
-                self.beginning.push(byte);
+    fn head(&mut self, byte: u8) -> State {
+        if self.is_follow_up && self.lines == 0 && !matches!(byte, b'\r' | b'\n') {
+            if self.prefix.len() < MAX_PREFIX_BYTES {
+                self.prefix.push(byte);
             }
-            let begun = &self.beginning;
-            let fits = |b: &&[u8]| b.starts_with(begun) || begun.starts_with(b);
-            self.junk |= !BEGINNINGS.iter().any(fits);
+            let prefix = &self.prefix;
+            let matches = |expected: &&[u8]| expected.starts_with(prefix) || prefix.starts_with(expected);
+            self.has_trailing_garbage |= !REQUEST_PREFIXES.iter().any(matches);
         }
         match byte {
             b'\n' => return self.end_line(),
@@ -120,7 +125,7 @@
                 match self.name.as_slice() {
                     b"content-length" => {
                         self.framing.lengths += 1;
-                        self.value = Some(Vec::new());
+                        self.length_value = Some(Vec::new());
                     }
                     b"transfer-encoding" => self.framing.encodings += 1,
                     _ => {}
@@ -131,63 +136,66 @@
                     (self.line_has_text, self.in_name) = (true, self.lines > 0);
                     self.name.clear();
                 }
-                if self.in_name && self.name.len() < NAME_MOST {
+                if self.in_name && self.name.len() < MAX_NAME_BYTES {
                     self.name.push(byte.to_ascii_lowercase());
-                } else if let Some(value) = self.value.as_mut().filter(|value| value.len() <= NAME_MOST) {
+                } else if let Some(value) =
+                    self.length_value.as_mut().filter(|value| value.len() <= MAX_NAME_BYTES)
+                {
                     value.push(byte);
                 }
             }
         }
-        Part::Head
+        State::Head
     }
 
-    fn end_line(&mut self) -> Part {
-        if let Some(value) = self.value.take() {
+    fn end_line(&mut self) -> State {
+        if let Some(value) = self.length_value.take() {
             let text = std::str::from_utf8(&value).unwrap_or_default().trim();
             let digits = text.bytes().all(|b| b.is_ascii_digit());
             self.framing.length = text.parse().ok().filter(|_| digits);
         }
         self.in_name = false;
-        // Empty lines ahead of the request line are passed over.
+        // Empty lines before the request line are skipped.
         if std::mem::take(&mut self.line_has_text) {
             self.lines += 1;
-            return Part::Head;
+            return State::Head;
         }
         if self.lines == 0 {
-            return Part::Head;
+            return State::Head;
         }
         let framing = self.framing;
-        if self.heads.len() >= HEADS_MOST {
-            return Part::Lost;
+        if self.pending_heads.len() >= MAX_PENDING_HEADS {
+            return State::Desynchronized;
         }
-        self.heads.push_back(framing);
+        self.pending_heads.push_back(framing);
         match (framing.lengths, framing.encodings, framing.length) {
             (0, 0, _) | (1, 0, Some(0)) => self.next_request(),
-            (1, 0, Some(length)) => Part::Bytes(length, false),
-            (0, 1, _) => Part::Size(0, false),
-            _ => Part::Lost,
+            (1, 0, Some(length)) => State::Body(length, false),
+            (0, 1, _) => State::ChunkSize(0, false),
+            _ => State::Desynchronized,
         }
     }
 
-    /// The head of the next request, in the order in which they came.
+    /// Takes the framing of the next request, in the order of arrival.
     pub fn next_framing(&mut self) -> Option<Framing> {
-        self.heads.pop_front()
+        self.pending_heads.pop_front()
     }
 
-    /// More has come than a request, and it is not the beginning of another.
+    /// Whether bytes after a request are not the beginning of another.
     pub fn has_trailing_garbage(&self) -> bool {
-        self.junk
+        self.has_trailing_garbage
     }
 
-    /// Another request has begun to come behind the one that was asked for last.
+    /// Whether a part of another request has arrived behind the one whose framing was taken last.
     pub fn has_next_request(&self) -> bool {
-        !self.heads.is_empty() || (self.part == Part::Head && (self.lines > 0 || self.line_has_text))
+        !self.pending_heads.is_empty()
+            || (self.state == State::Head && (self.lines > 0 || self.line_has_text))
     }
 
-    /// Nothing of a request that has not ended yet has come, however much came before.
+    /// Whether no part of an incomplete request has arrived.
     #[cfg(test)]
-    fn is_between(&self) -> bool {
-        self.part == Part::Head && self.lines == 0 && !self.line_has_text
+    fn is_between_requests(&self) -> bool {
+        self.state == State::Head && self.lines == 0 && !self.line_has_text
     }
 }
 
