--- a/crates/agent/src/accept.rs
+++ b/crates/agent/src/accept.rs
@@ -1,4 +1,4 @@
-//! The one way in which this program accepts connections, whatever listens.
+//! Accepts connections, with retries after errors, for all listeners of this program.
 
 use crate::socket_error::AcceptError;
 use std::future::Future;
@@ -8,17 +8,17 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Pause after an accept that failed for want of descriptors or memory, or that fails at all times.
+/// Pause after an `accept` that failed because descriptors or memory ran out, or for an unknown reason.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// As many connections may wait in a queue, and so may have broken off there. More errors in a row are no connections'.
-const ABORTED_MOST: usize = 1024;
+/// As many connections may wait in the backlog and be aborted there. More such errors in a row have another cause.
+const MAX_ABORTED: usize = 1024;
 
-/// Where connections come in.
+/// A socket that accepts connections.
 pub trait Listener {
-    /// A connection.
+    /// An accepted connection.
     type Stream;
 
-    /// The next connection.
+    /// Accepts the next connection.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
@@ -38,9 +38,14 @@
     }
 }
 
-/// The next connection that can be had. Those that have broken off in the queue are passed over at once, with a turn for everybody
-/// else between two of them. Any other error is handed to `failed`, which may make room, and followed by a pause.
-pub async fn accept<L: Listener>(listener: &L, mut failed: impl FnMut(&io::Error, AcceptError)) -> L::Stream {
+/// Accepts the next connection, however many attempts that takes.
+///
+/// Connections that were aborted in the backlog are skipped at once; other tasks run between two of them. Any other error is
+/// passed to `on_error`, which may free resources, and is followed by a pause.
+pub async fn accept<L: Listener>(
+    listener: &L,
+    mut on_error: impl FnMut(&io::Error, AcceptError),
+) -> L::Stream {
     let mut aborted = 0;
     loop {
         let error = match listener.accept().await {
@@ -48,13 +53,13 @@
             Err(error) => error,
         };
         match AcceptError::from(&error) {
-            AcceptError::ConnectionAborted if aborted < ABORTED_MOST => {
+            AcceptError::ConnectionAborted if aborted < MAX_ABORTED => {
                 aborted += 1;
                 yield_now().await;
                 continue;
             }
-            AcceptError::ConnectionAborted => failed(&error, AcceptError::Other),
-            kind => failed(&error, kind),
+            AcceptError::ConnectionAborted => on_error(&error, AcceptError::Other),
+            kind => on_error(&error, kind),
         }
         aborted = 0;
         sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/agent/src/accept/tests.rs
+++ b/crates/agent/src/accept/tests.rs
@@ -1,4 +1,4 @@
-//! Errors in a forced order from a listener that stands in for the machine's; what it accepts in the end is a real connection.
+//! Scripted errors from a listener that accepts a real connection in the end.
 
 use super::*;
 use rustix::io::Errno;
@@ -9,22 +9,22 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::Instant;
 
-/// Fails as it is told, and then accepts.
-struct Scripted {
+/// Fails with the scripted errors, then accepts.
+struct ScriptedListener {
     errors: RefCell<VecDeque<Errno>>,
     listener: TcpListener,
     calls: Cell<usize>,
 }
 
-impl Scripted {
-    async fn new(errors: impl IntoIterator<Item = Errno>) -> Scripted {
+impl ScriptedListener {
+    async fn new(errors: impl IntoIterator<Item = Errno>) -> ScriptedListener {
         let errors = RefCell::new(errors.into_iter().collect());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Scripted { errors, listener, calls: Cell::new(0) }
+        ScriptedListener { errors, listener, calls: Cell::new(0) }
     }
 }
 
-impl Listener for Scripted {
+impl Listener for ScriptedListener {
     type Stream = TcpStream;
 
     async fn accept(&self) -> io::Result<TcpStream> {
@@ -37,26 +37,29 @@
     }
 }
 
-/// Accepts after these errors; what was handed on of them, and how long it took by the runtime's clock, which stands while there is
-/// anything to do.
-async fn accepted(errors: impl IntoIterator<Item = Errno>) -> (Vec<(Option<Errno>, AcceptError)>, Duration) {
-    let listener = Scripted::new(errors).await;
-    // It waits in the queue before the first call, so that nothing is waited for but pauses.
+/// Accepts a connection after these errors. Returns the errors that were passed to the callback, and the time by the runtime's clock,
+/// which only advances while nothing is left to do.
+async fn accept_after(
+    errors: impl IntoIterator<Item = Errno>,
+) -> (Vec<(Option<Errno>, AcceptError)>, Duration) {
+    let listener = ScriptedListener::new(errors).await;
+    // The connection is in the backlog before the first call, so that only pauses take time.
     let mut client = std::net::TcpStream::connect(listener.listener.local_addr().unwrap()).unwrap();
-    let (mut failed, begun) = (Vec::new(), Instant::now());
-    let mut stream = accept(&listener, |error, kind| failed.push((Errno::from_io_error(error), kind))).await;
-    let took = begun.elapsed();
+    let (mut reported, start) = (Vec::new(), Instant::now());
+    let mut stream =
+        accept(&listener, |error, kind| reported.push((Errno::from_io_error(error), kind))).await;
+    let elapsed = start.elapsed();
     std::io::Write::write_all(&mut client, b"hello").unwrap();
     let mut read = [0; 5];
     stream.read_exact(&mut read).await.unwrap();
     assert_eq!(&read, b"hello", "it is the connection");
-    (failed, took)
+    (reported, elapsed)
 }
 
-/// That one client has hung up, or a signal has come, costs the next client nothing.
+/// A client that hung up, or a signal, delays the next client by nothing.
 #[tokio::test(start_paused = true)]
-async fn what_befell_one_connection_is_passed_over_at_once() {
-    let one = [
+async fn an_aborted_connection_is_skipped_at_once() {
+    let errors = [
         Errno::CONNABORTED,
         Errno::PROTO,
         Errno::PERM,
@@ -69,61 +72,61 @@
         Errno::OPNOTSUPP,
         Errno::NETUNREACH,
     ];
-    assert_eq!(accepted(one).await, (Vec::new(), Duration::ZERO));
-    let many = std::iter::repeat_n(Errno::CONNABORTED, ABORTED_MOST);
-    assert_eq!(accepted(many).await, (Vec::new(), Duration::ZERO), "as many as may wait in a queue");
+    assert_eq!(accept_after(errors).await, (Vec::new(), Duration::ZERO));
+    let many = std::iter::repeat_n(Errno::CONNABORTED, MAX_ABORTED);
+    assert_eq!(accept_after(many).await, (Vec::new(), Duration::ZERO), "as many as fit in the backlog");
 }
 
-/// Whoever holds what is lacking needs time to give it up.
+/// It takes time until descriptors or memory are released.
 #[tokio::test(start_paused = true)]
-async fn want_of_descriptors_or_memory_is_told_and_followed_by_a_pause() {
+async fn a_lack_of_descriptors_or_memory_is_reported_and_followed_by_a_pause() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        let (failed, took) = accepted([errno, errno]).await;
-        assert_eq!(failed, [(Some(errno), AcceptError::ResourceExhausted); 2]);
-        assert!(took >= 2 * ACCEPT_RETRY_DELAY, "{took:?}");
+        let (reported, elapsed) = accept_after([errno, errno]).await;
+        assert_eq!(reported, [(Some(errno), AcceptError::ResourceExhausted); 2]);
+        assert!(elapsed >= 2 * ACCEPT_RETRY_DELAY, "{elapsed:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn any_other_error_is_told_and_followed_by_a_pause() {
-    let (failed, took) = accepted([Errno::INVAL]).await;
-    assert_eq!(failed, [(Some(Errno::INVAL), AcceptError::Other)]);
-    assert!(took >= ACCEPT_RETRY_DELAY, "{took:?}");
+async fn any_other_error_is_reported_and_followed_by_a_pause() {
+    let (reported, elapsed) = accept_after([Errno::INVAL]).await;
+    assert_eq!(reported, [(Some(Errno::INVAL), AcceptError::Other)]);
+    assert!(elapsed >= ACCEPT_RETRY_DELAY, "{elapsed:?}");
 }
 
-/// More in a row than can have waited is no connection's fault; it must not cost the processor for ever.
+/// More errors in a row than the backlog can hold have another cause, and must not keep the processor busy for ever.
 #[tokio::test(start_paused = true)]
-async fn an_endless_row_is_told_and_followed_by_a_pause() {
-    let row = std::iter::repeat_n(Errno::CONNABORTED, ABORTED_MOST + 1);
-    let (failed, took) = accepted(row).await;
-    assert_eq!(failed, [(Some(Errno::CONNABORTED), AcceptError::Other)]);
-    assert!(took >= ACCEPT_RETRY_DELAY, "{took:?}");
+async fn an_endless_row_of_aborts_is_reported_and_followed_by_a_pause() {
+    let row = std::iter::repeat_n(Errno::CONNABORTED, MAX_ABORTED + 1);
+    let (reported, elapsed) = accept_after(row).await;
+    assert_eq!(reported, [(Some(Errno::CONNABORTED), AcceptError::Other)]);
+    assert!(elapsed >= ACCEPT_RETRY_DELAY, "{elapsed:?}");
 }
 
-/// Everybody else has a turn between two of a row, the sockets too.
+/// Between two errors of a row, other tasks run and sockets are polled.
 #[tokio::test(start_paused = true)]
-async fn a_row_does_not_starve_the_others() {
+async fn a_row_of_aborts_does_not_starve_other_tasks() {
     LocalSet::new()
         .run_until(async {
             let listener =
-                Rc::new(Scripted::new(std::iter::repeat_n(Errno::CONNABORTED, ABORTED_MOST)).await);
+                Rc::new(ScriptedListener::new(std::iter::repeat_n(Errno::CONNABORTED, MAX_ABORTED)).await);
             let address = listener.listener.local_addr().unwrap();
-            // Another connection, which is served meanwhile; nobody has looked at it yet.
-            let served = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let mut client = std::net::TcpStream::connect(served.local_addr().unwrap()).unwrap();
+            // Another connection, which is to be served meanwhile; it has not been polled yet.
+            let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
+            let mut client = std::net::TcpStream::connect(other.local_addr().unwrap()).unwrap();
             std::io::Write::write_all(&mut client, b"ask").unwrap();
             let (row, calls) = (Rc::clone(&listener), Rc::new(Cell::new(None)));
-            let (seen, answered) = (Rc::clone(&listener), Rc::clone(&calls));
+            let (row_during_service, calls_at_response) = (Rc::clone(&listener), Rc::clone(&calls));
             let accepting = spawn_local(async move { accept(&*row, |_, _| {}).await });
             let serving = spawn_local(async move {
-                let (mut stream, _) = served.accept().await.unwrap();
+                let (mut stream, _) = other.accept().await.unwrap();
                 stream.read_exact(&mut [0; 3]).await.unwrap();
                 stream.write_all(b"answer").await.unwrap();
-                answered.set(Some(seen.calls.get()));
+                calls_at_response.set(Some(row_during_service.calls.get()));
             });
             serving.await.unwrap();
-            let calls = calls.get().expect("answered");
-            assert!(calls <= ABORTED_MOST, "answered before the row had ended, after {calls} calls");
+            let calls = calls.get().expect("a response");
+            assert!(calls <= MAX_ABORTED, "served before the row had ended, after {calls} calls");
             let mut read = [0; 6];
             std::io::Read::read_exact(&mut client, &mut read).unwrap();
             assert_eq!(&read, b"answer");
--- a/crates/agent/src/gauge.rs
+++ b/crates/agent/src/gauge.rs
@@ -1,26 +1,26 @@
-//! Counts of what is open now.
+//! A count of things that are open now, such as connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the connections of one side that are open.
+/// A count that goes up with each guard and down when the guard is dropped.
 #[derive(Clone, Default)]
 pub struct Gauge(Rc<Cell<usize>>);
 
 impl Gauge {
-    /// How many are open.
+    /// The current count.
     pub fn count(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more until the ticket is dropped.
+    /// Counts one more until the guard is dropped.
     pub fn increment(&self) -> GaugeGuard {
         self.0.set(self.0.get() + 1);
         GaugeGuard(self.clone())
     }
 }
 
-/// One open connection in a [`Gauge`].
+/// One open thing in a [`Gauge`].
 pub struct GaugeGuard(Gauge);
 
 impl Drop for GaugeGuard {
