--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -1,4 +1,4 @@
-//! Answers too long to be held whole: passed on as they come, no faster than the client takes them.
+//! Responses too long to be buffered: streamed to the client as they arrive, no faster than the client takes them.
 
 use crate::connections::{Connections, EndpointAddress, PooledConnection};
 use crate::upload::MAX_BODY_BYTES;
@@ -14,23 +14,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A backend that is waited for must send something of the answer within this.
-const SILENCE_MOST: Duration = Duration::from_secs(4);
+/// How long a read may wait for the next bytes from the record server.
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How the head of an answer says where its body ends (RFC 9112, 6.3).
+/// How the head of a response determines where its body ends (RFC 9112, 6.3).
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum BodyLength {
-    /// After so many bytes.
+    /// After this many bytes.
     Known(u64),
     /// With the last chunk.
     Chunked,
-    /// With the connection. Only an orderly end is one: a reset, an error or a silence is none. Of a server that ends in order
-    /// in the middle of its answer nobody can tell; that is the protocol's own limit.
+    /// With the connection. Only a clean close completes the body; a reset, an error or a timeout does not. A server that closes
+    /// cleanly in the middle of its response can't be noticed: that is a limit of the protocol.
     CloseDelimited,
 }
 
 impl BodyLength {
-    /// The number of bytes, if the head says it.
+    /// The number of bytes, if the head states it.
     pub fn bytes(self) -> Option<u64> {
         match self {
             BodyLength::Known(bytes) => Some(bytes),
@@ -39,43 +39,48 @@
     }
 }
 
-/// The connection that an answer comes on, and where it goes back to when all of it has come.
+/// The connection that a response arrives on, and the connections to which it returns once the response is complete.
 pub struct Origin {
-    /// The connection; closed if the answer does not come whole.
+    /// The connection; closed if the response does not arrive completely.
     pub connection: PooledConnection,
-    /// What it leads to.
+    /// The record server's address.
     pub place: EndpointAddress,
-    /// Where it came from.
+    /// The connections of the pool.
     pub connections: Rc<Connections>,
 }
 
-/// The body of an answer that is passed on while it comes.
+/// The body of a response that is streamed.
 pub struct Download {
-    begun: VecDeque<Bytes>,
+    beginning: VecDeque<Bytes>,
     rest: Incoming,
     length: BodyLength,
-    given: u64,
+    forwarded: u64,
     origin: Option<Origin>,
-    waiting: bool,
-    limit: DeadlineTimer,
+    is_waiting: bool,
+    timer: DeadlineTimer,
     _reservation: Reservation,
 }
 
 impl Download {
-    /// Of this answer so much has come.
-    pub fn new(begun: VecDeque<Bytes>, rest: Incoming, length: BodyLength, reservation: Reservation) -> Self {
-        let limit = DeadlineTimer::new(Instant::now());
-        let (given, origin, waiting) = (0, None, false);
-        Download { begun, rest, length, given, origin, waiting, limit, _reservation: reservation }
+    /// A response whose beginning has been read.
+    pub fn new(
+        beginning: VecDeque<Bytes>,
+        rest: Incoming,
+        length: BodyLength,
+        reservation: Reservation,
+    ) -> Self {
+        let timer = DeadlineTimer::new(Instant::now());
+        let (forwarded, origin, is_waiting) = (0, None, false);
+        Download { beginning, rest, length, forwarded, origin, is_waiting, timer, _reservation: reservation }
     }
 
-    /// Keeps the connection as long as the answer comes on it.
+    /// Keeps the connection for as long as the response arrives on it.
     pub fn keep_connection(&mut self, origin: Origin) {
         self.origin = Some(origin);
     }
 
-    /// All of it has come.
-    fn give_back(&mut self) {
+    /// Releases the connection: the response is complete.
+    fn release_connection(&mut self) {
         if let Some(Origin { connection, place, connections }) = self.origin.take() {
             if !connection.monitor.has_ended() {
                 connections.release(place, connection);
@@ -83,28 +88,28 @@
         }
     }
 
-    /// Nothing more comes: whether that is the end of the answer.
-    fn is_whole(&self) -> bool {
-        let has_ended =
+    /// Whether the end of the stream is the end of the response.
+    fn is_complete(&self) -> bool {
+        let has_ended_cleanly =
             || self.origin.as_ref().is_some_and(|origin| origin.connection.monitor.has_ended_cleanly());
-        self.length != BodyLength::CloseDelimited || has_ended()
+        self.length != BodyLength::CloseDelimited || has_ended_cleanly()
     }
 
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
-        if let Some(data) = self.begun.pop_front() {
+        if let Some(data) = self.beginning.pop_front() {
             return Poll::Ready(Some(Ok(data)));
         }
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
-                if !std::mem::replace(&mut self.waiting, true) {
-                    self.limit.reset(Instant::now() + SILENCE_MOST);
+                if !std::mem::replace(&mut self.is_waiting, true) {
+                    self.timer.reset(Instant::now() + READ_TIMEOUT);
                 }
-                ready!(self.limit.poll_expired(cx));
+                ready!(self.timer.poll_expired(cx));
                 return Poll::Ready(Some(Err(ErrorKind::TimedOut.into())));
             };
-            self.waiting = false;
+            self.is_waiting = false;
             match frame {
-                None if self.is_whole() => return Poll::Ready(None),
+                None if self.is_complete() => return Poll::Ready(None),
                 None => return Poll::Ready(Some(Err(ErrorKind::ConnectionReset.into()))),
                 Some(Err(e)) => return Poll::Ready(Some(Err(Error::other(e)))),
                 Some(Ok(frame)) => {
@@ -121,21 +126,21 @@
     type Data = Bytes;
     type Error = Error;
 
-    /// An error ends the client's connection, so that it can tell that the answer is not whole.
+    /// An error closes the client's connection, so that the client notices that the response is incomplete.
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let this = self.get_mut();
         let next = ready!(this.poll_next(cx));
         Poll::Ready(match next {
             None => {
-                this.give_back();
+                this.release_connection();
                 None
             }
             Some(Ok(data)) => {
-                this.given += data.len() as u64;
+                this.forwarded += data.len() as u64;
                 if this.is_end_stream() {
-                    this.give_back();
+                    this.release_connection();
                 }
-                let fits = this.given <= MAX_BODY_BYTES;
+                let fits = this.forwarded <= MAX_BODY_BYTES;
                 Some(if fits { Ok(Frame::data(data)) } else { Err(ErrorKind::FileTooLarge.into()) })
             }
             Some(Err(e)) => Some(Err(e)),
@@ -143,11 +148,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.length == BodyLength::Known(self.given)
+        self.length == BodyLength::Known(self.forwarded)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let left = self.length.bytes().map(|all| all.saturating_sub(self.given));
+        let left = self.length.bytes().map(|length| length.saturating_sub(self.forwarded));
         left.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests: what is short is held whole; of what is longer the beginning is held, and the rest goes on to
-//! a backend as it comes, no faster than that backend takes it.
+//! Bodies of requests. A short body is buffered completely. Of a longer one the beginning is buffered, and the rest is streamed to
+//! a record server, no faster than the server takes it.
 
 use bytes::Bytes;
 use heronhoist_engine::timing::DeadlineTimer;
@@ -15,81 +15,90 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The largest body that either side may send.
+/// The largest body that either side may send, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
-/// Of a body so much is held; one that is no longer can be sent again.
+/// The part of a body that is buffered, in bytes; a body that fits can be sent again.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// A client that is waited for must send something within this,
-const SILENCE_MOST: Duration = Duration::from_millis(1200);
-/// and over the whole body be waited for no longer than this and a time for each byte. Clients may send 64 kB a
-/// second; half of that leaves room for what the machine delays.
-const WAIT_BASE: Duration = Duration::from_millis(1500);
-const WAIT_BYTES_PER_S: f64 = 32_000.0;
-
-/// Of a body whose rest nobody reads, this much at most may have left its client all the same: what the two sockets can hold.
-const UNREAD_MOST: u64 = 4 * 1024 * 1024;
-/// What lies in the socket is read without so long a wait.
-const PAUSE_LEAST: Duration = Duration::from_millis(10);
-
-/// Why a body did not come whole.
+/// How long a read may wait for the next bytes from the client.
+const READ_TIMEOUT: Duration = Duration::from_millis(1200);
+/// How long all reads of a body may wait together, apart from a time for each byte.
+const BASE_BODY_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The rate at which that time grows with the bytes read. Clients may send at 64 kB/s; half of that leaves a margin for delays of this
+/// machine.
+const MIN_BYTES_PER_S: f64 = 32_000.0;
+
+/// The most bytes of a body that may have left the client while nobody reads them: what the two socket buffers can hold.
+const MAX_UNREAD_BYTES: u64 = 4 * 1024 * 1024;
+/// A read that waits at least this long has waited for the client; bytes in the socket are read sooner.
+const MIN_PAUSE: Duration = Duration::from_millis(10);
+
+/// Why a body did not arrive completely.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum UploadError {
-    /// Its connection or its coding broke.
+    /// The connection failed, or its transfer coding is invalid.
     Unreadable,
-    /// It came too slowly or stopped.
+    /// It arrived too slowly, or stopped.
     TooSlow,
-    /// There is more of it than may be.
+    /// It has more than [`MAX_BODY_BYTES`].
     TooLarge,
 }
 
-/// A body as it comes from a client, at the pace of whoever reads it.
+/// Reads a client's body, with a limit on its size and on the time that reads wait for the client.
 pub struct BodyReader {
     body: Incoming,
-    read: u64,
-    /// How long the client was waited for in all, and since when it is now.
+    bytes_read: u64,
+    /// The time that reads have waited for the client so far.
     waited: Duration,
+    /// When the present read began to wait.
     waiting_since: Option<Instant>,
-    /// It was waited for in earnest since this was last set to false: then not all of it had come.
+    /// A read has waited for [`MIN_PAUSE`] since this was last set to false: the rest had not arrived by then.
     has_paused: bool,
-    limit: DeadlineTimer,
+    timer: DeadlineTimer,
 }
 
 impl BodyReader {
-    /// Nothing read yet.
+    /// A reader of this body, of which nothing has been read.
     pub fn new(body: Incoming) -> Self {
-        let limit = DeadlineTimer::new(Instant::now());
-        BodyReader { body, read: 0, waited: Duration::ZERO, waiting_since: None, has_paused: false, limit }
+        let timer = DeadlineTimer::new(Instant::now());
+        BodyReader {
+            body,
+            bytes_read: 0,
+            waited: Duration::ZERO,
+            waiting_since: None,
+            has_paused: false,
+            timer,
+        }
     }
 
-    /// The next bytes; `None` at the end. Time counts against the client only while it is waited for.
+    /// Reads the next bytes; `None` at the end. Time counts against the client only while a read waits for it.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(cx) else {
                 if self.waiting_since.is_none() {
                     let now = Instant::now();
                     self.waiting_since = Some(now);
-                    let earned = Duration::from_secs_f64(self.read as f64 / WAIT_BYTES_PER_S);
-                    let left = (WAIT_BASE + earned).saturating_sub(self.waited);
-                    self.limit.reset(now + left.min(SILENCE_MOST));
+                    let earned = Duration::from_secs_f64(self.bytes_read as f64 / MIN_BYTES_PER_S);
+                    let left = (BASE_BODY_TIMEOUT + earned).saturating_sub(self.waited);
+                    self.timer.reset(now + left.min(READ_TIMEOUT));
                 }
-                ready!(self.limit.poll_expired(cx));
+                ready!(self.timer.poll_expired(cx));
                 return Poll::Ready(Some(Err(UploadError::TooSlow)));
             };
             if let Some(since) = self.waiting_since.take() {
                 let wait = since.elapsed();
-                // What this process was held up itself is not all the client's.
-                self.waited += wait.min(SILENCE_MOST);
-                self.has_paused |= wait >= PAUSE_LEAST;
+                // The time may include a delay of this process itself, so no more than the timeout counts.
+                self.waited += wait.min(READ_TIMEOUT);
+                self.has_paused |= wait >= MIN_PAUSE;
             }
             return Poll::Ready(match frame {
                 None => None,
                 Some(Err(_)) => Some(Err(UploadError::Unreadable)),
                 Some(Ok(frame)) => match frame.into_data() {
-                    // Trailers say nothing that a backend needs.
+                    // No server needs the trailers.
                     Err(_) => continue,
                     Ok(data) => {
-                        self.read += data.len() as u64;
-                        let fits = self.read <= MAX_BODY_BYTES;
+                        self.bytes_read += data.len() as u64;
+                        let fits = self.bytes_read <= MAX_BODY_BYTES;
                         Some(if fits { Ok(data) } else { Err(UploadError::TooLarge) })
                     }
                 },
@@ -97,103 +106,106 @@
         }
     }
 
-    /// The next bytes; `None` at the end.
+    /// Reads the next bytes; `None` at the end.
     pub async fn next(&mut self) -> Option<Result<Bytes, UploadError>> {
         poll_fn(|cx| self.poll_next(cx)).await
     }
 
-    /// Reads on what nobody wants, so that its client comes to read its answer; what it says too late or too long
-    /// ends it.
+    /// Reads the rest and drops it, so that the client gets to read its response; ends early if the rest is too slow or too large.
     pub async fn discard(mut self) {
         while let Some(Ok(_)) = self.next().await {}
     }
 }
 
-/// How far a long body has come.
+/// How much of a streamed body has arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum UploadState {
-    /// More of it is to come.
+    /// Not all of it.
     Incomplete,
-    /// Its last byte came then.
+    /// All of it, the last byte at this time.
     Complete(Instant),
-    /// It will not come whole.
+    /// Not all of it, and no more is expected.
     Failed(UploadError),
 }
 
-/// A body too long to be held whole.
+/// A streamed body: one that is too long to be buffered.
 pub struct Upload {
-    /// Its beginning, until more than that has been taken.
-    held: RefCell<Vec<Bytes>>,
+    /// Its beginning, until an attempt takes more than that.
+    buffered: RefCell<Vec<Bytes>>,
     rest: RefCell<Option<BodyReader>>,
-    /// Bytes of it in all, if its head says so.
+    /// Its total length, if the head states it.
     length: Option<u64>,
-    spent: Cell<bool>,
-    /// Since when nobody has read on in it, and for how long that was so before an attempt did.
+    is_consumed: Cell<bool>,
+    /// When its beginning had been read.
     unread_since: Instant,
+    /// How long after that an attempt read on; `None` if none has.
     unread_for: Cell<Option<Duration>>,
-    coming: watch::Sender<UploadState>,
+    state: watch::Sender<UploadState>,
 }
 
 impl Upload {
-    /// A body of which this has come.
-    pub fn new(held: Vec<Bytes>, rest: BodyReader, length: Option<u64>) -> Rc<Self> {
-        let coming = watch::Sender::new(UploadState::Incomplete);
-        let (held, rest) = (RefCell::new(held), RefCell::new(Some(rest)));
-        let (spent, unread_since, unread_for) = (Cell::new(false), Instant::now(), Cell::new(None));
-        Rc::new(Upload { held, rest, length, spent, unread_since, unread_for, coming })
+    /// A body whose beginning has been read.
+    pub fn new(buffered: Vec<Bytes>, rest: BodyReader, length: Option<u64>) -> Rc<Self> {
+        let state = watch::Sender::new(UploadState::Incomplete);
+        let (buffered, rest) = (RefCell::new(buffered), RefCell::new(Some(rest)));
+        let (is_consumed, unread_since, unread_for) = (Cell::new(false), Instant::now(), Cell::new(None));
+        Rc::new(Upload { buffered, rest, length, is_consumed, unread_since, unread_for, state })
     }
 
-    /// Since when its client may have sent all of it with nobody reading on; `None` if somebody has, or if it can't.
+    /// Since when the client may have sent all of it while nobody reads on. `None` if an attempt has read on, or if it is too large to
+    /// have been sent completely.
     pub fn unread_since(&self) -> Option<Instant> {
-        let may_be_whole = self.length.is_none_or(|bytes| bytes <= UNREAD_MOST);
+        let may_be_whole = self.length.is_none_or(|bytes| bytes <= MAX_UNREAD_BYTES);
         (may_be_whole && self.unread_for.get().is_none()).then_some(self.unread_since)
     }
 
-    /// The last of it has been read. If it was never waited for, it lay here whole before an attempt read on.
-    fn whole(&self, rest: &BodyReader) -> UploadState {
-        let lay = self.unread_for.get().filter(|_| !rest.has_paused && rest.read <= UNREAD_MOST);
+    /// The state once the last byte has been read. If no read has waited for the client, the whole body had arrived before an attempt
+    /// read on.
+    fn complete_state(&self, rest: &BodyReader) -> UploadState {
+        let unread_for =
+            self.unread_for.get().filter(|_| !rest.has_paused && rest.bytes_read <= MAX_UNREAD_BYTES);
         let now = Instant::now();
-        UploadState::Complete(now.checked_sub(lay.unwrap_or_default()).unwrap_or(now))
+        UploadState::Complete(now.checked_sub(unread_for.unwrap_or_default()).unwrap_or(now))
     }
 
-    /// What it holds is not all that an attempt had any more.
+    /// Whether an attempt has taken more than the buffered beginning, so that no other can send the whole body.
     pub fn is_consumed(&self) -> bool {
-        self.spent.get()
+        self.is_consumed.get()
     }
 
-    /// How far it has come.
+    /// How much of it has arrived.
     pub fn state(&self) -> UploadState {
-        *self.coming.borrow()
+        *self.state.borrow()
     }
 
-    /// Comes back when the last of it has come, or never will.
+    /// Waits until all of it has arrived, or no more is expected.
     pub async fn wait_until_finished(&self) -> UploadState {
-        let mut coming = self.coming.subscribe();
-        let wait_until_finished = coming.wait_for(|coming| *coming != UploadState::Incomplete).await;
-        wait_until_finished.map_or(UploadState::Failed(UploadError::Unreadable), |coming| *coming)
+        let mut state = self.state.subscribe();
+        let finished = state.wait_for(|state| *state != UploadState::Incomplete).await;
+        finished.map_or(UploadState::Failed(UploadError::Unreadable), |state| *state)
     }
 
-    /// How many bytes an attempt must have written of it to have written all; `None` while nobody knows.
+    /// The total length; `None` while it is unknown.
     pub fn total_bytes(&self) -> Option<u64> {
         match (self.length, self.state(), &*self.rest.borrow()) {
             (Some(length), ..) => Some(length),
-            (None, UploadState::Complete(_), Some(rest)) => Some(rest.read),
+            (None, UploadState::Complete(_), Some(rest)) => Some(rest.bytes_read),
             _ => None,
         }
     }
 
-    /// Nothing will be sent of it any more. What its client may still be writing has to be read, or it would not come
-    /// to read its answer; `None` if there is no more.
+    /// Ends the use of the body. Returns the rest that the client may still be writing, which must be read so that the client gets to
+    /// read its response; `None` if there is no rest.
     pub fn abandon(&self) -> Option<BodyReader> {
-        self.spent.set(true);
-        let more = self.coming.send_if_modified(|coming| {
-            let more = *coming == UploadState::Incomplete;
-            if more {
-                *coming = UploadState::Failed(UploadError::Unreadable);
+        self.is_consumed.set(true);
+        let is_incomplete = self.state.send_if_modified(|state| {
+            let is_incomplete = *state == UploadState::Incomplete;
+            if is_incomplete {
+                *state = UploadState::Failed(UploadError::Unreadable);
             }
-            more
+            is_incomplete
         });
-        self.rest.borrow_mut().take().filter(|_| more)
+        self.rest.borrow_mut().take().filter(|_| is_incomplete)
     }
 
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
@@ -209,14 +221,14 @@
         let next = ready!(rest.poll_next(cx));
         match &next {
             Some(Ok(_)) => {
-                self.spent.set(true);
-                self.held.borrow_mut().clear();
-                if self.length == Some(rest.read) {
-                    self.coming.send_replace(self.whole(rest));
+                self.is_consumed.set(true);
+                self.buffered.borrow_mut().clear();
+                if self.length == Some(rest.bytes_read) {
+                    self.state.send_replace(self.complete_state(rest));
                 }
             }
-            Some(Err(broken)) => drop(self.coming.send_replace(UploadState::Failed(*broken))),
-            None => drop(self.coming.send_replace(self.whole(rest))),
+            Some(Err(error)) => drop(self.state.send_replace(UploadState::Failed(*error))),
+            None => drop(self.state.send_replace(self.complete_state(rest))),
         }
         Poll::Ready(next)
     }
@@ -241,8 +253,8 @@
 }
 
 impl From<UploadState> for heronhoist_engine::BodyProgress {
-    fn from(coming: UploadState) -> Self {
-        match coming {
+    fn from(state: UploadState) -> Self {
+        match state {
             UploadState::Incomplete => heronhoist_engine::BodyProgress::Incomplete,
             UploadState::Complete(at) => heronhoist_engine::BodyProgress::Complete(at),
             UploadState::Failed(_) => heronhoist_engine::BodyProgress::Failed,
@@ -250,17 +262,17 @@
     }
 }
 
-/// The body of a request that is passed on.
+/// The body of a request that is forwarded.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// All of it.
+    /// The whole body.
     Buffered(Bytes),
-    /// Its beginning; the rest is to come.
+    /// A body that is still arriving.
     Streaming(Rc<Upload>),
 }
 
 impl RequestBody {
-    /// The long body that this is, if it is one.
+    /// The streamed body, if this is one.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -268,7 +280,7 @@
         }
     }
 
-    /// As one attempt sends it.
+    /// The body for one attempt.
     pub fn attempt_body(&self) -> AttemptBody {
         match self {
             RequestBody::Buffered(bytes) => AttemptBody::Buffered(Full::new(bytes.clone())),
@@ -279,17 +291,17 @@
     }
 }
 
-/// A request's body on its way to a backend.
+/// A request's body as one attempt sends it.
 pub enum AttemptBody {
-    /// Held whole.
+    /// The whole body.
     Buffered(Full<Bytes>),
-    /// What is held, and then what comes.
+    /// The buffered beginning, then the rest as it arrives.
     Streaming {
-        /// Where it comes from.
+        /// The body.
         upload: Rc<Upload>,
-        /// The next held piece.
+        /// The index of the next buffered chunk.
         next: usize,
-        /// Bytes given out so far.
+        /// The number of bytes passed to hyper so far.
         written: u64,
     },
 }
@@ -305,17 +317,17 @@
         match self.get_mut() {
             AttemptBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
             AttemptBody::Streaming { upload, next, written } => {
-                let held = upload.held.borrow().get(*next).cloned();
-                let data = match held {
+                let buffered = upload.buffered.borrow().get(*next).cloned();
+                let data = match buffered {
                     Some(data) => {
                         *next += 1;
                         Some(Ok(data))
                     }
                     None => ready!(upload.poll_rest(cx)),
                 };
-                let broken = |_| std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
+                let incomplete = |_| std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
                 Poll::Ready(data.map(|data| {
-                    let data = data.map_err(broken)?;
+                    let data = data.map_err(incomplete)?;
                     *written += data.len() as u64;
                     Ok(Frame::data(data))
                 }))
@@ -334,7 +346,7 @@
         match self {
             AttemptBody::Buffered(body) => body.size_hint(),
             AttemptBody::Streaming { upload, written, .. } => {
-                upload.length.map_or_else(SizeHint::default, |all| SizeHint::with_exact(all - written))
+                upload.length.map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - written))
             }
         }
     }
