--- a/crates/agent/src/client_connections.rs
+++ b/crates/agent/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections: which may stay, and which must go to make room or because nothing comes of them.
+//! The clients' connections: which ones stay open, and which are closed because they time out or to make room for others.
 
 use crate::framing::Framing;
 use crate::metered_stream::StreamMonitor;
@@ -9,120 +9,124 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The first head must have come this long after its connection, and a later one this long after its first byte: clients
-/// may spend 2 s on one. Bodies have limits of their own.
-const READ_WAIT: Duration = Duration::from_millis(2600);
-/// A new connection that has said nothing at all is let go sooner.
-const FIRST_WAIT: Duration = Duration::from_millis(2200);
-/// An idle connection that has carried a request may stay this long.
-const IDLE_WAIT: Duration = Duration::from_secs(60);
-/// Where there are many, only this long.
-const CROWD_WAIT: Duration = Duration::from_secs(2);
-/// A client that takes nothing of its answer for this long gets no more of it.
-const STUCK_WAIT: Duration = Duration::from_secs(4);
-/// How long a connection that has been turned away may take to end.
-const LEAVE_WAIT: Duration = Duration::from_millis(600);
-/// A connection that has said nothing, or only half of a request, for this long makes room before any that has
-/// carried a request does.
-const SILENT_FAIR: Duration = Duration::from_millis(50);
-const READING_FAIR: Duration = Duration::from_millis(150);
-const BODY_FAIR: Duration = Duration::from_millis(500);
+/// How long the first head may take from the start of its connection, and a later one from its first byte: clients may
+/// take 2 s to send one. Bodies have timeouts of their own.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2600);
+/// How long a new connection may stay open without a single byte from the client.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// How long a connection that has carried a request may stay idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The same while there are many connections.
+const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A client that takes nothing of its response for this long gets no more of it.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long a client may take to read its last response before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(600);
+/// From this age on, a connection without a single byte from the client may be evicted, before any that has carried a
+/// request.
+const MIN_SILENT_AGE: Duration = Duration::from_millis(50);
+/// The same for a connection on which only a part of a head has arrived.
+const MIN_HEAD_AGE: Duration = Duration::from_millis(150);
+/// The same for a connection whose body has stopped arriving.
+const MIN_BODY_AGE: Duration = Duration::from_millis(500);
 
 /// What a connection is doing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
-    /// Nothing of a request has come.
-    Waiting,
-    /// A request has begun to come.
-    Reading,
-    /// Its head has come; what there is of a body may still be coming.
-    Body,
-    /// A request is whole and owed its answer.
-    Busy,
-    /// It has been turned away.
-    Leaving,
+    /// No byte of the next request has been read.
+    AwaitingRequest,
+    /// A part of a head has been read.
+    ReadingHead,
+    /// The head has been read; the body, if there is one, may still be arriving.
+    ReadingBody,
+    /// The request is complete, and its response is pending.
+    Processing,
+    /// The last response has been given.
+    Closing,
 }
 
-/// How a connection is to end.
+/// How a connection is closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Close {
-    /// When what is owed on it has been given.
+    /// Once all pending responses have been sent.
     Graceful,
-    /// Now.
+    /// At once.
     Immediate,
 }
 
-/// What a connection shows of itself to the others.
-pub struct Seat {
+/// The state of a client's connection.
+pub struct ClientConnection {
     monitor: StreamMonitor,
     phase: Cell<Phase>,
-    since: Cell<Instant>,
+    phase_since: Cell<Instant>,
     framing: Cell<Option<Framing>>,
-    used: Cell<bool>,
-    /// It has been used more than once, so its client may come back.
-    reused: Cell<bool>,
-    /// A long answer is being passed on, and the connection ends after it or not.
-    passing: Cell<bool>,
-    leaves: Cell<bool>,
-    /// What comes is still of a request that has its answer.
-    discards: Cell<bool>,
-    /// What had been received at the last change, and when that was seen.
-    heard: Cell<(u64, Instant)>,
-    /// Changes of phase so far, and what they were when it was told to end.
-    changes: Cell<u64>,
-    told: Cell<u64>,
-    /// What has come has had its last chance to be read.
-    spared: Cell<bool>,
-    end: Cell<Option<Close>>,
-    ending: Notify,
+    has_carried_request: Cell<bool>,
+    /// It has carried more than one request, so its client is likely to send another.
+    is_reused: Cell<bool>,
+    /// A long response is being streamed to the client.
+    is_streaming: Cell<bool>,
+    /// The connection is closed after the present response.
+    closes_after_response: Cell<bool>,
+    /// What arrives is the rest of a body that is thrown away.
+    is_discarding: Cell<bool>,
+    /// The number of bytes received so far, and when it was last seen to change.
+    last_received: Cell<(u64, Instant)>,
+    /// The number of phase changes so far, and what it was when the close was requested.
+    phase_changes: Cell<u64>,
+    changes_at_close_request: Cell<u64>,
+    /// The last check found a timeout. The close was put off if bytes had arrived that could still be read.
+    was_spared: Cell<bool>,
+    requested_close: Cell<Option<Close>>,
+    close_request: Notify,
 }
 
-impl Seat {
-    /// The socket below it.
+impl ClientConnection {
+    /// Observes the socket.
     pub fn monitor(&self) -> &StreamMonitor {
         &self.monitor
     }
 
-    /// It has carried a request already.
-    pub fn is_used(&self) -> bool {
-        self.used.get()
+    /// Whether the head of a request has been read.
+    pub fn has_carried_request(&self) -> bool {
+        self.has_carried_request.get()
     }
 
-    /// It owes an answer.
-    pub fn is_busy(&self) -> bool {
-        matches!(self.phase.get(), Phase::Body | Phase::Busy)
+    /// Whether a request has been read that has no response yet.
+    pub fn is_response_pending(&self) -> bool {
+        matches!(self.phase.get(), Phase::ReadingBody | Phase::Processing)
     }
 
-    /// It has been told to end.
-    pub fn is_ending(&self) -> bool {
-        self.end.get().is_some()
+    /// Whether the connection is to be closed.
+    pub fn is_close_requested(&self) -> bool {
+        self.requested_close.get().is_some()
     }
 
-    /// A request has begun to come on it, be it that nobody has read that yet.
-    pub fn is_coming(&self) -> bool {
+    /// Whether a part of a request has arrived, even if it has not been read yet.
+    pub fn is_request_arriving(&self) -> bool {
         match self.phase.get() {
-            Phase::Waiting => self.monitor.has_next_request() || self.monitor.has_unread_bytes(),
-            Phase::Reading => true,
-            Phase::Body | Phase::Busy | Phase::Leaving => false,
+            Phase::AwaitingRequest => self.monitor.has_next_request() || self.monitor.has_unread_bytes(),
+            Phase::ReadingHead => true,
+            Phase::ReadingBody | Phase::Processing | Phase::Closing => false,
         }
     }
 
-    /// Behind what is being answered another request has begun to come, which a close would leave without an answer.
-    pub fn has_next(&self) -> bool {
+    /// Whether a part of another request has been read behind the present one; it would get no response if the
+    /// connection were closed.
+    pub fn has_pipelined_request(&self) -> bool {
         self.monitor.has_next_request() && !self.monitor.has_trailing_garbage()
     }
 
-    /// What is left of a body is read and thrown away, or no longer.
-    pub fn discard(&self, discards: bool) {
-        self.discards.set(discards);
-        self.since.set(Instant::now());
+    /// Marks whether the rest of a body is being read and thrown away.
+    pub fn set_discarding(&self, is_discarding: bool) {
+        self.is_discarding.set(is_discarding);
+        self.phase_since.set(Instant::now());
     }
 
-    fn enter(&self, phase: Phase) {
+    fn enter_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        self.since.set(Instant::now());
-        self.changes.set(self.changes.get() + 1);
-        self.spared.set(false);
+        self.phase_since.set(Instant::now());
+        self.phase_changes.set(self.phase_changes.get() + 1);
+        self.was_spared.set(false);
     }
 
     /// What the head of the present request says of its length.
@@ -130,135 +134,145 @@
         self.framing.get()
     }
 
-    /// The head of a request has come.
-    pub fn begin(&self) {
+    /// The head of a request has been read.
+    pub fn begin_request(&self) {
         self.framing.set(self.monitor.next_framing());
-        self.reused.set(self.used.replace(true));
-        self.enter(Phase::Body);
+        self.is_reused.set(self.has_carried_request.replace(true));
+        self.enter_phase(Phase::ReadingBody);
     }
 
-    /// The request is whole.
-    pub fn take(&self) {
-        self.enter(Phase::Busy);
+    /// The request has been read completely.
+    pub fn complete_request(&self) {
+        self.enter_phase(Phase::Processing);
     }
 
-    /// Its answer is a long one, which is passed on as it comes.
-    pub fn pass_on(&self) {
-        self.passing.set(true);
+    /// The response is streamed: [`finish_response`](Self::finish_response) takes effect only with
+    /// [`end_streaming`](Self::end_streaming).
+    pub fn begin_streaming(&self) {
+        self.is_streaming.set(true);
     }
 
-    /// The end of a long answer.
-    pub fn passed_on(&self) {
-        self.passing.set(false);
-        self.answer(self.leaves.get());
+    /// The streamed response has ended.
+    pub fn end_streaming(&self) {
+        self.is_streaming.set(false);
+        self.finish_response(self.closes_after_response.get());
     }
 
-    /// It has its answer; the connection ends with it if it `leaves`.
-    pub fn answer(&self, leaves: bool) {
-        self.leaves.set(leaves);
-        if self.passing.get() {
+    /// The response has been given; `closes` tells whether the connection is closed after it.
+    pub fn finish_response(&self, closes: bool) {
+        self.closes_after_response.set(closes);
+        if self.is_streaming.get() {
             return;
         }
-        self.enter(if leaves { Phase::Leaving } else { Phase::Waiting });
+        self.enter_phase(if closes { Phase::Closing } else { Phase::AwaitingRequest });
     }
 
-    /// It has nothing more to give; true if an answer may still be under way, and its client is given time to take it.
-    pub fn leave(&self) -> bool {
-        let lately = self.monitor.last_write_at().is_some_and(|at| at.elapsed() < LEAVE_WAIT);
-        if lately && self.phase.get() != Phase::Leaving {
-            self.enter(Phase::Leaving);
+    /// The last response has been written. Returns whether some of it may still be in transit, in which case the client is
+    /// given time to read it.
+    pub fn begin_lingering(&self) -> bool {
+        let is_recent = self.monitor.last_write_at().is_some_and(|at| at.elapsed() < LINGER_TIMEOUT);
+        if is_recent && self.phase.get() != Phase::Closing {
+            self.enter_phase(Phase::Closing);
         }
-        lately
+        is_recent
     }
 
-    fn tell(&self, end: Close) {
-        if self.end.get() != Some(Close::Immediate) {
-            self.end.set(Some(end));
-            self.told.set(self.changes.get());
-            self.ending.notify_one();
+    fn request_close(&self, close: Close) {
+        if self.requested_close.get() != Some(Close::Immediate) {
+            self.requested_close.set(Some(close));
+            self.changes_at_close_request.set(self.phase_changes.get());
+            self.close_request.notify_one();
         }
     }
 
-    /// Comes back when it is told to end, or to end sooner.
-    pub async fn ended(&self) -> Close {
+    /// Waits until a close is requested, or a more urgent one than before.
+    pub async fn close_requested(&self) -> Close {
         loop {
-            self.ending.notified().await;
-            // A request has become whole or has had its answer since: the reason is gone.
-            if self.end.get() == Some(Close::Immediate) && self.changes.get() != self.told.get() {
-                self.end.set(None);
+            self.close_request.notified().await;
+            // The reason for the close no longer holds: a request has become complete or has got its response since.
+            if self.requested_close.get() == Some(Close::Immediate)
+                && self.phase_changes.get() != self.changes_at_close_request.get()
+            {
+                self.requested_close.set(None);
                 continue;
             }
-            return self.end.get().unwrap_or(Close::Graceful);
+            return self.requested_close.get().unwrap_or(Close::Graceful);
         }
     }
 
-    /// Comes back when it is told to end now.
-    pub async fn closed_immediately(&self) {
-        while self.ended().await != Close::Immediate {}
+    /// Waits until an immediate close is requested.
+    pub async fn immediate_close_requested(&self) {
+        while self.close_requested().await != Close::Immediate {}
     }
 
-    /// Whether its time is over.
-    fn overdue(&self, now: Instant) -> Option<Close> {
+    /// How the connection is to be closed, if it has timed out.
+    fn check_timeouts(&self, now: Instant) -> Option<Close> {
         let received = self.monitor.bytes_received();
-        if self.heard.get().0 != received {
-            self.heard.set((received, now));
+        if self.last_received.get().0 != received {
+            self.last_received.set((received, now));
         }
-        if self.discards.get() {
+        if self.is_discarding.get() {
             return None;
         }
-        if self.phase.get() == Phase::Waiting && self.monitor.has_next_request() {
-            // A new connection has its time for the whole request from its start.
-            self.phase.set(Phase::Reading);
-            if self.used.get() {
-                self.since.set(now);
+        if self.phase.get() == Phase::AwaitingRequest && self.monitor.has_next_request() {
+            // On a new connection the timeout runs from the start of the connection.
+            self.phase.set(Phase::ReadingHead);
+            if self.has_carried_request.get() {
+                self.phase_since.set(now);
             }
         }
-        let age = now.saturating_duration_since(self.since.get());
-        let stuck = self
+        let age = now.saturating_duration_since(self.phase_since.get());
+        let is_stalled = self
             .monitor
             .write_stalled_since()
-            .is_some_and(|since| now.saturating_duration_since(since) > STUCK_WAIT);
-        let end = match self.phase.get() {
-            _ if stuck => Some(Close::Immediate),
-            // What stands behind is answered once its client has taken this.
-            _ if self.is_unsent() => None,
-            Phase::Waiting if self.used.get() => (age > IDLE_WAIT).then_some(Close::Graceful),
-            Phase::Waiting => (age > FIRST_WAIT).then_some(Close::Immediate),
-            Phase::Reading => (age > READ_WAIT).then_some(Close::Immediate),
-            Phase::Leaving => (age > LEAVE_WAIT).then_some(Close::Immediate),
-            Phase::Body | Phase::Busy => None,
+            .is_some_and(|since| now.saturating_duration_since(since) > WRITE_STALL_TIMEOUT);
+        let close = match self.phase.get() {
+            _ if is_stalled => Some(Close::Immediate),
+            // The requests behind it get their responses once the client has taken this one.
+            _ if self.has_unsent_bytes() => None,
+            Phase::AwaitingRequest if self.has_carried_request.get() => {
+                (age > IDLE_TIMEOUT).then_some(Close::Graceful)
+            }
+            Phase::AwaitingRequest => (age > FIRST_BYTE_TIMEOUT).then_some(Close::Immediate),
+            Phase::ReadingHead => (age > HEAD_TIMEOUT).then_some(Close::Immediate),
+            Phase::Closing => (age > LINGER_TIMEOUT).then_some(Close::Immediate),
+            Phase::ReadingBody | Phase::Processing => None,
         };
-        // The process may have been held up: what has come is read first, and what has been taken seen, and only then is
-        // its client too late.
-        let late = end == Some(Close::Immediate);
-        let reads = matches!(self.phase.get(), Phase::Waiting | Phase::Reading);
-        let spare = late && !self.spared.get() && (stuck || reads && self.monitor.has_unread_bytes());
-        self.spared.set(late);
-        end.filter(|_| !spare)
+        // The process may have been suspended. Before the client counts as late, what has arrived is read, and what the client
+        // has taken of its response is noticed.
+        let is_late = close == Some(Close::Immediate);
+        let is_reading = matches!(self.phase.get(), Phase::AwaitingRequest | Phase::ReadingHead);
+        let spare = is_late
+            && !self.was_spared.get()
+            && (is_stalled || is_reading && self.monitor.has_unread_bytes());
+        self.was_spared.set(is_late);
+        close.filter(|_| !spare)
     }
 
-    /// Something of its last answer still waits to be written; a client that takes nothing of it is another matter.
-    pub fn is_unsent(&self) -> bool {
+    /// Whether a part of the last response has not been written yet.
+    pub fn has_unsent_bytes(&self) -> bool {
         self.monitor.write_stalled_since().is_some()
     }
 
-    /// How readily it makes room for another, the lowest first; `None` if it must not.
-    fn rank(&self, now: Instant) -> Option<(u8, Instant)> {
-        let since = self.since.get();
+    /// The rank in the order of eviction, the lowest first; `None` if the connection must not be evicted.
+    fn eviction_rank(&self, now: Instant) -> Option<(u8, Instant)> {
+        let since = self.phase_since.get();
         let age = now.saturating_duration_since(since);
-        let heard = self.monitor.has_next_request();
+        let has_begun = self.monitor.has_next_request();
         let rank = match self.phase.get() {
-            _ if self.end.get().is_some() || self.is_unsent() => None,
-            Phase::Busy => None,
-            // A body that goes on coming is no reason to end it.
-            Phase::Body => {
-                let quiet = now.saturating_duration_since(self.heard.get().1);
-                (age.min(quiet) > BODY_FAIR).then_some(1)
+            _ if self.requested_close.get().is_some() || self.has_unsent_bytes() => None,
+            Phase::Processing => None,
+            // A body that keeps arriving is no reason to close its connection.
+            Phase::ReadingBody => {
+                let silence = now.saturating_duration_since(self.last_received.get().1);
+                (age.min(silence) > MIN_BODY_AGE).then_some(1)
+            }
+            Phase::Closing => (age > MIN_HEAD_AGE).then_some(0),
+            Phase::AwaitingRequest if !self.has_carried_request.get() && !has_begun => {
+                (age > MIN_SILENT_AGE).then_some(0)
             }
-            Phase::Leaving => (age > READING_FAIR).then_some(0),
-            Phase::Waiting if !self.used.get() && !heard => (age > SILENT_FAIR).then_some(0),
-            Phase::Waiting if self.used.get() && !heard => Some(2),
-            Phase::Waiting | Phase::Reading => (age > READING_FAIR).then_some(1),
+            Phase::AwaitingRequest if self.has_carried_request.get() && !has_begun => Some(2),
+            Phase::AwaitingRequest | Phase::ReadingHead => (age > MIN_HEAD_AGE).then_some(1),
         };
         rank.map(|rank| (rank, since))
     }
@@ -266,104 +280,118 @@
 
 /// All connections of clients.
 #[derive(Default)]
-pub struct Seats {
-    seats: RefCell<HashMap<u64, Rc<Seat>>>,
-    next: Cell<u64>,
-    left: Notify,
+pub struct ClientConnections {
+    connections: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    next_id: Cell<u64>,
+    deregistration: Notify,
 }
 
-/// A connection's place among the others, given up when dropped.
-pub struct Taken<'a> {
-    seats: &'a Seats,
-    number: u64,
-    /// What it shows of itself.
-    pub seat: Rc<Seat>,
+/// A registered connection, deregistered when this is dropped.
+pub struct Registration<'a> {
+    registry: &'a ClientConnections,
+    id: u64,
+    /// The state of the connection.
+    pub connection: Rc<ClientConnection>,
 }
 
-impl Drop for Taken<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
-        self.seats.seats.borrow_mut().remove(&self.number);
-        self.seats.left.notify_one();
+        self.registry.connections.borrow_mut().remove(&self.id);
+        self.registry.deregistration.notify_one();
     }
 }
 
-impl Seats {
-    /// One more.
-    pub fn enter(&self, monitor: StreamMonitor) -> Taken<'_> {
-        let seat = Rc::new(Seat {
+impl ClientConnections {
+    /// Registers a new connection.
+    pub fn register(&self, monitor: StreamMonitor) -> Registration<'_> {
+        let connection = Rc::new(ClientConnection {
             monitor,
-            phase: Cell::new(Phase::Waiting),
-            since: Cell::new(Instant::now()),
+            phase: Cell::new(Phase::AwaitingRequest),
+            phase_since: Cell::new(Instant::now()),
             framing: Cell::new(None),
-            used: Cell::new(false),
-            reused: Cell::new(false),
-            passing: Cell::new(false),
-            leaves: Cell::new(false),
-            discards: Cell::new(false),
-            heard: Cell::new((0, Instant::now())),
-            changes: Cell::new(0),
-            told: Cell::new(0),
-            spared: Cell::new(false),
-            end: Cell::new(None),
-            ending: Notify::new(),
+            has_carried_request: Cell::new(false),
+            is_reused: Cell::new(false),
+            is_streaming: Cell::new(false),
+            closes_after_response: Cell::new(false),
+            is_discarding: Cell::new(false),
+            last_received: Cell::new((0, Instant::now())),
+            phase_changes: Cell::new(0),
+            changes_at_close_request: Cell::new(0),
+            was_spared: Cell::new(false),
+            requested_close: Cell::new(None),
+            close_request: Notify::new(),
         });
-        let number = self.next.replace(self.next.get() + 1);
-        self.seats.borrow_mut().insert(number, Rc::clone(&seat));
-        Taken { seats: self, number, seat }
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        self.connections.borrow_mut().insert(id, Rc::clone(&connection));
+        Registration { registry: self, id, connection }
     }
 
-    /// Comes back when one has left.
-    pub async fn left(&self) {
-        self.left.notified().await;
+    /// Waits until a connection is deregistered.
+    pub async fn deregistered(&self) {
+        self.deregistration.notified().await;
     }
 
-    /// Tells the one that can best be spared to go.
-    pub fn make_room(&self) {
-        let (now, seats) = (Instant::now(), self.seats.borrow());
-        let mut ranked: Vec<_> = seats.values().filter_map(|seat| Some((seat.rank(now)?, seat))).collect();
+    /// Requests the close of the connection whose loss costs least, if any may be evicted.
+    pub fn evict_one(&self) {
+        let (now, connections) = (Instant::now(), self.connections.borrow());
+        let mut ranked: Vec<_> = connections
+            .values()
+            .filter_map(|connection| Some((connection.eviction_rank(now)?, connection)))
+            .collect();
         ranked.sort_by_key(|(rank, _)| *rank);
-        for ((rank, _), seat) in ranked {
-            match seat.phase.get() {
-                // A request may just be on its way on one that has been used.
-                _ if rank == 2 => return seat.tell(Close::Graceful),
-                Phase::Leaving => return seat.tell(Close::Immediate),
-                _ if !seat.monitor.has_unread_bytes() => return seat.tell(Close::Immediate),
-                // It has spoken, and hyper has not come round to it.
-                Phase::Waiting => seat.enter(Phase::Reading),
-                // What has come may be all of it. A body waits to be read for as long as its server takes nothing.
-                Phase::Reading | Phase::Body | Phase::Busy => {}
+        for ((rank, _), connection) in ranked {
+            match connection.phase.get() {
+                // A request may just be on its way on an idle connection.
+                _ if rank == 2 => return connection.request_close(Close::Graceful),
+                Phase::Closing => return connection.request_close(Close::Immediate),
+                _ if !connection.monitor.has_unread_bytes() => {
+                    return connection.request_close(Close::Immediate)
+                }
+                // The client has sent something that hyper has not read yet.
+                Phase::AwaitingRequest => connection.enter_phase(Phase::ReadingHead),
+                // The unread bytes may complete the request. A body stays unread for as long as its server takes nothing.
+                Phase::ReadingHead | Phase::ReadingBody | Phase::Processing => {}
             }
         }
     }
 
-    /// Ends those whose time is over, and of more than `most` those that rest, first those that asked once only.
-    pub fn sweep(&self, most: usize) {
-        let (now, seats) = (Instant::now(), self.seats.borrow());
-        for seat in seats.values() {
-            if let Some(end) = seat.overdue(now) {
-                seat.tell(end);
+    /// Requests the close of connections that have timed out. Of more than `idle_close_threshold` connections, idle ones are
+    /// closed too, those that have carried one request only first.
+    pub fn sweep(&self, idle_close_threshold: usize) {
+        let (now, connections) = (Instant::now(), self.connections.borrow());
+        for connection in connections.values() {
+            if let Some(close) = connection.check_timeouts(now) {
+                connection.request_close(close);
             }
         }
-        let rests = |seat: &&Rc<Seat>| {
-            let idle = seat.phase.get() == Phase::Waiting && seat.used.get() && seat.end.get().is_none();
-            idle && now.saturating_duration_since(seat.since.get()) > CROWD_WAIT
+        let is_idle = |connection: &&Rc<ClientConnection>| {
+            let awaits_another = connection.phase.get() == Phase::AwaitingRequest
+                && connection.has_carried_request.get()
+                && connection.requested_close.get().is_none();
+            awaits_another
+                && now.saturating_duration_since(connection.phase_since.get()) > CROWDED_IDLE_TIMEOUT
         };
-        let mut resting: Vec<_> =
-            if seats.len() > most { seats.values().filter(rests).collect() } else { Vec::new() };
-        resting.sort_by_key(|seat| (seat.reused.get(), seat.since.get()));
-        for seat in resting.into_iter().take(seats.len().saturating_sub(most)) {
-            seat.tell(Close::Graceful);
+        let mut idle: Vec<_> = if connections.len() > idle_close_threshold {
+            connections.values().filter(is_idle).collect()
+        } else {
+            Vec::new()
+        };
+        idle.sort_by_key(|connection| (connection.is_reused.get(), connection.phase_since.get()));
+        for connection in idle.into_iter().take(connections.len().saturating_sub(idle_close_threshold)) {
+            connection.request_close(Close::Graceful);
         }
     }
 
-    /// Closes the connections that are idle, and the others after their answer.
+    /// Closes the connections that are idle, and the others after their response.
     pub fn close_all(&self) {
-        self.seats.borrow().values().for_each(|seat| seat.tell(Close::Graceful));
+        self.connections.borrow().values().for_each(|connection| connection.request_close(Close::Graceful));
     }
 
-    /// How many owe an answer, are still giving it, or have begun to be sent a request and so may owe one soon.
-    pub fn owed(&self) -> usize {
-        let owes = |seat: &&Rc<Seat>| seat.phase.get() != Phase::Waiting || seat.is_coming();
-        self.seats.borrow().values().filter(owes).count()
+    /// The number of connections on which a response is pending or being sent, or a part of a request has arrived.
+    pub fn pending_count(&self) -> usize {
+        let is_pending = |connection: &&Rc<ClientConnection>| {
+            connection.phase.get() != Phase::AwaitingRequest || connection.is_request_arriving()
+        };
+        self.connections.borrow().values().filter(is_pending).count()
     }
 }
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -1,9 +1,9 @@
-//! Clients of the old dialects: their requests as the servers' own, and the answers in their form.
+//! Legacy clients: translates their requests to the servers' protocol, and errors to the clients' form.
 
 use crate::backend::{concat_chunks, LegacyRequest, UpstreamRequest};
-use crate::client_connections::Seat;
+use crate::client_connections::ClientConnection;
 use crate::dialect::{self, SOAP_ACTION};
-use crate::intake::{check_end, discard, fault_of, Catalogue, Class, CALL_ID, IDEMPOTENCY_KEY};
+use crate::intake::{body_error, check_end, discard_body, Catalogue, Class, CALL_ID, IDEMPOTENCY_KEY};
 use crate::pools::HttpPool;
 use crate::upload::{BodyReader, RequestBody, MAX_BUFFERED_BYTES};
 use bytes::Bytes;
@@ -19,13 +19,13 @@
 use hyper::{Method, Request, Uri};
 use std::rc::Rc;
 
-/// What a client is told of losses, at most, in bytes.
-const NOTICE_MOST: usize = 1024;
-/// Tells a client what was lost on the way of its request or of the answer.
+/// The maximum length of the notice about losses, in characters.
+const MAX_NOTICE_CHARS: usize = 1024;
+/// Lists what the translation of a request or of its response has lost.
 pub const NOTICE: HeaderName = HeaderName::from_static("x-translation-notice");
 
-/// What the head of an old request shows.
-pub struct Asked {
+/// A legacy client's request whose head is valid, and whose body has not been read.
+pub struct ReceivedRequest {
     /// How it is translated.
     pub mapping: Rc<Mapping>,
     /// The class that its mapping names.
@@ -35,135 +35,137 @@
     body: Incoming,
 }
 
-impl Asked {
-    /// Turns it away; what its client is still writing is read for a while.
+impl ReceivedRequest {
+    /// Drops the request. The rest of its body is read for a while, so that the client gets to read its response.
     pub fn discard(self) {
-        discard(self.body);
+        discard_body(self.body);
     }
 }
 
-/// A request in the servers' dialect.
+/// A translated request.
 pub struct Translated {
     /// The request.
     pub new_request: NewRequest<UpstreamRequest>,
     /// Its class, which a missing key may have changed.
     pub class: Rc<Class>,
-    /// What was lost.
+    /// What the translation has lost.
     pub notices: Vec<Notice>,
 }
 
-/// Why an old request goes no further, in its client's form.
-pub fn in_form(mapping: &Mapping, trouble: &Trouble) -> Told {
-    trouble.tell(mapping.old.answers)
+/// An error as a response in the client's form.
+pub fn error_response(mapping: &Mapping, error: &Trouble) -> Told {
+    error.tell(mapping.old.answers)
 }
 
-fn wrong(why: impl Into<String>) -> Trouble {
-    Trouble::Wrong(why.into())
+fn bad_request(reason: impl Into<String>) -> Trouble {
+    Trouble::Wrong(reason.into())
 }
 
-/// Looks at the head of a request.
-pub fn ask(
+/// Validates the head of a request, and finds its mapping.
+pub fn check_head(
     mappings: &Mappings,
     catalogue: &Catalogue,
-    seat: &Seat,
+    connection: &ClientConnection,
     request: Request<Incoming>,
-) -> Result<Asked, Told> {
+) -> Result<ReceivedRequest, Told> {
     let (head, body) = request.into_parts();
-    let framing = seat.framing();
+    let framing = connection.framing();
     let found = mappings.find(head.method.as_str(), head.uri.path()).map(Rc::clone);
-    let asked = match (found, framing) {
-        (None, _) => Err(Told { status: 404, ..wrong("No such request is known.").tell(Form::Form) }),
-        (Some(mapping), Some(framing)) if framing.is_clear() => match check(&mapping, &head) {
+    let checked = match (found, framing) {
+        (None, _) => Err(Told { status: 404, ..bad_request("No such request is known.").tell(Form::Form) }),
+        (Some(mapping), Some(framing)) if framing.is_clear() => match check_headers(&mapping, &head) {
             Ok(()) => Ok(mapping),
-            Err(why) => Err(in_form(&mapping, &why)),
+            Err(error) => Err(error_response(&mapping, &error)),
         },
-        (Some(mapping), _) => Err(in_form(&mapping, &wrong("its length is not clear"))),
+        (Some(mapping), _) => Err(error_response(&mapping, &bad_request("its length is not clear"))),
     };
     let class = |mapping: &Mapping| catalogue.class(&mapping.class);
-    match asked.map(|mapping| (class(&mapping), mapping)) {
-        Ok((Some(class), mapping)) => Ok(Asked { mapping, class, head, body }),
+    match checked.map(|mapping| (class(&mapping), mapping)) {
+        Ok((Some(class), mapping)) => Ok(ReceivedRequest { mapping, class, head, body }),
         other => {
-            discard(body);
+            discard_body(body);
             Err(match other {
-                Err(told) => told,
-                Ok((_, mapping)) => in_form(&mapping, &Trouble::Failed("Its class is not served.".into())),
+                Err(response) => response,
+                Ok((_, mapping)) => {
+                    error_response(&mapping, &Trouble::Failed("Its class is not served.".into()))
+                }
             })
         }
     }
 }
 
-/// The media type and the character set must be those of the mapping; an old client may leave both out.
-fn check(mapping: &Mapping, head: &Parts) -> Result<(), Trouble> {
+/// Fails unless the media type and the character set are those of the mapping. A legacy client may omit both.
+fn check_headers(mapping: &Mapping, head: &Parts) -> Result<(), Trouble> {
     let old = &mapping.old;
     let header = |name: &str| head.headers.get(name).map(|value| value.to_str().unwrap_or("?"));
-    if let Some(said) = header("content-type").filter(|_| head.method != Method::GET) {
-        let mut parts = said.split(';').map(str::trim);
-        let wanted = old.form.media_type();
-        if !parts.next().is_some_and(|kind| kind.eq_ignore_ascii_case(wanted)) {
-            return Err(wrong(format!("its Content-Type is not {wanted}")));
+    if let Some(content_type) = header("content-type").filter(|_| head.method != Method::GET) {
+        let mut parts = content_type.split(';').map(str::trim);
+        let expected = old.form.media_type();
+        if !parts.next().is_some_and(|media_type| media_type.eq_ignore_ascii_case(expected)) {
+            return Err(bad_request(format!("its Content-Type is not {expected}")));
         }
         let charset =
             parts.find_map(|part| part.to_ascii_lowercase().strip_prefix("charset=").map(str::to_owned));
         if charset.is_some_and(|charset| charset.trim_matches('"') != old.charset.name()) {
-            return Err(wrong(format!("its charset is not {}", old.charset.name())));
+            return Err(bad_request(format!("its charset is not {}", old.charset.name())));
         }
     }
-    // SOAP 1.1, 6.1.1: a client must say its intent; empty quotes leave it to the path.
+    // SOAP 1.1, 6.1.1: a client must state its intent; an empty string leaves it to the path.
     if old.form == Form::Soap {
-        let action = header("soapaction").ok_or_else(|| wrong("SOAPAction is missing"))?;
+        let action = header("soapaction").ok_or_else(|| bad_request("SOAPAction is missing"))?;
         let action = action.trim().trim_matches('"');
-        let names_it = action.rsplit(['/', '#', ':']).next() == Some(&old.operation);
-        if !action.is_empty() && !names_it {
-            return Err(wrong(format!("SOAPAction does not name {}", old.operation)));
+        let names_operation = action.rsplit(['/', '#', ':']).next() == Some(&old.operation);
+        if !action.is_empty() && !names_operation {
+            return Err(bad_request(format!("SOAPAction does not name {}", old.operation)));
         }
     }
     Ok(())
 }
 
-/// Reads the rest of a request and translates it, with the pool's memory for bodies.
+/// Reads the body of a request within the pool's memory quota for bodies, and translates the request.
 pub async fn translate(
     catalogue: &Catalogue,
-    seat: &Seat,
+    connection: &ClientConnection,
     pool: &HttpPool,
-    asked: Asked,
+    request: ReceivedRequest,
 ) -> Result<Translated, Trouble> {
-    let Asked { mapping, class, head, body } = asked;
+    let ReceivedRequest { mapping, class, head, body } = request;
     let too_large = || Trouble::TooLarge(format!("{MAX_BUFFERED_BYTES} bytes at most are translated."));
     let stated = body.size_hint().exact();
     if stated.is_some_and(|bytes| bytes > MAX_BUFFERED_BYTES as u64) {
-        discard(body);
+        discard_body(body);
         return Err(too_large());
     }
-    let no_room = || Trouble::Refused(pool.body_retry_after().map(Into::into));
+    let no_memory = || Trouble::Refused(pool.body_retry_after().map(Into::into));
     let Some(reservation) =
         pool.bodies.try_reserve(stated.map_or(MAX_BUFFERED_BYTES, |bytes| bytes as usize))
     else {
-        discard(body);
-        return Err(no_room());
+        discard_body(body);
+        return Err(no_memory());
     };
-    let (mut source, mut pieces, mut held) = (BodyReader::new(body), Vec::new(), 0);
-    while let Some(piece) = source.next().await {
-        let piece = piece.map_err(|broken| wrong(fault_of(broken).1))?;
-        held += piece.len();
-        if held > MAX_BUFFERED_BYTES {
-            tokio::task::spawn_local(source.discard());
+    let (mut reader, mut chunks, mut buffered) = (BodyReader::new(body), Vec::new(), 0);
+    while let Some(chunk) = reader.next().await {
+        let chunk = chunk.map_err(|error| bad_request(body_error(error).1))?;
+        buffered += chunk.len();
+        if buffered > MAX_BUFFERED_BYTES {
+            tokio::task::spawn_local(reader.discard());
             return Err(too_large());
         }
-        pieces.push(piece);
+        chunks.push(chunk);
     }
-    check_end(seat).map_err(|(_, why)| wrong(why))?;
-    let bytes = concat_chunks(pieces, held);
+    check_end(connection).map_err(|(_, reason)| bad_request(reason))?;
+    let bytes = concat_chunks(chunks, buffered);
     let is_query = head.method == Method::GET && mapping.old.form == Form::Form;
-    if is_query && held > 0 {
-        return Err(wrong("a query has no body"));
+    if is_query && buffered > 0 {
+        return Err(bad_request("a query has no body"));
     }
-    let said = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
-    let message = mapping.old.decode(Part::Request, said, Limits::default()).map_err(wrong)?;
+    let encoded = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
+    let message = mapping.old.decode(Part::Request, encoded, Limits::default()).map_err(bad_request)?;
     let Plan { sides, other, notices, key } =
         mixed::from_old(&mapping, &message, dialect::sides(pool.engine_pool.serving_dialects()))
-            .map_err(wrong)?;
-    // Without one for new servers it goes to old ones only, as it is.
-    let out = other.unwrap_or_default();
+            .map_err(bad_request)?;
+    // Without a translation the request goes to servers of the old dialect only, unchanged.
+    let translated = other.unwrap_or_default();
     drop(reservation);
 
     let class = match mapping.class_without_key() {
@@ -172,24 +174,24 @@
     };
     let is_keyed = matches!(class.settings.effect, Effect::Deduplicated { .. });
     if key.is_none() && is_keyed {
-        return Err(wrong("the fields that tell repeats apart are missing"));
+        return Err(bad_request("the fields that tell repeats apart are missing"));
     }
     let key = key.filter(|_| is_keyed);
-    let old = sides.old.then(|| as_it_came(&head, bytes));
-    let held = out.len() + old.as_ref().map_or(0, |old| old.body.len());
-    let reservation = pool.bodies.try_reserve(held).ok_or_else(no_room)?;
-    let name = format!("{:032x}", fastrand::u128(..));
-    let new_request = new_request(&mapping, &class, &head.headers, &name, key, out);
-    let mut new_request = new_request.ok_or_else(|| wrong("its path or a header can't be written"))?;
+    let legacy = sides.old.then(|| unchanged(&head, bytes));
+    let buffered = translated.len() + legacy.as_ref().map_or(0, |legacy| legacy.body.len());
+    let reservation = pool.bodies.try_reserve(buffered).ok_or_else(no_memory)?;
+    let call_id = format!("{:032x}", fastrand::u128(..));
+    let new_request = new_request(&mapping, &class, &head.headers, &call_id, key, translated);
+    let mut new_request = new_request.ok_or_else(|| bad_request("its path or a header can't be written"))?;
     new_request.request._reservation = Some(reservation);
-    new_request.request.client = Some(seat.monitor().clone());
-    new_request.request.legacy = old.map(Box::new);
+    new_request.request.client = Some(connection.monitor().clone());
+    new_request.request.legacy = legacy.map(Box::new);
     new_request.dialects = dialect::dialects(sides);
     Ok(Translated { new_request, class, notices })
 }
 
-/// An old request for old servers: nothing of it is changed.
-fn as_it_came(head: &Parts, body: Bytes) -> LegacyRequest {
+/// The request for servers of the old dialect, unchanged.
+fn unchanged(head: &Parts, body: Bytes) -> LegacyRequest {
     let mut headers = HeaderMap::with_capacity(3);
     for name in [HOST, CONTENT_TYPE, SOAP_ACTION] {
         if let Some(value) = head.headers.get(&name) {
@@ -200,23 +202,23 @@
     LegacyRequest { method: head.method.clone(), uri, headers, body, mapping: None }
 }
 
-/// The request as the servers' protocol has it.
+/// The translated request in the servers' protocol.
 fn new_request(
     mapping: &Mapping,
     class: &Rc<Class>,
-    old: &HeaderMap,
-    name: &str,
+    client_headers: &HeaderMap,
+    call_id: &str,
     key: Option<String>,
-    out: Vec<u8>,
+    translated: Vec<u8>,
 ) -> Option<NewRequest<UpstreamRequest>> {
-    let (method, uri, mut headers, body) = dialect::to_http_parts(&mapping.new, old, out)?;
-    headers.insert(CALL_ID, HeaderValue::from_str(name).ok()?);
+    let (method, uri, mut headers, body) = dialect::to_http_parts(&mapping.new, client_headers, translated)?;
+    headers.insert(CALL_ID, HeaderValue::from_str(call_id).ok()?);
     headers.insert("x-call-class", HeaderValue::from_str(&class.name).ok()?);
     if let Some(key) = key {
         headers.insert(IDEMPOTENCY_KEY, HeaderValue::try_from(key).ok()?);
     }
     let client_timeout = class.deadline();
-    let call = UpstreamRequest {
+    let request = UpstreamRequest {
         method,
         uri,
         headers,
@@ -228,24 +230,24 @@
         _reservation: None,
     };
     Some(NewRequest {
-        correlation_id: Some(name.as_bytes().into()),
-        ..NewRequest::new(call, class.id, client_timeout)
+        correlation_id: Some(call_id.as_bytes().into()),
+        ..NewRequest::new(request, class.id, client_timeout)
     })
 }
 
-/// What a client is told of losses, if there were any.
+/// The notice about losses, if there are any.
 pub fn notice(notices: &[Notice]) -> Option<HeaderValue> {
-    let all: Vec<String> = notices.iter().map(ToString::to_string).collect();
-    let text: String = all
+    let texts: Vec<String> = notices.iter().map(ToString::to_string).collect();
+    let text: String = texts
         .join("; ")
         .chars()
         .map(|c| if c.is_ascii_graphic() || c == ' ' { c } else { '?' })
-        .take(NOTICE_MOST)
+        .take(MAX_NOTICE_CHARS)
         .collect();
     HeaderValue::try_from(text).ok().filter(|_| !notices.is_empty())
 }
 
-/// Classes that the mappings name and nobody serves, or serves by other rules than the servers' dialect has.
+/// Describes the first mapping that names an unknown class, or whose rules contradict those of its class.
 pub fn find_mapping_error<'a>(
     mappings: &Mappings,
     classes: impl Iterator<Item = (&'a str, Effect)> + Clone,
@@ -253,23 +255,23 @@
     let effect = |name: &str| classes.clone().find(|(class, _)| *class == name).map(|(_, effect)| effect);
     mappings.all().iter().find_map(|mapping| {
         let name = &mapping.name;
-        let Some(of) = effect(&mapping.class) else {
+        let Some(class_effect) = effect(&mapping.class) else {
             return Some(format!("{name}: class {} is not served", mapping.class));
         };
-        let get = mapping.new.method == "GET";
-        if get != matches!(of, Effect::Idempotent) {
+        let is_get = mapping.new.method == "GET";
+        if is_get != matches!(class_effect, Effect::Idempotent) {
             return Some(format!("{name}: new.method does not fit class {}", mapping.class));
         }
-        if matches!(of, Effect::Deduplicated { .. }) != mapping.has_keys() {
+        if matches!(class_effect, Effect::Deduplicated { .. }) != mapping.has_keys() {
             return Some(format!(
                 "{name}: class {} is deduplicated if and only if there is a [key]",
                 mapping.class
             ));
         }
-        let without = mapping.class_without_key()?;
-        match effect(without) {
+        let keyless_class = mapping.class_without_key()?;
+        match effect(keyless_class) {
             Some(Effect::AtMostOnce) => None,
-            _ => Some(format!("{name}: key.without: {without} is no class that runs at most once")),
+            _ => Some(format!("{name}: key.without: {keyless_class} is no class that runs at most once")),
         }
     })
 }
--- a/crates/agent/src/metered_stream.rs
+++ b/crates/agent/src/metered_stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream as hyper wants it, which also tells what hyper hides: how much was read and written, whether the peer
-//! has closed, and what the heads of requests say of their length.
+//! A TCP stream for hyper that also exposes what hyper hides: how much was read and written, whether the peer has closed, and
+//! what the heads of requests say of their length.
 
 use crate::framing::{Framing, RequestTracker};
 use crate::metrics::ClassCounters;
@@ -18,94 +18,95 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Read at a time; a message is seldom longer.
-const CHUNK: usize = 16 * 1024;
-/// What the machine may hold of what is to be sent: with more, a slow peer would seem to take nothing for long.
-const SEND_BUFFER: usize = 64 * 1024;
+/// The most bytes of one read; a message is seldom longer.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// The kernel's send buffer. With a larger one, a slow peer would seem to take nothing for a long time.
+const SEND_BUFFER_BYTES: usize = 64 * 1024;
 
 thread_local! {
-    /// Where bytes stand between the kernel and hyper, for one read at a time.
-    static BETWEEN: RefCell<[u8; CHUNK]> = const { RefCell::new([0; CHUNK]) };
+    /// Holds bytes buffer the kernel and hyper, for one read at a time.
+    static READ_BUFFER: RefCell<[u8; READ_BUFFER_BYTES]> = const { RefCell::new([0; READ_BUFFER_BYTES]) };
 }
 
-/// What stood behind the end of what a peer sends.
+/// How the stream of bytes from the peer ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum End {
-    /// Its FIN and nothing else.
-    Orderly,
-    /// A reset.
-    Broken,
+    /// With a FIN and nothing else.
+    Clean,
+    /// With a reset.
+    Reset,
 }
 
-/// What a connection tells of itself.
+/// The state that the stream and its monitors share.
 #[derive(Default)]
 struct Meter {
     end: Cell<Option<End>>,
     written: Cell<u64>,
     received: Cell<u64>,
-    /// Bytes that may still be read before the connection ends; `None` for any number.
-    allowance: Cell<Option<u64>>,
-    /// What is asked once more right before the first byte of a request is written.
-    armed: Cell<Option<Armed>>,
-    /// Something came before that.
-    unrequested: Cell<bool>,
-    /// Since when the peer has taken nothing of what waits to be written.
+    /// The number of bytes that may still be read before the connection fails; `None` for any number.
+    read_limit: Cell<Option<u64>>,
+    /// What is checked right before the first byte of a request is written.
+    pending_request: Cell<Option<PendingRequest>>,
+    /// Bytes had arrived before the first byte of a request was written.
+    has_unrequested_bytes: Cell<bool>,
+    /// Since when the peer has taken nothing of the bytes that wait to be written.
     write_stalled_since: Cell<Option<Instant>>,
-    /// When the machine has last taken something for sending.
-    wrote_at: Cell<Option<Instant>>,
-    /// The requests that come, on a client's connection.
+    /// When the kernel last took bytes for sending.
+    last_write_at: Cell<Option<Instant>>,
+    /// The requests that arrive on a client's connection.
     requests: Option<RefCell<RequestTracker>>,
-    arrived: Notify,
-    /// Counts an attempt once so many bytes have been written.
-    tally: RefCell<Option<(u64, Rc<ClassCounters>)>>,
+    bytes_arrived: Notify,
+    /// Counts an attempt once this many bytes have been written in total.
+    attempt_count: RefCell<Option<(u64, Rc<ClassCounters>)>>,
 }
 
-/// A request that is about to be written.
-struct Armed {
-    /// What had been received by then; nothing more may come before its first byte.
+/// A request whose first byte has not been written yet.
+struct PendingRequest {
+    /// The bytes received so far; no more may arrive before the first byte is written.
     received: u64,
-    /// The connection of the client that waits for it, if there is one.
+    /// The connection of the client that waits for the response, if there is one.
     client: Option<StreamMonitor>,
 }
 
 impl Meter {
-    /// The one point where an attempt is counted: the machine has taken its last byte.
-    fn give_out(&self, bytes: usize) {
+    /// Records written bytes. This is the one place where an attempt is counted: when the kernel has taken its last byte.
+    fn record_write(&self, bytes: usize) {
         let written = self.written.get() + bytes as u64;
         self.written.set(written);
         if bytes > 0 {
             self.write_stalled_since.set(None);
-            self.wrote_at.set(Some(Instant::now()));
+            self.last_write_at.set(Some(Instant::now()));
         }
-        let mut tally = self.tally.borrow_mut();
-        if let Some((_, counters)) = tally.take_if(|(goal, _)| written >= *goal) {
+        let mut attempt_count = self.attempt_count.borrow_mut();
+        if let Some((_, counters)) = attempt_count.take_if(|(total_bytes, _)| written >= *total_bytes) {
             counters.attempts.increment();
         }
     }
 
-    /// A read has found the end. A reset that came behind the peer's FIN is told by no read; it stands in the socket.
-    fn end_of_stream(&self, stream: &TcpStream) {
+    /// Records that a read found the end of the stream. No read reports a reset that followed the peer's FIN; it is a pending error
+    /// of the socket.
+    fn record_end(&self, stream: &TcpStream) {
         if self.end.get().is_none() {
-            let is_orderly = matches!(stream.take_error(), Ok(None));
-            self.end.set(Some(if is_orderly { End::Orderly } else { End::Broken }));
+            let is_clean = matches!(stream.take_error(), Ok(None));
+            self.end.set(Some(if is_clean { End::Clean } else { End::Reset }));
         }
     }
 
-    fn take_in(&self, bytes: &[u8]) -> io::Result<()> {
+    fn record_read(&self, bytes: &[u8]) -> io::Result<()> {
         self.received.set(self.received.get() + bytes.len() as u64);
-        if let Some(left) = self.allowance.get() {
+        if let Some(left) = self.read_limit.get() {
             let left = left.checked_sub(bytes.len() as u64).ok_or(io::ErrorKind::FileTooLarge)?;
-            self.allowance.set(Some(left));
+            self.read_limit.set(Some(left));
         }
         if let Some(requests) = &self.requests {
             requests.borrow_mut().feed(bytes);
         }
-        self.arrived.notify_one();
+        self.bytes_arrived.notify_one();
         Ok(())
     }
 }
 
-/// What can be asked of a connection while hyper owns it. It does not keep the socket open.
+/// Observes a stream while hyper owns it. Does not keep the socket open.
 #[derive(Clone)]
 pub struct StreamMonitor {
     stream: Weak<TcpStream>,
@@ -113,96 +114,95 @@
 }
 
 impl StreamMonitor {
-    /// Bytes that the machine has taken for sending.
+    /// The bytes that the kernel has taken for sending.
     pub fn bytes_written(&self) -> u64 {
         self.meter.written.get()
     }
 
-    /// When the machine has last taken something for sending.
+    /// When the kernel last took bytes for sending.
     pub fn last_write_at(&self) -> Option<Instant> {
-        self.meter.wrote_at.get()
+        self.meter.last_write_at.get()
     }
 
-    /// Bytes that have been read from the peer.
+    /// The bytes that have been read from the peer.
     pub fn bytes_received(&self) -> u64 {
         self.meter.received.get()
     }
 
-    /// Whether the end of what the peer sends has been read.
+    /// Whether a read has found the end of the stream.
     pub fn has_ended(&self) -> bool {
         self.meter.end.get().is_some()
     }
 
-    /// Whether it has been read, and the peer has ended in order.
+    /// Whether a read has found the end of the stream, and it was no reset.
     pub fn has_ended_cleanly(&self) -> bool {
-        self.meter.end.get() == Some(End::Orderly)
+        self.meter.end.get() == Some(End::Clean)
     }
 
-    /// Since when the peer has taken nothing of what waits to be written.
+    /// Since when the peer has taken nothing of the bytes that wait to be written.
     pub fn write_stalled_since(&self) -> Option<Instant> {
         self.meter.write_stalled_since.get()
     }
 
-    /// Comes back once more has been read than at the last call.
+    /// Waits until more has been read than at the last call.
     pub async fn bytes_arrived(&self) {
-        self.meter.arrived.notified().await;
+        self.meter.bytes_arrived.notified().await;
     }
 
-    /// What the head of the next request says, in the order in which they came.
+    /// Takes the framing of the next request, in the order of arrival.
     pub fn next_framing(&self) -> Option<Framing> {
         self.meter.requests.as_ref().and_then(|requests| requests.borrow_mut().next_framing())
     }
 
-    /// Another request has begun to come behind the one that was asked for last, and has been read so far.
+    /// Whether a part of another request has been read behind the one whose framing was taken last.
     pub fn has_next_request(&self) -> bool {
         self.meter.requests.as_ref().is_some_and(|requests| requests.borrow().has_next_request())
     }
 
-    /// More has come than a request, and it is not the beginning of another.
+    /// Whether bytes after a request are not the beginning of another.
     pub fn has_trailing_garbage(&self) -> bool {
         self.meter.requests.as_ref().is_some_and(|requests| requests.borrow().has_trailing_garbage())
     }
 
-    /// A request is about to be written. Whatever comes before its first byte is no answer to it and ends the
-    /// connection instead, with nothing written, and so does the close of its `client`; after it, no more than
-    /// `allowance` bytes are read.
-    pub fn begin_request(&self, allowance: u64, client: Option<StreamMonitor>) {
-        self.meter.armed.set(Some(Armed { received: self.bytes_received(), client }));
-        self.meter.allowance.set(Some(allowance));
+    /// Prepares for writing a request. If bytes arrive or `client` closes before its first byte is written, the connection fails
+    /// with nothing written: such bytes are no response to the request. After that, at most `max_response_bytes` are read.
+    pub fn begin_request(&self, max_response_bytes: u64, client: Option<StreamMonitor>) {
+        self.meter.pending_request.set(Some(PendingRequest { received: self.bytes_received(), client }));
+        self.meter.read_limit.set(Some(max_response_bytes));
     }
 
-    /// Bytes came ahead of the first one of an armed request.
+    /// Whether bytes had arrived before the first byte of a request was written.
     pub fn has_unrequested_bytes(&self) -> bool {
-        self.meter.unrequested.get()
+        self.meter.has_unrequested_bytes.get()
     }
 
-    /// Counts an attempt for `counters` when so many bytes have been written in all.
-    pub fn count_attempt_at(&self, goal: u64, counters: Option<Rc<ClassCounters>>) {
-        *self.meter.tally.borrow_mut() = counters.map(|counters| (goal, counters));
-        self.meter.give_out(0);
+    /// Counts an attempt in `counters` once `total_bytes` have been written.
+    pub fn count_attempt_at(&self, total_bytes: u64, counters: Option<Rc<ClassCounters>>) {
+        *self.meter.attempt_count.borrow_mut() = counters.map(|counters| (total_bytes, counters));
+        self.meter.record_write(0);
     }
 
-    /// Of what is written nothing is counted any more.
+    /// Counts no attempt from now on.
     pub fn stop_counting(&self) {
-        *self.meter.tally.borrow_mut() = None;
+        *self.meter.attempt_count.borrow_mut() = None;
     }
 
-    /// The answer that comes is a long one; whoever reads it sees to its end.
+    /// Removes the limit on the bytes that are read: the response is streamed, and its reader limits it.
     pub fn lift_read_limit(&self) {
-        self.meter.allowance.set(None);
+        self.meter.read_limit.set(None);
     }
 
-    /// True if an idle connection still is one: nothing has come on it, no close and no error either. Asked of the
-    /// kernel, since the runtime may not have looked at the socket for a while.
+    /// Whether nothing has arrived on an idle connection: no bytes, no close and no error. Asks the kernel, since the runtime may
+    /// not have polled the socket for a while.
     pub fn is_idle(&self) -> bool {
-        self.stream.upgrade().is_some_and(|stream| is_quiet(&stream))
+        self.stream.upgrade().is_some_and(|stream| is_idle(&stream))
     }
 
-    /// Comes back once the peer has closed its side, whatever it has sent before that and nobody has read. (hyper looks
-    /// no further than what it has not used yet.)
+    /// Waits until the peer has closed its side, even behind bytes that have not been read. (hyper reads no further than the bytes
+    /// that it has not consumed yet.)
     pub async fn closed_by_peer(&self) {
         if let Some(stream) = self.stream.upgrade() {
-            // Of all that a socket is registered for, this interest is met by the end of what comes, and nothing else.
+            // Of all interests that a socket can be registered for, only this one becomes ready by the end of the stream alone.
             if !stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
                 return;
             }
@@ -210,8 +210,8 @@
         std::future::pending::<()>().await;
     }
 
-    /// True if the peer has closed its side, whatever it has sent before that and nobody has read. Asked of the kernel,
-    /// since the runtime may not have looked at the socket for a while.
+    /// Whether the peer has closed its side, even behind bytes that have not been read. Asks the kernel, since the runtime may not
+    /// have polled the socket for a while.
     pub fn is_closed_by_peer(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else { return true };
         match peek(&stream) {
@@ -222,50 +222,51 @@
         }
     }
 
-    /// True if the peer has sent something that waits to be read.
+    /// Whether the peer has sent bytes that have not been read.
     pub fn has_unread_bytes(&self) -> bool {
         self.stream.upgrade().is_some_and(|stream| matches!(peek(&stream), Ok(n) if n > 0))
     }
 }
 
-/// What the peer has sent that nobody has read yet; `Ok(0)` says that it has closed.
+/// The number of unread bytes, at most 1; `Ok(0)` means that the peer has closed.
 fn peek(stream: &TcpStream) -> io::Result<usize> {
     retry_on_interrupt(|| socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]))
 }
 
-fn is_quiet(stream: &TcpStream) -> bool {
-    nothing_came(&peek(stream))
+fn is_idle(stream: &TcpStream) -> bool {
+    has_nothing_to_read(&peek(stream))
 }
 
-fn nothing_came(peeked: &io::Result<usize>) -> bool {
+fn has_nothing_to_read(peeked: &io::Result<usize>) -> bool {
     matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// True if the peer has closed its side, be it behind bytes that nobody has read.
+/// Whether the peer has closed its side, even behind bytes that have not been read.
 fn has_hung_up(stream: &TcpStream) -> bool {
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     poll(&mut polled, Some(&Timespec::default())).is_ok() && polled[0].revents().intersects(ends)
 }
 
-/// Says that nothing more will be written.
+/// Sends a FIN: nothing more will be written.
 fn half_close(stream: &TcpStream) -> io::Result<()> {
     retry_on_interrupt(|| socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write))
 }
 
-/// Says that nothing more will be written, and reads on what nobody wants until the peer has closed too, or has sent more
-/// than `most`. A close over bytes that nobody has read resets the connection, as do bytes that come after it, and takes
-/// with it what of the last answer is still under way.
-pub async fn lingering_close(stream: &TcpStream, mut most: usize) {
+/// Sends a FIN, then reads and drops bytes until the peer has closed too or has sent more than `max_bytes`.
+///
+/// Closing a socket with unread bytes resets the connection, as do bytes that arrive after the close. The reset would destroy
+/// what of the last response is still in transit.
+pub async fn lingering_close(stream: &TcpStream, mut max_bytes: usize) {
     let _ = half_close(stream);
     loop {
         if stream.readable().await.is_err() {
             return;
         }
-        let read = BETWEEN.with_borrow_mut(|between| retry_on_interrupt(|| stream.try_read(between)));
+        let read = READ_BUFFER.with_borrow_mut(|buffer| retry_on_interrupt(|| stream.try_read(buffer)));
         match read {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            Ok(n) if (1..=most).contains(&n) => most -= n,
+            Ok(n) if (1..=max_bytes).contains(&n) => max_bytes -= n,
             Ok(_) | Err(_) => return,
         }
     }
@@ -275,18 +276,17 @@
 pub struct MeteredStream {
     stream: Rc<TcpStream>,
     meter: Rc<Meter>,
-    /// Given back when the connection ends, whatever it is.
+    /// Dropped when the connection ends, such as the guard that counts it.
     _held: Box<dyn Any>,
 }
 
 impl MeteredStream {
-    /// Wraps a stream to a backend or to discovery; small messages go out at once. What is `held` is given back when
-    /// the connection ends.
+    /// Wraps a stream to another process, without delaying small messages. Drops `held` when the connection ends.
     pub fn new(stream: TcpStream, held: impl Any) -> (MeteredStream, StreamMonitor) {
         MeteredStream::with(stream, Box::new(held), Meter::default())
     }
 
-    /// Wraps a client's stream, and looks at the heads of its requests.
+    /// Wraps a client's stream, whose requests are tracked.
     pub fn for_client(stream: TcpStream) -> (MeteredStream, StreamMonitor) {
         MeteredStream::with(
             stream,
@@ -297,7 +297,7 @@
 
     fn with(stream: TcpStream, held: Box<dyn Any>, meter: Meter) -> (MeteredStream, StreamMonitor) {
         let _ = stream.set_nodelay(true);
-        let _ = socket2::SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER);
+        let _ = socket2::SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let (stream, meter) = (Rc::new(stream), Rc::new(meter));
         let monitor = StreamMonitor { stream: Rc::downgrade(&stream), meter: Rc::clone(&meter) };
         (MeteredStream { stream, meter, _held: held }, monitor)
@@ -306,7 +306,7 @@
 
 impl MeteredStream {
     /// The socket, which stays open until this is dropped too.
-    pub fn stream(&self) -> Rc<TcpStream> {
+    pub fn socket(&self) -> Rc<TcpStream> {
         Rc::clone(&self.stream)
     }
 }
@@ -324,23 +324,23 @@
         mut buf: ReadBufCursor<'_>,
         mut read: impl FnMut(&TcpStream, &mut [u8]) -> io::Result<usize>,
     ) -> Poll<io::Result<()>> {
-        let room = CHUNK.min(buf.remaining());
+        let max_bytes = READ_BUFFER_BYTES.min(buf.remaining());
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
-            let read = BETWEEN.with_borrow_mut(|between| {
-                let n = retry_on_interrupt(|| read(&self.stream, &mut between[..room]))?;
-                if (1..room).contains(&n) {
-                    // That was all there is: the next read waits for the kernel to say that there is more, and need
-                    // not ask for it in vain. (Events come on edges, so none is missed.)
+            let read = READ_BUFFER.with_borrow_mut(|buffer| {
+                let n = retry_on_interrupt(|| read(&self.stream, &mut buffer[..max_bytes]))?;
+                if (1..max_bytes).contains(&n) {
+                    // Nothing is left to read: the next read waits for a readiness event instead of making a system call in
+                    // vain. (Events are edge-triggered, so none is missed.)
                     let _ = self
                         .stream
                         .try_io(Interest::READABLE, || Err::<(), _>(io::ErrorKind::WouldBlock.into()));
                 }
-                if n == 0 && room > 0 && self.meter.requests.is_none() {
-                    self.meter.end_of_stream(&self.stream);
+                if n == 0 && max_bytes > 0 && self.meter.requests.is_none() {
+                    self.meter.record_end(&self.stream);
                 }
-                buf.put_slice(&between[..n]);
-                self.meter.take_in(&between[..n])
+                buf.put_slice(&buffer[..n]);
+                self.meter.record_read(&buffer[..n])
             });
             match read {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -356,12 +356,12 @@
         cx: &mut Context<'_>,
         mut write: impl FnMut(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        if let Some(Armed { received, client }) = self.meter.armed.take() {
-            let is_gone = client.is_some_and(|client| client.is_closed_by_peer());
+        if let Some(PendingRequest { received, client }) = self.meter.pending_request.take() {
+            let has_client_closed = client.is_some_and(|client| client.is_closed_by_peer());
             let peeked = peek(&self.stream);
             let has_bytes = received != self.meter.received.get() || matches!(peeked, Ok(n) if n > 0);
-            if is_gone || has_bytes || !nothing_came(&peeked) {
-                self.meter.unrequested.set(has_bytes);
+            if has_client_closed || has_bytes || !has_nothing_to_read(&peeked) {
+                self.meter.has_unrequested_bytes.set(has_bytes);
                 return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
             }
         }
@@ -373,7 +373,7 @@
             }
             match retry_on_interrupt(|| write(&self.stream)) {
                 Ok(n) => {
-                    self.meter.give_out(n);
+                    self.meter.record_write(n);
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,14 +1,14 @@
-//! The clients' side: takes requests in and gives each exactly one answer.
+//! The side of the clients: accepts their connections and gives each request exactly one response.
 
 use crate::accept::{accept, Listener, ACCEPT_RETRY_DELAY};
 use crate::backend::{ResponseBody, UpstreamRequest, UpstreamResponse};
-use crate::client_connections::{Close, Seat, Seats};
+use crate::client_connections::{ClientConnection, ClientConnections, Close};
 use crate::config::Front;
 use crate::dialect::{self, OLD};
 use crate::download::Download;
 use crate::gauge::{Gauge, GaugeGuard};
-use crate::intake::{check_end, fault_of, Catalogue, Checked, Fault};
-use crate::legacy::{self, Asked, Translated};
+use crate::intake::{body_error, check_end, Catalogue, CheckedRequest, RequestError};
+use crate::legacy::{self, ReceivedRequest, Translated};
 use crate::metered_stream::{lingering_close, MeteredStream};
 use crate::metrics::{ClassCounters, LatencyHistograms, Metrics, Outcome};
 use crate::ops::StatusSource;
@@ -39,217 +39,219 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// How long a connection that has been asked to close may take to pass on an answer.
-const CLOSE_WAIT: Duration = Duration::from_secs(1);
-/// What a client goes on sending behind its last answer is read up to so many bytes.
-const LINGER_MOST: usize = 256 * 1024;
-/// The largest head of a request, and its lines: hyper's own bounds would let a few hundred half heads fill the memory.
-const HEAD_MOST: usize = 16 * 1024;
-const HEADERS_MOST: usize = 64;
+/// How long a connection that is being closed may wait for its pending responses at a time.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The most bytes that are read from a client after its last response.
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// The largest head of a request, and the most headers in it. With hyper's defaults, a few hundred incomplete heads would fill the
+/// memory.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
 
-/// How many connections clients may hold.
+/// Limits on the clients' connections.
 #[derive(Clone, Copy)]
 pub struct ClientLimits {
-    /// At most.
+    /// The most open connections.
     pub max_open: usize,
-    /// Beyond so many, those that rest are closed.
+    /// With more connections than this, idle ones are closed.
     pub idle_close_threshold: usize,
-    /// Beyond so many, all are closed after their answer.
+    /// With more connections than this, each one is closed after its response.
     pub keep_alive_threshold: usize,
 }
 
-/// What requests are checked against, and where they go.
+/// The plan in force, with its pools: what requests are validated against, and where they go.
 pub struct ActivePlan {
-    /// Their classes and tenants.
+    /// The classes and tenants.
     pub catalogue: Catalogue,
-    /// Which pool they go to, by its place.
+    /// Which pool a request goes to, by its position in `pools`.
     pub routes: Table,
     /// The pools.
     pub pools: Vec<Rc<HttpPool>>,
-    /// How requests of the old dialects are translated.
+    /// How legacy clients' requests are translated.
     pub mappings: Rc<Mappings>,
 }
 
 impl ActivePlan {
     /// The pool of a request.
-    fn pool(&self, front: &str, checked: &Checked) -> Option<Rc<HttpPool>> {
+    fn pool(&self, front: &str, checked: &CheckedRequest) -> Option<Rc<HttpPool>> {
         let labels = |name: &str| checked.header(name);
         self.pool_of(|| checked.attributes(front, &labels))
     }
 
-    /// The pool of a request of an old dialect, whose headers nobody asks for.
-    fn legacy_pool(&self, front: &str, asked: &Asked) -> Option<Rc<HttpPool>> {
-        let (class, path) = (asked.class.name.as_str(), asked.head.uri.path());
+    /// The pool of a legacy client's request, which has no tenant and no labels.
+    fn legacy_pool(&self, front: &str, request: &ReceivedRequest) -> Option<Rc<HttpPool>> {
+        let (class, path) = (request.class.name.as_str(), request.head.uri.path());
         self.pool_of(|| Attributes { front, class, tenant: None, path, labels: None })
     }
 
     fn pool_of<'a>(&self, attributes: impl FnOnce() -> Attributes<'a>) -> Option<Rc<HttpPool>> {
-        let place = match self.routes.rules() {
-            // Nothing is looked up that no rule asks for.
+        let position = match self.routes.rules() {
+            // Without rules no attributes are needed.
             [] => self.routes.default_pool()?,
             _ => self.routes.route(&attributes())?,
         };
-        self.pools.get(place).map(Rc::clone)
+        self.pools.get(position).map(Rc::clone)
     }
 }
 
-/// The clients' side of the agent.
+/// Serves the clients.
 pub struct Server {
-    serving: RefCell<Rc<ActivePlan>>,
+    active_plan: RefCell<Rc<ActivePlan>>,
     pools: Rc<Pools>,
     metrics: Rc<Metrics>,
-    listening: Cell<bool>,
-    longest: Cell<Duration>,
-    seats: Seats,
-    open: Gauge,
+    is_listening: Cell<bool>,
+    longest_deadline: Cell<Duration>,
+    connections: ClientConnections,
+    open_connections: Gauge,
     limits: Cell<ClientLimits>,
-    stopping: Cell<bool>,
-    /// At a stop, all that has come has its answer by then.
-    answer_by: Cell<Option<Instant>>,
-    /// The end of a stop: what is owed is answered at once, and connections that have not been used go too.
-    finished: Cell<bool>,
-    finishing: Notify,
+    is_shutting_down: Cell<bool>,
+    /// During a shutdown, the time by which each request must have its response.
+    respond_by: Cell<Option<Instant>>,
+    /// The last step of a shutdown: pending requests get their responses at once, and connections without a request are closed too.
+    is_finishing: Cell<bool>,
+    finish_request: Notify,
 }
 
 impl Server {
-    /// Serves nobody yet.
+    /// A server that listens nowhere yet.
     pub fn new(
-        serving: ActivePlan,
+        active_plan: ActivePlan,
         pools: Rc<Pools>,
         metrics: Rc<Metrics>,
         limits: ClientLimits,
     ) -> Rc<Self> {
-        let (seats, open, stopping, listening, answer_by) = Default::default();
-        let (finished, finishing) = Default::default();
-        let longest = Cell::new(serving.catalogue.longest_deadline());
-        let (serving, limits) = (RefCell::new(Rc::new(serving)), Cell::new(limits));
+        let (connections, open_connections, is_shutting_down, is_listening, respond_by) = Default::default();
+        let (is_finishing, finish_request) = Default::default();
+        let longest_deadline = Cell::new(active_plan.catalogue.longest_deadline());
+        let (active_plan, limits) = (RefCell::new(Rc::new(active_plan)), Cell::new(limits));
         Rc::new(Server {
-            serving,
+            active_plan,
             pools,
             metrics,
-            listening,
-            longest,
-            seats,
-            open,
+            is_listening,
+            longest_deadline,
+            connections,
+            open_connections,
             limits,
-            stopping,
-            answer_by,
-            finished,
-            finishing,
+            is_shutting_down,
+            respond_by,
+            is_finishing,
+            finish_request,
         })
     }
 
-    /// Holds so many connections from now on.
+    /// Replaces the limits on connections.
     pub fn set_limits(&self, limits: ClientLimits) {
         self.limits.set(limits);
     }
 
-    /// How long a request may take at most.
+    /// The longest time that a request may take.
     pub fn longest_deadline(&self) -> Duration {
-        self.longest.get()
+        self.longest_deadline.get()
     }
 
-    /// Requests whose head comes from now on are checked against this.
-    pub fn replace_plan(&self, serving: ActivePlan) {
-        // A request that came before may still be under way: the longest of all stands.
-        self.longest.set(self.longest.get().max(serving.catalogue.longest_deadline()));
-        *self.serving.borrow_mut() = Rc::new(serving);
+    /// Replaces the plan, for requests whose head is read from now on.
+    pub fn replace_plan(&self, active_plan: ActivePlan) {
+        // Requests under the former plan may still be in flight, so the longest deadline never decreases.
+        self.longest_deadline.set(self.longest_deadline.get().max(active_plan.catalogue.longest_deadline()));
+        *self.active_plan.borrow_mut() = Rc::new(active_plan);
     }
 
     /// Accepts connections to a front until dropped.
     pub async fn accept(self: &Rc<Self>, front: &Rc<Front>, listener: &impl Listener<Stream = TcpStream>) {
-        self.listening.set(true);
+        self.is_listening.set(true);
         loop {
-            // A connection that waits in the backlog has been accepted as far as its client can tell, so room
-            // is made before it is needed.
-            while self.open.count() >= self.limits.get().max_open {
-                self.seats.make_room();
-                let _ = timeout(ACCEPT_RETRY_DELAY, self.seats.left()).await;
+            // To its client, a connection in the backlog looks accepted: room for it is made before it is accepted.
+            while self.open_connections.count() >= self.limits.get().max_open {
+                self.connections.evict_one();
+                let _ = timeout(ACCEPT_RETRY_DELAY, self.connections.deregistered()).await;
             }
             let stream = accept(listener, |error, kind| {
                 tracing::warn!(%error, "cannot accept");
                 if kind == AcceptError::ResourceExhausted {
-                    self.seats.make_room();
+                    self.connections.evict_one();
                 }
             })
             .await;
-            let (server, front, ticket) = (Rc::clone(self), Rc::clone(front), self.open.increment());
-            let (wire, monitor) = MeteredStream::for_client(stream);
+            let (server, front, guard) =
+                (Rc::clone(self), Rc::clone(front), self.open_connections.increment());
+            let (stream, monitor) = MeteredStream::for_client(stream);
             tokio::task::spawn_local(async move {
-                let (taken, stream) = (server.seats.enter(monitor), wire.stream());
-                let ended = server.converse(&front, &taken.seat, wire).await;
-                if ended == Close::Graceful && taken.seat.leave() {
+                let (registration, socket) = (server.connections.register(monitor), stream.socket());
+                let close = server.serve_connection(&front, &registration.connection, stream).await;
+                if close == Close::Graceful && registration.connection.begin_lingering() {
                     tokio::select! {
-                        () = lingering_close(&stream, LINGER_MOST) => {}
-                        () = taken.seat.closed_immediately() => {}
+                        () = lingering_close(&socket, MAX_LINGER_BYTES) => {}
+                        () = registration.connection.immediate_close_requested() => {}
                     }
                 }
-                drop((stream, ticket));
+                drop((socket, guard));
             });
         }
     }
 
-    /// Ends connections of which nothing comes, for as long as the agent lives.
+    /// Closes connections that have timed out, for as long as the agent runs.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            // What clients have said while the process was held up is no silence.
+            // A client whose bytes arrived while the process was suspended must not time out.
             heartbeat().await;
-            self.seats.sweep(self.limits.get().idle_close_threshold);
+            self.connections.sweep(self.limits.get().idle_close_threshold);
             sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// From now on every answer ends its connection, and comes by then, whatever its client would wait.
-    pub fn begin_shutdown(&self, answer_by: Instant) {
-        self.stopping.set(true);
-        self.answer_by.set(Some(answer_by));
+    /// From now on each connection is closed after its response, and each response is given by `respond_by`, however long its client
+    /// would wait.
+    pub fn begin_shutdown(&self, respond_by: Instant) {
+        self.is_shutting_down.set(true);
+        self.respond_by.set(Some(respond_by));
     }
 
-    /// Closes the connections that are idle, and the others after their answer; those that have not been used yet are kept
-    /// for one more.
+    /// Closes the connections that are idle, and the others after their response. Those that have carried no request yet stay open
+    /// for one.
     pub fn close_all(&self) {
-        self.seats.close_all();
+        self.connections.close_all();
     }
 
-    /// Answers what is owed now, and closes the connections that have not been used too.
+    /// Responds to all pending requests now, and closes the connections that have carried no request too.
     pub fn finish_pending(&self) {
-        self.finished.set(true);
-        self.finishing.notify_waiters();
+        self.is_finishing.set(true);
+        self.finish_request.notify_waiters();
     }
 
-    /// Comes back when what is owed is to be answered now.
-    async fn finished(&self) {
-        if !self.finished.get() {
-            self.finishing.notified().await;
+    /// Waits until all pending requests are to get their responses now.
+    async fn finish_requested(&self) {
+        if !self.is_finishing.get() {
+            self.finish_request.notified().await;
         }
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.open.count()
+        self.open_connections.count()
     }
 
-    /// How many of them owe an answer or may do so soon.
+    /// The number of connections with a pending response, or on which a request is arriving.
     pub fn pending_requests(&self) -> usize {
-        self.seats.owed()
+        self.connections.pending_count()
     }
 }
 
-/// The client has gone before it had its answer: its connection ends, and nothing is sent on for it.
+/// The client has closed its connection before it got its response. Ends the connection and the work on the request.
 #[derive(Debug)]
-struct Gone;
+struct ClientClosed;
 
-impl std::fmt::Display for Gone {
+impl std::fmt::Display for ClientClosed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the client has gone")
+        f.write_str("the client has closed its connection")
     }
 }
 
-impl std::error::Error for Gone {}
+impl std::error::Error for ClientClosed {}
 
 impl StatusSource for Server {
     fn is_ready(&self) -> bool {
-        self.listening.get() && !self.stopping.get() && self.pools.has_serving_server()
+        self.is_listening.get() && !self.is_shutting_down.get() && self.pools.has_serving_server()
     }
 
     fn metrics_page(&self) -> String {
@@ -258,373 +260,410 @@
 }
 
 impl Server {
-    /// Serves a connection to its end; tells whether what it has been given last may still reach its client.
-    async fn converse(self: &Rc<Self>, front: &Rc<Front>, seat: &Rc<Seat>, wire: MeteredStream) -> Close {
+    /// Serves a connection until it ends, and returns how it was closed. After a graceful close the last response may still be in transit.
+    async fn serve_connection(
+        self: &Rc<Self>,
+        front: &Rc<Front>,
+        connection: &Rc<ClientConnection>,
+        stream: MeteredStream,
+    ) -> Close {
         let service = service_fn(|request| {
-            let (server, front, seat) = (Rc::clone(self), Rc::clone(front), Rc::clone(seat));
+            let (server, front, connection) = (Rc::clone(self), Rc::clone(front), Rc::clone(connection));
             async move {
-                seat.begin();
-                let mut answer = tokio::select! {
+                connection.begin_request();
+                let mut response = tokio::select! {
                     biased;
-                    answer = answered(server.handle(&front, &seat, request)) => answer,
-                    () = seat.monitor().closed_by_peer() => return Err(Gone),
+                    response = catch_panic(server.handle(&front, &connection, request)) => response,
+                    () = connection.monitor().closed_by_peer() => return Err(ClientClosed),
                 };
-                // Clients that ask once and stay would leave the others none of the connections that all may hold.
-                let is_crowded = server.open.count() > server.limits.get().keep_alive_threshold;
-                if is_crowded || server.stopping.get() || seat.is_ending() {
-                    answer = closing(answer);
+                // Clients that stay connected after one request would leave no connections for the others.
+                let is_crowded = server.open_connections.count() > server.limits.get().keep_alive_threshold;
+                if is_crowded || server.is_shutting_down.get() || connection.is_close_requested() {
+                    response = with_close(response);
                 }
-                // What has been read behind the request is owed an answer too.
-                if seat.has_next() {
-                    answer.headers_mut().remove(CONNECTION);
+                // Another request that has been read behind this one needs a response too.
+                if connection.has_pipelined_request() {
+                    response.headers_mut().remove(CONNECTION);
                 }
-                seat.answer(answer.headers().contains_key(CONNECTION));
-                Ok(answer)
+                connection.finish_response(response.headers().contains_key(CONNECTION));
+                Ok(response)
             }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
-        // The sweep ends half a request; a timer for each head would cost more.
-        builder.header_read_timeout(None).max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
-        let mut connection = pin!(builder.serve_connection(wire, service));
+        // The sweep closes connections with incomplete requests; a timer for each head would cost more.
+        builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
+        let mut http_connection = pin!(builder.serve_connection(stream, service));
         tokio::select! {
             biased;
-            _ = connection.as_mut() => return Close::Graceful,
-            end = seat.ended() => if end == Close::Immediate { return end },
+            _ = http_connection.as_mut() => return Close::Graceful,
+            close = connection.close_requested() => if close == Close::Immediate { return close },
         }
         let graceful = async {
             loop {
-                // A request that is on its way, or has come and was not read yet, must not be cut off by the close.
+                // A request that is arriving, or has arrived and was not read yet, must not be cut off by the close.
                 loop {
-                    // The answer that is owed ends the connection, or is followed by those to what stands behind it.
+                    // The pending response ends the connection, or is followed by those to the requests behind it.
                     let wait = match () {
-                        () if seat.is_busy() || seat.is_unsent() => CLOSE_WAIT,
-                        () if seat.is_coming() => Duration::from_millis(1),
+                        () if connection.is_response_pending() || connection.has_unsent_bytes() => {
+                            CLOSE_TIMEOUT
+                        }
+                        () if connection.is_request_arriving() => Duration::from_millis(1),
                         () => break,
                     };
-                    if timeout(wait, connection.as_mut()).await.is_ok() {
+                    if timeout(wait, http_connection.as_mut()).await.is_ok() {
                         return;
                     }
                 }
-                // hyper would close one that has had no request yet. At a stop its client has just come and is about to
-                // ask, with no listener left to turn to: it keeps its connection for that one answer.
-                if seat.is_used() || !self.stopping.get() || self.finished.get() {
+                // hyper would close a connection without a request. During a shutdown its client has just connected and is about to
+                // send one, and no listener is left for it: it keeps its connection for that one request.
+                if connection.has_carried_request() || !self.is_shutting_down.get() || self.is_finishing.get()
+                {
                     break;
                 }
                 tokio::select! {
                     biased;
-                    _ = connection.as_mut() => return,
-                    () = self.finished() => {}
+                    _ = http_connection.as_mut() => return,
+                    () = self.finish_requested() => {}
                 }
             }
-            connection.as_mut().graceful_shutdown();
-            // What is left is to pass on an answer that is owed or has been given; a client that does not read, or
-            // has begun a request and says no more, must not keep its seat.
-            while timeout(CLOSE_WAIT, connection.as_mut()).await.is_err()
-                && (seat.is_busy() || seat.is_unsent() || self.stopping.get())
+            http_connection.as_mut().graceful_shutdown();
+            // Only responses that are pending or being sent keep the connection open. A client that does not read, or has sent an
+            // incomplete request and no more, must not.
+            while timeout(CLOSE_TIMEOUT, http_connection.as_mut()).await.is_err()
+                && (connection.is_response_pending()
+                    || connection.has_unsent_bytes()
+                    || self.is_shutting_down.get())
             {}
         };
         tokio::select! {
             biased;
             () = graceful => Close::Graceful,
-            () = seat.closed_immediately() => Close::Immediate,
+            () = connection.immediate_close_requested() => Close::Immediate,
         }
     }
 
-    /// One request, one answer.
-    async fn handle(&self, front: &Front, seat: &Rc<Seat>, request: Request<Incoming>) -> Response<Reply> {
+    /// Handles a request and returns its response.
+    async fn handle(
+        &self,
+        front: &Front,
+        connection: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> Response<ClientBody> {
         if request.uri().path() == "/health/ready" && request.method() == Method::GET {
-            let ready = self.pools.has_serving_server();
-            return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+            let is_ready = self.pools.has_serving_server();
+            return text_response(
+                if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
+                "",
+            );
         }
-        let serving = Rc::clone(&self.serving.borrow());
+        let plan = Rc::clone(&self.active_plan.borrow());
         if front.protocol == Protocol::Legacy {
-            return self.handle_legacy(&front.name, seat, &serving, request).await;
+            return self.handle_legacy(&front.name, connection, &plan, request).await;
         }
-        let checked = match serving.catalogue.check(seat, request) {
+        let checked = match plan.catalogue.check(connection, request) {
             Ok(checked) => checked,
-            Err(fault) => return turned_away(fault, None),
+            Err(error) => return error_response(error, None),
         };
         let counters = Rc::clone(&checked.class.counters);
-        let pool = serving.pool(&front.name, &checked);
-        let answer = match &pool {
-            Some(pool) => self.read_and_pass_on(seat, &serving, pool, checked).await,
+        let pool = plan.pool(&front.name, &checked);
+        let response = match &pool {
+            Some(pool) => self.read_and_forward(connection, &plan, pool, checked).await,
             None => {
                 checked.discard();
                 Err((StatusCode::NOT_FOUND, "no route leads from here"))
             }
         };
-        let mut answer =
-            answer.unwrap_or_else(|fault| turned_away(fault, pool.and_then(|pool| pool.body_retry_after())));
-        match answer.body_mut() {
-            // It is served once the client has all of it.
-            Reply::Passing(passing) => passing.counters = Some(counters),
-            Reply::Held(..) => counters.record(outcome_of(answer.status())),
+        let mut response = response
+            .unwrap_or_else(|error| error_response(error, pool.and_then(|pool| pool.body_retry_after())));
+        match response.body_mut() {
+            // It is counted once the client has all of it.
+            ClientBody::Streaming(streaming) => streaming.counters = Some(counters),
+            ClientBody::Buffered(..) => counters.record(outcome_of(response.status())),
         }
-        answer
+        response
     }
 
-    async fn read_and_pass_on(
+    async fn read_and_forward(
         &self,
-        seat: &Rc<Seat>,
-        serving: &ActivePlan,
+        connection: &Rc<ClientConnection>,
+        plan: &ActivePlan,
         pool: &HttpPool,
-        checked: Checked,
-    ) -> Result<Response<Reply>, Fault> {
+        checked: CheckedRequest,
+    ) -> Result<Response<ClientBody>, RequestError> {
         let class = Rc::clone(&checked.class);
-        let times = pool.latency(&self.metrics, &class.name);
-        let mut new_request = serving.catalogue.read(seat, &pool.bodies, checked).await?;
-        dialect::add_legacy_form(&serving.mappings, &mut new_request, pool.engine_pool.serving_dialects());
+        let latency = pool.latency(&self.metrics, &class.name);
+        let mut new_request = plan.catalogue.read(connection, &pool.bodies, checked).await?;
+        dialect::add_legacy_form(&plan.mappings, &mut new_request, pool.engine_pool.serving_dialects());
         let upload = new_request.request.body.upload().map(Rc::clone);
-        let answer = self.pass_on(seat, pool, (&class.name, &times), new_request).await;
+        let response = self.forward(connection, pool, (&class.name, &latency), new_request).await;
         if let Some(rest) = upload.and_then(|upload| upload.abandon()) {
-            seat.discard(true);
-            let seat = Rc::clone(seat);
+            connection.set_discarding(true);
+            let connection = Rc::clone(connection);
             tokio::task::spawn_local(async move {
                 rest.discard().await;
-                seat.discard(false);
+                connection.set_discarding(false);
             });
         }
-        check_end(seat).and(answer)
+        check_end(connection).and(response)
     }
 
-    /// The same for a client of an old dialect, which gets every answer in its own form.
+    /// Handles a legacy client's request and returns its response, always in the client's form.
     async fn handle_legacy(
         &self,
         front: &str,
-        seat: &Rc<Seat>,
-        serving: &ActivePlan,
+        connection: &Rc<ClientConnection>,
+        plan: &ActivePlan,
         request: Request<Incoming>,
-    ) -> Response<Reply> {
-        let asked = match legacy::ask(&serving.mappings, &serving.catalogue, seat, request) {
-            Ok(asked) => asked,
-            Err(told) => return closing(in_form(told)),
+    ) -> Response<ClientBody> {
+        let received = match legacy::check_head(&plan.mappings, &plan.catalogue, connection, request) {
+            Ok(received) => received,
+            Err(error) => return with_close(legacy_response(error)),
         };
-        let mapping = Rc::clone(&asked.mapping);
-        let word = |trouble: &Trouble| in_form(legacy::in_form(&mapping, trouble));
-        let asked_class = Rc::clone(&asked.class);
-        let Some(pool) = serving.legacy_pool(front, &asked) else {
-            asked.discard();
-            asked_class.counters.record(Outcome::Failed);
-            return closing(word(&Trouble::Failed("No route leads from here.".into())));
+        let mapping = Rc::clone(&received.mapping);
+        let error_response = |error: &Trouble| legacy_response(legacy::error_response(&mapping, error));
+        let received_class = Rc::clone(&received.class);
+        let Some(pool) = plan.legacy_pool(front, &received) else {
+            received.discard();
+            received_class.counters.record(Outcome::Failed);
+            return with_close(error_response(&Trouble::Failed("No route leads from here.".into())));
         };
-        let translated = match legacy::translate(&serving.catalogue, seat, &pool, asked).await {
+        let translated = match legacy::translate(&plan.catalogue, connection, &pool, received).await {
             Ok(translated) => translated,
-            Err(trouble) => {
-                if !matches!(trouble, Trouble::Refused(_)) {
+            Err(error) => {
+                if !matches!(error, Trouble::Refused(_)) {
                     self.metrics.record_untranslated(&mapping.name);
                 }
-                let answer = word(&trouble);
-                asked_class.counters.record(outcome_of(answer.status()));
-                return closing(answer);
+                let response = error_response(&error);
+                received_class.counters.record(outcome_of(response.status()));
+                return with_close(response);
             }
         };
         let Translated { new_request, class, mut notices } = translated;
-        let times = pool.latency(&self.metrics, &class.name);
-        let carried = self.carry(seat, &pool, (&class.name, &times), new_request).await;
-        let answer = match carried {
-            Err(declined) => Err(Trouble::Refused(pool.retry_after(declined).map(Into::into))),
-            // An old server's answer is the client's own.
-            Ok((FinalResponse::Success(served), in_flight)) if served.dialect == OLD => {
-                Ok((reply(seat, served, in_flight), Vec::new()))
+        let latency = pool.latency(&self.metrics, &class.name);
+        let submitted = self.submit(connection, &pool, (&class.name, &latency), new_request).await;
+        let result = match submitted {
+            Err(rejection) => Err(Trouble::Refused(pool.retry_after(rejection).map(Into::into))),
+            // A server of the old dialect responds in the client's own form.
+            Ok((FinalResponse::Success(response), in_flight)) if response.dialect == OLD => {
+                Ok((forwarded_response(connection, response, in_flight), Vec::new()))
             }
-            Ok((FinalResponse::Success(served), _)) => {
-                self.translated(&mapping, Side::New, served).map_err(Trouble::Failed)
+            Ok((FinalResponse::Success(response), _)) => {
+                self.translate_response(&mapping, Side::New, response).map_err(Trouble::Failed)
+            }
+            Ok((FinalResponse::Rejected(retry_after), _)) => {
+                Err(Trouble::Refused(retry_after.map(Into::into)))
             }
-            Ok((FinalResponse::Rejected(after), _)) => Err(Trouble::Refused(after.map(Into::into))),
             Ok((FinalResponse::DeadlineExceeded, _)) => Err(Trouble::Failed("Its time is up.".into())),
             Ok((FinalResponse::Failed | FinalResponse::IncompleteRequest, _)) => {
                 Err(Trouble::Failed(String::new()))
             }
         };
-        let mut answer = match answer {
-            Ok((answer, more)) => {
+        let mut response = match result {
+            Ok((response, more)) => {
                 notices.extend(more);
-                answer
+                response
             }
-            Err(trouble) => word(&trouble),
+            Err(error) => error_response(&error),
         };
-        self.tell_losses(&mapping, &notices, &mut answer);
-        match answer.body_mut() {
-            Reply::Passing(passing) => passing.counters = Some(Rc::clone(&class.counters)),
-            Reply::Held(..) => class.counters.record(outcome_of(answer.status())),
+        self.report_losses(&mapping, &notices, &mut response);
+        match response.body_mut() {
+            ClientBody::Streaming(streaming) => streaming.counters = Some(Rc::clone(&class.counters)),
+            ClientBody::Buffered(..) => class.counters.record(outcome_of(response.status())),
         }
-        answer
+        response
     }
 
-    /// The answer of a server of one side in the form of the other, with what was lost.
-    fn translated(
+    /// Translates a server's response to the other side of the mapping; returns it with what was lost.
+    fn translate_response(
         &self,
         mapping: &Mapping,
         from: Side,
-        served: UpstreamResponse,
-    ) -> Result<(Response<Reply>, Vec<Notice>), String> {
-        let done = dialect::translate_response(mapping, from, served);
-        let done = done.inspect_err(|_| self.metrics.record_untranslated(&mapping.name));
+        response: UpstreamResponse,
+    ) -> Result<(Response<ClientBody>, Vec<Notice>), String> {
+        let translated = dialect::translate_response(mapping, from, response);
+        let translated = translated.inspect_err(|_| self.metrics.record_untranslated(&mapping.name));
         let (body, reservation, notices) =
-            done.map_err(|why| format!("Its answer has no counterpart: {why}"))?;
-        let mut answer = Response::new(Reply::Held(Full::new(body), Some(reservation)));
+            translated.map_err(|reason| format!("Its answer has no counterpart: {reason}"))?;
+        let mut response = Response::new(ClientBody::Buffered(Full::new(body), Some(reservation)));
         let to = mapping.dialect(from.other());
-        let kind = HeaderValue::try_from(to.answers.content_type(to.charset));
-        answer.headers_mut().extend(kind.ok().map(|kind| (CONTENT_TYPE, kind)));
-        Ok((answer, notices))
+        let content_type = HeaderValue::try_from(to.answers.content_type(to.charset));
+        response.headers_mut().extend(content_type.ok().map(|value| (CONTENT_TYPE, value)));
+        Ok((response, notices))
     }
 
-    fn tell_losses(&self, mapping: &Mapping, notices: &[Notice], answer: &mut Response<Reply>) {
+    /// Counts the losses of a translation, and lists them in a header of the response.
+    fn report_losses(&self, mapping: &Mapping, notices: &[Notice], response: &mut Response<ClientBody>) {
         self.metrics.record_losses(&mapping.name, notices.len());
         if let Some(notice) = legacy::notice(notices) {
-            answer.headers_mut().insert(legacy::NOTICE, notice);
+            response.headers_mut().insert(legacy::NOTICE, notice);
         }
     }
 
-    /// Hands a request to its pool, and waits for the final answer; what counts it as under way comes with it.
-    async fn carry(
+    /// Submits a request to its pool and waits for the final response. Returns it with the guard that counts the request as in flight.
+    async fn submit(
         &self,
-        seat: &Rc<Seat>,
+        connection: &Rc<ClientConnection>,
         pool: &HttpPool,
-        (class, times): (&str, &LatencyHistograms),
+        (class, latency): (&str, &LatencyHistograms),
         new_request: NewRequest<UpstreamRequest>,
     ) -> Result<(FinalResponse<UpstreamResponse>, Option<GaugeGuard>), Rejection> {
         let mut in_flight = None;
         let since = Cell::new(None);
-        let whole = |deadline: Instant| {
-            seat.take();
+        let on_complete = |deadline: Instant| {
+            connection.complete_request();
             since.set(Some(Instant::now()));
             in_flight = Some(self.metrics.track_request());
-            // The module has the client's whole time: a server that answers sooner serves it.
-            self.answer_by.get().map_or(deadline, |by| deadline.min(by))
+            // The decision module still gets the client's whole time: a server that responds sooner serves the request.
+            self.respond_by.get().map_or(deadline, |by| deadline.min(by))
         };
-        // Nothing is decided before what was told while the process was held up is known.
+        // If the process was suspended, everything that arrived meanwhile is processed before a server is chosen.
         catch_up().await;
-        // What was taken before the stop has its time, but no more than there is.
+        // Requests from before the shutdown keep their time, but no more than the shutdown has left.
         let finished = async {
-            self.finished().await;
+            self.finish_requested().await;
             FinalResponse::DeadlineExceeded
         };
         // Dropped by hyper with this future when the client closes its connection.
         let pending = pool.engine_pool.submit(new_request)?;
         let id = pending.id();
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
-            answer = pending.wait(whole) => answer,
-            answer = finished => answer,
+            response = pending.wait(on_complete) => response,
+            response = finished => response,
         };
         if let Some(since) = since.get() {
-            let outcome = match &answer {
+            let outcome = match &response {
                 FinalResponse::Success(_) => Outcome::Served,
                 FinalResponse::Rejected(_) => Outcome::Refused,
                 FinalResponse::Failed
                 | FinalResponse::DeadlineExceeded
                 | FinalResponse::IncompleteRequest => Outcome::Failed,
             };
-            let took = since.elapsed();
-            times.record(outcome, took);
+            let elapsed = since.elapsed();
+            latency.record(outcome, elapsed);
             tracing::debug!(
                 target: "heronhoist::request",
                 pool = pool.engine_pool.name(),
                 request = id,
                 class,
                 outcome = ?outcome,
-                elapsed_us = took.as_micros() as u64,
+                elapsed_us = elapsed.as_micros() as u64,
                 "request ended"
             );
         }
-        Ok((answer, in_flight))
+        Ok((response, in_flight))
     }
 
-    async fn pass_on(
+    /// Forwards a request to its pool and returns the response for the client.
+    async fn forward(
         &self,
-        seat: &Rc<Seat>,
+        connection: &Rc<ClientConnection>,
         pool: &HttpPool,
-        of: (&str, &LatencyHistograms),
+        class: (&str, &LatencyHistograms),
         new_request: NewRequest<UpstreamRequest>,
-    ) -> Result<Response<Reply>, Fault> {
+    ) -> Result<Response<ClientBody>, RequestError> {
         let upload = new_request.request.body.upload().map(Rc::clone);
-        // Only what could go to an old server can come back from one.
-        let mapping = new_request.request.legacy.as_ref().and_then(|old| old.mapping.clone());
-        let (answer, in_flight) = match self.carry(seat, pool, of, new_request).await {
-            Ok(carried) => carried,
+        // Only a request with a legacy form can get a response from a server of the old dialect.
+        let mapping = new_request.request.legacy.as_ref().and_then(|legacy| legacy.mapping.clone());
+        let (response, in_flight) = match self.submit(connection, pool, class, new_request).await {
+            Ok(submitted) => submitted,
             Err(Rejection::CorrelationIdInUse) => return Err((StatusCode::CONFLICT, "X-Call-Id is in use")),
-            Err(declined) => return Ok(refused(pool.retry_after(declined))),
+            Err(rejection) => return Ok(rejected(pool.retry_after(rejection))),
         };
-        Ok(match answer {
-            FinalResponse::Success(served) if served.dialect == OLD => {
-                let done = mapping.ok_or_else(String::new).and_then(|mapping| {
-                    let (mut answer, notices) = self.translated(&mapping, Side::Old, served)?;
-                    self.tell_losses(&mapping, &notices, &mut answer);
-                    Ok(answer)
+        Ok(match response {
+            FinalResponse::Success(response) if response.dialect == OLD => {
+                let translated = mapping.ok_or_else(String::new).and_then(|mapping| {
+                    let (mut response, notices) = self.translate_response(&mapping, Side::Old, response)?;
+                    self.report_losses(&mapping, &notices, &mut response);
+                    Ok(response)
                 });
-                done.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "its answer has no counterpart"))
+                translated.unwrap_or_else(|_| {
+                    text_response(StatusCode::BAD_GATEWAY, "its answer has no counterpart")
+                })
             }
-            FinalResponse::Success(served) => reply(seat, served, in_flight),
-            FinalResponse::Rejected(retry_after) => refused(retry_after),
-            FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
-            FinalResponse::DeadlineExceeded => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+            FinalResponse::Success(response) => forwarded_response(connection, response, in_flight),
+            FinalResponse::Rejected(retry_after) => rejected(retry_after),
+            FinalResponse::Failed => text_response(StatusCode::BAD_GATEWAY, "failed"),
+            FinalResponse::DeadlineExceeded => text_response(StatusCode::GATEWAY_TIMEOUT, "out of time"),
             FinalResponse::IncompleteRequest => match upload.map(|upload| upload.state()) {
-                Some(UploadState::Failed(broken)) => return Err(fault_of(broken)),
-                _ => return Err(fault_of(UploadError::Unreadable)),
+                Some(UploadState::Failed(error)) => return Err(body_error(error)),
+                _ => return Err(body_error(UploadError::Unreadable)),
             },
         })
     }
 }
 
-/// A panic costs its request and no other: it is answered all the same, and its connection ends with that.
-async fn answered(handled: impl Future<Output = Response<Reply>>) -> Response<Reply> {
-    let mut handled = pin!(handled);
+/// Turns a panic of the handler into a response with status 500, after which the connection is closed. Other requests go on.
+async fn catch_panic(handler: impl Future<Output = Response<ClientBody>>) -> Response<ClientBody> {
+    let mut handler = pin!(handler);
     poll_fn(|cx| {
-        catch_unwind(AssertUnwindSafe(|| handled.as_mut().poll(cx))).unwrap_or_else(|_| {
+        catch_unwind(AssertUnwindSafe(|| handler.as_mut().poll(cx))).unwrap_or_else(|_| {
             tracing::error!("the handling of a request has panicked; going on");
-            Poll::Ready(closing(plain(StatusCode::INTERNAL_SERVER_ERROR, "failed")))
+            Poll::Ready(with_close(text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed")))
         })
     })
     .await
 }
 
-/// A server's answer as it came.
-fn reply(seat: &Rc<Seat>, served: UpstreamResponse, in_flight: Option<GaugeGuard>) -> Response<Reply> {
-    let body = match served.body {
-        ResponseBody::Buffered(bytes, reservation) => Reply::Held(Full::new(bytes), Some(reservation)),
+/// A server's response, unchanged.
+fn forwarded_response(
+    connection: &Rc<ClientConnection>,
+    response: UpstreamResponse,
+    in_flight: Option<GaugeGuard>,
+) -> Response<ClientBody> {
+    let body = match response.body {
+        ResponseBody::Buffered(bytes, reservation) => {
+            ClientBody::Buffered(Full::new(bytes), Some(reservation))
+        }
         ResponseBody::Streaming(download) => {
-            let (seat, counters) = (Rc::clone(seat), None);
-            seat.pass_on();
-            Reply::Passing(Passing { download, seat, counters, whole: false, _in_flight: in_flight })
+            let (connection, counters) = (Rc::clone(connection), None);
+            connection.begin_streaming();
+            ClientBody::Streaming(StreamedBody {
+                download,
+                connection,
+                counters,
+                is_complete: false,
+                _in_flight: in_flight,
+            })
         }
     };
-    let mut answer = Response::new(body);
-    if let Some(kind) = served.content_type {
-        answer.headers_mut().insert(CONTENT_TYPE, kind);
+    let mut forwarded = Response::new(body);
+    if let Some(content_type) = response.content_type {
+        forwarded.headers_mut().insert(CONTENT_TYPE, content_type);
     }
-    answer
+    forwarded
 }
 
-/// The body of an answer.
-enum Reply {
-    /// All of it, and the memory that it holds.
-    Held(
+/// The body of a response to a client.
+enum ClientBody {
+    /// The whole body, and the memory that is reserved for it.
+    Buffered(
         Full<Bytes>,
         #[expect(dead_code, reason = "held until the client has the bytes")] Option<Reservation>,
     ),
-    Passing(Passing),
+    /// A body that is still arriving.
+    Streaming(StreamedBody),
 }
 
-/// An answer that is passed on as it comes.
-struct Passing {
+/// A body that is forwarded as it arrives.
+struct StreamedBody {
     download: Box<Download>,
-    seat: Rc<Seat>,
+    connection: Rc<ClientConnection>,
     counters: Option<Rc<ClassCounters>>,
-    whole: bool,
+    is_complete: bool,
     _in_flight: Option<GaugeGuard>,
 }
 
-impl Drop for Passing {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         if let Some(counters) = &self.counters {
-            counters.record(if self.whole { Outcome::Served } else { Outcome::Failed });
+            counters.record(if self.is_complete { Outcome::Served } else { Outcome::Failed });
         }
-        self.seat.passed_on();
+        self.connection.end_streaming();
     }
 }
 
-impl Body for Reply {
+impl Body for ClientBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -633,10 +672,10 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
-            Reply::Held(body, _) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Reply::Passing(passing) => {
-                let frame = ready!(Pin::new(&mut passing.download).poll_frame(cx));
-                passing.whole = passing.download.is_end_stream() || frame.is_none();
+            ClientBody::Buffered(body, _) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            ClientBody::Streaming(streaming) => {
+                let frame = ready!(Pin::new(&mut streaming.download).poll_frame(cx));
+                streaming.is_complete = streaming.download.is_end_stream() || frame.is_none();
                 Poll::Ready(frame)
             }
         }
@@ -644,20 +683,20 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Held(body, _) => body.is_end_stream(),
-            Reply::Passing(passing) => passing.download.is_end_stream(),
+            ClientBody::Buffered(body, _) => body.is_end_stream(),
+            ClientBody::Streaming(streaming) => streaming.download.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Held(body, _) => body.size_hint(),
-            Reply::Passing(passing) => passing.download.size_hint(),
+            ClientBody::Buffered(body, _) => body.size_hint(),
+            ClientBody::Streaming(streaming) => streaming.download.size_hint(),
         }
     }
 }
 
-/// How a request ended, as the protocol words it.
+/// How a request ended, by the status of its response.
 fn outcome_of(status: StatusCode) -> Outcome {
     match status {
         StatusCode::OK => Outcome::Served,
@@ -666,41 +705,42 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Reply> {
-    let mut answer = Response::new(Reply::Held(Full::new(Bytes::from_static(text.as_bytes())), None));
-    *answer.status_mut() = status;
-    answer
+fn text_response(status: StatusCode, text: &'static str) -> Response<ClientBody> {
+    let mut response =
+        Response::new(ClientBody::Buffered(Full::new(Bytes::from_static(text.as_bytes())), None));
+    *response.status_mut() = status;
+    response
 }
 
-/// A refusal, with the time to come back after.
-fn refused(retry_after: Option<Span>) -> Response<Reply> {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+/// The response to a rejected request.
+fn rejected(retry_after: Option<Span>) -> Response<ClientBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
     if let Some(Ok(value)) = retry_after.map(|s| HeaderValue::try_from(format!("{:.3}", s.as_ms() / 1e3))) {
-        answer.headers_mut().insert(RETRY_AFTER, value);
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
-/// An answer in an old client's form.
-fn in_form(told: Told) -> Response<Reply> {
-    let mut answer = Response::new(Reply::Held(Full::new(told.body.into()), None));
-    *answer.status_mut() = StatusCode::from_u16(told.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(told.content_type));
-    answer.headers_mut().extend(told.retry_after.map(|seconds| (RETRY_AFTER, HeaderValue::from(seconds))));
-    answer
+/// An error response in a legacy client's form.
+fn legacy_response(error: Told) -> Response<ClientBody> {
+    let mut response = Response::new(ClientBody::Buffered(Full::new(error.body.into()), None));
+    *response.status_mut() = StatusCode::from_u16(error.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(error.content_type));
+    response.headers_mut().extend(error.retry_after.map(|seconds| (RETRY_AFTER, HeaderValue::from(seconds))));
+    response
 }
 
-/// Whatever else may come on its connection is not waited for.
-fn closing(mut answer: Response<Reply>) -> Response<Reply> {
-    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-    answer
+/// Adds the header by which the connection is closed after the response.
+fn with_close(mut response: Response<ClientBody>) -> Response<ClientBody> {
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
 }
 
-/// An answer to what can't be used; whatever else may come on its connection is not waited for.
-fn turned_away((status, why): Fault, retry_after: Option<Span>) -> Response<Reply> {
-    closing(match status {
-        StatusCode::SERVICE_UNAVAILABLE => refused(retry_after),
-        status => plain(status, why),
+/// The response to an invalid request, after which the connection is closed.
+fn error_response((status, reason): RequestError, retry_after: Option<Span>) -> Response<ClientBody> {
+    with_close(match status {
+        StatusCode::SERVICE_UNAVAILABLE => rejected(retry_after),
+        status => text_response(status, reason),
     })
 }
 
--- a/crates/agent/src/server/tests/accepting.rs
+++ b/crates/agent/src/server/tests/accepting.rs
@@ -1,4 +1,4 @@
-//! The front before a listener that fails in a forced order; connections are real ones.
+//! A listener that fails in a scripted order; the connections are real.
 
 use super::super::*;
 use crate::pools::UpstreamLimits;
@@ -9,13 +9,13 @@
 use tokio::sync::{mpsc, Mutex};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Each call fails with the next of these, or accepts what has come to the listener.
-struct Scripted {
+/// Each call of `accept` fails with the next scripted error, or accepts a connection.
+struct ScriptedListener {
     listener: TcpListener,
     steps: Mutex<mpsc::UnboundedReceiver<Option<Errno>>>,
 }
 
-impl Listener for Scripted {
+impl Listener for ScriptedListener {
     type Stream = TcpStream;
 
     async fn accept(&self) -> io::Result<TcpStream> {
@@ -30,52 +30,52 @@
 fn server() -> Rc<Server> {
     let pools = Pools::new(UpstreamLimits { connections: 9, body_bytes: 1 << 20 }, 9, 7);
     let (catalogue, mappings) = (Catalogue { classes: Vec::new(), tenants: Vec::new() }, Rc::default());
-    let serving = ActivePlan { catalogue, routes: Table::default(), pools: Vec::new(), mappings };
+    let active_plan = ActivePlan { catalogue, routes: Table::default(), pools: Vec::new(), mappings };
     let limits = ClientLimits { max_open: 100, idle_close_threshold: 100, keep_alive_threshold: 100 };
-    Server::new(serving, pools, Rc::default(), limits)
+    Server::new(active_plan, pools, Rc::default(), limits)
 }
 
-/// One call that needs no server, on a connection that is kept; `None` if the agent has closed it.
-async fn ask(client: &mut TcpStream) -> Option<String> {
+/// Sends a request that needs no record server, on a kept-alive connection; `None` if the agent has closed it.
+async fn check_ready(client: &mut TcpStream) -> Option<String> {
     client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").await.ok()?;
     let mut read = Vec::new();
     while !read.ends_with(b"\r\n\r\n") {
-        let mut piece = [0; 256];
-        match client.read(&mut piece).await {
+        let mut chunk = [0; 256];
+        match client.read(&mut chunk).await {
             Ok(0) | Err(_) => return None,
-            Ok(n) => read.extend_from_slice(&piece[..n]),
+            Ok(n) => read.extend_from_slice(&chunk[..n]),
         }
     }
     Some(String::from_utf8_lossy(&read).into_owned())
 }
 
-/// A client that has been served rests while its agent's listener fails in this way; another comes after that. Tells whether the
-/// first is still served then.
-fn still_served(failures: &'static [Errno]) -> bool {
+/// A client has been served and is idle while the listener fails with these errors; then another client connects. Returns whether the
+/// first client is still connected after that.
+fn is_first_client_kept(failures: &'static [Errno]) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (step, steps) = mpsc::unbounded_channel();
-        let listener = Scripted { listener, steps: Mutex::new(steps) };
+        let listener = ScriptedListener { listener, steps: Mutex::new(steps) };
         let (server, front) =
             (server(), Rc::new(Front { name: "http".into(), listen: address, protocol: Protocol::Http }));
         let accepting = Rc::clone(&server);
         spawn_local(async move { accepting.accept(&front, &listener).await });
         let mut first = TcpStream::connect(address).await.unwrap();
         step.send(None).unwrap();
-        ask(&mut first).await.expect("the first is served");
+        check_ready(&mut first).await.expect("the first is served");
         failures.iter().for_each(|errno| step.send(Some(*errno)).unwrap());
         step.send(None).unwrap();
         let mut second = TcpStream::connect(address).await.unwrap();
-        ask(&mut second).await.expect("the second is served");
-        ask(&mut first).await.is_some()
+        check_ready(&mut second).await.expect("the second is served");
+        check_ready(&mut first).await.is_some()
     })
 }
 
-/// One client that hangs up in the queue, a signal, or a listener that does not do, is no reason to close another's connection.
+/// A client that hangs up in the backlog, a signal, or a broken listener is no reason to evict another client.
 #[test]
-fn an_accept_that_fails_for_want_of_nothing_closes_nobody() {
+fn an_accept_error_without_a_lack_of_resources_evicts_nobody() {
     for failures in [
         &[Errno::CONNABORTED][..],
         &[Errno::PROTO],
@@ -86,14 +86,14 @@
         &[Errno::CONNABORTED; 50],
         &[Errno::INVAL],
     ] {
-        assert!(still_served(failures), "{failures:?}");
+        assert!(is_first_client_kept(failures), "{failures:?}");
     }
 }
 
-/// Where descriptors or memory are lacking, one that rests makes room for one that comes.
+/// Where descriptors or memory have run out, an idle client is evicted.
 #[test]
-fn an_accept_that_fails_for_want_of_room_makes_room() {
+fn an_accept_error_for_lack_of_resources_evicts_an_idle_client() {
     for errno in [&[Errno::MFILE], &[Errno::NFILE], &[Errno::NOBUFS], &[Errno::NOMEM]] {
-        assert!(!still_served(errno), "{errno:?}");
+        assert!(!is_first_client_kept(errno), "{errno:?}");
     }
 }
