--- a/crates/agent/tests/loopback/common.rs
+++ b/crates/agent/tests/loopback/common.rs
@@ -1,5 +1,5 @@
-//! A scripted world on loopback: backends and discovery that do as they are told, a client, and the agent's
-//! own program between them. Whatever is waited for is an event; the bounds only end a test that hangs.
+//! The test bench: scripted record servers, a scripted discovery and clients on loopback, and the agent's program between them.
+//! Tests wait for events; the timeout only ends a test that hangs.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far beyond anything that a sound agent needs.
+/// Far longer than a working agent needs for anything.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A message as it was read.
+/// An HTTP message as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
@@ -59,15 +59,15 @@
     }
 }
 
-/// What a backend does about a request.
+/// How a server reacts to a request.
 pub enum Action {
-    /// Writes this and keeps the connection.
+    /// Writes this and keeps the connection open.
     Respond(String),
-    /// Writes this and ends the connection.
+    /// Writes this and closes the connection.
     RespondAndClose(String),
-    /// Writes these one after the other, with a pause between that is longer than an answer may stall.
+    /// Writes these one after the other, each followed by a pause longer than the stall timeout.
     RespondInParts(Vec<String>),
-    /// Says nothing until the agent gives up.
+    /// Writes nothing until the agent closes the connection.
     Hang,
 }
 
@@ -79,41 +79,42 @@
     Action::Respond(format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n"))
 }
 
-/// A count that can be waited on.
+/// A list of events. Tests can wait until it has a certain length.
 pub struct EventLog<T> {
-    seen: Mutex<Vec<T>>,
-    more: Condvar,
+    events: Mutex<Vec<T>>,
+    added: Condvar,
 }
 
 impl<T> Default for EventLog<T> {
     fn default() -> Self {
-        EventLog { seen: Mutex::default(), more: Condvar::new() }
+        EventLog { events: Mutex::default(), added: Condvar::new() }
     }
 }
 
 impl<T: Clone> EventLog<T> {
-    pub fn push(&self, item: T) {
-        self.seen.lock().unwrap().push(item);
-        self.more.notify_all();
+    pub fn push(&self, event: T) {
+        self.events.lock().unwrap().push(event);
+        self.added.notify_all();
     }
 
     pub fn all(&self) -> Vec<T> {
-        self.seen.lock().unwrap().clone()
+        self.events.lock().unwrap().clone()
     }
 
-    /// Waits until there are so many.
+    /// Waits until there are at least `count` events.
     pub fn wait_for(&self, count: usize) -> Vec<T> {
-        let seen = self.seen.lock().unwrap();
-        let (seen, late) = self.more.wait_timeout_while(seen, TEST_TIMEOUT, |s| s.len() < count).unwrap();
-        assert!(!late.timed_out(), "{} of {count} came", seen.len());
-        seen.clone()
+        let events = self.events.lock().unwrap();
+        let (events, wait) =
+            self.added.wait_timeout_while(events, TEST_TIMEOUT, |events| events.len() < count).unwrap();
+        assert!(!wait.timed_out(), "only {} of {count} events", events.len());
+        events.clone()
     }
 }
 
+/// A scripted record server.
 pub struct RecordServer {
     pub address: SocketAddr,
     pub requests: Arc<EventLog<Message>>,
-    /// Connections that have come, and those that have ended.
     pub connections_opened: Arc<EventLog<()>>,
     pub connections_closed: Arc<EventLog<()>>,
 }
@@ -147,7 +148,7 @@
 }
 
 impl RecordServer {
-    /// A backend that keeps requests of the class `once` until it is told to go on.
+    /// A server that holds requests of class `once` until the test sends a release for each.
     pub fn gated() -> (RecordServer, mpsc::Sender<()>) {
         let (release, held) = mpsc::channel::<()>();
         let held = Mutex::new(held);
@@ -192,11 +193,12 @@
     }
 }
 
-/// A list that tests change, and what was asked of it.
+/// A scripted discovery with a list that tests can change.
 pub struct Discovery {
     pub address: SocketAddr,
+    /// The paths of the requests.
     pub requests: Arc<EventLog<String>>,
-    /// The versions that have been written to whoever asked.
+    /// The versions of the lists that have been sent.
     pub sent_versions: Arc<EventLog<i64>>,
     list: Arc<(Mutex<List>, Condvar)>,
 }
@@ -205,7 +207,7 @@
     rev: i64,
     targets: String,
     down: bool,
-    /// Written in place of a list, and the connection closed.
+    /// Sent in place of a list, after which the connection is closed.
     invalid_response: Option<String>,
 }
 
@@ -237,20 +239,20 @@
         self.list.1.notify_all();
     }
 
-    /// Each call is answered by this and a close, or by lists again.
+    /// Sends this text and a close in response to each request; `None` restores the list.
     pub fn set_invalid_response(&self, text: Option<String>) {
         self.list.0.lock().unwrap().invalid_response = text;
         self.list.1.notify_all();
     }
 
-    /// The next list has this version.
+    /// Replaces the list by one of this version.
     pub fn set_list(&self, rev: i64, targets: String) {
         let mut list = self.list.0.lock().unwrap();
         (list.rev, list.targets, list.invalid_response) = (rev, targets, None);
         self.list.1.notify_all();
     }
 
-    /// Down: watches end and calls fail.
+    /// While it is down, watches end and requests fail.
     pub fn set_down(&self, down: bool) {
         self.list.0.lock().unwrap().down = down;
         self.list.1.notify_all();
@@ -318,7 +320,7 @@
     )
 }
 
-/// A configuration with a place for operators.
+/// Adds an address for operators to a configuration.
 pub fn with_ops(config: &str) -> String {
     config.replacen('{', r#"{"ops":"127.0.0.1:0","#, 1)
 }
@@ -326,13 +328,13 @@
 pub struct Agent {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where clients come, front by front.
+    /// The addresses for clients, front by front.
     pub fronts: Vec<SocketAddr>,
-    /// Where operators call, if the configuration has such a place.
+    /// The address for operators, if the configuration has one.
     pub ops: Option<SocketAddr>,
-    /// What it said until it listened.
+    /// Its log until it listened.
     pub startup_log: String,
-    /// The lines of its log once it listens.
+    /// The lines of its log after that.
     pub log_lines: Arc<EventLog<String>>,
     config: PathBuf,
 }
@@ -347,7 +349,7 @@
     path
 }
 
-/// A private folder, as a deployment gives one.
+/// Creates a private temporary folder, as a deployment provides one.
 pub fn temp_dir() -> PathBuf {
     let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("heronhoist-{}-{number}", std::process::id()));
@@ -373,10 +375,10 @@
         Agent::wait_until_listening(command(&config).spawn().unwrap(), config, 1)
     }
 
-    /// An agent with a configuration of the project's own form, whose processes meet in this folder.
+    /// Starts an agent with a TOML configuration, whose processes hand over through this folder.
     pub fn start_with_toml(folder: &Path, config: &str) -> Agent {
         let (fronts, config) = (config.matches("[[front]]").count(), config_file(config));
-        // The name tells the form.
+        // The extension determines the form.
         let file = config.with_extension("toml");
         std::fs::rename(&config, &file).unwrap();
         let mut command = command(&file);
@@ -384,20 +386,20 @@
         Agent::wait_until_listening(command.spawn().unwrap(), file, fronts)
     }
 
-    /// An agent whose processes meet in this folder.
+    /// Starts an agent whose processes hand over through this folder.
     pub fn start_in_dir(folder: &Path, config: &str) -> Agent {
         let config = config_file(config);
         Agent::wait_until_listening(command(&config).env("TMPDIR", folder).spawn().unwrap(), config, 1)
     }
 
-    /// An agent with one backend and a configuration that allows so many descriptors.
+    /// Starts an agent with one server and a configuration with this limit on sockets.
     pub fn with_socket_limit(server: &RecordServer, sockets: usize) -> (Agent, Discovery) {
         let line = serving("s", server.address);
         let discovery = Discovery::new(line.clone());
         (Agent::start(&config(discovery.address, &line, SETTINGS, sockets)), discovery)
     }
 
-    /// An agent whose process may hold fewer descriptors than its configuration says.
+    /// Starts an agent whose process may open fewer descriptors than its configuration states.
     pub fn start_with_descriptor_limit(config: &str, descriptors: usize) -> Agent {
         let mut shell = Command::new("sh");
         let script = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_heronhoist"));
@@ -423,7 +425,7 @@
         loop {
             startup_log.push_str(&line);
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the agent has ended at its start");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the agent exited during its start");
             if let Some((_, place)) = line.split_once("operators may call at ") {
                 ops = Some(place.trim().parse().unwrap());
             }
@@ -434,28 +436,28 @@
                 }
             }
         }
-        // The log is read to its end, or a full pipe would stop the agent.
+        // The log is read to its end, since a full pipe would block the agent.
         let log_lines = Arc::<EventLog<String>>::default();
         let lines = Arc::clone(&log_lines);
         thread::spawn(move || log.lines().map_while(Result::ok).for_each(|line| lines.push(line)));
         Agent { child, address: listening[0], fronts: listening, ops, startup_log, log_lines, config }
     }
 
-    /// One call to the operators' address.
+    /// Sends one request to the operators' address.
     pub fn ops_request(&self, method: &str, path: &str) -> Message {
-        let mut stream = TcpStream::connect(self.ops.expect("a place for operators")).unwrap();
+        let mut stream = TcpStream::connect(self.ops.expect("an address for operators")).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         write!(stream, "{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n").unwrap();
-        Message::read(&mut BufReader::new(stream)).expect("an answer")
+        Message::read(&mut BufReader::new(stream)).expect("a response")
     }
 
-    /// A figure as operators read it.
+    /// The value of a metric on the operators' page.
     pub fn metric(&self, name: &str) -> Option<f64> {
         let page = String::from_utf8(self.ops_request("GET", "/-/metrics").body).unwrap();
         page.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
-    /// Waits until a figure has this value.
+    /// Waits until a metric has this value.
     pub fn wait_for_metric(&self, name: &str, value: f64) {
         let start = Instant::now();
         while self.metric(name) != Some(value) {
@@ -464,10 +466,10 @@
         }
     }
 
-    /// An agent that knows these backends from the start, and a discovery that lists the same.
+    /// Starts an agent that knows these servers from the start, with a discovery that lists the same.
     pub fn with_servers(servers: &[&RecordServer]) -> (Agent, Discovery) {
         let lines: Vec<String> =
-            servers.iter().enumerate().map(|(i, b)| serving(&format!("s{i}"), b.address)).collect();
+            servers.iter().enumerate().map(|(i, server)| serving(&format!("s{i}"), server.address)).collect();
         let discovery = Discovery::new(lines.join(","));
         (Agent::start(&config(discovery.address, &lines.join(","), SETTINGS, 1024)), discovery)
     }
@@ -476,19 +478,19 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration and tells the agent so.
+    /// Replaces the configuration and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::rename(config_file(config), &self.config).unwrap();
         self.signal("-HUP");
     }
 
-    /// How many files it has taken and turned down.
+    /// The numbers of successful and of failed reloads.
     pub fn reloads(&self) -> (f64, f64) {
         let metric = |name| self.metric(name).expect("a metric");
         (metric("app_reloads_ok_total"), metric("app_reloads_failed_total"))
     }
 
-    /// Holds the process up; comes back once it stands still.
+    /// Suspends the process; returns once it is stopped.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -498,7 +500,7 @@
         }
     }
 
-    /// Lets it go on.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -508,14 +510,14 @@
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    /// Waits for the end; the exit code.
+    /// Waits until the process has exited; returns the exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "the agent does not end");
+            assert!(start.elapsed() < TEST_TIMEOUT, "the agent does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -552,20 +554,21 @@
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next answer; `None` if the agent has closed.
+    /// Reads the next response; `None` if the agent has closed.
     pub fn read(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
+    /// Sends a request and reads its response.
     pub fn exchange(&mut self, text: &str) -> Message {
         self.write(text);
-        self.read().expect("an answer")
+        self.read().expect("a response")
     }
 }
 
 static REQUEST_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// A request of this class as the protocol words it.
+/// A valid request of this class.
 pub fn request(class: &str, budget_ms: u64) -> String {
     let id = REQUEST_COUNT.fetch_add(1, Ordering::Relaxed);
     let head = format!(
