--- a/crates/agent/tests/loopback/limits.rs
+++ b/crates/agent/tests/loopback/limits.rs
@@ -1,16 +1,16 @@
-//! Bad input from clients, bad configurations, and descriptors.
+//! Limits: invalid input from clients, invalid configurations, numbers of connections, and file descriptors.
 
 use crate::common::*;
 use std::io::Read;
 
-/// Whatever can't be used gets a plain 4xx and never reaches a backend.
+/// Each invalid request gets a 4xx and reaches no server.
 #[test]
-fn bad_requests_get_a_4xx_and_no_backend_hears_of_them() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+fn invalid_requests_get_a_4xx_and_reach_no_server() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_servers(&[&server]);
     let read = request("read", 9000);
     let once = request("once", 9000);
-    let bad = [
+    let invalid = [
         ("no class", read.replace("X-Call-Class: read\r\n", "")),
         ("unknown class", read.replace("read", "write")),
         ("class and path differ", read.replace("GET /read", "GET /once")),
@@ -30,156 +30,157 @@
         ),
         ("a head over any size", read.replace("X-Caller: ", &format!("X-Caller: {}", "x".repeat(600_000)))),
     ];
-    for (what, text) in bad {
+    for (what, text) in invalid {
         let mut client = Client::connect(&agent);
-        // The agent may close before it has read all.
+        // The agent may close before it has read everything.
         let _ = std::io::Write::write_all(&mut client.stream, text.as_bytes());
         let status = client.read().map(|m| m.status());
         assert!(status.is_none_or(|s| (400..500).contains(&s)), "{what}: {status:?}");
-        assert!(status.is_some() || what.contains("over"), "{what}: closed without a word");
+        assert!(status.is_some() || what.contains("over"), "{what}: closed without a response");
     }
-    assert_eq!(backend.requests.all().len(), 0);
+    assert_eq!(server.requests.all().len(), 0);
     let largest =
         once.replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65536\r\n\r\n") + &"x".repeat(65536);
     assert_eq!(Client::connect(&agent).exchange(&largest).status(), 200);
-    assert_eq!(backend.requests.all()[0].body.len(), 65536);
+    assert_eq!(server.requests.all()[0].body.len(), 65536);
 }
 
 #[test]
-fn a_bad_configuration_ends_with_one_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let discovery = "127.0.0.1:1".parse().unwrap();
     let good = config(discovery, "", SETTINGS, 1024);
-    let bad = [
+    let invalid = [
         "{",
         &good.replace("127.0.0.1:0", "nowhere"),
         &good.replace("\"maxAttempts\":3", "\"maxAttempts\":0"),
     ];
-    for text in bad {
+    for text in invalid {
         let output = command(&config_file(text)).output().unwrap();
         assert!(output.status.code().is_some_and(|c| c != 0), "{text}");
         assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1, "{text}");
     }
 }
 
-/// More clients than there are seats: idle ones make room, and every request is served.
+/// With more clients than allowed connections, idle ones are evicted and every request is served.
 #[test]
-fn connections_over_the_cap_make_room_for_each_other() {
-    let backend = RecordServer::new(|_| ok("x"));
-    // 64 descriptors less the reserve leave 8 seats.
-    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
+fn idle_connections_over_the_limit_are_evicted() {
+    let server = RecordServer::new(|_| ok("x"));
+    // 64 descriptors less the reserve leave 8 connections for clients.
+    let (agent, _discovery) = Agent::with_socket_limit(&server, 64);
     let mut clients = Vec::new();
     for _ in 0..40 {
         let mut client = Client::connect(&agent);
         assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
         clients.push(client);
     }
-    // The first has made room for others: it reads an end, not a failure.
+    // The first was evicted: it reads the end of the stream, not an error.
     assert_eq!(clients[0].stream.read(&mut [0; 1]).unwrap(), 0);
 }
 
-/// Running out of descriptors for good: the agent outlives it and serves again.
+/// The process runs out of file descriptors and serves again after that.
 #[test]
-fn want_of_descriptors_is_survived() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let line = serving("s", backend.address);
-    let discovery = Discovery::new(line.clone());
-    let text = config(discovery.address, &line, SETTINGS, 1024);
+fn the_agent_survives_running_out_of_descriptors() {
+    let server = RecordServer::new(|_| ok("x"));
+    let targets = serving("s", server.address);
+    let discovery = Discovery::new(targets.clone());
+    let text = config(discovery.address, &targets, SETTINGS, 1024);
     // The configuration promises more than the shell's limit lets the process have.
     let agent = Agent::start_with_descriptor_limit(&text, 40);
-    let crowd: Vec<Client> = (0..80).map(|_| Client::connect(&agent)).collect();
-    drop(crowd);
+    let clients: Vec<Client> = (0..80).map(|_| Client::connect(&agent)).collect();
+    drop(clients);
     let mut client = Client::connect(&agent);
     assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
 }
 
-/// A crowd that connects and says nothing must not keep the seats from those that ask.
+/// Many clients that connect and send nothing must not block those that send requests.
 #[test]
-fn a_silent_crowd_does_not_keep_the_seats() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
-    let crowd: Vec<Client> = (0..40).map(|_| Client::connect(&agent)).collect();
+fn silent_connections_do_not_block_others() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_socket_limit(&server, 64);
+    let clients: Vec<Client> = (0..40).map(|_| Client::connect(&agent)).collect();
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
-    drop(crowd);
+    drop(clients);
 }
 
-/// Nor may a crowd that begins a request and says no more.
+/// Nor may many clients that send an incomplete request and no more.
 #[test]
-fn half_requests_do_not_keep_the_seats() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
-    let crowd = (0..12).map(|_| {
+fn incomplete_requests_do_not_block_others() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_socket_limit(&server, 64);
+    let clients = (0..12).map(|_| {
         let mut client = Client::connect(&agent);
         client.write("GET /read HTTP/1.1\r\nHost:");
         client
     });
-    let crowd: Vec<Client> = crowd.collect();
+    let clients: Vec<Client> = clients.collect();
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
-    drop(crowd);
+    drop(clients);
 }
 
-/// Clients that ask once and keep their connection for good must not use up what all clients together may hold: in a
-/// crowd an answer ends its connection, and those that rest are closed long before their time.
+/// Clients that send one request and stay connected must not use up all connections: with many of them, responses close their
+/// connections, and idle ones are closed long before the normal timeout.
 #[test]
-fn clients_that_ask_once_and_stay_make_room() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_socket_limit(&backend, 192);
-    let mut crowd: Vec<Client> = Vec::new();
+fn clients_that_stay_after_one_request_are_disconnected() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_socket_limit(&server, 192);
+    let mut clients: Vec<Client> = Vec::new();
     let mut closing = 0;
     for _ in 0..60 {
         let mut client = Client::connect(&agent);
-        let answer = client.exchange(&request("read", 9000));
-        assert_eq!(answer.status(), 200);
-        closing += usize::from(answer.header("Connection") == Some("close"));
-        crowd.push(client);
+        let response = client.exchange(&request("read", 9000));
+        assert_eq!(response.status(), 200);
+        closing += usize::from(response.header("Connection") == Some("close"));
+        clients.push(client);
     }
-    assert!(closing > 0, "a crowd's answers end their connections");
-    assert!(crowd[0].read().is_none(), "the one that has rested longest is closed");
+    assert!(closing > 0, "responses close their connections when there are many");
+    assert!(clients[0].read().is_none(), "the one that was idle longest is closed");
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
 }
 
-/// Clients that stay may take what descriptors the process really has while discovery is down: it is reached again when it
-/// returns all the same, new clients are served, and the servers it names are connected to.
+/// While discovery is down, clients that stay connected may take all descriptors that the process really has. When discovery returns,
+/// the agent must still reach it, serve new clients, and connect to the servers of the new list.
 #[test]
-fn idle_clients_do_not_keep_the_agent_from_discovery() {
+fn idle_clients_do_not_block_discovery() {
     let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
-    let line = serving("s0", old.address);
-    let discovery = Discovery::new(line.clone());
+    let targets = serving("s0", old.address);
+    let discovery = Discovery::new(targets.clone());
     discovery.set_down(true);
     let settings = SETTINGS.replace("on_request", "pushed");
     // The configuration promises more than the shell's limit lets the process have.
-    let agent = Agent::start_with_descriptor_limit(&config(discovery.address, &line, &settings, 1024), 100);
-    let mut crowd = Vec::new();
+    let agent =
+        Agent::start_with_descriptor_limit(&config(discovery.address, &targets, &settings, 1024), 100);
+    let mut clients = Vec::new();
     for _ in 0..150 {
         let mut client = Client::connect(&agent);
-        // Those that are let go of have had their answer.
+        // A client that is disconnected has had its response.
         assert_eq!(client.exchange(&request("read", 9000)).body, b"old");
-        crowd.push(client);
+        clients.push(client);
     }
     let silent: Vec<Client> = (0..150).map(|_| Client::connect(&agent)).collect();
-    let asked = discovery.requests.all().len();
+    let requests_before = discovery.requests.all().len();
     discovery.set_targets(serving("s1", new.address));
     discovery.set_down(false);
-    // The answer to the first brings the news.
-    discovery.requests.wait_for(asked + 2);
+    // The response to the first request carries the new list.
+    discovery.requests.wait_for(requests_before + 2);
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).body, b"new");
-    drop((crowd, silent));
+    drop((clients, silent));
 }
 
-/// A body that waits because its server takes no more of it is whole as far as its client can tell, and does not make room
-/// for others.
+/// A body stays unread because its server takes no more of it. To its client the request looks complete, so its connection must not be
+/// evicted.
 #[test]
-fn a_body_that_waits_for_its_server_keeps_its_seat() {
+fn a_body_that_waits_for_its_server_is_not_evicted() {
     const BODY: usize = 900_000;
-    // What the server does not read stays with the agent's machine.
+    // A small receive buffer: what the server does not read stays with the agent.
     let small = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     small.set_recv_buffer_size(4096).unwrap();
     small.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
     small.listen(8).unwrap();
     let server = std::net::TcpListener::from(small);
-    let line = serving("s", server.local_addr().unwrap());
-    let discovery = Discovery::new(line.clone());
-    // 64 descriptors less the reserve leave 8 seats.
-    let agent = Agent::start(&config(discovery.address, &line, SETTINGS, 64));
+    let targets = serving("s", server.local_addr().unwrap());
+    let discovery = Discovery::new(targets.clone());
+    // 64 descriptors less the reserve leave 8 connections for clients.
+    let agent = Agent::start(&config(discovery.address, &targets, SETTINGS, 64));
     let text = request("once", 9000);
     let head = &text[..text.find("Content-Length").unwrap()];
     let mut client = Client::connect(&agent);
@@ -187,9 +188,9 @@
     let mut stream = client.stream.try_clone().unwrap();
     let writer = std::thread::spawn(move || std::io::Write::write_all(&mut stream, body.as_bytes()));
     let (stream, _) = server.accept().unwrap();
-    // Longer than a body that does not come is safe from others.
+    // Longer than a body that has stopped arriving is safe from eviction.
     std::thread::sleep(std::time::Duration::from_secs(1));
-    let crowd: Vec<Client> = (0..16)
+    let clients: Vec<Client> = (0..16)
         .map(|_| {
             let mut other = Client::connect(&agent);
             assert_eq!(other.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
@@ -197,10 +198,10 @@
         })
         .collect();
     let mut input = std::io::BufReader::new(stream.try_clone().unwrap());
-    let heard = Message::read(&mut input).expect("all of it");
-    assert_eq!(heard.body.len(), BODY);
+    let received = Message::read(&mut input).expect("the complete request");
+    assert_eq!(received.body.len(), BODY);
     std::io::Write::write_all(&mut &stream, b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").unwrap();
     assert_eq!(client.read().map(|m| m.status()), Some(200));
     writer.join().unwrap().unwrap();
-    drop(crowd);
+    drop(clients);
 }
