--- a/crates/agent/tests/loopback/close_delimited.rs
+++ b/crates/agent/tests/loopback/close_delimited.rs
@@ -1,5 +1,4 @@
-//! Answers that state no length and end with their connection (RFC 9112, 6.3): an orderly end makes them whole, and nothing
-//! else does.
+//! Responses that state no length and end with their connection (RFC 9112, 6.3): a clean close completes them, and nothing else does.
 
 use crate::common::*;
 use crate::outcomes::outcome;
@@ -10,64 +9,64 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a server ends its answer.
+/// How a server ends its response.
 #[derive(Clone, Copy, PartialEq)]
 enum End {
-    /// By a FIN.
-    Orderly,
-    /// By a RST.
+    /// With a FIN.
+    Clean,
+    /// With a reset.
     Reset,
     /// It leaves the connection open.
     Never,
 }
 
-/// What a server writes piece by piece once told to for each but the first, and how it ends that.
+/// The pieces that a server writes, each but the first after a signal of the test, and how it ends the response.
 type Script = Arc<dyn Fn(&Message) -> (Vec<Vec<u8>>, End) + Send + Sync>;
 
-/// A server that answers each request by its script; of each connection it tells how many requests came on it.
-fn server(script: Script, go: mpsc::Receiver<()>) -> (SocketAddr, Arc<EventLog<Message>>) {
+/// A server that responds to each request by its script; records all requests.
+fn server(script: Script, signals: mpsc::Receiver<()>) -> (SocketAddr, Arc<EventLog<Message>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, heard) = (listener.local_addr().unwrap(), Arc::new(EventLog::default()));
-    let (tally, go) = (Arc::clone(&heard), Arc::new(Mutex::new(go)));
+    let (address, requests) = (listener.local_addr().unwrap(), Arc::new(EventLog::default()));
+    let (log, signals) = (Arc::clone(&requests), Arc::new(Mutex::new(signals)));
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (script, tally, go) = (Arc::clone(&script), Arc::clone(&tally), Arc::clone(&go));
+            let (script, log, signals) = (Arc::clone(&script), Arc::clone(&log), Arc::clone(&signals));
             thread::spawn(move || {
                 let mut input = BufReader::new(stream.try_clone().unwrap());
                 let Some(message) = Message::read(&mut input) else { return };
-                tally.push(message.clone());
+                log.push(message.clone());
                 let (pieces, end) = script(&message);
                 for (n, piece) in pieces.iter().enumerate() {
                     if n > 0 {
-                        let _ = go.lock().unwrap().recv_timeout(TEST_TIMEOUT);
+                        let _ = signals.lock().unwrap().recv_timeout(TEST_TIMEOUT);
                     }
                     let _ = (&stream).write_all(piece);
                 }
                 match end {
-                    End::Orderly => drop(stream.shutdown(Shutdown::Write)),
+                    End::Clean => drop(stream.shutdown(Shutdown::Write)),
                     End::Reset => {
                         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
                         return;
                     }
                     End::Never => {}
                 }
-                // A second request on the same connection would be heard.
+                // A second request on the same connection would be recorded.
                 while let Some(message) = Message::read(&mut input) {
-                    tally.push(message);
+                    log.push(message);
                 }
             });
         }
     });
-    (address, heard)
+    (address, requests)
 }
 
 fn agent(address: SocketAddr) -> (Agent, Discovery) {
-    let line = serving("s", address);
-    let discovery = Discovery::new(line.clone());
-    (Agent::start(&config(discovery.address, &line, SETTINGS, 1024)), discovery)
+    let targets = serving("s", address);
+    let discovery = Discovery::new(targets.clone());
+    (Agent::start(&config(discovery.address, &targets, SETTINGS, 1024)), discovery)
 }
 
-/// The heads that state no length, in the forms that HTTP/1.1 and HTTP/1.0 give them.
+/// Heads that state no length, in the forms of HTTP/1.1 and HTTP/1.0.
 const HEADS: [&str; 4] = [
     "HTTP/1.1 200 OK\r\n\r\n",
     "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
@@ -76,100 +75,99 @@
 ];
 const LENGTHS: [usize; 5] = [0, 1, 700, 20_000, 64 * 1024];
 
-/// A body of which no two pages are alike.
+/// A body without repetitions, so that a missing or repeated part shows.
 fn body(bytes: usize) -> Vec<u8> {
     (0..bytes).map(|n| (n / 251 + n) as u8).collect()
 }
 
-/// What the client is given is whole and says so; the connection carries nothing else.
+/// The client gets the complete body with a length, and the connection is not used again.
 #[test]
-fn an_orderly_end_makes_an_answer_without_a_length_whole() {
-    let (_go, wait) = mpsc::channel();
+fn a_clean_close_completes_a_response_without_a_length() {
+    let (_signal, signals) = mpsc::channel();
     let number = std::sync::atomic::AtomicUsize::new(0);
     let script = move |_: &Message| {
         let n = number.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let text = [HEADS[n % 4].as_bytes(), &body(LENGTHS[n / 4 % 5])].concat();
-        (vec![text], End::Orderly)
+        (vec![text], End::Clean)
     };
-    let (address, heard) = server(Arc::new(script), wait);
+    let (address, requests) = server(Arc::new(script), signals);
     let (agent, _discovery) = agent(address);
     let mut client = Client::connect(&agent);
     for n in 0..40 {
         let class = ["once", "read", "zoned"][n % 3];
-        let answer = client.exchange(&request(class, 9000));
+        let response = client.exchange(&request(class, 9000));
         let expected = body(LENGTHS[n / 4 % 5]);
-        assert_eq!(answer.status(), 200, "{class} {n}: {}", HEADS[n % 4]);
-        assert_eq!(answer.header("content-length"), Some(expected.len().to_string().as_str()), "{n}");
-        assert!(answer.body == expected, "{n}");
+        assert_eq!(response.status(), 200, "{class} {n}: {}", HEADS[n % 4]);
+        assert_eq!(response.header("content-length"), Some(expected.len().to_string().as_str()), "{n}");
+        assert!(response.body == expected, "{n}");
     }
-    assert_eq!(heard.all().len(), 40, "one attempt each, on a connection of its own");
+    assert_eq!(requests.all().len(), 40, "one attempt each, on a connection of its own");
 }
 
-/// A reset may fall anywhere; what has come before it is never passed on as whole.
+/// A reset may come anywhere; what arrived before it is never forwarded as a complete response.
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
-    let (_go, wait) = mpsc::channel();
+fn a_reset_does_not_complete_a_response_without_a_length() {
+    let (_signal, signals) = mpsc::channel();
     let number = std::sync::atomic::AtomicUsize::new(0);
     let script = move |_: &Message| {
         let n = number.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let text = [HEADS[n % 4].as_bytes(), &body(LENGTHS[n / 4 % 5])].concat();
         (vec![text], End::Reset)
     };
-    let (address, heard) = server(Arc::new(script), wait);
+    let (address, requests) = server(Arc::new(script), signals);
     let (agent, _discovery) = agent(address);
     let mut client = Client::connect(&agent);
     for n in 0..40 {
         assert_eq!(client.exchange(&request("once", 9000)).status(), 502, "{n}: {}", HEADS[n % 4]);
     }
-    assert_eq!(heard.all().len(), 40, "it may have run");
+    assert_eq!(requests.all().len(), 40, "it may have run");
 }
 
-/// The first bytes go on while the rest is still to come; the client is told the end by the last chunk, and by none if
-/// there is no orderly end.
+/// The beginning is forwarded before the rest has arrived. The client gets a last chunk only after a clean close.
 #[test]
-fn a_long_answer_without_a_length_is_passed_on_as_it_comes() {
-    let (begun, rest) = (body(200_000), body(300_000));
-    for end in [End::Orderly, End::Reset, End::Never] {
-        let (go, wait) = mpsc::channel();
-        let text = [HEADS[0].as_bytes(), &begun].concat();
+fn a_long_response_without_a_length_is_streamed() {
+    let (beginning, rest) = (body(200_000), body(300_000));
+    for end in [End::Clean, End::Reset, End::Never] {
+        let (signal, signals) = mpsc::channel();
+        let text = [HEADS[0].as_bytes(), &beginning].concat();
         let pieces = vec![text, rest.clone(), Vec::new()];
-        let (address, _) = server(Arc::new(move |_: &Message| (pieces.clone(), end)), wait);
+        let (address, _) = server(Arc::new(move |_: &Message| (pieces.clone(), end)), signals);
         let (agent, _discovery) = agent(address);
         let client = Client::connect(&agent);
         let mut stream: TcpStream = client.stream.try_clone().unwrap();
         stream.write_all(request("read", 9000).as_bytes()).unwrap();
         let (mut got, mut piece) = (Vec::new(), [0; 16 * 1024]);
-        let mut told = 0;
+        let mut signalled = 0;
         loop {
             let read = stream.read(&mut piece).unwrap_or(0);
             got.extend_from_slice(&piece[..read]);
-            // The server goes on once the client has had what came before.
-            if got.len() > begun.len() && told == 0 {
-                (told, ()) = (1, go.send(()).unwrap());
+            // The server continues once the client has everything that was sent before.
+            if got.len() > beginning.len() && signalled == 0 {
+                (signalled, ()) = (1, signal.send(()).unwrap());
             }
-            if got.len() > begun.len() + rest.len() && told == 1 {
-                (told, ()) = (2, go.send(()).unwrap());
+            if got.len() > beginning.len() + rest.len() && signalled == 1 {
+                (signalled, ()) = (2, signal.send(()).unwrap());
             }
             if read == 0 || got.ends_with(b"\r\n0\r\n\r\n") {
                 break;
             }
         }
-        let is_whole = got.ends_with(b"\r\n0\r\n\r\n");
-        assert_eq!((is_whole, told), (end == End::Orderly, 2), "{} bytes came", got.len());
+        let is_complete = got.ends_with(b"\r\n0\r\n\r\n");
+        assert_eq!((is_complete, signalled), (end == End::Clean, 2), "{} bytes arrived", got.len());
         let head = String::from_utf8_lossy(&got[..got.len().min(300)]).to_lowercase();
         assert!(head.starts_with("http/1.1 200") && head.contains("transfer-encoding: chunked"), "{head}");
-        if is_whole {
-            assert!(unchunked(&got) == [begun.as_slice(), &rest].concat());
+        if is_complete {
+            assert!(decode_chunked(&got) == [beginning.as_slice(), &rest].concat());
         }
     }
 }
 
 /// The body of a chunked message.
-fn unchunked(text: &[u8]) -> Vec<u8> {
-    let at = |text: &[u8], end: &[u8]| text.windows(end.len()).position(|window| window == end).unwrap();
-    let (mut rest, mut body) = (&text[at(text, b"\r\n\r\n") + 4..], Vec::new());
+fn decode_chunked(text: &[u8]) -> Vec<u8> {
+    let find = |text: &[u8], end: &[u8]| text.windows(end.len()).position(|window| window == end).unwrap();
+    let (mut rest, mut body) = (&text[find(text, b"\r\n\r\n") + 4..], Vec::new());
     loop {
-        let line = at(rest, b"\r\n");
+        let line = find(rest, b"\r\n");
         let length = usize::from_str_radix(std::str::from_utf8(&rest[..line]).unwrap(), 16).unwrap();
         if length == 0 {
             return body;
@@ -179,26 +177,26 @@
     }
 }
 
-/// What is no 200 says what it says by its head; but only an orderly end shows that the head was all.
+/// A response other than 200 counts by its head, but only if a clean close completes it.
 #[test]
-fn other_answers_without_a_length_count_by_their_head() {
-    let turned_away = || Action::RespondAndClose("HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\nfull".into());
-    assert_eq!(outcome("once", turned_away), (200, 2));
+fn other_responses_without_a_length_count_by_their_head() {
+    let rejected = || Action::RespondAndClose("HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\nfull".into());
+    assert_eq!(outcome("once", rejected), (200, 2));
     for head in ["HTTP/1.1 500 X\r\n\r\nbroken", "HTTP/1.1 503 X\r\n\r\n", "HTTP/1.1 204 X\r\n\r\n"] {
         assert_eq!(outcome("once", move || Action::RespondAndClose(head.into())), (502, 1), "{head}");
         assert_eq!(outcome("read", move || Action::RespondAndClose(head.into())), (200, 2), "{head}");
     }
-    let (_go, wait) = mpsc::channel();
+    let (_signal, signals) = mpsc::channel();
     let text = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\nfull".to_vec();
-    let (address, heard) = server(Arc::new(move |_: &Message| (vec![text.clone()], End::Reset)), wait);
+    let (address, requests) = server(Arc::new(move |_: &Message| (vec![text.clone()], End::Reset)), signals);
     let (agent, _discovery) = agent(address);
     assert_eq!(Client::connect(&agent).exchange(&request("once", 9000)).status(), 502);
-    assert_eq!(heard.all().len(), 1, "it may have run");
+    assert_eq!(requests.all().len(), 1, "it may have run");
 }
 
-/// Lengths stated twice or wrongly, and codings that don't say where they end, are no better for an orderly end.
+/// A clean close does not make a response valid that states its length twice or wrongly, or whose transfer coding has no end.
 #[test]
-fn an_orderly_end_mends_no_head() {
+fn a_clean_close_does_not_mend_an_invalid_head() {
     for head in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked",
@@ -207,7 +205,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade",
     ] {
-        let act = format!("{head}\r\n\r\nfirst");
-        assert_eq!(outcome("once", move || Action::RespondAndClose(act.clone())), (502, 1), "{head}");
+        let text = format!("{head}\r\n\r\nfirst");
+        assert_eq!(outcome("once", move || Action::RespondAndClose(text.clone())), (502, 1), "{head}");
     }
 }
--- a/crates/agent/tests/loopback/spoilt.rs
+++ b/crates/agent/tests/loopback/spoilt.rs
@@ -1,4 +1,4 @@
-//! Spoilt answers: a failed attempt that may have run, whose connection is closed and on which nothing waits.
+//! Invalid responses: each is a failed attempt that may have run. Its connection is closed, and its request does not wait.
 
 use crate::common::*;
 use crate::outcomes::outcome;
@@ -9,11 +9,10 @@
 
 const BODY: &str = "\r\n\r\nfirst";
 
-/// A head that does not say once where its answer ends, or says it wrongly: what is read behind it may be anything, and
-/// to read on would last for ever. A request that may be
-/// repeated is sent elsewhere at once.
+/// The head states no valid length, or more than one: the bytes after it may be anything, and reading on would not end. A request
+/// that may be repeated is retried elsewhere at once.
 #[test]
-fn an_answer_whose_end_is_not_stated_once_is_none() {
+fn a_response_without_one_valid_length_is_invalid() {
     for head in [
         "HTTP/1.1 200 OK",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade",
@@ -26,61 +25,60 @@
         "HTTP/1.1 200 OK\r\nContent-Length: -5",
         "HTTP/1.1 503 X\r\nX-Rejected: 1",
     ] {
-        let act = format!("{head}{BODY}");
+        let text = format!("{head}{BODY}");
         for (class, expected) in [("once", (502, 1)), ("read", (200, 2))] {
-            let act = act.clone();
-            assert_eq!(outcome(class, move || Action::Respond(act.clone())), expected, "{class}: {head}");
+            let text = text.clone();
+            assert_eq!(outcome(class, move || Action::Respond(text.clone())), expected, "{class}: {head}");
         }
     }
 }
 
-/// An answer that has begun and goes no further would hold its request to the end of its time.
+/// A response that stalls must not keep its request until the deadline.
 #[test]
-fn an_answer_that_stalls_is_given_up() {
+fn a_stalled_response_is_abandoned() {
     for begun in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nX-Long: ", "H"] {
         assert_eq!(outcome("once", move || Action::Respond(begun.into())), (502, 1), "{begun}");
         assert_eq!(outcome("read", move || Action::Respond(begun.into())), (200, 2), "{begun}");
     }
 }
 
-/// An answer 1xx comes ahead of the one that counts, which may take longer than an answer may stall; but not for ever.
+/// After a 1xx response the final one may take longer than the stall timeout, but an endless row of them is invalid.
 #[test]
-fn answers_1xx_are_passed_over_within_bounds() {
-    let (ahead, last) =
+fn a_limited_number_of_1xx_responses_is_skipped() {
+    let (interim, last) =
         ("HTTP/1.1 103 X\r\nX-A: b\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst");
-    let parts = move || Action::RespondInParts([ahead, last].map(String::from).into());
+    let parts = move || Action::RespondInParts([interim, last].map(String::from).into());
     assert_eq!(outcome("once", parts), (200, 1));
-    let endless = move || Action::Respond(ahead.repeat(100_000));
+    let endless = move || Action::Respond(interim.repeat(100_000));
     assert_eq!(outcome("once", endless), (502, 1));
 }
 
-/// What comes behind a good answer belongs to nobody: the next request must not be served with it.
+/// The server sends each response twice: the next request must not be served with the copy.
 #[test]
-fn what_comes_behind_an_answer_is_not_the_next_one() {
-    let backend = RecordServer::new(|m| {
+fn bytes_after_a_response_do_not_serve_the_next_request() {
+    let server = RecordServer::new(|m| {
         let body = m.header("X-Call-Id").unwrap_or_default().to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        Action::Respond(answer.repeat(2))
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        Action::Respond(response.repeat(2))
     });
-    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+    let (agent, _discovery) = Agent::with_servers(&[&server]);
     let mut client = Client::connect(&agent);
     for n in 1..=20 {
         let text = request("once", 9000);
         let sent = Message::read(&mut text.as_bytes()).unwrap();
-        let answer = client.exchange(&text);
+        let response = client.exchange(&text);
         assert_eq!(
-            (answer.status(), answer.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, sent.header("X-Call-Id").unwrap().as_bytes())
         );
-        assert_eq!(backend.requests.all().len(), n);
+        assert_eq!(server.requests.all().len(), n);
     }
 }
 
-/// The second answer may come a little after the first, when the next request has been written to its connection: that
-/// must not be served with it. Where the next request comes within 10 ms of an answer, the server here lets a copy of that
-/// answer go ahead of its own.
+/// A copy of a response may arrive a little later, when the next request has been written to the connection, and must not serve that
+/// request. Where a request follows within 10 ms of a response, this server sends a copy of that response ahead of its own.
 #[test]
-fn a_second_answer_that_crosses_the_next_request_is_not_its_answer() {
+fn a_late_copy_of_a_response_does_not_serve_the_next_request() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -91,9 +89,9 @@
                 while let Some(message) = Message::read(&mut input) {
                     let late = before.take().filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
                     let body = message.header("X-Call-Id").unwrap_or_default();
-                    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                    before = Some((Instant::now(), answer.clone()));
-                    let all = late.map_or(String::new(), |(_, copy)| copy) + &answer;
+                    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                    before = Some((Instant::now(), response.clone()));
+                    let all = late.map_or(String::new(), |(_, copy)| copy) + &response;
                     if output.write_all(all.as_bytes()).is_err() {
                         return;
                     }
@@ -101,27 +99,27 @@
             });
         }
     });
-    let line = serving("s", address);
-    let discovery = Discovery::new(line.clone());
-    let agent = Agent::start(&config(discovery.address, &line, SETTINGS, 1024));
+    let targets = serving("s", address);
+    let discovery = Discovery::new(targets.clone());
+    let agent = Agent::start(&config(discovery.address, &targets, SETTINGS, 1024));
     let mut client = Client::connect(&agent);
     for _ in 0..50 {
         let text = request("once", 9000);
         let sent = Message::read(&mut text.as_bytes()).unwrap();
-        let answer = client.exchange(&text);
-        let body = String::from_utf8_lossy(&answer.body).into_owned();
-        assert_eq!((answer.status(), body.as_str()), (200, sent.header("X-Call-Id").unwrap()));
+        let response = client.exchange(&text);
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        assert_eq!((response.status(), body.as_str()), (200, sent.header("X-Call-Id").unwrap()));
     }
 }
 
-/// Did a busy server's connections always rest, more would be opened the faster requests come. One that has long sent nothing
-/// too much is asked again on those that it has, once they are as many as a busy server needs.
+/// If connections always stayed idle for a moment before reuse, faster requests would open more of them. Once a server has long sent
+/// no unrequested bytes and has as many connections as a busy server needs, they are reused at once.
 #[test]
-fn a_server_that_sends_nothing_too_much_is_asked_again_without_a_rest() {
-    let backend = RecordServer::new(|_| ok("done"));
-    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+fn connections_of_a_trusted_server_are_reused_at_once() {
+    let server = RecordServer::new(|_| ok("done"));
+    let (agent, _discovery) = Agent::with_servers(&[&server]);
     let mut client = Client::connect(&agent);
-    // Each rests for longer than a second answer may take, and shows that none comes.
+    // Each connection is idle for longer than a copy of its response may take, and none comes.
     for _ in 0..140 {
         assert_eq!(client.exchange(&request("once", 9000)).status(), 200);
         thread::sleep(Duration::from_millis(25));
@@ -129,7 +127,7 @@
     for _ in 0..2000 {
         assert_eq!(client.exchange(&request("once", 9000)).status(), 200);
     }
-    // Three that rest and the one at work, and some for probes that come between.
-    let opened = backend.connections_opened.all().len();
+    // Three idle ones and the one in use, and some for health probes in between.
+    let opened = server.connections_opened.all().len();
     assert!(opened <= 8, "{opened} opened for requests that came one at a time");
 }
