--- a/crates/agent/tests/loopback/held_up.rs
+++ b/crates/agent/tests/loopback/held_up.rs
@@ -1,20 +1,20 @@
-//! A process that is held up: what came meanwhile is read before anybody's time is taken to be over.
+//! A process that is suspended: everything that arrived meanwhile is read before any client times out.
 
 use crate::common::*;
 use std::process::Command;
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Longer than any client is given for its head.
-const LONG: Duration = Duration::from_secs(3);
+/// Longer than the timeout of a client's head.
+const SUSPENSION: Duration = Duration::from_secs(3);
 
 fn signal(agent: &Agent, signal: &str) {
     let pid = agent.child.id().to_string();
     assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
 }
 
-/// Stops the process while this happens.
-fn held_up(agent: &Agent, meanwhile: impl FnOnce()) {
+/// Suspends the process while `meanwhile` runs.
+fn suspend(agent: &Agent, meanwhile: impl FnOnce()) {
     signal(agent, "-STOP");
     let stat = format!("/proc/{}/stat", agent.child.id());
     while !std::fs::read_to_string(&stat).unwrap().rsplit(')').next().unwrap().starts_with(" T") {
@@ -24,21 +24,21 @@
     signal(agent, "-CONT");
 }
 
-/// Its requests were whole before the process came to look at their time.
+/// The clients' requests are complete before the process checks its timeouts.
 #[test]
-fn what_has_come_is_read_before_its_client_is_too_late() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+fn heads_that_have_arrived_are_read_before_their_clients_time_out() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_servers(&[&server]);
     let texts: Vec<String> = (0..3).map(|_| request("read", 9000)).collect();
     let (mut silent, mut half, mut used) =
         (Client::connect(&agent), Client::connect(&agent), Client::connect(&agent));
     half.write(&texts[1][..9]);
     assert_eq!(used.exchange(&request("read", 9000)).status(), 200);
     used.write(&texts[2][..9]);
-    // By this answer all of that has been read.
+    // This response shows that all of that has been read.
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
-    held_up(&agent, || {
-        sleep(LONG);
+    suspend(&agent, || {
+        sleep(SUSPENSION);
         silent.write(&texts[0]);
         half.write(&texts[1][9..]);
         used.write(&texts[2][9..]);
@@ -48,11 +48,11 @@
     }
 }
 
-/// The same for a body, be it one that is held or one that is passed on as it comes.
+/// The same for a body that is buffered, and for one that is streamed.
 #[test]
-fn what_has_come_of_a_body_is_read_before_its_client_is_too_slow() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+fn bodies_that_have_arrived_are_read_before_their_clients_time_out() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (agent, _discovery) = Agent::with_servers(&[&server]);
     let text = request("once", 9000);
     let long = "x".repeat(90_000);
     let head = &text[..text.find("Content-Length").unwrap()];
@@ -68,8 +68,8 @@
         200,
         "by now all of that has been read"
     );
-    held_up(&agent, || {
-        sleep(LONG);
+    suspend(&agent, || {
+        sleep(SUSPENSION);
         for (client, text) in &mut clients {
             client.write(&text[text.len() - 2..]);
         }
@@ -79,40 +79,43 @@
     }
 }
 
-/// A client that has taken some of its answer meanwhile has not been stuck.
+/// A client that takes a part of its response during the suspension has not stalled.
 #[test]
-fn what_has_been_taken_is_seen_before_its_client_is_stuck() {
-    const LONG_ANSWER: usize = 900_000;
-    let backend =
-        RecordServer::new(
-            |m| if m.path().starts_with("/once") { ok(&"y".repeat(LONG_ANSWER)) } else { ok("x") },
-        );
-    let (agent, _discovery) = Agent::with_servers(&[&backend]);
+fn a_client_that_read_during_the_suspension_has_not_stalled() {
+    const LONG_RESPONSE: usize = 900_000;
+    let server = RecordServer::new(|m| {
+        if m.path().starts_with("/once") {
+            ok(&"y".repeat(LONG_RESPONSE))
+        } else {
+            ok("x")
+        }
+    });
+    let (agent, _discovery) = Agent::with_servers(&[&server]);
     let small = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     small.set_recv_buffer_size(2048).unwrap();
     small.connect(&agent.address.into()).unwrap();
     let mut slow = Client::from_stream(small.into());
     slow.write(&request("once", 9000));
-    backend.requests.wait_for(1);
-    // The machine can hold no more of it by then.
+    server.requests.wait_for(1);
+    // By then the kernel's buffers are full.
     sleep(Duration::from_millis(500));
     let mut taken = vec![0; 20_000];
-    held_up(&agent, || {
-        // Longer than a client may take nothing.
+    suspend(&agent, || {
+        // Longer than the stall timeout of a client.
         sleep(Duration::from_millis(4500));
         std::io::Read::read_exact(&mut slow.stream, &mut taken).unwrap();
     });
-    let begun = taken.iter().position(|byte| *byte == b'y').unwrap();
-    let mut rest = vec![0; LONG_ANSWER - (taken.len() - begun)];
-    std::io::Read::read_exact(&mut slow.stream, &mut rest).expect("all of its answer");
+    let body_start = taken.iter().position(|byte| *byte == b'y').unwrap();
+    let mut rest = vec![0; LONG_RESPONSE - (taken.len() - body_start)];
+    std::io::Read::read_exact(&mut slow.stream, &mut rest).expect("all of its response");
 }
 
-/// The same where others need its place.
+/// The same where other clients need the connection.
 #[test]
-fn what_has_come_is_read_before_its_client_makes_room() {
-    let backend = RecordServer::new(|_| ok("x"));
-    // 64 descriptors less the reserve leave 8 seats.
-    let (agent, _discovery) = Agent::with_socket_limit(&backend, 64);
+fn heads_that_have_arrived_are_read_before_their_clients_are_evicted() {
+    let server = RecordServer::new(|_| ok("x"));
+    // 64 descriptors less the reserve leave 8 connections for clients.
+    let (agent, _discovery) = Agent::with_socket_limit(&server, 64);
     let mut others: Vec<Client> = (0..6).map(|_| Client::connect(&agent)).collect();
     for other in &mut others {
         assert_eq!(other.exchange(&request("read", 9000)).status(), 200);
@@ -121,8 +124,8 @@
     let (mut half, mut crowd) = (Client::connect(&agent), Vec::new());
     half.write(&text[..9]);
     assert_eq!(others[0].exchange(&request("read", 9000)).status(), 200);
-    held_up(&agent, || {
-        // Longer than half a request is safe from others.
+    suspend(&agent, || {
+        // Longer than an incomplete request is safe from eviction.
         sleep(Duration::from_millis(300));
         crowd.extend((0..8).map(|_| Client::connect(&agent)));
         half.write(&text[9..]);
@@ -131,56 +134,56 @@
     drop(crowd);
 }
 
-/// Connections that wait at the listener have come as far as their clients can tell: a listener that closes over them
-/// would reset them with what they have sent.
+/// To their clients, connections in the backlog look accepted. If the listener closed over them, they would be reset together with
+/// the requests that have been sent on them.
 #[test]
-fn who_waits_at_the_listener_is_let_in_before_it_closes() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let (mut agent, _discovery) = Agent::with_servers(&[&backend]);
+fn connections_in_the_backlog_are_accepted_before_the_listener_closes() {
+    let server = RecordServer::new(|_| ok("x"));
+    let (mut agent, _discovery) = Agent::with_servers(&[&server]);
     agent.terminate();
     while Client::connect(&agent).exchange(&request("read", 9000)).header("Connection") != Some("close") {}
-    let mut waiting = Vec::new();
-    held_up(&agent, || {
-        waiting.extend((0..5).map(|_| Client::connect(&agent)));
-        waiting.iter_mut().for_each(|client| client.write(&request("read", 9000)));
-        // The listener's time is over when the process goes on.
+    let mut backlog = Vec::new();
+    suspend(&agent, || {
+        backlog.extend((0..5).map(|_| Client::connect(&agent)));
+        backlog.iter_mut().for_each(|client| client.write(&request("read", 9000)));
+        // The time for accepting has passed when the process resumes.
         sleep(Duration::from_millis(600));
     });
-    for client in &mut waiting {
+    for client in &mut backlog {
         assert_eq!(client.read().map(|m| m.status()), Some(200));
     }
     assert_eq!(agent.wait_for_exit(), Some(0));
 }
 
-/// A request that crosses the end of a resting connection, be it for a crowd or for a stop, is answered if it has come when
-/// the process comes to look.
+/// An idle connection is closed, because there are many or because of a shutdown. A request that has arrived on it by then still
+/// gets its response.
 #[test]
-fn what_crosses_the_end_of_a_resting_connection_is_answered() {
-    let backend = RecordServer::new(|_| ok("x"));
-    // A crowd begins beyond a sixth of the descriptors, and answers do not end their connections yet.
-    let (mut agent, _discovery) = Agent::with_socket_limit(&backend, 192);
-    let mut resting: Vec<Client> = (0..40).map(|_| Client::connect(&agent)).collect();
-    let asked: Vec<Message> = resting.iter_mut().map(|c| c.exchange(&request("read", 9000))).collect();
-    assert!(asked.iter().all(|m| m.status() == 200 && m.header("Connection").is_none()));
-    held_up(&agent, || {
-        // Longer than any of a crowd may rest.
+fn a_request_that_crosses_the_close_of_its_idle_connection_is_served() {
+    let server = RecordServer::new(|_| ok("x"));
+    // More than a sixth of the descriptors, so that idle connections are closed, but too few for a close after each response.
+    let (mut agent, _discovery) = Agent::with_socket_limit(&server, 192);
+    let mut idle: Vec<Client> = (0..40).map(|_| Client::connect(&agent)).collect();
+    let responses: Vec<Message> = idle.iter_mut().map(|c| c.exchange(&request("read", 9000))).collect();
+    assert!(responses.iter().all(|m| m.status() == 200 && m.header("Connection").is_none()));
+    suspend(&agent, || {
+        // Longer than a connection may stay idle while there are many.
         sleep(Duration::from_millis(2200));
-        resting.iter_mut().for_each(|client| client.write(&request("read", 9000)));
+        idle.iter_mut().for_each(|client| client.write(&request("read", 9000)));
     });
-    for (number, client) in resting.iter_mut().enumerate() {
-        assert_eq!(client.read().map(|m| m.status()), Some(200), "{number} in a crowd");
+    for (number, client) in idle.iter_mut().enumerate() {
+        assert_eq!(client.read().map(|m| m.status()), Some(200), "{number} of many");
     }
-    let mut resting: Vec<Client> = (0..5).map(|_| Client::connect(&agent)).collect();
-    resting.iter_mut().for_each(|client| assert_eq!(client.exchange(&request("read", 9000)).status(), 200));
+    let mut idle: Vec<Client> = (0..5).map(|_| Client::connect(&agent)).collect();
+    idle.iter_mut().for_each(|client| assert_eq!(client.exchange(&request("read", 9000)).status(), 200));
     agent.terminate();
     while Client::connect(&agent).exchange(&request("read", 9000)).header("Connection") != Some("close") {}
-    held_up(&agent, || {
-        // Those that rest are closed when the process goes on.
+    suspend(&agent, || {
+        // Idle connections are closed when the process resumes.
         sleep(Duration::from_millis(600));
-        resting.iter_mut().for_each(|client| client.write(&request("read", 9000)));
+        idle.iter_mut().for_each(|client| client.write(&request("read", 9000)));
     });
-    for (number, client) in resting.iter_mut().enumerate() {
-        assert_eq!(client.read().map(|m| m.status()), Some(200), "{number} at a stop");
+    for (number, client) in idle.iter_mut().enumerate() {
+        assert_eq!(client.read().map(|m| m.status()), Some(200), "{number} at the shutdown");
         assert!(client.read().is_none());
     }
     assert_eq!(agent.wait_for_exit(), Some(0));
