--- a/crates/agent/tests/loopback/metrics_page.rs
+++ b/crates/agent/tests/loopback/metrics_page.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::golden::assert_golden;
-use crate::legacy::{mappings, order, records, CLASSES, ORDER};
+use crate::legacy::{mappings, new_server, order, CLASSES, ORDER};
 
 /// A line of the page, without its value where that hangs on how long something took.
 fn steady(line: &str) -> String {
@@ -62,7 +62,7 @@
 /// Old clients before a new server: a value that was rounded is counted by its mapping.
 #[test]
 fn the_page_of_a_legacy_front_stays() {
-    let server = records();
+    let server = new_server();
     let agent = own("legacy", &server, "");
     let mut client = Client::connect(&agent);
     assert_eq!(client.exchange(&order(ORDER)).status(), 200);
