--- a/crates/agent/tests/loopback/clients.rs
+++ b/crates/agent/tests/loopback/clients.rs
@@ -114,7 +114,7 @@
             client
         })
         .into();
-    // A client that has been served before is treated alike.
+    // A client that has been served before is treated in the same way.
     let mut used = Client::connect(&agent);
     assert_eq!(used.exchange(&request("read", 9000)).status(), 200);
     used.write("GET /re");
--- a/crates/agent/tests/loopback/idle_connections.rs
+++ b/crates/agent/tests/loopback/idle_connections.rs
@@ -53,7 +53,7 @@
 /// Waits until a reset has arrived: a process that another test is just starting may hold the socket a little longer, and the
 /// kernel may take its time.
 fn wait_until_closed((one, other): (u16, u16)) {
-    let begun = Instant::now();
+    let start = Instant::now();
     let (one, other) = (format!(":{one:04X}"), format!(":{other:04X}"));
     let is_between = |line: &str| {
         let mut ends = line.split_whitespace().skip(1).take(2);
@@ -62,7 +62,7 @@
             || ends.0.ends_with(&other) && ends.1.ends_with(&one)
     };
     while std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(is_between) {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "the reset does not arrive");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the reset does not arrive");
         thread::yield_now();
     }
 }
--- a/crates/agent/tests/loopback/invalid_responses.rs
+++ b/crates/agent/tests/loopback/invalid_responses.rs
@@ -36,9 +36,10 @@
 /// A response that stalls must not keep its request until the deadline.
 #[test]
 fn a_stalled_response_is_abandoned() {
-    for begun in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nX-Long: ", "H"] {
-        assert_eq!(outcome("once", move || Action::Respond(begun.into())), (502, 1), "{begun}");
-        assert_eq!(outcome("read", move || Action::Respond(begun.into())), (200, 2), "{begun}");
+    for beginning in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nX-Long: ", "H"]
+    {
+        assert_eq!(outcome("once", move || Action::Respond(beginning.into())), (502, 1), "{beginning}");
+        assert_eq!(outcome("read", move || Action::Respond(beginning.into())), (200, 2), "{beginning}");
     }
 }
 
--- a/crates/agent/tests/loopback/suspension.rs
+++ b/crates/agent/tests/loopback/suspension.rs
@@ -54,7 +54,7 @@
             clients.iter_mut().for_each(|client| client.write(&request("once", 9000)));
         }
         for client in &mut clients {
-            let response = client.read().expect("an answer");
+            let response = client.read().expect("a response");
             assert_eq!((response.status(), &*response.body), (200, &b"new"[..]), "{case}, {servers}");
         }
     }
--- a/crates/agent/tests/loopback/suspension_timeouts.rs
+++ b/crates/agent/tests/loopback/suspension_timeouts.rs
@@ -99,14 +99,14 @@
     server.requests.wait_for(1);
     // By then the kernel's buffers are full.
     sleep(Duration::from_millis(500));
-    let mut taken = vec![0; 20_000];
+    let mut read = vec![0; 20_000];
     suspend(&agent, || {
         // Longer than the stall timeout of a client.
         sleep(Duration::from_millis(4500));
-        std::io::Read::read_exact(&mut slow.stream, &mut taken).unwrap();
+        std::io::Read::read_exact(&mut slow.stream, &mut read).unwrap();
     });
-    let body_start = taken.iter().position(|byte| *byte == b'y').unwrap();
-    let mut rest = vec![0; LONG_RESPONSE - (taken.len() - body_start)];
+    let body_start = read.iter().position(|byte| *byte == b'y').unwrap();
+    let mut rest = vec![0; LONG_RESPONSE - (read.len() - body_start)];
     std::io::Read::read_exact(&mut slow.stream, &mut rest).expect("all of its response");
 }
 
@@ -121,17 +121,17 @@
         assert_eq!(other.exchange(&request("read", 9000)).status(), 200);
     }
     let text = request("read", 9000);
-    let (mut half, mut crowd) = (Client::connect(&agent), Vec::new());
+    let (mut half, mut more_clients) = (Client::connect(&agent), Vec::new());
     half.write(&text[..9]);
     assert_eq!(others[0].exchange(&request("read", 9000)).status(), 200);
     suspend(&agent, || {
         // Longer than an incomplete request is safe from eviction.
         sleep(Duration::from_millis(300));
-        crowd.extend((0..8).map(|_| Client::connect(&agent)));
+        more_clients.extend((0..8).map(|_| Client::connect(&agent)));
         half.write(&text[9..]);
     });
     assert_eq!(half.read().map(|m| m.status()), Some(200));
-    drop(crowd);
+    drop(more_clients);
 }
 
 /// To their clients, connections in the backlog look accepted. If the listener closed over them, they would be reset together with
