--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -317,7 +317,7 @@
                         // One that has ended with its answer is of no further use.
                         Some(ResponseBody::Buffered(..)) | None if monitor.has_ended() => {}
                         Some(ResponseBody::Buffered(..)) | None => {
-                            self.connections.release(place, connection)
+                            self.connections.release(place, connection);
                         }
                     }
                     return ended;
--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -216,7 +216,7 @@
             let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
             match self.ask(&open).await? {
                 Response::Reply(CommandResult::SessionOpened(session), _) => {
-                    self.session = Some((session, 0))
+                    self.session = Some((session, 0));
                 }
                 other => return Err(ClientError::unexpected("no session", other)),
             }
