--- a/crates/agent/src/client_connections.rs
+++ b/crates/agent/src/client_connections.rs
@@ -25,7 +25,7 @@
 /// From this age on, a connection without a single byte from the client may be evicted, before any that has carried a
 /// request.
 const MIN_SILENT_AGE: Duration = Duration::from_millis(50);
-/// The same for a connection on which only a part of a head has arrived.
+/// The same for a connection on which only a part of a head has arrived, and for one that is closing.
 const MIN_HEAD_AGE: Duration = Duration::from_millis(150);
 /// The same for a connection whose body has stopped arriving.
 const MIN_BODY_AGE: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
     ReadingBody,
     /// The request is complete, and its response is pending.
     Processing,
-    /// The last response has been given.
+    /// The last response has been given; the connection stays open until the client has read it.
     Closing,
 }
 
--- a/crates/agent/src/framing.rs
+++ b/crates/agent/src/framing.rs
@@ -1,11 +1,11 @@
 //! Finds where requests begin and end in the raw bytes of a client's connection, and what each head says of its length.
 //!
-//! hyper drops `Content-Length` where `Transfer-Encoding` is present too, in either order. Without a look at the raw head
-//! nobody could see that both were there and that the body may smuggle another request.
+//! hyper drops `Content-Length` where `Transfer-Encoding` is present too, in either order. Only the raw head shows that both were
+//! there, and that the body may smuggle another request.
 
 use std::collections::VecDeque;
 
-/// The stored part of a header name, and of the value of `Content-Length`, in bytes: more than the names that are looked for have.
+/// How much of a header name, or of the value of `Content-Length`, is stored, in bytes. The names that are looked for are shorter.
 const MAX_NAME_BYTES: usize = 20;
 /// Heads that have been read and not taken yet; hyper reads no further ahead than its buffer holds.
 const MAX_PENDING_HEADS: usize = 1024;
