--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -1,5 +1,5 @@
-//! Judges a run from outside, by a ledger of what was offered, what ran and what was answered. It asks nothing of the
-//! program that it judges.
+//! Checks a run from outside, using a ledger of what clients requested, what servers executed and what clients received.
+//! It relies on nothing that the program under test reports about itself.
 
 use crate::memory::growth;
 use crate::server_model::Micros;
@@ -7,145 +7,146 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a repeat of a request would do.
+/// The effect of executing a request a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatEffect {
-    /// Nothing.
+    /// No further effect: the request is idempotent.
     Harmless,
-    /// Servers drop it for so long: all of them, or those of one building.
+    /// Servers suppress repeats of the request for a while: all servers, or those of one building.
     Deduplicated {
-        /// All servers share the memory.
+        /// All servers share the deduplication memory.
         everywhere: bool,
-        /// For how long.
+        /// How long repeats are suppressed.
         window: Micros,
     },
-    /// A second effect.
+    /// The effect happens twice.
     Duplicated,
 }
 
-/// The final answer of a try.
+/// The final response to a client attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// A server's.
+    /// A server's response.
     Success,
-    /// Told to come again, perhaps after so long.
+    /// The request was rejected, perhaps with a time after which to retry.
     Rejected(Option<Micros>),
-    /// Anything else.
+    /// Any other response.
     Failed,
 }
 
-/// What a client wants, however often it tries.
+/// A logical request of a client, which it may attempt several times.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// When it was meant to be sent.
+    /// When its first attempt was due.
     pub scheduled_at: Micros,
-    /// Its class's place.
+    /// The index of its class.
     pub class: usize,
-    /// Its tenant's place.
+    /// The index of its tenant.
     pub tenant: usize,
-    /// What a repeat would do.
+    /// The effect of executing it again.
     pub repeat_effect: RepeatEffect,
-    /// When and where it ran with an effect, and which risk that was.
+    /// Each execution that had an effect: the time, the server, and the [risk level](ClientAttempt::risk) of its attempt.
     pub effects: Vec<(Micros, usize, u32)>,
 }
 
-/// A try of a call.
+/// One attempt of a client at a call.
 #[derive(Debug, Clone)]
 pub struct ClientAttempt {
-    /// The call's place.
+    /// The index of the call.
     pub call: usize,
-    /// Whom it was sent to: whose sends its attempts are.
+    /// The agent that it was sent to, and that sends it on to servers.
     pub agent: usize,
     /// When it was sent.
     pub sent_at: Micros,
-    /// All answers that its client got.
+    /// All responses that the client received.
     pub responses: Vec<(Micros, ClientResponse)>,
-    /// A client that was not told that a repeat is harmless repeats at its own risk: from there on this is greater.
+    /// Grows each time a client retries without knowing that the retry is harmless. Executions at different risk levels are
+    /// not counted against the agent as duplicates.
     pub risk: u32,
-    /// Nothing is owed to it: its client has left, or its agent was killed or could not be reached.
+    /// No response is required: the client cancelled, or the agent was killed or unreachable.
     pub excused: bool,
-    /// It came no sooner than an advised wait had said, which had begun then.
+    /// The end of the Retry-After wait that the client honored before this attempt.
     pub advised_until: Option<Micros>,
 }
 
-/// A server that nothing new may be sent to.
+/// A period in which no new request may be sent to a server.
 #[derive(Debug, Clone)]
 pub struct UnavailableServer {
-    /// Which one.
+    /// The index of the server.
     pub server: usize,
-    /// The version of the list that says so.
+    /// The version of the endpoint list that announces it.
     pub version: i64,
-    /// When it was to be used again, if it was.
+    /// When the server could be used again; `None` if never.
     pub until: Option<Micros>,
 }
 
-/// All that happened.
+/// Everything that the check needs to know about a run.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    /// By number.
+    /// The calls, by index.
     pub calls: Vec<Call>,
-    /// By number.
+    /// The client attempts, by index.
     pub client_attempts: Vec<ClientAttempt>,
-    /// Sends: when the first byte went, to which server, by which agent.
+    /// Attempts of agents at servers: when the first byte was sent, the server and the agent.
     pub sends: Vec<(Micros, usize, usize)>,
-    /// By agent: which version of the list it was told when, in order.
+    /// By agent: when it received each version of the endpoint list, in order.
     pub list_versions: Vec<Vec<(Micros, i64)>>,
-    /// Servers that drained or were gone.
+    /// Periods in which servers were draining or removed.
     pub unavailable: Vec<UnavailableServer>,
-    /// Cold servers that fell over, by those who had been told.
+    /// Overload crashes of cold servers caused by agents that knew of the cold start.
     pub cold_crashes: u32,
-    /// Connections that servers opened in all, and the most that one held at once.
+    /// Connections opened to all servers.
     pub connections_opened: u64,
-    /// The most connections that one server held at once.
+    /// The largest number of connections open at one server at once.
     pub max_open_connections: usize,
-    /// Probes of servers.
+    /// Health probes sent to servers.
     pub probes: u64,
-    /// Lines of lists that discovery wrote.
+    /// Entries of endpoint lists that the registry wrote.
     pub list_entries: u64,
-    /// The most memory that an agent took, if that was measured.
+    /// The peak memory of any agent, if it was measured.
     pub memory_mb: Option<f64>,
-    /// What the process held beside this ledger, in bytes, now and then, where that is looked at.
+    /// Samples of the bytes that the process holds besides this ledger, where they are taken.
     pub memory: Vec<(Micros, i64)>,
-    /// Agents that ended by themselves.
+    /// Agents that exited without being asked to.
     pub crashed_agents: usize,
-    /// Messages that reached a server or a client other than they were meant.
+    /// Messages whose content was wrong when they reached a server or a client.
     pub mistranslated: usize,
-    /// Requests that servers of each dialect ran for clients of the other: at old servers, at new ones.
+    /// Requests that servers executed for clients of the other dialect: at old servers, at new servers.
     pub translated: (u64, u64),
-    /// How late the run itself was with what it had to do, at the worst hundredth.
+    /// The 99th percentile of the lateness of the emulator's own timers.
     pub timer_lateness: Micros,
 }
 
-/// A rule that was broken.
+/// A rule that every run must keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Rule {
-    /// Each request has exactly one final answer.
+    /// Each request has exactly one final response.
     #[serde(rename = "OneAnswer")]
     OneFinalResponse,
-    /// What must not run twice has not.
+    /// A request with an effect is not executed twice.
     #[serde(rename = "NoDoubledEffect")]
     NoDuplicateEffect,
-    /// Nothing new goes to a server that drains, once the grace is over.
+    /// No new request is sent to a draining server after the grace period.
     Drain,
-    /// No cold server falls over.
+    /// No cold server is overloaded until it crashes.
     #[serde(rename = "Cold")]
     ColdStart,
-    /// No server holds more connections than the scenario allows.
+    /// No server has more open connections than the scenario allows.
     Connections,
-    /// No agent takes more memory than the scenario allows.
+    /// No agent uses more memory than the scenario allows.
     Memory,
-    /// A client that waited as it was advised is not sent away again.
+    /// A client that retries after the advised wait is not rejected again.
     #[serde(rename = "Waits")]
     RetryAfter,
-    /// What reaches a server is what its client meant, and what reaches a client is what its server said.
+    /// Requests and responses keep their meaning when they are translated.
     #[serde(rename = "Faithful")]
     FaithfulTranslation,
-    /// No agent ends that was not asked to.
+    /// No agent exits without being asked to.
     Crash,
 }
 
 impl Rule {
-    /// A slow machine can break it though the program is sound.
+    /// Returns whether a slow machine can break the rule although the program is correct.
     pub fn depends_on_timing(self) -> bool {
         !matches!(
             self,
@@ -158,77 +159,77 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Rule::OneFinalResponse => "one final answer",
-            Rule::NoDuplicateEffect => "no doubled effect",
-            Rule::Drain => "nothing to a draining server",
+            Rule::NoDuplicateEffect => "no duplicate effect",
+            Rule::Drain => "no request to a draining server",
             Rule::ColdStart => "no cold server pushed over",
             Rule::Connections => "bounded connections",
             Rule::Memory => "bounded memory",
-            Rule::RetryAfter => "advised waits prove true",
+            Rule::RetryAfter => "Retry-After waits are kept",
             Rule::FaithfulTranslation => "faithful translation",
-            Rule::Crash => "no agent ends by itself",
+            Rule::Crash => "no agent exits by itself",
         })
     }
 }
 
-/// What must hold beside the rules that always do.
+/// What a scenario requires in addition to the rules.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Requirements {
-    /// The least service of all requests together.
+    /// The minimum service over all calls.
     pub overall: Option<f64>,
-    /// Of the worst 10 s.
+    /// The minimum service in the worst 10 s.
     pub worst_window: Option<f64>,
-    /// Of the worst class.
+    /// The minimum service of the worst class.
     pub worst_class: Option<f64>,
-    /// The least share of advised waits that must prove true.
+    /// The minimum share of Retry-After waits after which the retry is not rejected.
     pub waits_kept: Option<f64>,
-    /// The most connections that one server may hold at once.
+    /// The maximum number of open connections at one server.
     pub connections: Option<usize>,
-    /// The most memory that an agent may take.
+    /// The maximum memory of an agent, in megabytes.
     pub memory_mb: Option<f64>,
-    /// By how much memory may grow over a run, as a share of what it is in the first third.
+    /// The maximum growth of memory over a run, as a share of its mean in the first third.
     pub memory_growth: Option<f64>,
 }
 
-/// How the users were served: 1 is all requests within their aim.
+/// The quality of service for clients: 1 means that every call succeeded within its latency objective.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// All requests together.
+    /// Over all calls.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The worst 10 s.
+    /// In the worst 10 s.
     pub worst_window: f64,
-    /// The class that was served worst.
+    /// Of the class with the worst service.
     pub worst_class: f64,
-    /// The tenant that was served worst.
+    /// Of the tenant with the worst service.
     pub worst_tenant: f64,
 }
 
-/// What was found.
+/// The result of checking a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CheckResult {
-    /// How often each rule was broken.
+    /// The number of violations of each rule.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<Rule, usize>,
-    /// What the scenario wants beside the rules and did not get, in words.
+    /// The requirements of the scenario that were not met, as text.
     pub missed: Vec<String>,
-    /// How the users were served.
+    /// The quality of service.
     pub service: Service,
-    /// The share of advised waits that proved true, if there were any.
+    /// The share of Retry-After waits after which the retry was not rejected, if there were any.
     pub waits_kept: Option<f64>,
-    /// The run itself was late, so that it says nothing: by so many microseconds.
+    /// The lateness of the emulator's own timers, if it was so large that the run proves nothing.
     pub void: Option<Micros>,
 }
 
 impl CheckResult {
-    /// All that must hold held.
+    /// Returns whether the run kept all rules and met all requirements.
     pub fn held(&self) -> bool {
         self.violations.is_empty() && self.missed.is_empty() && self.void.is_none()
     }
 
-    /// In words.
+    /// Describes the result in one line.
     pub fn summary(&self) -> String {
         if let Some(late) = self.void {
-            return format!("VOID: the run itself was {} ms late", late / 1000);
+            return format!("VOID: the timers of the emulator were {} ms late", late / 1000);
         }
         let broken = self.violations.iter().map(|(rule, n)| format!("{rule}: broken {n} times"));
         let all: Vec<String> = broken.chain(self.missed.iter().cloned()).collect();
@@ -240,17 +241,17 @@
     }
 }
 
-/// What an answer between aim and deadline is worth.
+/// The weight of a response between latency objective and deadline.
 const LATE_WEIGHT: f64 = 0.5;
-const WINDOW: Micros = 10_000_000;
-/// The bounds of the rules are longer by this.
+const SERVICE_WINDOW: Micros = 10_000_000;
+/// Added to the time limits of the rules.
 const SLACK: Micros = 50_000;
-/// An advised wait is kept if the client comes within this after it.
-const ON_TIME: Micros = 1_000_000;
-/// A run whose own timers are later than this, at the worst hundredth, is void.
+/// A retry counts as a test of the advised wait if it is sent within this time after the wait.
+const RETRY_WINDOW: Micros = 1_000_000;
+/// The largest 99th percentile of the emulator's timer lateness with which a run is valid.
 pub const MAX_TIMER_LATENESS: Micros = 25_000;
 
-/// Judges by the aims and deadlines of the classes, and by the grace of a drain.
+/// Checks a run, given the latency objective and deadline of each class and the drain grace period.
 pub fn check(
     ledger: &Ledger,
     classes: &[(Micros, Micros)],
@@ -263,92 +264,98 @@
             breaches.insert(rule, n);
         }
     };
-    let wrong = |t: &&ClientAttempt| t.responses.len() > 1 || (t.responses.is_empty() && !t.excused);
-    count(Rule::OneFinalResponse, ledger.client_attempts.iter().filter(wrong).count());
-    let doubled = |call: &&Call| {
+    let has_wrong_count = |attempt: &&ClientAttempt| {
+        attempt.responses.len() > 1 || (attempt.responses.is_empty() && !attempt.excused)
+    };
+    count(Rule::OneFinalResponse, ledger.client_attempts.iter().filter(has_wrong_count).count());
+    let is_duplicated = |call: &&Call| {
         let mut risks: Vec<u32> = call.effects.iter().map(|(.., risk)| *risk).collect();
         risks.sort_unstable();
         call.repeat_effect != RepeatEffect::Harmless && risks.windows(2).any(|pair| pair[0] == pair[1])
     };
-    count(Rule::NoDuplicateEffect, ledger.calls.iter().filter(doubled).count());
-    count(Rule::Drain, late_sends(ledger, grace + SLACK));
+    count(Rule::NoDuplicateEffect, ledger.calls.iter().filter(is_duplicated).count());
+    count(Rule::Drain, sends_to_unavailable(ledger, grace + SLACK));
     count(Rule::ColdStart, ledger.cold_crashes as usize);
     count(Rule::Crash, ledger.crashed_agents);
     count(Rule::FaithfulTranslation, ledger.mistranslated);
-    if requirements.connections.is_some_and(|most| ledger.max_open_connections > most) {
+    if requirements.connections.is_some_and(|max| ledger.max_open_connections > max) {
         count(Rule::Connections, 1);
     }
-    if requirements.memory_mb.zip(ledger.memory_mb).is_some_and(|(most, took)| took > most) {
+    if requirements.memory_mb.zip(ledger.memory_mb).is_some_and(|(max, used)| used > max) {
         count(Rule::Memory, 1);
     }
-    // A run that was to be looked at and was not has not held either.
-    if requirements.memory_growth.is_some_and(|most| growth(&ledger.memory).is_none_or(|grew| grew > most)) {
+    // A run whose memory should have been sampled but was not fails too.
+    if requirements.memory_growth.is_some_and(|max| growth(&ledger.memory).is_none_or(|grown| grown > max)) {
         count(Rule::Memory, 1);
     }
-    let came = |t: &&ClientAttempt| {
-        t.advised_until.is_some_and(|due| t.sent_at >= due && t.sent_at <= due + ON_TIME)
+    let is_after_wait = |attempt: &&ClientAttempt| {
+        attempt
+            .advised_until
+            .is_some_and(|due| attempt.sent_at >= due && attempt.sent_at <= due + RETRY_WINDOW)
     };
-    let on_time: Vec<&ClientAttempt> =
-        ledger.client_attempts.iter().filter(came).filter(|t| !t.excused).collect();
-    let sent_away = on_time
+    let waited: Vec<&ClientAttempt> =
+        ledger.client_attempts.iter().filter(is_after_wait).filter(|attempt| !attempt.excused).collect();
+    let rejected = waited
         .iter()
-        .filter(|t| matches!(t.responses.first(), Some((_, ClientResponse::Rejected(_)))))
+        .filter(|attempt| matches!(attempt.responses.first(), Some((_, ClientResponse::Rejected(_)))))
         .count();
-    let waits_kept = (!on_time.is_empty()).then(|| 1.0 - sent_away as f64 / on_time.len() as f64);
-    if requirements.waits_kept.zip(waits_kept).is_some_and(|(least, kept)| kept < least) {
-        count(Rule::RetryAfter, sent_away);
+    let waits_kept = (!waited.is_empty()).then(|| 1.0 - rejected as f64 / waited.len() as f64);
+    if requirements.waits_kept.zip(waits_kept).is_some_and(|(minimum, kept)| kept < minimum) {
+        count(Rule::RetryAfter, rejected);
     }
     let service = service(ledger, classes);
-    let wants = [
+    let minimums = [
         ("service", requirements.overall, service.overall),
         ("service in the worst 10 s", requirements.worst_window, service.worst_window),
         ("service of the worst class", requirements.worst_class, service.worst_class),
     ];
-    let missed = wants.iter().filter_map(|(what, least, got)| {
-        least.filter(|least| got < least).map(|least| format!("{what} is {got:.3}, below {least}"))
+    let missed = minimums.iter().filter_map(|(name, minimum, value)| {
+        minimum
+            .filter(|minimum| value < minimum)
+            .map(|minimum| format!("{name} is {value:.3}, below {minimum}"))
     });
     let void = (ledger.timer_lateness > MAX_TIMER_LATENESS).then_some(ledger.timer_lateness);
     CheckResult { violations: breaches, missed: missed.collect(), service, waits_kept, void }
 }
 
-/// Sends to a server that the sender had been told to leave alone for longer than this.
-fn late_sends(ledger: &Ledger, bound: Micros) -> usize {
+/// Counts requests sent to an unavailable server more than `bound` after the sending agent had received that version of the list.
+fn sends_to_unavailable(ledger: &Ledger, bound: Micros) -> usize {
     let mut by_server: BTreeMap<usize, Vec<&UnavailableServer>> = BTreeMap::new();
-    for off in &ledger.unavailable {
-        by_server.entry(off.server).or_default().push(off);
+    for period in &ledger.unavailable {
+        by_server.entry(period.server).or_default().push(period);
     }
-    let late = |(at, server, agent): &&(Micros, usize, usize)| {
-        by_server.get(server).is_some_and(|offs| {
-            offs.iter().any(|off| {
-                if off.until.is_some_and(|until| *at >= until) {
+    let is_violation = |(at, server, agent): &&(Micros, usize, usize)| {
+        by_server.get(server).is_some_and(|periods| {
+            periods.iter().any(|period| {
+                if period.until.is_some_and(|until| *at >= until) {
                     return false;
                 }
-                let told = ledger.list_versions.get(*agent).map_or(&[][..], Vec::as_slice);
-                // A lower version is that of a new life, which knows only its old list.
+                let versions = ledger.list_versions.get(*agent).map_or(&[][..], Vec::as_slice);
+                // A lower version belongs to a restarted agent, which knows only its old list.
                 let mut since = None;
-                for (told, version) in told.iter().take_while(|(told, _)| told <= at) {
-                    since = (*version >= off.version).then(|| since.unwrap_or(*told));
+                for (received, version) in versions.iter().take_while(|(received, _)| received <= at) {
+                    since = (*version >= period.version).then(|| since.unwrap_or(*received));
                 }
-                since.is_some_and(|told| *at > told + bound)
+                since.is_some_and(|received| *at > received + bound)
             })
         })
     };
-    ledger.sends.iter().filter(late).count()
+    ledger.sends.iter().filter(is_violation).count()
 }
 
-/// When each call was served, if it was: by the first of its tries that was.
+/// Returns for each call when its first successful attempt got its response, if there was one.
 pub fn first_successes(ledger: &Ledger) -> Vec<Option<Micros>> {
     let mut served: Vec<Option<Micros>> = vec![None; ledger.calls.len()];
-    for t in &ledger.client_attempts {
-        if let Some((at, ClientResponse::Success)) = t.responses.first() {
-            let first = &mut served[t.call];
+    for attempt in &ledger.client_attempts {
+        if let Some((at, ClientResponse::Success)) = attempt.responses.first() {
+            let first = &mut served[attempt.call];
             *first = Some(first.map_or(*at, |first| first.min(*at)));
         }
     }
     served
 }
 
-/// What an answer at this time is worth.
+/// Returns the weight in the service of a call that succeeded at this time.
 pub fn service_weight(call: &Call, served: Option<Micros>, (aim, deadline): (Micros, Micros)) -> f64 {
     match served {
         Some(at) if at - call.scheduled_at <= aim => 1.0,
@@ -358,26 +365,26 @@
 }
 
 fn service(ledger: &Ledger, classes: &[(Micros, Micros)]) -> Service {
-    let mut whole = (0.0, 0.0);
+    let mut overall = (0.0, 0.0);
     let mut windows: BTreeMap<Micros, (f64, f64)> = BTreeMap::new();
     let mut by_class: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     let mut by_tenant: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for (call, served) in ledger.calls.iter().zip(first_successes(ledger)) {
-        let worth = service_weight(call, served, classes[call.class]);
+        let weight = service_weight(call, served, classes[call.class]);
         let sums = [
-            &mut whole,
-            windows.entry(call.scheduled_at / WINDOW).or_default(),
+            &mut overall,
+            windows.entry(call.scheduled_at / SERVICE_WINDOW).or_default(),
             by_class.entry(call.class).or_default(),
             by_tenant.entry(call.tenant).or_default(),
         ];
         for sum in sums {
-            (sum.0, sum.1) = (sum.0 + worth, sum.1 + 1.0);
+            (sum.0, sum.1) = (sum.0 + weight, sum.1 + 1.0);
         }
     }
-    let share = |(got, of): (f64, f64)| if of > 0.0 { got / of } else { 1.0 };
+    let share = |(sum, count): (f64, f64)| if count > 0.0 { sum / count } else { 1.0 };
     let worst = |sums: Vec<(f64, f64)>| sums.into_iter().map(share).fold(1.0, f64::min);
     Service {
-        overall: share(whole),
+        overall: share(overall),
         worst_window: worst(windows.into_values().collect()),
         worst_class: worst(by_class.into_values().collect()),
         worst_tenant: worst(by_tenant.into_values().collect()),
--- a/crates/lab/src/checker/tests.rs
+++ b/crates/lab/src/checker/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn sound() -> Ledger {
+fn valid_ledger() -> Ledger {
     let call = |n: Micros| Call {
         scheduled_at: n * 1000,
         class: (n % 2) as usize,
@@ -8,7 +8,7 @@
         repeat_effect: if n % 2 == 1 { RepeatEffect::Duplicated } else { RepeatEffect::Harmless },
         effects: vec![(n * 1000 + 1000, 0, 0)],
     };
-    let one = |n: Micros| ClientAttempt {
+    let attempt = |n: Micros| ClientAttempt {
         call: n as usize,
         agent: (n % 2) as usize,
         sent_at: n * 1000,
@@ -19,7 +19,7 @@
     };
     Ledger {
         calls: (0..100).map(call).collect(),
-        client_attempts: (0..100).map(one).collect(),
+        client_attempts: (0..100).map(attempt).collect(),
         sends: (0..100).map(|n| (n * 1000, 0, 0)).collect(),
         list_versions: vec![vec![(0, 1), (10_000, 2)], vec![(0, 1), (300_000, 2)]],
         unavailable: vec![UnavailableServer { server: 1, version: 2, until: None }],
@@ -31,7 +31,7 @@
 }
 
 const CLASSES: [(Micros, Micros); 2] = [(10_000, 50_000); 2];
-const HOLDS: Requirements = Requirements {
+const REQUIREMENTS: Requirements = Requirements {
     overall: Some(0.9),
     worst_window: None,
     worst_class: None,
@@ -41,70 +41,87 @@
     memory_growth: Some(0.1),
 };
 
-fn broken(spoil: impl Fn(&mut Ledger)) -> Vec<Rule> {
-    let mut ledger = sound();
-    spoil(&mut ledger);
-    let verdict = check(&ledger, &CLASSES, 500_000, &HOLDS);
-    assert!(verdict.missed.is_empty(), "{verdict:?}");
-    verdict.violations.into_keys().collect()
+fn violations(change: impl Fn(&mut Ledger)) -> Vec<Rule> {
+    let mut ledger = valid_ledger();
+    change(&mut ledger);
+    let result = check(&ledger, &CLASSES, 500_000, &REQUIREMENTS);
+    assert!(result.missed.is_empty(), "{result:?}");
+    result.violations.into_keys().collect()
 }
 
-/// Each planted fault is caught by its rule and by no other.
+/// A violation that no rule reports, or that another rule reports too, would make the check worthless or misleading.
 #[test]
-fn a_planted_fault_is_caught_by_its_rule_and_no_other() {
-    assert_eq!(broken(|_| {}), []);
+fn each_violation_is_reported_by_its_rule_only() {
+    assert_eq!(violations(|_| {}), []);
     assert_eq!(
-        broken(|l| l.client_attempts[7].responses.push((20_000, ClientResponse::Failed))),
+        violations(|ledger| ledger.client_attempts[7].responses.push((20_000, ClientResponse::Failed))),
         [Rule::OneFinalResponse]
     );
-    assert_eq!(broken(|l| l.client_attempts[7].responses.clear()), [Rule::OneFinalResponse]);
-    let excused =
-        |l: &mut Ledger| (l.client_attempts[7].responses.clear(), l.client_attempts[7].excused = true).1;
-    assert_eq!(broken(excused), [], "its agent was killed");
-    assert_eq!(broken(|l| l.calls[7].effects.push((9000, 1, 0))), [Rule::NoDuplicateEffect]);
-    assert_eq!(broken(|l| l.calls[7].effects.push((9000, 1, 1))), [], "at its client's own risk");
-    assert_eq!(broken(|l| l.calls[8].effects.push((9000, 1, 0))), [], "this class may run twice");
-    assert_eq!(broken(|l| l.sends.push((710_000, 1, 0))), [Rule::Drain]);
-    assert_eq!(broken(|l| l.sends.push((710_000, 1, 1))), [], "this agent was told later");
-    assert_eq!(broken(|l| l.sends.push((540_000, 1, 0))), [], "within the grace");
-    let back = |l: &mut Ledger| (l.sends.push((710_000, 1, 0)), l.unavailable[0].until = Some(700_000)).1;
-    assert_eq!(broken(back), [], "it was to be used again");
-    let reborn = |l: &mut Ledger| (l.sends.push((710_000, 1, 0)), l.list_versions[0].push((700_000, 1))).1;
-    assert_eq!(broken(reborn), [], "a new life has only its old list");
-    assert_eq!(broken(|l| l.cold_crashes = 1), [Rule::ColdStart]);
-    assert_eq!(broken(|l| l.crashed_agents = 1), [Rule::Crash]);
-    assert_eq!(broken(|l| l.mistranslated = 1), [Rule::FaithfulTranslation]);
-    assert_eq!(broken(|l| l.max_open_connections = 11), [Rule::Connections]);
-    assert_eq!(broken(|l| l.memory_mb = Some(8.1)), [Rule::Memory]);
-    let grows = |l: &mut Ledger| l.memory.iter_mut().for_each(|(n, held)| *held += 5 * *n as i64);
-    assert_eq!(broken(grows), [Rule::Memory]);
-    assert_eq!(broken(|l| l.memory.clear()), [Rule::Memory], "nobody looked");
+    assert_eq!(violations(|ledger| ledger.client_attempts[7].responses.clear()), [Rule::OneFinalResponse]);
+    let excused = |ledger: &mut Ledger| {
+        (ledger.client_attempts[7].responses.clear(), ledger.client_attempts[7].excused = true).1
+    };
+    assert_eq!(violations(excused), [], "its agent was killed");
+    assert_eq!(violations(|ledger| ledger.calls[7].effects.push((9000, 1, 0))), [Rule::NoDuplicateEffect]);
+    assert_eq!(
+        violations(|ledger| ledger.calls[7].effects.push((9000, 1, 1))),
+        [],
+        "the client retried at its own risk"
+    );
+    assert_eq!(
+        violations(|ledger| ledger.calls[8].effects.push((9000, 1, 0))),
+        [],
+        "requests of this class are idempotent"
+    );
+    assert_eq!(violations(|ledger| ledger.sends.push((710_000, 1, 0))), [Rule::Drain]);
+    assert_eq!(
+        violations(|ledger| ledger.sends.push((710_000, 1, 1))),
+        [],
+        "this agent received the list later"
+    );
+    assert_eq!(violations(|ledger| ledger.sends.push((540_000, 1, 0))), [], "within the grace period");
+    let used_again = |ledger: &mut Ledger| {
+        (ledger.sends.push((710_000, 1, 0)), ledger.unavailable[0].until = Some(700_000)).1
+    };
+    assert_eq!(violations(used_again), [], "the server may be used again");
+    let restarted = |ledger: &mut Ledger| {
+        (ledger.sends.push((710_000, 1, 0)), ledger.list_versions[0].push((700_000, 1))).1
+    };
+    assert_eq!(violations(restarted), [], "a restarted agent knows only its old list");
+    assert_eq!(violations(|ledger| ledger.cold_crashes = 1), [Rule::ColdStart]);
+    assert_eq!(violations(|ledger| ledger.crashed_agents = 1), [Rule::Crash]);
+    assert_eq!(violations(|ledger| ledger.mistranslated = 1), [Rule::FaithfulTranslation]);
+    assert_eq!(violations(|ledger| ledger.max_open_connections = 11), [Rule::Connections]);
+    assert_eq!(violations(|ledger| ledger.memory_mb = Some(8.1)), [Rule::Memory]);
+    let growing = |ledger: &mut Ledger| ledger.memory.iter_mut().for_each(|(n, held)| *held += 5 * *n as i64);
+    assert_eq!(violations(growing), [Rule::Memory]);
+    assert_eq!(violations(|ledger| ledger.memory.clear()), [Rule::Memory], "no samples were taken");
     assert_eq!(
-        broken(|l| l.client_attempts[50].responses[0].1 = ClientResponse::Rejected(None)),
+        violations(|ledger| ledger.client_attempts[50].responses[0].1 = ClientResponse::Rejected(None)),
         [Rule::RetryAfter]
     );
-    let early = |l: &mut Ledger| {
-        l.client_attempts[50].responses[0].1 = ClientResponse::Rejected(None);
-        l.client_attempts[50].advised_until = Some(60_000);
+    let early = |ledger: &mut Ledger| {
+        ledger.client_attempts[50].responses[0].1 = ClientResponse::Rejected(None);
+        ledger.client_attempts[50].advised_until = Some(60_000);
     };
-    assert_eq!(broken(early), [], "it came early, and the wait said so");
+    assert_eq!(violations(early), [], "the retry came before the end of the advised wait");
 }
 
 #[test]
-fn a_run_that_was_late_itself_is_void() {
-    let late = Ledger { timer_lateness: MAX_TIMER_LATENESS + 1, ..sound() };
-    let verdict = check(&late, &CLASSES, 0, &HOLDS);
-    assert!(!verdict.held() && verdict.summary().starts_with("VOID"));
+fn a_run_with_late_timers_is_void() {
+    let late = Ledger { timer_lateness: MAX_TIMER_LATENESS + 1, ..valid_ledger() };
+    let result = check(&late, &CLASSES, 0, &REQUIREMENTS);
+    assert!(!result.held() && result.summary().starts_with("VOID"));
 }
 
 #[test]
-fn service_is_told_in_the_users_terms() {
-    let mut ledger = sound();
-    assert_eq!(check(&ledger, &CLASSES, 0, &HOLDS).service.overall, 1.0);
-    for t in ledger.client_attempts.iter_mut().filter(|t| t.call % 2 == 1) {
-        t.responses[0].0 = t.sent_at + 20_000;
+fn late_responses_count_half_in_the_service() {
+    let mut ledger = valid_ledger();
+    assert_eq!(check(&ledger, &CLASSES, 0, &REQUIREMENTS).service.overall, 1.0);
+    for attempt in ledger.client_attempts.iter_mut().filter(|attempt| attempt.call % 2 == 1) {
+        attempt.responses[0].0 = attempt.sent_at + 20_000;
     }
-    let verdict = check(&ledger, &CLASSES, 0, &HOLDS);
-    assert_eq!((verdict.service.overall, verdict.service.worst_class), (0.75, 0.5));
-    assert_eq!((verdict.missed.len(), verdict.held()), (1, false));
+    let result = check(&ledger, &CLASSES, 0, &REQUIREMENTS);
+    assert_eq!((result.service.overall, result.service.worst_class), (0.75, 0.5));
+    assert_eq!((result.missed.len(), result.held()), (1, false));
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! heronhoist-lab: an emulated fleet, its clients and its faults, played against the engine in simulated time or against the
-//! real agent on loopback, and judged from outside.
+//! heronhoist-lab: runs an emulated fleet with clients and injected faults against the engine in simulated time or against
+//! the real agent on loopback, and checks the runs from outside.
 
 mod checker;
 mod compare;
@@ -36,7 +36,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// An emulated fleet, its clients and its faults, judged from outside.
+/// Runs an emulated fleet with clients and injected faults, and checks from outside that the agents keep the rules.
 #[derive(Parser)]
 #[command(
     name = "heronhoist-lab",
@@ -48,133 +48,133 @@
     command: Command,
 }
 
-/// How runs are played.
+/// The options of the commands that run scenarios.
 #[derive(Args)]
 struct RunArgs {
-    /// Seeds, as 7 or 1..20.
+    /// One seed (7) or a range of seeds (1..20).
     #[arg(long, default_value = "1..1", value_parser = seeds)]
     seeds: RangeInclusive<u64>,
-    /// On loopback sockets, against the real agent.
+    /// Run the real agent on loopback sockets.
     #[arg(long, conflicts_with = "simulated")]
     real: bool,
-    /// In simulated time.
+    /// Run in simulated time.
     #[arg(long = "virtual")]
     simulated: bool,
-    /// Who chooses the servers.
+    /// The load-balancing policy.
     #[arg(long, value_enum, default_value = "heronhoist")]
     policy: Policy,
-    /// Play every policy in turn.
+    /// Run every policy in turn.
     #[arg(long, conflicts_with = "policy")]
     all: bool,
-    /// Change a key of the scenario, as agents.count=200.
+    /// Override a key of the scenario, for example agents.count=200.
     #[arg(long, value_name = "PATH=VALUE")]
     set: Vec<String>,
     /// The real agent's program.
     #[arg(long)]
     agent: Option<PathBuf>,
-    /// Judge only what does not hang on how fast the machine is: answers, effects, and agents that end by themselves.
+    /// Check only the rules that do not depend on the speed of the machine: responses, effects, translation and agent crashes.
     #[arg(long)]
     timeless: bool,
-    /// Runs side by side, in simulated time.
+    /// The number of concurrent runs in simulated time.
     #[arg(long, default_value_t = 4)]
     threads: usize,
-    /// Write the runs here as they end, as JSON.
+    /// Write each run to this JSON file as it ends.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario with each seed, and judge it.
+    /// Run a scenario with each seed and check the runs.
     Run {
         /// The scenario.
         file: PathBuf,
         #[command(flatten)]
-        how: RunArgs,
+        arguments: RunArgs,
     },
-    /// Play a scenario with each of several values of a key: --set agents.count=10,100,1000.
+    /// Run a scenario with each of several values of a key: --set agents.count=10,100,1000.
     Sweep {
         /// The scenario.
         file: PathBuf,
         #[command(flatten)]
-        how: RunArgs,
+        arguments: RunArgs,
     },
-    /// Play scenarios by all policies, and write a table in Markdown.
+    /// Run scenarios with all policies and write a Markdown table.
     Table {
         /// The scenarios.
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[command(flatten)]
-        how: RunArgs,
+        arguments: RunArgs,
     },
-    /// Play a scenario in both modes by every policy, and see whether they agree: in service, and in the order of policies.
+    /// Run a scenario in both modes with every policy, and check that the modes agree on the service and on the order of policies.
     Agree {
         /// The scenario.
         file: PathBuf,
         #[command(flatten)]
-        how: RunArgs,
+        arguments: RunArgs,
     },
     /// Compare two files of runs, paired by scenario and seed.
     Compare {
-        /// The first,
+        /// The first file.
         first: PathBuf,
-        /// and the second.
+        /// The second file.
         second: PathBuf,
     },
-    /// Make one HTML file of a file of runs.
+    /// Write an HTML report of a file of runs.
     Report {
-        /// The runs.
+        /// The file of runs.
         runs: PathBuf,
-        /// The page; beside the runs if it is not said.
+        /// The report; by default it is written next to the file of runs.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Make a scenario that fails as small as it can be.
+    /// Reduce a failing scenario to a smaller one that still fails.
     Minimize {
         /// The scenario.
         file: PathBuf,
-        /// The seed with which it fails.
+        /// The seed with which the scenario fails.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// At most so many plays.
+        /// The maximum number of runs.
         #[arg(long, default_value_t = 300)]
         plays: usize,
-        /// Where the smaller one is written.
+        /// Where to write the smaller scenario.
         #[arg(long)]
         out: PathBuf,
     },
-    /// Draw worlds and faults, and keep those in which a rule breaks or two plain choices serve better.
+    /// Generate random scenarios, and keep those in which a rule is broken or the two-choices policy gives better service.
     Hunt {
-        /// For how long.
+        /// How long to search, in minutes.
         #[arg(long, default_value_t = 1.0)]
         minutes: f64,
-        /// The first world's seed.
+        /// The seed of the first scenario.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where findings are written, as scenarios.
+        /// The folder for the scenarios that are found.
         #[arg(long)]
         out: PathBuf,
-        /// Worlds side by side.
+        /// The number of concurrent runs.
         #[arg(long, default_value_t = 4)]
         threads: usize,
-        /// Plays to make each finding smaller.
+        /// The maximum number of runs to reduce each finding.
         #[arg(long, default_value_t = 120)]
         plays: usize,
     },
-    /// Leave a fleet with its agents up, for tests by hand.
+    /// Start a fleet with its agents and leave it running, for manual tests.
     Fleet {
-        /// The scenario; its faults and clients are left out.
+        /// The scenario; its faults and clients are ignored.
         file: PathBuf,
         /// The real agent's program.
         #[arg(long)]
         agent: Option<PathBuf>,
-        /// End by itself after so many seconds.
+        /// Exit after this many seconds.
         #[arg(long)]
         seconds: Option<u64>,
     },
-    /// Send requests to an address, and tell how it answered.
+    /// Send requests to an address and report status codes and latencies.
     Load(load::Load),
-    /// Check scenarios without playing them.
+    /// Validate scenarios without running them.
     Check {
         /// The scenarios.
         #[arg(required = true)]
@@ -187,12 +187,12 @@
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text:?}: {e}"));
     let (first, last) = (number(first)?, number(last)?);
     if first > last || last - first >= 10_000 {
-        return Err(format!("{first}..{last} is no range of up to 10000 seeds"));
+        return Err(format!("{first}..{last} is not a range of 1 to 10000 seeds"));
     }
     Ok(first..=last)
 }
 
-/// Reads a scenario; all its faults, with their places, if it has any.
+/// Reads a scenario file. The error lists all its faults with their positions.
 fn read(path: &Path) -> Result<ScenarioSource, String> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| format!("heronhoist-lab: cannot read {}: {e}", path.display()))?;
@@ -201,20 +201,20 @@
     Err(lines.join("\n"))
 }
 
-fn changed(source: &ScenarioSource, set: &[(String, String)]) -> Result<ScenarioSource, String> {
+fn with_overrides(source: &ScenarioSource, overrides: &[(String, String)]) -> Result<ScenarioSource, String> {
     let mut source = source.clone();
-    for (path, value) in set {
+    for (path, value) in overrides {
         source.set(path, value)?;
     }
     source.scenario()?;
     Ok(source)
 }
 
-/// `path=value`, and for a sweep `path=a,b,c`.
-fn sets(texts: &[String]) -> Result<Vec<(String, Vec<String>)>, String> {
+/// Parses the arguments of `--set`: `path=value`, or `path=a,b,c` for a sweep.
+fn parse_overrides(texts: &[String]) -> Result<Vec<(String, Vec<String>)>, String> {
     let one = |text: &String| {
         let (path, values) =
-            text.split_once('=').ok_or_else(|| format!("--set {text}: wanted PATH=VALUE"))?;
+            text.split_once('=').ok_or_else(|| format!("--set {text}: expected PATH=VALUE"))?;
         Ok((path.to_string(), values.split(',').map(String::from).collect()))
     };
     texts.iter().map(one).collect()
@@ -223,88 +223,89 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     runner::handle_interrupts();
-    match carry_out(arguments.command) {
+    match execute(arguments.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(why) => {
-            let _ = writeln!(std::io::stderr(), "{why}");
+        Err(error) => {
+            let _ = writeln!(std::io::stderr(), "{error}");
             ExitCode::from(2)
         }
     }
 }
 
-fn means(how: &RunArgs, scenario: &scenario::Scenario) -> RunOptions {
-    let mode = match (how.real, how.simulated) {
+fn options(arguments: &RunArgs, scenario: &scenario::Scenario) -> RunOptions {
+    let mode = match (arguments.real, arguments.simulated) {
         (true, _) => Mode::Real,
         (_, true) => Mode::Virtual,
         _ => scenario.mode,
     };
     RunOptions {
         mode,
-        agent: how.agent.clone(),
+        agent: arguments.agent.clone(),
         folder: std::env::temp_dir().join(format!("heronhoist-lab-{}", std::process::id())),
-        out: how.out.clone(),
-        threads: how.threads,
+        out: arguments.out.clone(),
+        threads: arguments.threads,
     }
 }
 
-fn policies(how: &RunArgs) -> Vec<Policy> {
-    if how.all {
+fn policies(arguments: &RunArgs) -> Vec<Policy> {
+    if arguments.all {
         Policy::ALL.to_vec()
     } else {
-        vec![how.policy]
+        vec![arguments.policy]
     }
 }
 
-fn jobs(source: &ScenarioSource, how: &RunArgs) -> Result<Vec<PlannedRun>, String> {
+fn planned_runs(source: &ScenarioSource, arguments: &RunArgs) -> Result<Vec<PlannedRun>, String> {
     let scenario = source.scenario()?;
-    let job = |policy| how.seeds.clone().map(move |seed| (policy, seed));
-    let pairs = policies(how).into_iter().flat_map(job);
+    let job = |policy| arguments.seeds.clone().map(move |seed| (policy, seed));
+    let pairs = policies(arguments).into_iter().flat_map(job);
     Ok(pairs.map(|(policy, seed)| PlannedRun { scenario: scenario.clone(), policy, seed }).collect())
 }
 
-fn carry_out(command: Command) -> Result<bool, String> {
+fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Check { files } => {
             for file in files {
-                if let Some(plan) = agreed(&file, &[])? {
-                    say(&format!("{}: {} is sound", file.display(), plan.name));
+                if let Some(plan) = council_plan(&file, &[])? {
+                    print(&format!("{}: {} is sound", file.display(), plan.name));
                     continue;
                 }
                 let scenario = read(&file)?.scenario()?;
-                say(&format!("{}: {} is sound", file.display(), scenario.name));
+                print(&format!("{}: {} is sound", file.display(), scenario.name));
             }
             Ok(true)
         }
-        Command::Run { file, how } => run(&file, how),
-        Command::Sweep { file, how } => sweep(&file, &how),
-        Command::Table { files, how } => table(&files, &how),
-        Command::Agree { file, how } => agree(&file, how),
+        Command::Run { file, arguments } => run(&file, arguments),
+        Command::Sweep { file, arguments } => sweep(&file, &arguments),
+        Command::Table { files, arguments } => table(&files, &arguments),
+        Command::Agree { file, arguments } => agree(&file, arguments),
         Command::Compare { first, second } => {
-            say(compare::compare(&Record::read(&first)?, &Record::read(&second)?)?.trim_end());
+            print(compare::compare(&Record::read(&first)?, &Record::read(&second)?)?.trim_end());
             Ok(true)
         }
         Command::Report { runs, out } => {
             let out = out.unwrap_or_else(|| runs.with_extension("html"));
             write_report(&Record::read(&runs)?, &out)?;
-            say(&format!("report: {}", out.display()));
+            print(&format!("report: {}", out.display()));
             Ok(true)
         }
         Command::Minimize { file, seed, plays, out } => {
             let source = read(&file)?;
             let Some(finding) = hunt::find_problem(&source.scenario()?, seed) else {
-                return Err(format!("{} with seed {seed}: nothing fails", file.display()));
+                return Err(format!(
+                    "{} with seed {seed}: no rule is broken and the service is not worse",
+                    file.display()
+                ));
             };
-            keep(&source, seed, &finding, plays, &out)?;
+            write_finding(&source, seed, &finding, plays, &out)?;
             Ok(true)
         }
-        Command::Hunt { minutes, seed, out, threads, plays } => {
-            go_hunting(minutes, seed, &out, threads, plays)
-        }
+        Command::Hunt { minutes, seed, out, threads, plays } => hunt(minutes, seed, &out, threads, plays),
         Command::Fleet { file, agent, seconds } => fleet(&file, agent.as_deref(), seconds),
         Command::Load(load) => {
             let (text, any) = load::run(&load)?;
-            say(text.trim_end());
+            print(text.trim_end());
             Ok(any)
         }
     }
@@ -314,10 +315,10 @@
     std::fs::write(out, report::html(record)?).map_err(|e| format!("cannot write {}: {e}", out.display()))
 }
 
-const HEAD: &str =
+const HEADER: &str =
     "policy           seed   whole  worst 10 s  worst class    calls     sends  p99 ms  push  connects  digest            verdict";
 
-fn line(run: &Run) -> String {
+fn format_run(run: &Run) -> String {
     let service = &run.result.service;
     format!(
         "{:<15}  {:<5}  {:.3}  {:>10.3}  {:>11.3}  {:>7}  {:>8}  {:>6.0}  {:>4.1}  {:>8}  {}  {}{}",
@@ -337,8 +338,11 @@
     )
 }
 
-/// A scenario of several processes that agree, with changes.
-fn agreed(file: &Path, set: &[(String, String)]) -> Result<Option<processes::plan::Plan>, String> {
+/// Reads a scenario of council processes and applies the overrides; `None` for any other scenario.
+fn council_plan(
+    file: &Path,
+    overrides: &[(String, String)],
+) -> Result<Option<processes::plan::Plan>, String> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| format!("heronhoist-lab: cannot read {}: {e}", file.display()))?;
     if !processes::plan::is_council_scenario(&text) {
@@ -352,159 +356,159 @@
         })
     };
     let plan = parse(&text)?;
-    if set.is_empty() {
+    if overrides.is_empty() {
         return Ok(Some(plan));
     }
     let mut source = ScenarioSource::new(&text)?;
-    for (path, value) in set {
+    for (path, value) in overrides {
         source.set(path, value)?;
     }
     parse(&source.text()).map(Some)
 }
 
-fn run(file: &Path, mut how: RunArgs) -> Result<bool, String> {
-    let mut set = Vec::new();
-    for (path, values) in sets(&how.set)? {
-        set.push((path, values.join(",")));
+fn run(file: &Path, mut arguments: RunArgs) -> Result<bool, String> {
+    let mut overrides = Vec::new();
+    for (path, values) in parse_overrides(&arguments.set)? {
+        overrides.push((path, values.join(",")));
     }
-    if let Some(plan) = agreed(file, &set)? {
-        say(&format!(
+    if let Some(plan) = council_plan(file, &overrides)? {
+        print(&format!(
             "{}, {} mode: {} council processes, {} agents, {} s of faults",
             plan.name,
-            if how.real { "real" } else { "virtual" },
+            if arguments.real { "real" } else { "virtual" },
             plan.council,
             plan.agents,
             plan.duration / 1_000_000
         ));
-        if how.real {
-            let program = runner::agent_program(how.agent.as_deref())?;
+        if arguments.real {
+            let program = runner::agent_program(arguments.agent.as_deref())?;
             let folder = std::env::temp_dir().join(format!("heronhoist-lab-{}", std::process::id()));
-            let held = processes::run_real(&plan, how.seeds, (&program, &folder), say)?;
+            let held = processes::run_real(&plan, arguments.seeds, (&program, &folder), print)?;
             if held {
                 let _ = std::fs::remove_dir_all(&folder);
             }
             return Ok(held);
         }
-        return Ok(processes::run(&plan, how.seeds, how.threads, say));
+        return Ok(processes::run(&plan, arguments.seeds, arguments.threads, print));
     }
-    let source = changed(&read(file)?, &set)?;
+    let source = with_overrides(&read(file)?, &overrides)?;
     let scenario = source.scenario()?;
-    if how.out.is_none() && scenario.mode == Mode::Real && !how.simulated {
+    if arguments.out.is_none() && scenario.mode == Mode::Real && !arguments.simulated {
         let name = file.file_stem().unwrap_or_default().to_string_lossy();
-        how.out = Some(std::env::temp_dir().join(format!("heronhoist-lab-{name}.json")));
+        arguments.out = Some(std::env::temp_dir().join(format!("heronhoist-lab-{name}.json")));
     }
-    let means = means(&how, &scenario);
-    say(&format!(
+    let options = options(&arguments, &scenario);
+    print(&format!(
         "{}, {:?} mode: {} agents, {} servers, {} s of clients",
         scenario.name,
-        means.mode,
+        options.mode,
         scenario.agents,
         scenario.fleet.servers,
         scenario.duration / 1_000_000
     ));
-    let record = runner::run_all(&jobs(&source, &how)?, &means)?;
-    say(HEAD);
-    record.runs.iter().for_each(|run| say(&line(run)));
-    // What stands beside the engine only for comparison need not hold.
-    let judged = |run: &&Run| !how.all || run.policy == Policy::Heronhoist;
-    let holds = |run: &Run| match how.timeless {
+    let record = runner::run_all(&planned_runs(&source, &arguments)?, &options)?;
+    print(HEADER);
+    record.runs.iter().for_each(|run| print(&format_run(run)));
+    // The other policies run only for comparison and need not keep the rules.
+    let is_checked = |run: &&Run| !arguments.all || run.policy == Policy::Heronhoist;
+    let passes = |run: &Run| match arguments.timeless {
         false => run.result.held(),
         true => run.result.violations.keys().all(|rule| rule.depends_on_timing()),
     };
-    let held = record.complete && record.runs.iter().filter(judged).all(holds);
-    say(if held { "all that must hold held" } else { "NOT all that must hold held" });
-    if let Some(out) = &means.out {
+    let held = record.complete && record.runs.iter().filter(is_checked).all(passes);
+    print(if held { "all that must hold held" } else { "NOT all that must hold held" });
+    if let Some(out) = &options.out {
         let page = out.with_extension("html");
         write_report(&record, &page)?;
-        say(&format!("runs: {}\nreport: {}", out.display(), page.display()));
+        print(&format!("runs: {}\nreport: {}", out.display(), page.display()));
     }
-    if means.mode == Mode::Real && !held {
-        say(&format!("the agents' logs: {}", means.folder.display()));
+    if options.mode == Mode::Real && !held {
+        print(&format!("the agents' logs: {}", options.folder.display()));
     } else {
-        let _ = std::fs::remove_dir_all(&means.folder);
+        let _ = std::fs::remove_dir_all(&options.folder);
     }
     Ok(held)
 }
 
-/// The mean of a figure over runs, with its interval.
-fn mean(runs: &[&Run], figure: impl Fn(&Run) -> f64) -> String {
-    let values: Vec<f64> = runs.iter().map(|run| figure(run)).collect();
+/// Formats the mean of a metric over runs with its confidence interval.
+fn mean(runs: &[&Run], metric: impl Fn(&Run) -> f64) -> String {
+    let values: Vec<f64> = runs.iter().map(|run| metric(run)).collect();
     compare::interval(&values).map_or("-".into(), |i| format!("{:.3} ({:.3}-{:.3})", i.mean, i.low, i.high))
 }
 
-fn sweep(file: &Path, how: &RunArgs) -> Result<bool, String> {
+fn sweep(file: &Path, arguments: &RunArgs) -> Result<bool, String> {
     let source = read(file)?;
     let mut cases: Vec<Vec<(String, String)>> = vec![Vec::new()];
-    for (path, values) in sets(&how.set)? {
-        let with = |case: &Vec<(String, String)>, value: &String| {
+    for (path, values) in parse_overrides(&arguments.set)? {
+        let extend = |case: &Vec<(String, String)>, value: &String| {
             case.iter().cloned().chain([(path.clone(), value.clone())]).collect()
         };
         cases = cases
             .iter()
-            .flat_map(|case| values.iter().map(|value| with(case, value)).collect::<Vec<_>>())
+            .flat_map(|case| values.iter().map(|value| extend(case, value)).collect::<Vec<_>>())
             .collect();
     }
     if cases.len() > 1000 {
-        return Err(format!("{} cases; 1000 at most", cases.len()));
+        return Err(format!("--set gives {} combinations of values; the maximum is 1000", cases.len()));
     }
     let mut all = Record { format: record::FORMAT, complete: true, runs: Vec::new() };
     let mut held = true;
-    say("case                                     policy           whole                  worst 10 s             sends/call  connects/agent  probes/agent  lines/agent  push  seconds  events/s  verdict");
+    print("case                                     policy           whole                  worst 10 s             sends/call  connects/agent  probes/agent  lines/agent  push  seconds  events/s  verdict");
     for case in cases {
-        let source = changed(&source, &case)?;
-        let mut means = means(how, &source.scenario()?);
-        means.out = None;
-        let record = runner::run_all(&jobs(&source, how)?, &means)?;
+        let source = with_overrides(&source, &case)?;
+        let mut options = options(arguments, &source.scenario()?);
+        options.out = None;
+        let record = runner::run_all(&planned_runs(&source, arguments)?, &options)?;
         let name: Vec<String> = case.iter().map(|(path, value)| format!("{path}={value}")).collect();
-        for policy in policies(how) {
+        for policy in policies(arguments) {
             let runs: Vec<&Run> = record.runs.iter().filter(|run| run.policy == policy).collect();
-            let per = |figure: fn(&Run) -> f64, of: fn(&Run) -> f64| {
-                runs.iter().map(|run| figure(run) / of(run)).sum::<f64>() / runs.len().max(1) as f64
+            let mean_ratio = |metric: fn(&Run) -> f64, divisor: fn(&Run) -> f64| {
+                runs.iter().map(|run| metric(run) / divisor(run)).sum::<f64>() / runs.len().max(1) as f64
             };
             let broken = runs.iter().filter(|run| !run.result.held()).count();
             held &= broken == 0 || policy != Policy::Heronhoist;
-            say(&format!(
+            print(&format!(
                 "{:<40} {:<15}  {}  {}  {:>9.2}  {:>14.1}  {:>12.1}  {:>11.1}  {:>4.1}  {:>7.1}  {:>8.0}  {}",
                 name.join(" "),
                 policy.name(),
                 mean(&runs, |run| run.result.service.overall),
                 mean(&runs, |run| run.result.service.worst_window),
-                per(|run| run.sends as f64, |run| run.calls as f64),
-                per(|run| run.connections_opened as f64, |run| run.agents as f64),
-                per(|run| run.probes as f64, |run| run.agents as f64),
-                per(|run| run.list_entries as f64, |run| run.agents as f64),
+                mean_ratio(|run| run.sends as f64, |run| run.calls as f64),
+                mean_ratio(|run| run.connections_opened as f64, |run| run.agents as f64),
+                mean_ratio(|run| run.probes as f64, |run| run.agents as f64),
+                mean_ratio(|run| run.list_entries as f64, |run| run.agents as f64),
                 runs.iter().map(|run| run.worst_cold_load).fold(0.0, f64::max),
-                per(|run| run.seconds, |_| 1.0),
-                per(|run| run.events as f64, |run| run.seconds.max(1e-9)),
+                mean_ratio(|run| run.seconds, |_| 1.0),
+                mean_ratio(|run| run.events as f64, |run| run.seconds.max(1e-9)),
                 if broken == 0 { "held".into() } else { format!("{broken} of {} did not hold", runs.len()) }
             ));
         }
         all.complete &= record.complete;
         all.runs.extend(record.runs);
-        if let Some(out) = &how.out {
+        if let Some(out) = &arguments.out {
             all.write(out)?;
         }
     }
     Ok(held && all.complete)
 }
 
-/// Service in the two modes may differ by this much.
-const AGREES: f64 = 0.05;
-/// Policies that are closer than this in one mode have no order.
-const APART: f64 = 0.02;
+/// The largest difference in service with which the two modes agree.
+const MAX_MODE_DIFFERENCE: f64 = 0.05;
+/// Policies whose service differs by less than this in a mode have no order.
+const MIN_POLICY_DIFFERENCE: f64 = 0.02;
 
-fn agree(file: &Path, mut how: RunArgs) -> Result<bool, String> {
+fn agree(file: &Path, mut arguments: RunArgs) -> Result<bool, String> {
     let source = read(file)?;
     let scenario = source.scenario()?;
-    how.all = true;
-    let jobs = jobs(&source, &how)?;
+    arguments.all = true;
+    let jobs = planned_runs(&source, &arguments)?;
     let mut services = Vec::new();
     for mode in [Mode::Virtual, Mode::Real] {
-        let means = RunOptions { mode, out: None, ..means(&how, &scenario) };
-        let record = runner::run_all(&jobs, &means)?;
-        let _ = std::fs::remove_dir_all(&means.folder);
+        let options = RunOptions { mode, out: None, ..options(&arguments, &scenario) };
+        let record = runner::run_all(&jobs, &options)?;
+        let _ = std::fs::remove_dir_all(&options.folder);
         if let Some(run) = record.runs.iter().find(|run| run.result.void.is_some()) {
-            say(&format!("{} by {}: {}", scenario.name, run.policy.name(), run.result.summary()));
+            print(&format!("{} by {}: {}", scenario.name, run.policy.name(), run.result.summary()));
             return Ok(false);
         }
         let service = |policy: Policy| {
@@ -515,43 +519,48 @@
         services.push(Policy::ALL.map(service));
     }
     let (simulated, real) = (services[0], services[1]);
-    say("policy           virtual   real    apart");
+    print("policy           virtual   real    apart");
     let mut agrees = true;
-    for (at, policy) in Policy::ALL.into_iter().enumerate() {
-        let apart = real[at] - simulated[at];
-        agrees &= apart.abs() <= AGREES;
-        say(&format!("{:<15}  {:.3}     {:.3}  {apart:+.3}", policy.name(), simulated[at], real[at]));
-        for other in at + 1..Policy::ALL.len() {
-            let (a, b) = (simulated[at] - simulated[other], real[at] - real[other]);
-            if a.abs() > APART && b.abs() > APART && (a > 0.0) != (b > 0.0) {
+    for (index, policy) in Policy::ALL.into_iter().enumerate() {
+        let apart = real[index] - simulated[index];
+        agrees &= apart.abs() <= MAX_MODE_DIFFERENCE;
+        print(&format!("{:<15}  {:.3}     {:.3}  {apart:+.3}", policy.name(), simulated[index], real[index]));
+        for other in index + 1..Policy::ALL.len() {
+            let (a, b) = (simulated[index] - simulated[other], real[index] - real[other]);
+            if a.abs() > MIN_POLICY_DIFFERENCE && b.abs() > MIN_POLICY_DIFFERENCE && (a > 0.0) != (b > 0.0) {
                 agrees = false;
-                say(&format!("{} and {} change places", policy.name(), Policy::ALL[other].name()));
+                print(&format!(
+                    "{} and {} are in a different order",
+                    policy.name(),
+                    Policy::ALL[other].name()
+                ));
             }
         }
     }
-    say(if agrees { "the modes agree" } else { "the modes do NOT agree" });
+    print(if agrees { "the modes agree" } else { "the modes do NOT agree" });
     Ok(agrees)
 }
 
-fn table(files: &[PathBuf], how: &RunArgs) -> Result<bool, String> {
-    let (first, last) = (how.seeds.start(), how.seeds.end());
+fn table(files: &[PathBuf], arguments: &RunArgs) -> Result<bool, String> {
+    let (first, last) = (arguments.seeds.start(), arguments.seeds.end());
     let mut text = format!(
-        "# Results of the lab\n\nSeeds {first} to {last} of each scenario, by each policy; means, with an interval that holds the mean in 95 of 100\n\
-         cases (bootstrap over seeds). Service: 1 is every call within its aim, half for within its deadline. `push` is the worst on\n\
-         a cold server, in multiples of what it bears; it falls at 3. The plain policies hear of changes as late as others and keep no rule;\n\
-         `least-loaded` sees the truth, which no agent can. Written by:\n\n    sh scenarios/results.sh\n"
+        "# Results of the lab\n\nSeeds {first} to {last} of each scenario with each policy; means with a 95 % confidence interval (bootstrap over seeds).\n\
+         Service: a call counts 1 within its latency objective and one half within its deadline. `push` is the largest load on a\n\
+         cold server as a multiple of its capacity; it crashes at 3. The simple policies learn of changes as late as the engine does, and\n\
+         keep no rules; `least-loaded` knows the actual load of all servers, which no agent can. Written by:\n\n    sh scenarios/results.sh\n"
     );
     let mut held = true;
     for file in files {
         let source = read(file)?;
         let scenario = source.scenario()?;
-        let mut means = means(how, &scenario);
-        means.out = None;
-        let policies =
-            Policy::ALL.into_iter().flat_map(|policy| how.seeds.clone().map(move |seed| (policy, seed)));
+        let mut options = options(arguments, &scenario);
+        options.out = None;
+        let policies = Policy::ALL
+            .into_iter()
+            .flat_map(|policy| arguments.seeds.clone().map(move |seed| (policy, seed)));
         let jobs: Vec<PlannedRun> =
             policies.map(|(policy, seed)| PlannedRun { scenario: scenario.clone(), policy, seed }).collect();
-        let record = runner::run_all(&jobs, &means)?;
+        let record = runner::run_all(&jobs, &options)?;
         let _ = write!(
             text,
             "\n## {}\n\n{} agents, {} servers, {} s, {:?} mode.\n\n| policy | whole | worst 10 s | worst class | sends a call | p99 ms of the slowest class | push | rules |\n|---|---|---|---|---|---|---|---|\n",
@@ -559,7 +568,7 @@
             scenario.agents,
             scenario.fleet.servers,
             scenario.duration / 1_000_000,
-            means.mode
+            options.mode
         );
         for policy in Policy::ALL {
             let runs: Vec<&Run> = record.runs.iter().filter(|run| run.policy == policy).collect();
@@ -577,8 +586,8 @@
                     rules.into_iter().collect::<Vec<_>>().join(", ")
                 ),
             };
-            let average = |figure: fn(&Run) -> f64| {
-                runs.iter().map(|run| figure(run)).sum::<f64>() / runs.len().max(1) as f64
+            let average = |metric: fn(&Run) -> f64| {
+                runs.iter().map(|run| metric(run)).sum::<f64>() / runs.len().max(1) as f64
             };
             let _ = writeln!(
                 text,
@@ -592,65 +601,65 @@
                 runs.iter().map(|run| run.worst_cold_load).fold(0.0, f64::max),
             );
         }
-        say(&format!("{}: done", scenario.name));
+        print(&format!("{}: done", scenario.name));
     }
-    match &how.out {
+    match &arguments.out {
         Some(out) => std::fs::write(out, text).map_err(|e| format!("cannot write {}: {e}", out.display()))?,
-        None => say(&text),
+        None => print(&text),
     }
     Ok(held)
 }
 
-/// Makes a finding small, and writes it as a scenario that shows it again.
-fn keep(
+/// Reduces a finding and writes it as a scenario that reproduces it.
+fn write_finding(
     source: &ScenarioSource,
     seed: u64,
     finding: &hunt::Finding,
-    plays: usize,
+    max_runs: usize,
     out: &Path,
 ) -> Result<(), String> {
-    let (small, tried) = hunt::shrink(source, seed, finding, plays);
-    let again = hunt::find_problem(&small.scenario()?, seed).unwrap_or_else(|| finding.clone());
+    let (small, tried) = hunt::shrink(source, seed, finding, max_runs);
+    let reproduced = hunt::find_problem(&small.scenario()?, seed).unwrap_or_else(|| finding.clone());
     let text = format!(
-        "# {}\n# Shown again by: heronhoist-lab run {} --seeds {seed} --all\n{}",
-        again.summary(),
+        "# {}\n# Reproduce with: heronhoist-lab run {} --seeds {seed} --all\n{}",
+        reproduced.summary(),
         out.display(),
         small.text()
     );
     std::fs::write(out, text).map_err(|e| format!("cannot write {}: {e}", out.display()))?;
-    say(&format!("{}: {} (made small by {tried} plays)", out.display(), again.summary()));
+    print(&format!("{}: {} (reduced in {tried} runs)", out.display(), reproduced.summary()));
     Ok(())
 }
 
-fn go_hunting(minutes: f64, seed: u64, out: &Path, threads: usize, plays: usize) -> Result<bool, String> {
+fn hunt(minutes: f64, seed: u64, out: &Path, threads: usize, max_runs: usize) -> Result<bool, String> {
     if !(minutes > 0.0 && minutes <= 10_000.0) {
-        return Err("minutes must be above 0, up to 10000".into());
+        return Err("--minutes must be above 0 and at most 10000".into());
     }
-    std::fs::create_dir_all(out).map_err(|e| format!("cannot make {}: {e}", out.display()))?;
-    let ends = Instant::now() + Duration::from_secs_f64(minutes * 60.0);
+    std::fs::create_dir_all(out).map_err(|e| format!("cannot create {}: {e}", out.display()))?;
+    let deadline = Instant::now() + Duration::from_secs_f64(minutes * 60.0);
     let next = std::sync::atomic::AtomicU64::new(seed);
-    let (worlds, found) = (std::sync::atomic::AtomicUsize::new(0), std::sync::atomic::AtomicUsize::new(0));
+    let (scenarios, found) = (std::sync::atomic::AtomicUsize::new(0), std::sync::atomic::AtomicUsize::new(0));
     let order = std::sync::atomic::Ordering::Relaxed;
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, 64) {
             scope.spawn(|| {
-                while Instant::now() < ends && !emulation::INTERRUPTED.load(order) {
+                while Instant::now() < deadline && !emulation::INTERRUPTED.load(order) {
                     let seed = next.fetch_add(1, order);
                     let source = hunt::random_scenario(seed);
                     let Ok(scenario) = source.scenario() else { continue };
-                    worlds.fetch_add(1, order);
+                    scenarios.fetch_add(1, order);
                     let Some(finding) = hunt::find_problem(&scenario, seed) else { continue };
                     found.fetch_add(1, order);
                     let file = out.join(format!("wild-{seed}.toml"));
-                    if let Err(why) = keep(&source, seed, &finding, plays, &file) {
-                        let _ = writeln!(std::io::stderr(), "{why}");
+                    if let Err(error) = write_finding(&source, seed, &finding, max_runs, &file) {
+                        let _ = writeln!(std::io::stderr(), "{error}");
                     }
                 }
             });
         }
     });
-    let (worlds, found) = (worlds.into_inner(), found.into_inner());
-    say(&format!("{worlds} worlds, seeds {seed} to {}; {found} findings", next.into_inner() - 1));
+    let (scenarios, found) = (scenarios.into_inner(), found.into_inner());
+    print(&format!("{scenarios} scenarios, seeds {seed} to {}; {found} findings", next.into_inner() - 1));
     Ok(found == 0)
 }
 
@@ -659,24 +668,24 @@
     let program = runner::agent_program(agent)?;
     let folder = std::env::temp_dir().join(format!("heronhoist-lab-{}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot create the async runtime: {e}"))?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
-        let testbed =
-            real::Testbed::new(&scenario, 1).map_err(|e| format!("no sockets for the servers: {e}"))?;
+        let testbed = real::Testbed::new(&scenario, 1)
+            .map_err(|e| format!("cannot open the sockets of the servers: {e}"))?;
         let agents = testbed.start_agents(&program, &folder).await?;
         for (server, address) in testbed.servers().iter().enumerate() {
-            say(&format!("server {server}: {address}"));
+            print(&format!("server {server}: {address}"));
         }
         for (number, address) in agents.addresses().enumerate() {
-            say(&format!("agent {number}: {address}"));
+            print(&format!("agent {number}: {address}"));
         }
         let class = &scenario.classes[0].name;
         let to = agents.addresses().next().map_or_else(String::new, |to| to.to_string());
-        say(&format!("try: heronhoist-lab load --to {to} --class {class}; Ctrl-C ends it all"));
+        print(&format!("try: heronhoist-lab load --to {to} --class {class}; Ctrl-C ends it all"));
         let begun = Instant::now();
         while !emulation::INTERRUPTED.load(std::sync::atomic::Ordering::Relaxed)
-            && seconds.is_none_or(|most| begun.elapsed() < Duration::from_secs(most))
+            && seconds.is_none_or(|limit| begun.elapsed() < Duration::from_secs(limit))
         {
             tokio::time::sleep(Duration::from_secs(1)).await;
             let _ = write!(std::io::stderr(), "\r{} ", testbed.status());
@@ -687,7 +696,7 @@
     })
 }
 
-/// A reader that has gone, as `head` does, is no fault.
-fn say(text: &str) {
+/// Prints a line. A closed pipe, for example to `head`, is not an error.
+fn print(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
--- a/crates/lab/src/server_model.rs
+++ b/crates/lab/src/server_model.rs
@@ -1,82 +1,83 @@
-//! Record servers as they really are, without I/O and without a clock: cores that work, a waiting room, a cold start, the
-//! fall of a cold server that is sent more than it bears, connections that cost work, and a memory of what has run.
+//! A model of record servers without I/O and without a clock: cores, a bounded queue, a cold start, the crash of an
+//! overloaded cold server, connections that cost work, and a deduplication memory.
 
 use std::collections::{HashMap, VecDeque};
 
-/// A moment in microseconds since the start of the run.
+/// A time in microseconds since the start of the run, or a duration in microseconds.
 pub type Micros = u64;
 
-/// What a server is made of.
+/// The properties of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerSpec {
-    /// Requests that it works on at once.
+    /// The number of requests that are executed at once.
     pub cores: usize,
-    /// Work done in a second by each core, in seconds of work.
+    /// The work that each core does in a second, in seconds of work.
     pub speed: f64,
-    /// Requests that may wait; what comes beyond is turned away unseen.
+    /// The number of requests that may wait; further requests are rejected.
     pub queue_capacity: usize,
-    /// How much slower it works with a full room than with an empty one: 0.5 means one and a half times as long.
+    /// How much longer a request takes with a full queue than with an empty one: 0.5 means one and a half times as long.
     pub queue_slowdown: f64,
-    /// Connections that it holds; beyond that it turns new ones away.
+    /// The number of connections that may be open; further ones are refused.
     pub max_connections: usize,
-    /// Work that a new connection costs it.
+    /// The work that accepting a connection costs.
     pub connect_work: Micros,
-    /// It stops working on what nobody waits for any more.
+    /// Whether the server stops working on requests that were cancelled.
     pub drops_cancelled: bool,
-    /// Load reports show what was true so long ago.
+    /// The age of the values in load reports.
     pub report_delay: Micros,
-    /// A server that has just started works at this share of its speed,
+    /// The share of its full speed at which a server starts.
     pub cold_share: f64,
-    /// and is warm after this,
+    /// The time after which the server is warm.
     pub warm_up_time: Micros,
-    /// or after so much work done, in microseconds, whichever comes first.
+    /// The amount of work in microseconds after which the server is warm, if that comes first.
     pub warm_up_work: Option<Micros>,
-    /// A cold one that is sent this multiple of what it can do
+    /// A cold server crashes if it is sent this multiple of its capacity for the time of `overload_tolerance`.
     pub overload_factor: f64,
-    /// for this long falls over.
+    /// How long a cold server bears overload.
     pub overload_tolerance: Micros,
-    /// The mean work of a request, in microseconds: so many of them as it may be sent within that time are a budget, and of
-    /// what comes beyond it some is [chance](chance_beyond) before the time has passed.
+    /// The mean work of a request, in microseconds. It converts the work that a cold server bears within the tolerance into a
+    /// budget of requests; some requests beyond the budget count as [random variation](random_excess).
     pub mean_work: f64,
-    /// It goes by the operators' formula and nothing else: it bears what may be chance once the time has passed, too, and
-    /// falls as soon as it is sent more than that within the time, be it in one burst at its start.
+    /// Whether the operators' formula alone decides: the server allows for random variation also after the tolerance has
+    /// passed, and crashes as soon as it is sent more than that within the tolerance, even in one burst at its start.
     pub allows_chance: bool,
 }
 
-/// What becomes of a request that reaches a server.
+/// What happens to a request that reaches a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It will run: [`Server::advance`] tells when it has.
+    /// It is queued or executing; [`Server::advance`] returns it when it is done.
     Accepted,
-    /// It was turned away unseen.
+    /// It was rejected without effect.
     Rejected,
-    /// Nobody listens there; or this request was what pushed it over.
+    /// The server is down, or this request made it crash.
     Down,
-    /// Nobody says anything, ever.
+    /// The server is isolated: there is no response.
     Unresponsive,
 }
 
-/// How a server can be reached.
+/// Whether a server can be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It answers.
+    /// It responds.
     Up,
-    /// Nobody listens: connections are refused.
+    /// It does not listen: connections are refused.
     Down,
-    /// It is cut off: nobody says anything.
+    /// It is isolated: there is no response.
     Unresponsive,
 }
 
-/// Names a request at a server.
+/// Identifies a request at a server.
 pub type JobId = u64;
 
-/// Work that was offered to a cold server, in seconds.
+/// Work that was sent to a cold server.
 #[derive(Debug, Clone, Copy)]
-struct Offered {
+struct SentWork {
     at: Micros,
+    /// In seconds.
     work: f64,
-    /// By somebody who had been told that it has just started.
-    told: bool,
+    /// Whether the sender knew that the server had just started.
+    knows_cold: bool,
 }
 
 #[derive(Debug, Clone)]
@@ -86,45 +87,45 @@
     ends: Micros,
 }
 
-/// One server.
+/// The state of one server.
 #[derive(Debug, Clone)]
 pub struct Server {
     spec: ServerSpec,
-    reach: Reachability,
-    life: u32,
-    /// When it started, if that was in this run.
+    reachability: Reachability,
+    incarnation: u32,
+    /// When the server started, if that was during this run.
     started: Option<Micros>,
-    /// Work done in this life, in microseconds.
+    /// The work done since the start, in microseconds.
     done: Micros,
-    /// 1 for a machine that is as fast as its kind.
-    pace: f64,
-    /// Its work stands still since then.
-    choked: Option<Micros>,
+    /// The speed relative to the specification.
+    speed_factor: f64,
+    /// Since when the server is stalled, if it is.
+    stalled_since: Option<Micros>,
     running: Vec<Running>,
     waiting: VecDeque<(JobId, Micros)>,
     open: usize,
-    /// What was offered while it was cold.
-    offered: VecDeque<Offered>,
-    sent: f64,
+    /// The work that was sent within the tolerance while the server was cold.
+    recent: VecDeque<SentWork>,
+    recent_work: f64,
     reports: VecDeque<(Micros, [f64; 3])>,
-    /// How often it has fallen over, and in how many of its lives those who knew that it was cold have spent its budget, or
-    /// made it fall: two thirds of what it was sent came from them.
+    /// The number of overload crashes, and the number of incarnations in which senders that knew of the cold start exceeded
+    /// the budget or caused the crash: at least two thirds of the work came from them.
     pub cold_crashes: (u32, u32),
-    /// That has been counted in this life.
-    burst: bool,
-    /// The most connections that it held at once.
+    /// Whether an exceeded budget has been counted in this incarnation.
+    excess_counted: bool,
+    /// The largest number of connections open at once.
     pub max_open_connections: usize,
-    /// The greatest multiple of what it bears in such a window that it was sent while it was cold, or of an even part of its
-    /// budget and its chance where it bears that; it falls at the overload factor.
+    /// The largest load while the server was cold, as a multiple of its capacity within the tolerance. With `allows_chance` it
+    /// is scaled so that budget and random variation together are the overload factor, at which the server crashes.
     pub worst_cold_load: f64,
 }
 
 const SECOND: f64 = 1e6;
-/// Budgets of fewer requests than this are small ones, of which more may be chance.
+/// Budgets of fewer requests than this allow for a larger random excess.
 const SMALL_BUDGET: f64 = 30.0;
 
-/// How many requests beyond a budget of so many may be chance.
-fn chance_beyond(budget: f64) -> f64 {
+/// Returns the number of requests beyond a budget that count as random variation.
+fn random_excess(budget: f64) -> f64 {
     if budget < SMALL_BUDGET {
         3.0 * budget.sqrt() + 3.0
     } else {
@@ -133,30 +134,30 @@
 }
 
 impl Server {
-    /// A warm one.
+    /// Creates a warm server.
     pub fn new(spec: ServerSpec) -> Self {
         Server {
             spec,
-            reach: Reachability::Up,
-            life: 0,
+            reachability: Reachability::Up,
+            incarnation: 0,
             started: None,
             done: 0,
-            pace: 1.0,
-            choked: None,
+            speed_factor: 1.0,
+            stalled_since: None,
             running: Vec::new(),
             waiting: VecDeque::new(),
             open: 0,
-            offered: VecDeque::new(),
-            sent: 0.0,
+            recent: VecDeque::new(),
+            recent_work: 0.0,
             reports: VecDeque::new(),
             cold_crashes: (0, 0),
-            burst: false,
+            excess_counted: false,
             max_open_connections: 0,
             worst_cold_load: 0.0,
         }
     }
 
-    /// The share of its full speed that it has now.
+    /// Returns the share of its full speed that the server has now: less than 1 while it warms up.
     pub fn speed_share(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = now.saturating_sub(started) as f64 / self.spec.warm_up_time.max(1) as f64;
@@ -165,53 +166,54 @@
         (self.spec.cold_share + (1.0 - self.spec.cold_share) * age).min(1.0)
     }
 
-    /// What one of its kind can do in a second now, in seconds of work. Agents can know its kind, and not that it has a
-    /// noisy neighbour.
+    /// Returns the capacity by specification, in seconds of work per second. It leaves out slowdowns such as a noisy neighbor,
+    /// which agents cannot know of.
     fn capacity(&self, now: Micros) -> f64 {
         self.spec.cores as f64 * self.spec.speed * self.speed_share(now)
     }
 
-    /// Requests that it holds: at work and waiting.
+    /// Returns the number of requests that are executing or queued.
     pub fn load(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Which of its lives this is.
+    /// Returns how often the server was started or killed.
     pub fn incarnation(&self) -> u32 {
-        self.life
+        self.incarnation
     }
 
-    /// How it can be reached.
+    /// Returns whether the server can be reached.
     pub fn reach(&self) -> Reachability {
-        self.reach
+        self.reachability
     }
 
-    /// Requests held, waiting, and the share of its cores at work, as they were when a report now was made.
+    /// Returns the load report that is current now, which is `report_delay` old: requests in flight, queued requests and the
+    /// share of busy cores.
     pub fn load_report(&mut self, now: Micros) -> [f64; 3] {
         let busy = self.running.len() as f64 / self.spec.cores as f64;
-        let is = [self.load() as f64, self.waiting.len() as f64, busy];
-        self.reports.push_back((now, is));
+        let current = [self.load() as f64, self.waiting.len() as f64, busy];
+        self.reports.push_back((now, current));
         while self.reports.len() > 1 && self.reports[1].0 + self.spec.report_delay <= now {
             self.reports.pop_front();
         }
-        // Bounded however often it is asked.
+        // Bounds the queue however often reports are requested.
         if self.reports.len() > 1024 {
             self.reports.pop_back();
         }
         self.reports[0].1
     }
 
-    /// A connection comes up, of somebody who has been `told` of its start; false if it holds as many as it may.
-    pub fn connect(&mut self, now: Micros, told: bool) -> bool {
+    /// Opens a connection; returns false if the maximum is reached. `knows_cold`: whether the sender knows of the cold start.
+    pub fn connect(&mut self, now: Micros, knows_cold: bool) -> bool {
         if self.open >= self.spec.max_connections {
             return false;
         }
         self.open += 1;
         self.max_open_connections = self.max_open_connections.max(self.open);
-        // Like anything else that it is sent, it pushes a cold one.
+        // Accepting a connection loads a cold server like a request does.
         let work = self.spec.connect_work;
         if work > 0 && self.speed_share(now) < 1.0 {
-            self.push(now, work, told);
+            self.record_work(now, work, knows_cold);
         }
         if let Some(first) = self.running.iter_mut().min_by_key(|running| running.ends) {
             first.ends += work;
@@ -219,29 +221,29 @@
         true
     }
 
-    /// A connection of this life has ended.
-    pub fn disconnect(&mut self, life: u32) {
-        if life == self.life {
+    /// Closes a connection that was opened in this incarnation.
+    pub fn disconnect(&mut self, incarnation: u32) {
+        if incarnation == self.incarnation {
             self.open = self.open.saturating_sub(1);
         }
     }
 
-    fn push(&mut self, at: Micros, work: Micros, told: bool) {
+    fn record_work(&mut self, at: Micros, work: Micros, knows_cold: bool) {
         let work = work as f64 / SECOND;
-        self.offered.push_back(Offered { at, work, told });
-        self.sent += work;
+        self.recent.push_back(SentWork { at, work, knows_cold });
+        self.recent_work += work;
     }
 
-    /// A request with so many microseconds of work arrives, from somebody who has been `told` of the server's start.
-    pub fn submit(&mut self, now: Micros, job: JobId, work: Micros, told: bool) -> Admission {
-        match self.reach {
+    /// Handles the arrival of a request with this much work. `knows_cold`: whether the sender knows of the cold start.
+    pub fn submit(&mut self, now: Micros, job: JobId, work: Micros, knows_cold: bool) -> Admission {
+        match self.reachability {
             Reachability::Up => {}
             Reachability::Down => return Admission::Down,
             Reachability::Unresponsive => return Admission::Unresponsive,
         }
-        if self.falls_over(now, work, told) {
+        if self.is_overloaded(now, work, knows_cold) {
             self.cold_crashes.0 += 1;
-            self.cold_crashes.1 += u32::from(!self.burst && self.was_known());
+            self.cold_crashes.1 += u32::from(!self.excess_counted && self.caused_knowingly());
             self.kill();
             return Admission::Down;
         }
@@ -249,164 +251,165 @@
             return Admission::Rejected;
         }
         self.waiting.push_back((job, work));
-        self.begin(now);
+        self.start_waiting(now);
         Admission::Accepted
     }
 
-    fn begin(&mut self, now: Micros) {
-        while self.choked.is_none() && self.running.len() < self.spec.cores {
+    fn start_waiting(&mut self, now: Micros) {
+        while self.stalled_since.is_none() && self.running.len() < self.spec.cores {
             let Some((job, work)) = self.waiting.pop_front() else { return };
-            let full = self.waiting.len() as f64 / self.spec.queue_capacity.max(1) as f64;
-            let speed = self.spec.speed * self.pace * self.speed_share(now)
-                / (1.0 + self.spec.queue_slowdown * full.min(1.0));
+            let fullness = self.waiting.len() as f64 / self.spec.queue_capacity.max(1) as f64;
+            let speed = self.spec.speed * self.speed_factor * self.speed_share(now)
+                / (1.0 + self.spec.queue_slowdown * fullness.min(1.0));
             let ends = now + (work as f64 / speed.max(1e-6)).ceil() as Micros;
             self.running.push(Running { job, work, ends });
         }
     }
 
-    /// When [`Server::advance`] next has something to do.
+    /// Returns when [`Server::advance`] next has something to do.
     pub fn next(&self) -> Option<Micros> {
-        self.running.iter().map(|running| running.ends).min().filter(|_| self.choked.is_none())
+        self.running.iter().map(|running| running.ends).min().filter(|_| self.stalled_since.is_none())
     }
 
-    /// Ends what is done by now, in the order in which it ended, and begins what waited for that.
+    /// Finishes the requests that are done by now and starts queued ones. Returns the finished ones in order.
     pub fn advance(&mut self, now: Micros) -> Vec<JobId> {
         let mut done = Vec::new();
         while let Some(ends) = self.next().filter(|ends| *ends <= now) {
-            let at = self.running.iter().position(|running| running.ends == ends).unwrap_or(0);
-            let ended = self.running.remove(at);
+            let index = self.running.iter().position(|running| running.ends == ends).unwrap_or(0);
+            let ended = self.running.remove(index);
             self.done += ended.work;
             done.push(ended.job);
-            self.begin(ends);
+            self.start_waiting(ends);
         }
         done
     }
 
-    /// Nobody waits for this any more.
+    /// Cancels a request, if the server supports that.
     pub fn cancel(&mut self, now: Micros, job: JobId) {
-        if !self.spec.drops_cancelled || self.reach != Reachability::Up {
+        if !self.spec.drops_cancelled || self.reachability != Reachability::Up {
             return;
         }
         self.waiting.retain(|waiting| waiting.0 != job);
         self.running.retain(|running| running.job != job);
-        self.begin(now);
+        self.start_waiting(now);
     }
 
-    /// Whether two thirds of what it was sent came from those who knew that it was cold.
-    fn was_known(&self) -> bool {
-        let told = self.offered.iter().filter(|offered| offered.told);
-        told.map(|offered| offered.work).sum::<f64>() >= self.sent * 2.0 / 3.0
+    /// Returns whether at least two thirds of the work came from senders that knew of the cold start.
+    fn caused_knowingly(&self) -> bool {
+        let informed = self.recent.iter().filter(|sent| sent.knows_cold);
+        informed.map(|sent| sent.work).sum::<f64>() >= self.recent_work * 2.0 / 3.0
     }
 
-    /// Whether this request is what a cold server can't bear any more.
-    fn falls_over(&mut self, now: Micros, work: Micros, told: bool) -> bool {
+    /// Returns whether this request overloads the cold server so that it crashes.
+    fn is_overloaded(&mut self, now: Micros, work: Micros, knows_cold: bool) -> bool {
         if self.speed_share(now) >= 1.0 {
-            self.offered.clear();
-            self.sent = 0.0;
+            self.recent.clear();
+            self.recent_work = 0.0;
             return false;
         }
-        self.push(now, work, told);
+        self.record_work(now, work, knows_cold);
         let from = now.saturating_sub(self.spec.overload_tolerance);
-        while let Some(old) = self.offered.front().filter(|offered| offered.at < from).copied() {
-            self.offered.pop_front();
-            self.sent -= old.work;
+        while let Some(oldest) = self.recent.front().filter(|sent| sent.at < from).copied() {
+            self.recent.pop_front();
+            self.recent_work -= oldest.work;
         }
         let mean_work = self.spec.mean_work / SECOND;
         if self.spec.allows_chance {
             let window = self.spec.overload_tolerance as f64 / SECOND;
             let budget = self.spec.overload_factor * self.capacity(now) * window / mean_work;
-            let most = (budget + chance_beyond(budget)) * mean_work;
+            let max_work = (budget + random_excess(budget)) * mean_work;
             self.worst_cold_load =
-                self.worst_cold_load.max(self.spec.overload_factor * self.sent / most.max(1e-9));
-            return self.sent > most;
+                self.worst_cold_load.max(self.spec.overload_factor * self.recent_work / max_work.max(1e-9));
+            return self.recent_work > max_work;
         }
-        // It falls if it is pushed for the whole time; one short burst before may have spent its budget all the same.
-        let long = self.started.is_some_and(|started| now - started >= self.spec.overload_tolerance);
-        // It warms evenly, so what it could do meanwhile is the mean of the beginning and the end.
-        let mean = (self.capacity(from) + self.capacity(now)) / 2.0;
-        let bears = mean * self.spec.overload_tolerance as f64 / SECOND;
-        if long {
-            self.worst_cold_load = self.worst_cold_load.max(self.sent / bears.max(1e-9));
+        // The server crashes only after the whole tolerance, but a short burst before can already exceed its budget.
+        let tolerance_passed =
+            self.started.is_some_and(|started| now - started >= self.spec.overload_tolerance);
+        // The server warms up linearly, so its mean capacity is the mean of the first and the last value.
+        let mean_capacity = (self.capacity(from) + self.capacity(now)) / 2.0;
+        let bearable = mean_capacity * self.spec.overload_tolerance as f64 / SECOND;
+        if tolerance_passed {
+            self.worst_cold_load = self.worst_cold_load.max(self.recent_work / bearable.max(1e-9));
         }
-        let budget = self.spec.overload_factor * bears;
-        let chance = chance_beyond(budget / mean_work) * mean_work;
-        if !self.burst && self.sent > budget + chance && self.was_known() {
-            self.burst = true;
+        let budget = self.spec.overload_factor * bearable;
+        let excess = random_excess(budget / mean_work) * mean_work;
+        if !self.excess_counted && self.recent_work > budget + excess && self.caused_knowingly() {
+            self.excess_counted = true;
             self.cold_crashes.1 += 1;
         }
-        long && self.sent > budget
+        tolerance_passed && self.recent_work > budget
     }
 
-    /// Dies with all that it holds.
+    /// Kills the server; all its requests and connections are lost.
     pub fn kill(&mut self) {
-        self.reach = Reachability::Down;
-        self.life += 1;
+        self.reachability = Reachability::Down;
+        self.incarnation += 1;
         self.open = 0;
         self.done = 0;
-        self.choked = None;
-        (self.sent, self.burst) = (0.0, false);
+        self.stalled_since = None;
+        (self.recent_work, self.excess_counted) = (0.0, false);
         self.running.clear();
         self.waiting.clear();
-        self.offered.clear();
+        self.recent.clear();
         self.reports.clear();
     }
 
-    /// Starts, cold.
+    /// Starts the server cold.
     pub fn start(&mut self, now: Micros) {
         self.kill();
-        (self.reach, self.started) = (Reachability::Up, Some(now));
+        (self.reachability, self.started) = (Reachability::Up, Some(now));
     }
 
-    /// Is cut off: nothing is said, and what it holds goes on in vain.
-    pub fn set_unresponsive(&mut self, cut: bool) {
-        self.reach = if cut { Reachability::Unresponsive } else { Reachability::Up };
+    /// Isolates the server or reconnects it. An isolated server goes on executing, but nobody gets its responses.
+    pub fn set_unresponsive(&mut self, unresponsive: bool) {
+        self.reachability = if unresponsive { Reachability::Unresponsive } else { Reachability::Up };
     }
 
-    /// Works at this multiple of its kind's speed from now on.
-    pub fn set_speed_factor(&mut self, pace: f64) {
-        self.pace = pace;
+    /// Sets the speed as a multiple of the specification's speed.
+    pub fn set_speed_factor(&mut self, speed_factor: f64) {
+        self.speed_factor = speed_factor;
     }
 
-    /// Stands still, though it takes requests; or goes on.
-    pub fn set_stalled(&mut self, now: Micros, choked: bool) {
-        match (self.choked, choked) {
-            (None, true) => self.choked = Some(now),
+    /// Stalls or resumes execution; a stalled server still accepts requests.
+    pub fn set_stalled(&mut self, now: Micros, stalled: bool) {
+        match (self.stalled_since, stalled) {
+            (None, true) => self.stalled_since = Some(now),
             (Some(since), false) => {
-                self.choked = None;
+                self.stalled_since = None;
                 self.running.iter_mut().for_each(|running| running.ends += now - since);
-                self.begin(now);
+                self.start_waiting(now);
             }
             _ => {}
         }
     }
 }
 
-/// What the servers of a building remember of keyed requests that ran in it: a repeat within the window has no effect.
+/// The idempotency keys of requests that the servers of a building executed; a repeat within the window has no effect.
 #[derive(Debug, Clone, Default)]
 pub struct DeduplicationMemory {
-    ran: HashMap<(u32, u64), Micros>,
+    executed: HashMap<(u32, u64), Micros>,
     order: VecDeque<(Micros, u32, u64)>,
 }
 
 impl DeduplicationMemory {
-    /// Whether a request with this key has run in a building within the window.
+    /// Returns whether a request with this key was executed in a building within the window.
     pub fn contains(&mut self, now: Micros, building: u32, key: u64, window: Micros) -> bool {
         while let Some((at, building, key)) = self.order.front().filter(|(at, ..)| at + window < now).copied()
         {
             self.order.pop_front();
-            if self.ran.get(&(building, key)) == Some(&at) {
-                self.ran.remove(&(building, key));
+            if self.executed.get(&(building, key)) == Some(&at) {
+                self.executed.remove(&(building, key));
             }
         }
-        self.ran.contains_key(&(building, key))
+        self.executed.contains_key(&(building, key))
     }
 
-    /// A request with this key runs in a building; true if that has an effect.
+    /// Records the execution of a request in a building; returns true if it has an effect.
     pub fn record(&mut self, now: Micros, building: u32, key: u64, window: Micros) -> bool {
         if self.contains(now, building, key, window) {
             return false;
         }
-        self.ran.insert((building, key), now);
+        self.executed.insert((building, key), now);
         self.order.push_back((now, building, key));
         true
     }
