--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,42 +1,47 @@
-//! Two sets of runs, paired by scenario and seed, so that what the seeds have in common does not count.
+//! Compares two sets of runs, paired by scenario and seed, so that variation between seeds cancels out.
 
 use crate::record::{Record, Run};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::fmt::Write;
 
-/// A mean and where it lies in 95 of 100 cases.
+/// A mean with its 95 % confidence interval.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Interval {
     /// The mean.
     pub mean: f64,
-    /// No less than this,
+    /// The lower bound.
     pub low: f64,
-    /// and no more than this.
+    /// The upper bound.
     pub high: f64,
 }
 
-const DRAWS: usize = 4000;
+/// The number of bootstrap samples.
+const SAMPLES: usize = 4000;
 
-/// The mean's interval by bootstrap, with fixed draws; `None` without values.
+/// Returns the bootstrap confidence interval of the mean, using a fixed seed; `None` without values.
 pub fn interval(values: &[f64]) -> Option<Interval> {
     if values.is_empty() {
         return None;
     }
-    let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>();
+    let sum = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>();
     let count = values.len() as f64;
     let mut rng = Pcg64::seed_from_u64(95);
-    let mut means: Vec<f64> = (0..DRAWS)
-        .map(|_| mean(&mut (0..values.len()).map(|_| values[rng.random_range(0..values.len())])) / count)
+    let mut means: Vec<f64> = (0..SAMPLES)
+        .map(|_| sum(&mut (0..values.len()).map(|_| values[rng.random_range(0..values.len())])) / count)
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |share: f64| means[((DRAWS - 1) as f64 * share).round() as usize];
-    Some(Interval { mean: mean(&mut values.iter().copied()) / count, low: at(0.025), high: at(0.975) })
+    let quantile = |share: f64| means[((SAMPLES - 1) as f64 * share).round() as usize];
+    Some(Interval {
+        mean: sum(&mut values.iter().copied()) / count,
+        low: quantile(0.025),
+        high: quantile(0.975),
+    })
 }
 
-type Figure = (&'static str, fn(&Run) -> f64);
+type Metric = (&'static str, fn(&Run) -> f64);
 
-const FIGURES: [Figure; 6] = [
+const METRICS: [Metric; 6] = [
     ("service, whole", |run| run.result.service.overall),
     ("service, worst 10 s", |run| run.result.service.worst_window),
     ("service, worst class", |run| run.result.service.worst_class),
@@ -45,40 +50,40 @@
     ("worst push on a cold server", |run| run.worst_cold_load),
 ];
 
-/// The differences of the second from the first, as a table.
+/// Formats the differences between the second set of runs and the first as a table.
 pub fn compare(first: &Record, second: &Record) -> Result<String, String> {
     let mut pairs = Vec::new();
     for run in &first.runs {
-        // Twins differ in one thing only; where both files hold several policies, each has its own.
+        // Runs are paired by policy too, unless the second file has only one policy: then policies are what is compared.
         let same = |other: &&Run| {
             (&other.scenario, other.seed) == (&run.scenario, run.seed)
                 && (other.policy == run.policy
                     || second.runs.iter().all(|r| r.policy == second.runs[0].policy))
         };
-        let mut twins = second.runs.iter().filter(same);
-        if let Some(twin) = twins.next() {
-            pairs.push((run, twin));
+        let mut matches = second.runs.iter().filter(same);
+        if let Some(other) = matches.next() {
+            pairs.push((run, other));
         }
     }
     if pairs.is_empty() {
-        return Err("no run of one file has a twin in the other: same scenario, same seed".into());
+        return Err("the files have no pair of runs with the same scenario and seed".into());
     }
     let mut text = format!("{} pairs; the second less the first, with a 95 % interval\n", pairs.len());
-    for (name, figure) in FIGURES {
-        let of = |runs: &mut dyn Iterator<Item = f64>| interval(&runs.collect::<Vec<_>>());
-        let means =
-            of(&mut pairs.iter().map(|(a, _)| figure(a))).zip(of(&mut pairs.iter().map(|(_, b)| figure(b))));
-        let apart = of(&mut pairs.iter().map(|(a, b)| figure(b) - figure(a)));
-        let Some(((a, b), apart)) = means.zip(apart) else { continue };
-        let word = match (apart.low > 0.0, apart.high < 0.0) {
+    for (name, metric) in METRICS {
+        let interval_of = |runs: &mut dyn Iterator<Item = f64>| interval(&runs.collect::<Vec<_>>());
+        let means = interval_of(&mut pairs.iter().map(|(a, _)| metric(a)))
+            .zip(interval_of(&mut pairs.iter().map(|(_, b)| metric(b))));
+        let difference = interval_of(&mut pairs.iter().map(|(a, b)| metric(b) - metric(a)));
+        let Some(((a, b), difference)) = means.zip(difference) else { continue };
+        let trend = match (difference.low > 0.0, difference.high < 0.0) {
             (true, _) => "more",
             (_, true) => "less",
             _ => "no difference shown",
         };
         let _ = writeln!(
             text,
-            "{name:<28} {:.4} -> {:.4}  {:+.4} ({:+.4} to {:+.4})  {word}",
-            a.mean, b.mean, apart.mean, apart.low, apart.high
+            "{name:<28} {:.4} -> {:.4}  {:+.4} ({:+.4} to {:+.4})  {trend}",
+            a.mean, b.mean, difference.mean, difference.low, difference.high
         );
     }
     Ok(text)
--- a/crates/lab/src/edit.rs
+++ b/crates/lab/src/edit.rs
@@ -1,33 +1,33 @@
-//! Changes to a scenario as text: one key set to another value, or a smaller scenario that still fails.
+//! Edits the TOML of a scenario: sets a key to another value, or reduces a failing scenario.
 
 use crate::scenario::{self, Scenario};
 use toml::{Table, Value};
 
-/// A scenario as it was written, for changes.
+/// The TOML table of a scenario, for editing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScenarioSource(pub Table);
 
 impl ScenarioSource {
-    /// Takes the text of a sound scenario.
+    /// Parses the text of a scenario.
     pub fn new(text: &str) -> Result<ScenarioSource, String> {
         text.parse::<Table>().map(ScenarioSource).map_err(|e| e.to_string())
     }
 
-    /// As a file would have it.
+    /// Returns the text of a scenario file.
     pub fn text(&self) -> String {
         toml::to_string(&self.0).unwrap_or_default()
     }
 
-    /// What it means; all faults in one text if it means nothing.
+    /// Parses the scenario. The error lists all its faults.
     pub fn scenario(&self) -> Result<Scenario, String> {
         scenario::parse(&self.text())
             .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
     }
 
-    /// Sets `a.b` or `list.2.b` to a value in the form of TOML.
+    /// Sets the key `a.b` or `list.2.b` to a value in TOML syntax.
     pub fn set(&mut self, path: &str, value: &str) -> Result<(), String> {
         let parsed = format!("v = {value}").parse::<Table>().ok().and_then(|mut table| table.remove("v"));
-        // A bare word is a text.
+        // A bare word is a string.
         let value = parsed.unwrap_or_else(|| Value::String(value.into()));
         let (parents, key) =
             path.rsplit_once('.').map_or((None, path), |(parents, key)| (Some(parents), key));
@@ -38,11 +38,13 @@
             table = match next {
                 Value::Table(inner) => inner,
                 Value::Array(items) => {
-                    let place = steps.next().and_then(|n| n.parse::<usize>().ok());
-                    let item = place.and_then(|n| items.get_mut(n)).and_then(Value::as_table_mut);
-                    item.ok_or_else(|| format!("{path}: {step} is a list; say which of its places"))?
+                    let index = steps.next().and_then(|n| n.parse::<usize>().ok());
+                    let item = index.and_then(|n| items.get_mut(n)).and_then(Value::as_table_mut);
+                    item.ok_or_else(|| {
+                        format!("{path}: {step} is a list; an index is missing, not a number or too large")
+                    })?
                 }
-                _ => return Err(format!("{path}: {step} is no table")),
+                _ => return Err(format!("{path}: {step} is not a table")),
             };
         }
         table.insert(key.into(), value);
@@ -59,14 +61,15 @@
     }
 }
 
-/// Lists that may be shorter, and figures that may be smaller.
+/// The lists that [`minimize`] shortens.
 const LISTS: [&[&str]; 5] =
     [&["fault"], &["clients", "surge"], &["clients", "herd"], &["tenant"], &["class"]];
-const FIGURES: [&str; 6] =
+/// The numbers that [`minimize`] reduces.
+const NUMBERS: [&str; 6] =
     ["agents.count", "length_ms", "clients.rate_per_s", "fleet.servers", "clients.tries", "fleet.buildings"];
 
-/// Makes a scenario that fails smaller for as long as it still fails: fewer faults, fewer agents, shorter. Returns the
-/// smallest one that was found, and how many were tried.
+/// Reduces a failing scenario while it still fails: fewer faults, fewer agents, a shorter run. Returns the smallest failing
+/// scenario that was found, and the number of scenarios that were tried.
 pub fn minimize(
     source: &ScenarioSource,
     budget: usize,
@@ -85,7 +88,7 @@
     loop {
         let before = best.clone();
         for list in LISTS {
-            // Large pieces first, then one by one.
+            // Removes large pieces first, then single items.
             let mut size = best.list(list).map_or(0, |items| items.len());
             while size > 0 {
                 let mut from = 0;
@@ -108,8 +111,8 @@
             for times in [1, 2, 4] {
                 let mut candidate = best.clone();
                 let path = format!("fault.{fault}.times");
-                let fewer = figure(&best, &path).is_some_and(|now| now > f64::from(times));
-                if fewer
+                let is_fewer = number_at(&best, &path).is_some_and(|now| now > f64::from(times));
+                if is_fewer
                     && candidate.set(&path, &times.to_string()).is_ok()
                     && attempt(&candidate, &mut tried)
                 {
@@ -117,14 +120,14 @@
                 }
             }
         }
-        for path in FIGURES {
+        for path in NUMBERS {
             for share in [0.5, 0.75, 0.9] {
-                while let Some(now) = figure(&best, path) {
+                while let Some(now) = number_at(&best, path) {
                     let smaller = (now * share).floor();
                     let mut candidate = best.clone();
-                    let set =
+                    let is_smaller =
                         smaller >= 1.0 && smaller < now && candidate.set(path, &smaller.to_string()).is_ok();
-                    if set && attempt(&candidate, &mut tried) {
+                    if is_smaller && attempt(&candidate, &mut tried) {
                         best = candidate;
                     } else {
                         break;
@@ -138,12 +141,12 @@
     }
 }
 
-fn figure(source: &ScenarioSource, path: &str) -> Option<f64> {
+fn number_at(source: &ScenarioSource, path: &str) -> Option<f64> {
     let mut value: Option<&Value> = None;
     for step in path.split('.') {
         value = match (value, step.parse::<usize>()) {
             (None, _) => source.0.get(step),
-            (Some(value), Ok(place)) => value.get(place),
+            (Some(value), Ok(index)) => value.get(index),
             (Some(value), Err(_)) => value.get(step),
         };
         value?;
--- a/crates/lab/src/edit/tests.rs
+++ b/crates/lab/src/edit/tests.rs
@@ -6,7 +6,7 @@
 fn a_key_is_set_by_its_path() {
     let mut source = ScenarioSource::new(SOURCE).expect("TOML");
     source.set("agents.count", "7").expect("a path");
-    source.set("class.1.work_ms", "3.5").expect("a place in a list");
+    source.set("class.1.work_ms", "3.5").expect("an index in a list");
     source.set("class.0.name", "look").expect("a bare word");
     let scenario = source.scenario().expect("sound");
     assert_eq!(
@@ -18,9 +18,9 @@
     assert!(source.scenario().expect_err("no such key").contains("agents.cuont"));
 }
 
-/// What fails only with one of the faults and more than four agents is left with just these.
+/// A scenario that fails only with a drain and more than four agents is reduced to just these.
 #[test]
-fn a_failing_scenario_gets_as_small_as_it_can() {
+fn a_failing_scenario_is_reduced_to_what_makes_it_fail() {
     let source = ScenarioSource::new(SOURCE).expect("TOML");
     let mut fails =
         |s: &Scenario| s.agents > 4 && s.events.iter().any(|event| event.kind == scenario::EventKind::Drain);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Draws worlds and timelines of faults, and keeps those in which a rule breaks or the engine serves less than two plain
-//! choices do.
+//! Generates random scenarios and keeps those in which the engine breaks a rule or gives worse service than the two-choices
+//! policy.
 
 use crate::checker::Rule;
 use crate::edit::{minimize, ScenarioSource};
@@ -11,33 +11,33 @@
 use rand_pcg::Pcg64;
 use std::fmt::Write;
 
-/// What is wrong with a world.
+/// A problem found in a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Finding {
     /// The engine broke these rules.
     Broken(Vec<Rule>),
-    /// It served less than two plain choices, which broke none.
+    /// The engine gave worse service than the two-choices policy, which broke no rule.
     Worse {
-        /// Its service,
+        /// The service of the engine.
         ours: f64,
-        /// and theirs.
+        /// The service of the two-choices policy.
         theirs: f64,
     },
 }
 
 impl Finding {
-    /// In words.
+    /// Describes the finding in one line.
     pub fn summary(&self) -> String {
         match self {
             Finding::Broken(rules) => {
                 rules.iter().map(|rule| format!("broken: {rule}")).collect::<Vec<_>>().join(", ")
             }
-            Finding::Worse { ours, theirs } => format!("serves {ours:.3}, two plain choices {theirs:.3}"),
+            Finding::Worse { ours, theirs } => format!("service {ours:.3}, with two-choices {theirs:.3}"),
         }
     }
 
-    /// The same thing is wrong.
-    fn is_like(&self, other: &Finding) -> bool {
+    /// Returns whether both findings are the same problem.
+    fn is_same_problem(&self, other: &Finding) -> bool {
         match (self, other) {
             (Finding::Broken(these), Finding::Broken(those)) => these.iter().any(|rule| those.contains(rule)),
             (Finding::Worse { .. }, Finding::Worse { .. }) => true,
@@ -46,40 +46,40 @@
     }
 }
 
-/// Service may be so much less before it counts.
-const MARGIN: f64 = 0.02;
-/// and only with this seed and the next ones, each,
+/// The difference in mean service from which on the engine counts as worse.
+const MIN_DIFFERENCE: f64 = 0.02;
+/// The number of consecutive seeds with which it must be worse.
 const SEEDS: u64 = 3;
-/// in worlds of so many calls at least.
-const ENOUGH: usize = 400;
+/// Runs with fewer calls are not compared.
+const MIN_CALLS: usize = 400;
 
-/// Plays a world and says what is wrong with it.
+/// Runs a scenario and returns the problem that it shows, if any.
 pub fn find_problem(scenario: &Scenario, seed: u64) -> Option<Finding> {
     let ours = sim::run(scenario, Policy::Heronhoist, seed, |_| {});
     if !ours.result.violations.is_empty() {
         return Some(Finding::Broken(ours.result.violations.into_keys().collect()));
     }
-    if ours.calls < ENOUGH {
+    if ours.calls < MIN_CALLS {
         return None;
     }
-    let (mut a, mut b) = (ours.result.service.overall, 0.0);
-    for again in 0..SEEDS {
-        let theirs = sim::run(scenario, Policy::TwoChoices, seed + again, |_| {});
-        b += theirs.result.service.overall;
+    let (mut our_sum, mut their_sum) = (ours.result.service.overall, 0.0);
+    for offset in 0..SEEDS {
+        let theirs = sim::run(scenario, Policy::TwoChoices, seed + offset, |_| {});
+        their_sum += theirs.result.service.overall;
         if !theirs.result.violations.is_empty() {
             return None;
         }
-        if again > 0 {
-            a += sim::run(scenario, Policy::Heronhoist, seed + again, |_| {}).result.service.overall;
+        if offset > 0 {
+            our_sum += sim::run(scenario, Policy::Heronhoist, seed + offset, |_| {}).result.service.overall;
         }
-        if a >= b - MARGIN * (again + 1) as f64 {
+        if our_sum >= their_sum - MIN_DIFFERENCE * (offset + 1) as f64 {
             return None;
         }
     }
-    Some(Finding::Worse { ours: a / SEEDS as f64, theirs: b / SEEDS as f64 })
+    Some(Finding::Worse { ours: our_sum / SEEDS as f64, theirs: their_sum / SEEDS as f64 })
 }
 
-/// A smaller world with the same fault.
+/// Reduces a scenario while it shows the same problem. Returns the result and the number of scenarios that were tried.
 pub fn shrink(
     source: &ScenarioSource,
     seed: u64,
@@ -87,11 +87,11 @@
     budget: usize,
 ) -> (ScenarioSource, usize) {
     minimize(source, budget, &mut |scenario| {
-        find_problem(scenario, seed).is_some_and(|found| found.is_like(finding))
+        find_problem(scenario, seed).is_some_and(|found| found.is_same_problem(finding))
     })
 }
 
-/// A world and its faults, all drawn.
+/// Generates a random scenario with faults.
 pub fn random_scenario(seed: u64) -> ScenarioSource {
     let mut rng = Pcg64::seed_from_u64(seed);
     let servers = rng.random_range(2..=16_usize);
@@ -99,9 +99,9 @@
     let agents = *[1, 2, 5, 10, 30, 100].choose(&mut rng).unwrap_or(&1);
     let length: u64 = rng.random_range(8..=30);
     let work: f64 = rng.random_range(2.0..40.0);
-    let use_of: f64 = rng.random_range(0.1..0.9);
-    let rate = (servers * cores) as f64 / work * 1000.0 * use_of;
-    // No world takes longer to play than others by far.
+    let utilization: f64 = rng.random_range(0.1..0.9);
+    let rate = (servers * cores) as f64 / work * 1000.0 * utilization;
+    // Limits the number of calls, so that no scenario takes much longer than others.
     let rate = rate.min(60_000.0 / length as f64);
     let mut text = format!(
         "name = \"wild {seed}\"\nlength_ms = {}\n[fleet]\nservers = {servers}\ncores = {cores}\nroom = {}\nbuildings = {}\n\
@@ -160,13 +160,13 @@
         }
     }
     for _ in 0..rng.random_range(0..8) {
-        faults(&mut text, &mut rng, servers, agents, length * 1000);
+        add_fault(&mut text, &mut rng, servers, agents, length * 1000);
     }
     ScenarioSource::new(&text).unwrap_or(ScenarioSource(toml::Table::new()))
 }
 
-/// A fault, and with it most often its end.
-fn faults(text: &mut String, rng: &mut Pcg64, servers: usize, agents: usize, length: u64) {
+/// Adds a random fault and, in most cases, its end.
+fn add_fault(text: &mut String, rng: &mut Pcg64, servers: usize, agents: usize, length: u64) {
     const KINDS: [(&str, &str, char); 9] = [
         ("kill", "start", 's'),
         ("crash", "start", 's'),
@@ -178,10 +178,10 @@
         ("kill-agent", "start-agent", 'a'),
         ("registry-down", "registry-up", '-'),
     ];
-    let (begins, ends, to) = *KINDS.choose(rng).unwrap_or(&KINDS[0]);
+    let (begin_kind, end_kind, target) = *KINDS.choose(rng).unwrap_or(&KINDS[0]);
     let at = rng.random_range(0..length);
-    let until = at + rng.random_range(100..length / 2);
-    let whom = match to {
+    let end = at + rng.random_range(100..length / 2);
+    let targets = match target {
         's' => {
             let first = rng.random_range(0..servers);
             format!("server = {first}\nto_server = {}\n", rng.random_range(first..servers))
@@ -192,14 +192,14 @@
         }
         _ => String::new(),
     };
-    let figure = |worse: bool| match begins {
-        "pace" => format!("pace = {}\n", if worse { 0.2 } else { 1.0 }),
-        "spoil" => format!("share = {}\n", if worse { 0.5 } else { 0.0 }),
+    let severity = |is_active: bool| match begin_kind {
+        "pace" => format!("pace = {}\n", if is_active { 0.2 } else { 1.0 }),
+        "spoil" => format!("share = {}\n", if is_active { 0.5 } else { 0.0 }),
         _ => String::new(),
     };
-    let _ = write!(text, "[[fault]]\nat_ms = {at}\nwhat = \"{begins}\"\n{whom}{}", figure(true));
+    let _ = write!(text, "[[fault]]\nat_ms = {at}\nwhat = \"{begin_kind}\"\n{targets}{}", severity(true));
     if rng.random_bool(0.8) {
-        let _ = write!(text, "[[fault]]\nat_ms = {until}\nwhat = \"{ends}\"\n{whom}{}", figure(false));
+        let _ = write!(text, "[[fault]]\nat_ms = {end}\nwhat = \"{end_kind}\"\n{targets}{}", severity(false));
     }
 }
 
--- a/crates/lab/src/hunt/tests.rs
+++ b/crates/lab/src/hunt/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_wild_world_can_be_played_and_is_the_same_again() {
+fn every_random_scenario_is_valid_and_depends_only_on_its_seed() {
     for seed in 0..200 {
         random_scenario(seed).scenario().unwrap_or_else(|faults| panic!("seed {seed}: {faults}"));
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! A load generator of its own: requests over HTTP/1.1 to any address, at times drawn ahead, so that a slow answer neither
-//! slows the next request nor hides how long others had to wait.
+//! An open-loop load generator: sends HTTP/1.1 requests to any address at times that do not depend on responses, so that a
+//! slow response neither delays the next request nor hides how long other requests waited.
 
 use crate::emulation::INTERRUPTED;
 use crate::wire::Connection;
@@ -17,102 +17,104 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// What is sent, and how often.
+/// The options of the `load` command.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Load {
-    /// Where to.
+    /// The address to send requests to.
     #[arg(long)]
     to: SocketAddr,
     /// Requests a second.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// For so many seconds.
+    /// The duration in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// The class, which is the first part of the path too.
+    /// The class, which is also the first segment of the path.
     #[arg(long, default_value = "lookup")]
     class: String,
-    /// How long each client waits.
+    /// The time budget of each request in milliseconds.
     #[arg(long, default_value_t = 1000)]
     budget_ms: u64,
-    /// POST with this body instead of GET.
+    /// Send POST requests with this body instead of GET requests.
     #[arg(long)]
     body: Option<String>,
-    /// Further headers, as NAME:VALUE.
+    /// An additional header, as NAME:VALUE; may be repeated.
     #[arg(long)]
     header: Vec<String>,
-    /// Requests under way at most; what comes beyond is counted and not sent.
+    /// The maximum number of requests in flight; requests beyond it are counted but not sent.
     #[arg(long, default_value_t = 10_000)]
     most: usize,
-    /// For all draws.
+    /// The seed of the send times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
 struct Counts {
-    times: Histogram<u64>,
-    ends: BTreeMap<String, u64>,
+    latencies: Histogram<u64>,
+    results: BTreeMap<String, u64>,
 }
 
-/// Sends it all; returns what came of it as text, and whether anything was answered with 200.
+/// Sends the requests. Returns a summary as text, and whether any response had status 200.
 pub fn run(load: &Load) -> Result<(String, bool), String> {
     if !(load.rate > 0.0 && load.rate <= 1e6 && load.seconds > 0.0 && load.seconds <= 86_400.0) {
-        return Err("the rate must be up to 1000000 a second, and the time up to a day".into());
+        return Err("--rate must be above 0 and at most 1000000, --seconds above 0 and at most 86400".into());
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-    let counts = Counts { times: Histogram::new(3).map_err(|e| e.to_string())?, ends: BTreeMap::new() };
+    let runtime = runtime.map_err(|e| format!("cannot create the async runtime: {e}"))?;
+    let counts =
+        Counts { latencies: Histogram::new(3).map_err(|e| e.to_string())?, results: BTreeMap::new() };
     let counts = Rc::new(RefCell::new(counts));
     let local = LocalSet::new();
     local.block_on(&runtime, send_all(load.clone(), Rc::clone(&counts)));
     let counts = counts.borrow();
     let mut text = String::new();
-    let all: u64 = counts.ends.values().sum();
-    for (end, n) in &counts.ends {
-        let _ = writeln!(text, "{end:<24} {n:>9}  {:.4}", *n as f64 / all.max(1) as f64);
+    let total: u64 = counts.results.values().sum();
+    for (result, count) in &counts.results {
+        let _ = writeln!(text, "{result:<24} {count:>9}  {:.4}", *count as f64 / total.max(1) as f64);
     }
-    let _ = writeln!(text, "answered with 200, in ms from when each was meant to be sent:");
+    let _ = writeln!(text, "latency of responses with status 200 in ms, from the scheduled send time:");
     for share in [0.5, 0.9, 0.99, 0.999, 1.0] {
-        let _ = writeln!(text, "  {share:<6} {:>9.2}", counts.times.value_at_quantile(share) as f64 / 1e3);
+        let _ =
+            writeln!(text, "  {share:<6} {:>9.2}", counts.latencies.value_at_quantile(share) as f64 / 1e3);
     }
-    Ok((text, !counts.times.is_empty()))
+    Ok((text, !counts.latencies.is_empty()))
 }
 
 async fn send_all(load: Load, counts: Rc<RefCell<Counts>>) {
     let mut rng = Pcg64::seed_from_u64(load.seed);
-    let (start, mut at, mut number) = (Instant::now(), 0.0, 0_u64);
+    let (start, mut offset, mut number) = (Instant::now(), 0.0, 0_u64);
     let pending = Rc::new(Cell::new(0_usize));
-    let resting: Rc<RefCell<Vec<Connection>>> = Rc::default();
-    let run: u32 = std::process::id();
+    let idle: Rc<RefCell<Vec<Connection>>> = Rc::default();
+    let process: u32 = std::process::id();
     loop {
-        at += -(1.0 - rng.random::<f64>()).ln() / load.rate;
-        if at >= load.seconds || INTERRUPTED.load(Ordering::Relaxed) {
+        offset += -(1.0 - rng.random::<f64>()).ln() / load.rate;
+        if offset >= load.seconds || INTERRUPTED.load(Ordering::Relaxed) {
             break;
         }
-        let due = start + Duration::from_secs_f64(at);
+        let due = start + Duration::from_secs_f64(offset);
         sleep_until(due).await;
         number += 1;
         if pending.get() >= load.most {
-            *counts.borrow_mut().ends.entry("not sent: too many".into()).or_default() += 1;
+            *counts.borrow_mut().results.entry("not sent: over limit".into()).or_default() += 1;
             continue;
         }
         pending.set(pending.get() + 1);
         let (load, counts) = (load.clone(), Rc::clone(&counts));
-        let (pending, resting) = (Rc::clone(&pending), Rc::clone(&resting));
-        let id = format!("{run:08x}{number:08x}");
+        let (pending, idle) = (Rc::clone(&pending), Rc::clone(&idle));
+        let id = format!("{process:08x}{number:08x}");
         spawn_local(async move {
             let left = Duration::from_millis(load.budget_ms).saturating_sub(due.elapsed());
-            let asked = timeout(left + Duration::from_millis(250), ask(&load, &id, left, &resting)).await;
-            let end = match asked {
+            let response = timeout(left + Duration::from_millis(250), send(&load, &id, left, &idle)).await;
+            let result = match response {
                 Ok(Ok(200)) => {
-                    let _ = counts.borrow_mut().times.record(due.elapsed().as_micros() as u64);
+                    let _ = counts.borrow_mut().latencies.record(due.elapsed().as_micros() as u64);
                     "200".into()
                 }
                 Ok(Ok(status)) => status.to_string(),
                 Ok(Err(e)) => e.kind().to_string(),
-                Err(_) => "no answer in time".into(),
+                Err(_) => "no response in time".into(),
             };
-            *counts.borrow_mut().ends.entry(end).or_default() += 1;
+            *counts.borrow_mut().results.entry(result).or_default() += 1;
             pending.set(pending.get() - 1);
         });
     }
@@ -121,11 +123,11 @@
     }
 }
 
-async fn ask(
+async fn send(
     load: &Load,
     id: &str,
     left: Duration,
-    resting: &RefCell<Vec<Connection>>,
+    idle: &RefCell<Vec<Connection>>,
 ) -> std::io::Result<u16> {
     let method = if load.body.is_some() { "POST" } else { "GET" };
     let mut text = format!(
@@ -141,21 +143,21 @@
         None => text += "\r\n",
     }
     loop {
-        let kept = resting.borrow_mut().pop();
-        let reused = kept.is_some();
-        let mut line = match kept {
-            Some(line) => line,
+        let reusable = idle.borrow_mut().pop();
+        let reused = reusable.is_some();
+        let mut connection = match reusable {
+            Some(connection) => connection,
             None => Connection::new(TcpStream::connect(load.to).await?),
         };
-        match line.exchange(text.as_bytes()).await {
-            Ok(Some(answer)) => {
-                if !answer.closes {
-                    resting.borrow_mut().push(line);
+        match connection.exchange(text.as_bytes()).await {
+            Ok(Some(response)) => {
+                if !response.closes {
+                    idle.borrow_mut().push(connection);
                 }
-                return Ok(answer.status);
+                return Ok(response.status);
             }
-            // It was closed between two requests.
-            Ok(None) | Err(_) if reused => resting.borrow_mut().clear(),
+            // The peer closed the idle connection between two requests.
+            Ok(None) | Err(_) if reused => idle.borrow_mut().clear(),
             Ok(None) => return Err(std::io::ErrorKind::UnexpectedEof.into()),
             Err(e) => return Err(e),
         }
--- a/crates/lab/src/memory.rs
+++ b/crates/lab/src/memory.rs
@@ -1,5 +1,5 @@
-//! Memory over a run in simulated time: what the process holds, less what the run itself writes down of what happens. What
-//! is left belongs to the agents and the models of servers, which hold what is under way; it must not grow with time.
+//! Measures memory over a run in simulated time: the heap of the process minus what the emulator records about the run. The
+//! rest belongs to the agents and the server models, which hold only requests in flight; it must not grow with time.
 
 use crate::checker::Ledger;
 use crate::server_model::Micros;
@@ -7,51 +7,51 @@
 use std::alloc::System;
 use std::mem::size_of;
 
-/// The whole process's. Runs that are measured are played one at a time.
+/// The heap of the whole process. Runs that measure memory therefore run one at a time.
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// So many looks at the memory are taken in a run, evenly.
+/// The number of evenly spaced memory samples in a run.
 pub const SAMPLES: u64 = 60;
 
-/// Counts from where it was begun.
+/// Measures the change of the heap since its start.
 pub struct HeapMeter(Region<'static, System>);
 
 impl HeapMeter {
-    /// Begins to count.
+    /// Starts measuring.
     pub fn start() -> Self {
         HeapMeter(Region::new(HEAP))
     }
 
-    /// Bytes that are held and were not when counting began.
+    /// Returns by how many bytes the heap has grown since the start.
     pub fn held_bytes(&self) -> i64 {
         let change = self.0.change();
         change.bytes_allocated as i64 - change.bytes_deallocated as i64
     }
 }
 
-fn of<T>(all: &Vec<T>) -> usize {
-    all.capacity() * size_of::<T>()
+fn vec_bytes<T>(items: &Vec<T>) -> usize {
+    items.capacity() * size_of::<T>()
 }
 
-/// Bytes that a ledger takes.
+/// Returns the heap size of a ledger in bytes.
 pub fn ledger_bytes(ledger: &Ledger) -> i64 {
-    let within = ledger.calls.iter().map(|call| of(&call.effects)).sum::<usize>()
-        + ledger.client_attempts.iter().map(|t| of(&t.responses)).sum::<usize>()
-        + ledger.list_versions.iter().map(of).sum::<usize>();
-    let all = of(&ledger.calls)
-        + of(&ledger.client_attempts)
-        + of(&ledger.sends)
-        + of(&ledger.list_versions)
-        + of(&ledger.unavailable)
-        + of(&ledger.memory);
-    (within + all) as i64
+    let nested = ledger.calls.iter().map(|call| vec_bytes(&call.effects)).sum::<usize>()
+        + ledger.client_attempts.iter().map(|attempt| vec_bytes(&attempt.responses)).sum::<usize>()
+        + ledger.list_versions.iter().map(vec_bytes).sum::<usize>();
+    let outer = vec_bytes(&ledger.calls)
+        + vec_bytes(&ledger.client_attempts)
+        + vec_bytes(&ledger.sends)
+        + vec_bytes(&ledger.list_versions)
+        + vec_bytes(&ledger.unavailable)
+        + vec_bytes(&ledger.memory);
+    (nested + outer) as i64
 }
 
-/// By how much the last third of the looks lies over the first in the mean, as a share of the first; the first sixth, in
-/// which tables fill, is left out. `None` of too few looks.
-pub fn growth(looks: &[(Micros, i64)]) -> Option<f64> {
-    let settled = &looks[looks.len() / 6..];
+/// Returns the growth of the mean from the first third of the samples to the last, as a share of the first. The first sixth, in
+/// which tables fill, is left out. Returns `None` if there are too few samples.
+pub fn growth(samples: &[(Micros, i64)]) -> Option<f64> {
+    let settled = &samples[samples.len() / 6..];
     let third = settled.len() / 3;
     let mean = |part: &[(Micros, i64)]| part.iter().map(|(_, held)| *held as f64).sum::<f64>() / third as f64;
     let (first, last) = (mean(settled.get(..third)?), mean(settled.get(settled.len() - third..)?));
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,4 +1,4 @@
-//! Plain policies to stand beside the engine's: they try again what may run again, and know nothing more.
+//! Simple load-balancing policies for comparison with the engine: they retry what may be retried, and keep no other rules.
 
 use crate::checker::{ClientResponse, RepeatEffect};
 use crate::emulation::{AgentReply, Agents, ClientRequest, World};
@@ -16,26 +16,26 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Who chooses the server.
+/// How servers are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
     /// The engine with its decision module.
     Heronhoist,
-    /// Uniform draws.
+    /// A uniformly random server.
     Random,
-    /// Each server in its turn, by each agent.
+    /// Each agent uses the servers in turn.
     RoundRobin,
-    /// Two uniform draws, the one to which the agent itself has less in flight.
+    /// Two random servers, and of these the one to which the agent has fewer requests in flight.
     TwoChoices,
-    /// The paper's plain rule: one draw and the lightest one that is remembered, by the agent's own in flight.
+    /// A random server or the remembered one, whichever has fewer requests of the agent in flight; that one is remembered.
     OneWithMemory,
-    /// The server that truly holds least among those that can be reached: a ceiling, since no agent can see that.
+    /// The reachable server with the lowest actual load: an upper bound, since no agent knows the actual load.
     LeastLoaded,
 }
 
 impl Policy {
-    /// All of them, in the order of tables.
+    /// All policies in the order of tables.
     pub const ALL: [Policy; 6] = [
         Policy::Heronhoist,
         Policy::Random,
@@ -45,7 +45,7 @@
         Policy::LeastLoaded,
     ];
 
-    /// As on the command line.
+    /// Returns the name used on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Heronhoist => "heronhoist",
@@ -58,90 +58,90 @@
     }
 }
 
-/// A way to servers, simulated or over sockets.
+/// Sends attempts to servers, simulated or over sockets.
 pub trait Transport: 'static {
-    /// One attempt; `may_send` is asked when the first byte could go.
+    /// Makes one attempt; `may_send` is called just before the first byte is sent.
     fn attempt(
         &self,
         server: usize,
-        ask: &ClientRequest,
+        request: &ClientRequest,
         may_send: &dyn Fn() -> bool,
     ) -> impl Future<Output = Outcome>;
 }
 
-/// All agents of a plain policy.
+/// All agents of a simple policy.
 pub struct PlainPolicy<R> {
     policy: Policy,
     world: Rc<World>,
-    ways: Vec<Rc<R>>,
-    draws: RefCell<Pcg64>,
-    /// By agent and server.
+    transports: Vec<Rc<R>>,
+    rng: RefCell<Pcg64>,
+    /// Requests in flight, by agent and server.
     in_flight: RefCell<Vec<Vec<u32>>>,
     turns: RefCell<Vec<usize>>,
     /// The server that each agent remembers.
     remembered: RefCell<Vec<usize>>,
-    /// The version of the list that all of them have heard.
-    heard: Cell<i64>,
-    /// Which life of each agent this is; an odd one is a pause between two.
-    lives: Vec<Signal<u32>>,
+    /// The version of the endpoint list that all agents have.
+    list_version: Cell<i64>,
+    /// A counter for each agent that grows when it stops or starts: even while it runs, odd while it is down.
+    lifecycle: Vec<Signal<u32>>,
 }
 
 impl<R: Transport> PlainPolicy<R> {
-    /// Agents with nothing in flight, each with its own way.
-    pub fn new(policy: Policy, world: Rc<World>, ways: Vec<Rc<R>>, seed: u64) -> Rc<Self> {
-        let (servers, agents) = (world.scenario.fleet.servers, ways.len());
+    /// Creates the agents, each with its own transport.
+    pub fn new(policy: Policy, world: Rc<World>, transports: Vec<Rc<R>>, seed: u64) -> Rc<Self> {
+        let (servers, agents) = (world.scenario.fleet.servers, transports.len());
         let plain = Rc::new(PlainPolicy {
             policy,
             world,
-            ways,
-            draws: RefCell::new(Pcg64::seed_from_u64(seed)),
+            transports,
+            rng: RefCell::new(Pcg64::seed_from_u64(seed)),
             in_flight: RefCell::new(vec![vec![0; servers]; agents]),
             turns: RefCell::new((0..agents).collect()),
             remembered: RefCell::new(vec![0; agents]),
-            heard: Cell::new(1),
-            lives: (0..agents).map(|_| Signal::new(0)).collect(),
+            list_version: Cell::new(1),
+            lifecycle: (0..agents).map(|_| Signal::new(0)).collect(),
         });
-        spawn_local(Rc::clone(&plain).hear());
+        spawn_local(Rc::clone(&plain).follow_list());
         plain
     }
 
-    /// They hear of changes as late as others do, though all at once and whatever room discovery has.
-    async fn hear(self: Rc<Self>) {
+    /// Follows the endpoint list. Changes arrive with the usual delay, but at all agents at once and whatever the load of the registry.
+    async fn follow_list(self: Rc<Self>) {
         let mut seen = 0;
         loop {
             let version = self.world.registry.borrow().version();
-            self.heard.set(version);
-            (0..self.ways.len()).for_each(|agent| self.world.record_list_version(agent, version));
+            self.list_version.set(version);
+            (0..self.transports.len()).for_each(|agent| self.world.record_list_version(agent, version));
             seen = self.world.changed.wait_for(|n| n != seen).await;
             self.world.changed.wait_for(|_| !self.world.registry.borrow().is_down()).await;
             sleep(Duration::from_micros(self.world.scenario.registry.notification_delay)).await;
         }
     }
 
-    /// What the list says, as far as they have heard.
-    fn serves(&self, server: usize) -> bool {
-        self.world.registry.borrow().state(server, self.heard.get()) == EndpointState::Serving
+    /// Returns whether the server is serving according to the list that the agents have.
+    fn is_serving(&self, server: usize) -> bool {
+        self.world.registry.borrow().state(server, self.list_version.get()) == EndpointState::Serving
     }
 
     fn choose(&self, agent: usize) -> Option<usize> {
-        let open: Vec<usize> =
-            (0..self.world.scenario.fleet.servers).filter(|&server| self.serves(server)).collect();
-        if open.is_empty() {
+        let serving: Vec<usize> =
+            (0..self.world.scenario.fleet.servers).filter(|&server| self.is_serving(server)).collect();
+        if serving.is_empty() {
             return None;
         }
-        let mut draws = self.draws.borrow_mut();
-        let mut draw = || open[draws.random_range(0..open.len())];
-        let own = &self.in_flight.borrow()[agent];
+        let mut rng = self.rng.borrow_mut();
+        let mut draw = || serving[rng.random_range(0..serving.len())];
+        let in_flight = &self.in_flight.borrow()[agent];
         Some(match self.policy {
             Policy::Heronhoist | Policy::Random => draw(),
             Policy::RoundRobin => {
-                let turn = &mut self.turns.borrow_mut()[agent];
-                *turn += 1;
-                open[*turn % open.len()]
+                let position = &mut self.turns.borrow_mut()[agent];
+                *position += 1;
+                serving[*position % serving.len()]
             }
             Policy::TwoChoices => {
                 let (a, b) = (draw(), draw());
-                if own[b] < own[a] {
+                if in_flight[b] < in_flight[a] {
                     b
                 } else {
                     a
@@ -149,26 +149,26 @@
             }
             Policy::OneWithMemory => {
                 let remembered = &mut self.remembered.borrow_mut()[agent];
-                let fresh = draw();
-                if own[fresh] <= own[*remembered] || !open.contains(remembered) {
-                    *remembered = fresh;
+                let candidate = draw();
+                if in_flight[candidate] <= in_flight[*remembered] || !serving.contains(remembered) {
+                    *remembered = candidate;
                 }
                 *remembered
             }
             Policy::LeastLoaded => {
-                let from = draw();
+                let start = draw();
                 let servers = self.world.servers.borrow();
                 let key = |&server: &usize| {
-                    let cut = servers[server].reach() != crate::server_model::Reachability::Up;
-                    (cut, servers[server].load(), server.wrapping_sub(from))
+                    let unreachable = servers[server].reach() != crate::server_model::Reachability::Up;
+                    (unreachable, servers[server].load(), server.wrapping_sub(start))
                 };
-                open.iter().copied().min_by_key(key).unwrap_or(from)
+                serving.iter().copied().min_by_key(key).unwrap_or(start)
             }
         })
     }
 }
 
-/// One request of an agent at a server, until it ends or is called off.
+/// Counts one request of an agent at a server as in flight until it ends or is cancelled.
 struct InFlight<'a>(&'a RefCell<Vec<Vec<u32>>>, usize, usize);
 
 impl Drop for InFlight<'_> {
@@ -178,17 +178,17 @@
 }
 
 impl<R: Transport> PlainPolicy<R> {
-    async fn send(&self, agent: usize, ask: ClientRequest) -> AgentReply {
-        let deadline = Instant::now() + ask.budget;
-        let repeat_effect = self.world.scenario.classes[ask.class].repeat_effect;
+    async fn send(&self, agent: usize, request: ClientRequest) -> AgentReply {
+        let deadline = Instant::now() + request.budget;
+        let repeat_effect = self.world.scenario.classes[request.class].repeat_effect;
         for n in 0..self.world.scenario.settings.max_attempts {
             let Some(server) = self.choose(agent) else {
                 return AgentReply::Response(ClientResponse::Rejected(None));
             };
             self.in_flight.borrow_mut()[agent][server] += 1;
             let _in_flight = InFlight(&self.in_flight, agent, server);
-            let may_send = || self.serves(server);
-            let attempt = self.ways[agent].attempt(server, &ask, &may_send);
+            let may_send = || self.is_serving(server);
+            let attempt = self.transports[agent].attempt(server, &request, &may_send);
             match timeout_at(deadline, attempt).await {
                 Ok(Outcome::Success) => return AgentReply::Response(ClientResponse::Success),
                 Ok(outcome) if outcome.proves_not_executed() || repeat_effect == RepeatEffect::Harmless => {}
@@ -201,25 +201,25 @@
 }
 
 impl<R: Transport> Agents for PlainPolicy<R> {
-    async fn handle_request(&self, agent: usize, ask: ClientRequest) -> AgentReply {
-        let lives = &self.lives[agent];
-        let life = lives.get();
-        if life % 2 == 1 {
+    async fn handle_request(&self, agent: usize, request: ClientRequest) -> AgentReply {
+        let lifecycle = &self.lifecycle[agent];
+        let state = lifecycle.get();
+        if state % 2 == 1 {
             return AgentReply::Unreachable;
         }
         tokio::select! {
             biased;
-            _ = lives.wait_for(|now| now != life) => AgentReply::AgentDied,
-            reply = self.send(agent, ask) => reply,
+            _ = lifecycle.wait_for(|now| now != state) => AgentReply::AgentDied,
+            reply = self.send(agent, request) => reply,
         }
     }
 
-    /// They die and return like any other; what asks one to stop or to take over needs nothing of them.
-    fn apply_agent_event(self: &Rc<Self>, agent: usize, what: EventKind) {
-        let life = self.lives[agent].get();
-        let dies = matches!(what, EventKind::KillAgent | EventKind::StopAgent) && life % 2 == 0;
-        if dies || (what == EventKind::StartAgent && life % 2 == 1) {
-            self.lives[agent].set(life + 1);
+    /// Kill, stop and start events change the state of an agent; upgrades and reloads need no action.
+    fn apply_agent_event(self: &Rc<Self>, agent: usize, kind: EventKind) {
+        let state = self.lifecycle[agent].get();
+        let stops = matches!(kind, EventKind::KillAgent | EventKind::StopAgent) && state % 2 == 0;
+        if stops || (kind == EventKind::StartAgent && state % 2 == 1) {
+            self.lifecycle[agent].set(state + 1);
         }
     }
 }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,5 +1,5 @@
-//! Plays many runs: side by side in simulated time, one after the other on sockets. What has ended is written at once, so
-//! that a session which is cut off leaves what it has.
+//! Executes many runs: concurrently in simulated time, one after the other on sockets. Each run is written out as it ends, so
+//! that an interrupted session leaves the finished runs.
 
 use crate::emulation::INTERRUPTED;
 use crate::policy::Policy;
@@ -12,33 +12,33 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// One run that is wanted.
+/// A run to execute.
 #[derive(Debug, Clone)]
 pub struct PlannedRun {
-    /// What is played.
+    /// The scenario.
     pub scenario: Scenario,
-    /// By whom.
+    /// The load-balancing policy.
     pub policy: Policy,
-    /// With which draws.
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
-/// How runs are played.
+/// How to execute runs.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// On sockets or not.
+    /// Simulated time or sockets.
     pub mode: Mode,
-    /// The real agent's program, if it is not the one beside this.
+    /// The agent program; by default the one in the folder of this program.
     pub agent: Option<PathBuf>,
-    /// Where real agents leave their logs.
+    /// The folder for the logs of real agents.
     pub folder: PathBuf,
-    /// Where the runs are written as they end.
+    /// The file to which runs are written as they end.
     pub out: Option<PathBuf>,
-    /// Runs side by side, in simulated time.
+    /// The number of concurrent runs in simulated time.
     pub threads: usize,
 }
 
-/// Ends what is played at the first interrupt, and the program at the second.
+/// Ends the runs at the first interrupt, and the program at the second.
 pub fn handle_interrupts() {
     std::thread::spawn(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -53,28 +53,29 @@
     });
 }
 
-/// The real agent's program. Under cargo it is built first, so that it is of the same sources as this one.
-pub fn agent_program(given: Option<&Path>) -> Result<PathBuf, String> {
-    if let Some(given) = given {
-        return Ok(given.to_path_buf());
+/// Returns the path of the agent program. Under cargo it builds the agent first, so that both come from the same sources.
+pub fn agent_program(path: Option<&Path>) -> Result<PathBuf, String> {
+    if let Some(path) = path {
+        return Ok(path.to_path_buf());
     }
-    let here = std::env::current_exe().map_err(|e| format!("where is this program? {e}"))?;
-    let beside = here.with_file_name("heronhoist");
+    let this_program =
+        std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
+    let default = this_program.with_file_name("heronhoist");
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = Command::new(cargo);
         build.args(["build", "--quiet", "--package", "heronhoist"]);
         if !cfg!(debug_assertions) {
             build.arg("--release");
         }
-        let built = build.status().map_err(|e| format!("cannot build the agent: {e}"))?;
-        if !built.success() {
-            return Err("the agent does not build".into());
+        let status = build.status().map_err(|e| format!("cannot build the agent: {e}"))?;
+        if !status.success() {
+            return Err("cannot build the agent: cargo build failed".into());
         }
     }
-    if beside.is_file() {
-        return Ok(beside);
+    if default.is_file() {
+        return Ok(default);
     }
-    Err(format!("there is no agent at {}; build it, or say where it is with --agent", beside.display()))
+    Err(format!("there is no agent at {}; build it, or give its path with --agent", default.display()))
 }
 
 fn bar(length: u64) -> ProgressBar {
@@ -84,80 +85,90 @@
     bar
 }
 
-/// Plays all; the runs come in the order of the jobs, those that were not begun left out.
-pub fn run_all(jobs: &[PlannedRun], means: &RunOptions) -> Result<Record, String> {
-    let done: Mutex<Vec<Option<Run>>> = Mutex::new(vec![None; jobs.len()]);
+/// Executes the runs. The record has them in the given order, without those that were not started.
+pub fn run_all(runs_to_execute: &[PlannedRun], options: &RunOptions) -> Result<Record, String> {
+    let finished: Mutex<Vec<Option<Run>>> = Mutex::new(vec![None; runs_to_execute.len()]);
     let record = |complete: bool| {
-        let done = done.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let runs: Vec<Run> = done.iter().flatten().cloned().collect();
-        let complete = complete && runs.len() == jobs.len() && runs.iter().all(|run| run.complete);
+        let finished = finished.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let runs: Vec<Run> = finished.iter().flatten().cloned().collect();
+        let complete = complete && runs.len() == runs_to_execute.len() && runs.iter().all(|run| run.complete);
         Record { format: FORMAT, complete, runs }
     };
-    // One at a time: they share the file.
-    let writing = Mutex::new(());
-    let ended = |at: usize, run: Run| -> Result<(), String> {
-        done.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = Some(run);
-        let _alone = writing.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        means.out.as_ref().map_or(Ok(()), |out| record(false).write(out))
+    // Serializes the writers of the file.
+    let file_lock = Mutex::new(());
+    let save = |index: usize, run: Run| -> Result<(), String> {
+        finished.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[index] = Some(run);
+        let _guard = file_lock.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        options.out.as_ref().map_or(Ok(()), |out| record(false).write(out))
     };
-    let is_measured = jobs.iter().any(|job| job.scenario.requirements.memory_growth.is_some());
-    match means.mode {
-        Mode::Real if is_measured => {
-            return Err("hold.memory_growth: memory over a run is only looked at in simulated time".into());
+    let measures_memory =
+        runs_to_execute.iter().any(|planned| planned.scenario.requirements.memory_growth.is_some());
+    match options.mode {
+        Mode::Real if measures_memory => {
+            return Err("hold.memory_growth: memory growth is only measured in simulated time".into());
         }
-        Mode::Real if jobs.iter().any(|job| job.scenario.dialects.is_some()) => {
-            return Err("dialects: both are only spoken in simulated time".into());
+        Mode::Real if runs_to_execute.iter().any(|planned| planned.scenario.dialects.is_some()) => {
+            return Err("dialects: mixed dialects are only supported in simulated time".into());
         }
         Mode::Real => {
-            let program = agent_program(means.agent.as_deref())?;
-            for (at, job) in jobs.iter().enumerate() {
+            let program = agent_program(options.agent.as_deref())?;
+            for (index, planned) in runs_to_execute.iter().enumerate() {
                 if INTERRUPTED.load(Ordering::Relaxed) {
                     break;
                 }
-                let bar = bar(job.scenario.duration / 1000);
-                let folder = means.folder.join(format!("{}-{}", job.policy.name(), job.seed));
+                let bar = bar(planned.scenario.duration / 1000);
+                let folder = options.folder.join(format!("{}-{}", planned.policy.name(), planned.seed));
                 let _ = std::fs::remove_dir_all(&folder);
                 let progress = |at| bar.set_position(at / 1000);
-                let run = real::run(&job.scenario, job.policy, job.seed, (&program, &folder), progress)?;
+                let run = real::run(
+                    &planned.scenario,
+                    planned.policy,
+                    planned.seed,
+                    (&program, &folder),
+                    progress,
+                )?;
                 bar.finish_and_clear();
-                ended(at, run)?;
+                save(index, run)?;
             }
         }
         Mode::Virtual => {
-            let bar = bar(jobs.iter().map(|job| job.scenario.duration / 1000).sum());
+            let bar = bar(runs_to_execute.iter().map(|planned| planned.scenario.duration / 1000).sum());
             let next = AtomicUsize::new(0);
             let failed: Mutex<Option<String>> = Mutex::new(None);
             std::thread::scope(|scope| {
-                // Memory is that of the whole process.
-                let threads = if is_measured { 1 } else { means.threads.clamp(1, jobs.len().max(1)) };
+                // Memory is measured for the whole process.
+                let threads =
+                    if measures_memory { 1 } else { options.threads.clamp(1, runs_to_execute.len().max(1)) };
                 for _ in 0..threads {
                     scope.spawn(|| loop {
-                        let at = next.fetch_add(1, Ordering::Relaxed);
-                        let Some(job) = jobs.get(at).filter(|_| !INTERRUPTED.load(Ordering::Relaxed)) else {
+                        let index = next.fetch_add(1, Ordering::Relaxed);
+                        let Some(planned) =
+                            runs_to_execute.get(index).filter(|_| !INTERRUPTED.load(Ordering::Relaxed))
+                        else {
                             return;
                         };
-                        let told = std::cell::Cell::new(0);
-                        let run = sim::run(&job.scenario, job.policy, job.seed, |at| {
+                        let reported = std::cell::Cell::new(0);
+                        let run = sim::run(&planned.scenario, planned.policy, planned.seed, |at| {
                             let at = at / 1000;
-                            if at > told.get() + 500 {
-                                bar.inc(at - told.replace(at));
+                            if at > reported.get() + 500 {
+                                bar.inc(at - reported.replace(at));
                             }
                         });
-                        bar.inc((job.scenario.duration / 1000).saturating_sub(told.get()));
-                        if let Err(why) = ended(at, run) {
-                            *failed.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(why);
+                        bar.inc((planned.scenario.duration / 1000).saturating_sub(reported.get()));
+                        if let Err(error) = save(index, run) {
+                            *failed.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(error);
                         }
                     });
                 }
             });
             bar.finish_and_clear();
-            if let Some(why) = failed.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner) {
-                return Err(why);
+            if let Some(error) = failed.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner) {
+                return Err(error);
             }
         }
     }
     let record = record(true);
-    if let Some(out) = &means.out {
+    if let Some(out) = &options.out {
         record.write(out)?;
     }
     Ok(record)
--- a/crates/lab/src/wire/tests.rs
+++ b/crates/lab/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn messages_are_read_whole_or_not_at_all() {
+fn only_complete_messages_are_parsed() {
     let text = b"POST /a HTTP/1.1\r\nX-Call-Id: 7\r\nContent-Length: 3\r\n\r\nabcGET";
     for end in 0..text.len() - 3 {
         assert!(parse(&text[..end], false).unwrap().is_none(), "{end}");
