--- a/crates/lab/src/injected_bugs.rs
+++ b/crates/lab/src/injected_bugs.rs
@@ -1,4 +1,4 @@
-//! Agents with a planted fault each, played like any other: the judge must catch each by its rule, and by no other.
+//! Runs agents with one injected bug each: the checker must report each bug by its rule and by no other.
 
 use crate::checker::{ClientResponse, Rule};
 use crate::emulation::{self, AgentReply, Agents, ClientRequest, World};
@@ -15,42 +15,43 @@
 use tokio::time::{sleep, timeout};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Fault {
-    /// None.
-    Sound,
-    /// Sends a certified-copy twice.
+enum Bug {
+    /// No bug.
+    Absent,
+    /// Executes each certified-copy request twice.
     SendsTwice,
-    /// Keeps sending for 700 ms after a drain.
-    IgnoresDrains,
-    /// Answers twice.
-    AnswersTwice,
-    /// Never answers.
-    AnswersNever,
-    /// Sends all to a server that has just started.
-    FloodsCold,
-    /// Advises a wait and then refuses.
-    BreaksAdvice,
-    /// Takes a new connection for each request, and closes none.
-    Hoards,
+    /// Keeps sending to a draining server for 700 ms.
+    IgnoresDrain,
+    /// Responds twice to some requests.
+    RespondsTwice,
+    /// Never responds to some requests.
+    NeverResponds,
+    /// Sends all requests to a server that has just started.
+    OverloadsColdServer,
+    /// Rejects some requests with a Retry-After time, and rejects the retries too.
+    BreaksRetryAfter,
+    /// Opens a new connection for each request and closes none.
+    LeaksConnections,
 }
 
-/// One agent that sends each request to the servers in turn.
-struct Faulty {
+/// An agent with an injected bug that sends requests to the servers in turn.
+struct BuggyAgent {
     world: Rc<World>,
-    net: Rc<AgentConnections>,
-    fault: Fault,
+    connections: Rc<AgentConnections>,
+    bug: Bug,
     turn: Cell<usize>,
-    /// When it was told of the drain.
-    drained: Cell<Option<u64>>,
+    /// When the agent learned of the drain.
+    drain_seen: Cell<Option<u64>>,
 }
 
-/// Server 0 drains, server 2 starts anew.
-const DRAINS: usize = 0;
-const STARTS: usize = 2;
+/// The server that drains.
+const DRAINING_SERVER: usize = 0;
+/// The server that is restarted cold.
+const COLD_SERVER: usize = 2;
 
-impl Faulty {
-    async fn attempt(&self, server: usize, ask: &ClientRequest) -> Outcome {
-        self.net.attempt(server, ask, &|| true).await
+impl BuggyAgent {
+    async fn attempt(&self, server: usize, request: &ClientRequest) -> Outcome {
+        self.connections.attempt(server, request, &|| true).await
     }
 
     fn choose(&self) -> usize {
@@ -59,56 +60,61 @@
             (0..3).map(|server| registry.state(server, registry.version())).collect()
         };
         let now = self.world.now();
-        if states[DRAINS] != EndpointState::Serving && self.drained.get().is_none() {
-            self.drained.set(Some(now));
+        if states[DRAINING_SERVER] != EndpointState::Serving && self.drain_seen.get().is_none() {
+            self.drain_seen.set(Some(now));
             self.world.record_list_version(0, self.world.registry.borrow().version());
         }
-        let is_cold = self.world.servers.borrow()[STARTS].speed_share(now) < 1.0;
-        match self.fault {
-            Fault::FloodsCold if is_cold && states[STARTS] == EndpointState::Serving => return STARTS,
-            Fault::IgnoresDrains if self.drained.get().is_some_and(|at| now < at + 700_000) => return DRAINS,
+        let is_cold = self.world.servers.borrow()[COLD_SERVER].speed_share(now) < 1.0;
+        match self.bug {
+            Bug::OverloadsColdServer if is_cold && states[COLD_SERVER] == EndpointState::Serving => {
+                return COLD_SERVER
+            }
+            Bug::IgnoresDrain if self.drain_seen.get().is_some_and(|at| now < at + 700_000) => {
+                return DRAINING_SERVER
+            }
             _ => {}
         }
         loop {
             self.turn.set(self.turn.get() + 1);
             let server = self.turn.get() % 3;
-            // One that is cold gets little of it.
-            let spared = server == STARTS && is_cold && self.turn.get() % 8 != 0;
-            if states[server] == EndpointState::Serving && !spared {
+            // A cold server gets only a small share of the requests.
+            let skip = server == COLD_SERVER && is_cold && self.turn.get() % 8 != 0;
+            if states[server] == EndpointState::Serving && !skip {
                 return server;
             }
         }
     }
 }
 
-impl Agents for Faulty {
-    async fn handle_request(&self, _: usize, ask: ClientRequest) -> AgentReply {
-        if self.fault == Fault::AnswersNever && ask.call % 50 == 7 {
+impl Agents for BuggyAgent {
+    async fn handle_request(&self, _: usize, request: ClientRequest) -> AgentReply {
+        if self.bug == Bug::NeverResponds && request.call % 50 == 7 {
             sleep(Duration::from_secs(60)).await;
         }
-        if self.fault == Fault::BreaksAdvice && ask.call % 10 == 3 {
+        if self.bug == Bug::BreaksRetryAfter && request.call % 10 == 3 {
             return AgentReply::Response(ClientResponse::Rejected(Some(100_000)));
         }
         let server = self.choose();
-        if self.fault == Fault::Hoards {
+        if self.bug == Bug::LeaksConnections {
             self.world.connect(server, None);
         }
-        // In time, whatever else it does.
-        let outcome = timeout(ask.budget, self.attempt(server, &ask)).await.unwrap_or(Outcome::TimedOut);
-        let is_copy = self.world.scenario.classes[ask.class].name == "certified-copy";
-        if self.fault == Fault::SendsTwice && is_copy {
-            self.attempt(self.choose(), &ask).await;
+        // Responds within the deadline, so that only the injected bug is reported.
+        let outcome =
+            timeout(request.budget, self.attempt(server, &request)).await.unwrap_or(Outcome::TimedOut);
+        let is_certified_copy = self.world.scenario.classes[request.class].name == "certified-copy";
+        if self.bug == Bug::SendsTwice && is_certified_copy {
+            self.attempt(self.choose(), &request).await;
         }
-        let answer = match outcome {
+        let response = match outcome {
             Outcome::Success => ClientResponse::Success,
             outcome if outcome.proves_not_executed() => ClientResponse::Rejected(None),
             _ => ClientResponse::Failed,
         };
-        if self.fault == Fault::AnswersTwice && ask.call % 50 == 7 {
+        if self.bug == Bug::RespondsTwice && request.call % 50 == 7 {
             let now = self.world.now();
-            self.world.ledger.borrow_mut().client_attempts[ask.attempt].responses.push((now, answer));
+            self.world.ledger.borrow_mut().client_attempts[request.attempt].responses.push((now, response));
         }
-        AgentReply::Response(answer)
+        AgentReply::Response(response)
     }
 
     fn apply_agent_event(self: &Rc<Self>, _: usize, _: EventKind) {}
@@ -157,36 +163,36 @@
 server = 0
 "#;
 
-fn run_scenario(fault: Fault) -> Run {
+fn run_scenario(bug: Bug) -> Run {
     let scenario = parse(SCENARIO).unwrap_or_else(|faults| panic!("{faults:?}"));
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let world = World::new(&scenario, 5);
         world.spawn_servers();
-        let net = AgentConnections::new(&world, 0);
-        let (turn, drained) = (Cell::new(0), Cell::new(None));
-        let agent = Rc::new(Faulty { world: Rc::clone(&world), net, fault, turn, drained });
+        let connections = AgentConnections::new(&world, 0);
+        let (turn, drain_seen) = (Cell::new(0), Cell::new(None));
+        let agent = Rc::new(BuggyAgent { world: Rc::clone(&world), connections, bug, turn, drain_seen });
         emulation::run_clients(&world, &agent, 5, |_| {}).await;
         Run::from_emulation(&world, Mode::Virtual, Policy::RoundRobin, 5, true)
     })
 }
 
 #[test]
-fn each_planted_fault_is_caught_by_its_rule_and_by_no_other() {
-    for (fault, rules) in [
-        (Fault::Sound, vec![]),
-        (Fault::SendsTwice, vec![Rule::NoDuplicateEffect]),
-        (Fault::IgnoresDrains, vec![Rule::Drain]),
-        (Fault::AnswersTwice, vec![Rule::OneFinalResponse]),
-        (Fault::AnswersNever, vec![Rule::OneFinalResponse]),
-        (Fault::FloodsCold, vec![Rule::ColdStart]),
-        (Fault::BreaksAdvice, vec![Rule::RetryAfter]),
-        (Fault::Hoards, vec![Rule::Connections]),
+fn each_injected_bug_is_reported_by_its_rule_only() {
+    for (bug, expected) in [
+        (Bug::Absent, vec![]),
+        (Bug::SendsTwice, vec![Rule::NoDuplicateEffect]),
+        (Bug::IgnoresDrain, vec![Rule::Drain]),
+        (Bug::RespondsTwice, vec![Rule::OneFinalResponse]),
+        (Bug::NeverResponds, vec![Rule::OneFinalResponse]),
+        (Bug::OverloadsColdServer, vec![Rule::ColdStart]),
+        (Bug::BreaksRetryAfter, vec![Rule::RetryAfter]),
+        (Bug::LeaksConnections, vec![Rule::Connections]),
     ] {
-        let run = run_scenario(fault);
-        assert!(run.calls > 500 && run.sends > 300, "{fault:?}: {} calls, {} sends", run.calls, run.sends);
-        let broken: Vec<Rule> = run.result.violations.keys().copied().collect();
-        assert_eq!(broken, rules, "{fault:?}: {}", run.result.summary());
+        let run = run_scenario(bug);
+        assert!(run.calls > 500 && run.sends > 300, "{bug:?}: {} calls, {} sends", run.calls, run.sends);
+        let reported: Vec<Rule> = run.result.violations.keys().copied().collect();
+        assert_eq!(reported, expected, "{bug:?}: {}", run.result.summary());
     }
 }
--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -1,18 +1,19 @@
-//! What clients and servers of the old and the new dialect say, written out by hand from the truth of each call, and compared
-//! to the byte with what reaches the other end. The translator under test is asked for nothing here but its keys.
+//! The requests and responses of clients and servers in the old and the new dialect. Both forms are generated independently of
+//! the translator from the content of each call, and compared byte by byte with what arrives; only idempotency keys come from the
+//! translator under test.
 
 use heronhoist_translate::mixed::{self, Plan, Sides};
 use heronhoist_translate::{mapping, Limits, Mapping, Part, Side};
 use std::rc::Rc;
 
-/// The worked mappings of the classes, by which agents translate.
-const WORKED: [(&str, &str); 3] = [
+/// The example mappings of the classes, with which agents translate.
+const MAPPINGS: [(&str, &str); 3] = [
     ("lookup", include_str!("../../../deploy/translate/lookup.toml")),
     ("correction", include_str!("../../../deploy/translate/correction.toml")),
     ("certified-copy", include_str!("../../../deploy/translate/certified-copy.toml")),
 ];
 
-/// One of the three exchanges that are known.
+/// The kinds of exchanges for which messages can be generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
     Lookup,
@@ -20,26 +21,26 @@
     Copy,
 }
 
-/// A call as it is meant, and the answer as it is true.
+/// The content of a call and its response, from which the messages of both dialects are generated.
 #[derive(Debug, Clone, Copy)]
 struct ExpectedExchange {
-    /// Counts calls; all fields follow from it.
+    /// The number of the call; all fields are derived from it.
     number: u64,
 }
 
 impl ExpectedExchange {
-    fn draw(self, salt: u64, most: u64) -> u64 {
-        // A multiplicative hash: neighbours differ in all fields.
+    fn draw(self, salt: u64, bound: u64) -> u64 {
+        // A multiplicative hash, so that consecutive calls differ in all fields.
         let mixed =
             (self.number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ salt.wrapping_mul(0xd1b5_4a32_d192_ed03);
-        (mixed.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % most
+        (mixed.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % bound
     }
 
     fn station(self) -> String {
         (0..4).map(|n| char::from(b'A' + self.draw(n, 26) as u8)).collect()
     }
 
-    /// A minute of January 2026, in New York: day, hour, minute. No clock changes then, and the offset is -05:00.
+    /// Returns day, hour and minute of a time in January 2026 in New York, when the UTC offset is always -05:00.
     fn minute(self, salt: u64) -> (u64, u64, u64) {
         (self.draw(salt, 31) + 1, self.draw(salt + 1, 24), self.draw(salt + 2, 60))
     }
@@ -48,19 +49,19 @@
         self.draw(10, 9999) + 1
     }
 
-    /// Hundredths of an inch, or tenths of a mile an hour.
+    /// Returns an amount of rain in hundredths of an inch (`true`) or a wind speed in tenths of a mile per hour (`false`).
     fn measure(self) -> (bool, u64) {
         (self.draw(11, 2) == 0, self.draw(12, 1500) + 1)
     }
 }
 
-/// A whole number of units of 10^-digits as a decimal without zeros behind.
+/// Formats a number of units of 10^-digits as a decimal without trailing zeros.
 fn decimal(units: u64, digits: usize) -> String {
     let text = format!("{units:0width$}", width = digits + 1);
-    let (whole, rest) = text.split_at(text.len() - digits);
-    match rest.trim_end_matches('0') {
-        "" => whole.to_owned(),
-        rest => format!("{whole}.{rest}"),
+    let (integer, fraction) = text.split_at(text.len() - digits);
+    match fraction.trim_end_matches('0') {
+        "" => integer.to_owned(),
+        fraction => format!("{integer}.{fraction}"),
     }
 }
 
@@ -75,15 +76,15 @@
         match (kind, side) {
             (Kind::Lookup, _) => {
                 let ((d, h, m), (e, i, n)) = (self.minute(20), self.minute(30));
-                let what = self.draw(40, 3) as usize;
+                let kind_index = self.draw(40, 3) as usize;
                 match side {
                     Side::Old => format!(
                         "STN={station}&BEG=01%2F{d:02}%2F2026+{h:02}%3A{m:02}&END=01%2F{e:02}%2F2026+{i:02}%3A{n:02}&WHAT={}",
-                        ["A", "W", "R"][what]
+                        ["A", "W", "R"][kind_index]
                     ),
                     Side::New => format!(
                         "station={station}&from=2026-01-{d:02}T{h:02}%3A{m:02}%3A00-05%3A00&to=2026-01-{e:02}T{i:02}%3A{n:02}%3A00-05%3A00&kind={}",
-                        ["all", "wind", "rain"][what]
+                        ["all", "wind", "rain"][kind_index]
                     ),
                 }
             }
@@ -99,7 +100,7 @@
                     (Side::New, _) => format!(
                         "{{\"reference\":\"{desk:04}-{number}\",\"station\":\"{station}\",\
                          \"observed_at\":\"2026-01-{d:02}T{h:02}:{m:02}:00-05:00\",{},\"urgent\":{urgent},\"clerk\":\"Ann\",\"schema\":2}}",
-                        // An inch is 25.4 mm, a mile an hour 0.44704 m/s, both exactly.
+                        // An inch is exactly 25.4 mm, a mile per hour exactly 0.44704 m/s.
                         if rain {
                             format!("\"quantity\":\"rain\",\"rain_mm\":{}", decimal(units * 254, 3))
                         } else {
@@ -134,7 +135,7 @@
         }
     }
 
-    fn answer(self, kind: Kind, side: Side) -> String {
+    fn response(self, kind: Kind, side: Side) -> String {
         let (d, h, m) = self.minute(50);
         match (kind, side) {
             (Kind::Lookup, Side::Old) => {
@@ -173,42 +174,42 @@
     }
 }
 
-/// All that is said in a run.
+/// Generates and checks the messages of a run.
 pub struct MessageCorpus {
-    /// By the class's place.
+    /// The kind of exchange and the mapping, by index of the class.
     classes: Vec<(Kind, Rc<Mapping>)>,
 }
 
-/// What a client hands to its agent, and where that may go.
+/// The request of a client, and its translation by the agent.
 #[derive(Debug, Clone)]
 pub struct EncodedRequest {
-    /// What its client speaks.
+    /// The dialect of the client.
     pub side: Side,
-    /// As its client says it.
-    own: Vec<u8>,
+    /// The request in the dialect of the client.
+    original: Vec<u8>,
     plan: Plan,
 }
 
 impl EncodedRequest {
-    /// The dialects that it may be sent in.
+    /// Returns the dialects in which the request may be sent.
     pub fn sides(&self) -> Sides {
         self.plan.sides
     }
 
-    /// The request in a dialect; `None` if it must not be sent in that.
+    /// Returns the request in a dialect; `None` if it must not be sent in that dialect.
     pub fn message(&self, side: Side) -> Option<&[u8]> {
         if side == self.side {
-            return Some(&self.own);
+            return Some(&self.original);
         }
         self.plan.other.as_deref()
     }
 
-    /// Plants a fault: new servers are told another key than the old fields make.
+    /// Injects a bug: new servers get a key that differs from the one derived from the old fields.
     pub fn corrupt_key(&mut self) {
         self.plan.key.iter_mut().for_each(|key| key.push('x'));
     }
 
-    /// Plants a fault: the last digit that was translated is another.
+    /// Injects a bug: the last digit of the translated request is changed.
     pub fn corrupt_field(&mut self) {
         let digits = self.plan.other.iter_mut().flatten().rev();
         if let Some(digit) = digits.into_iter().find(|byte| byte.is_ascii_digit()) {
@@ -216,27 +217,27 @@
         }
     }
 
-    /// The key that new servers are told.
+    /// Returns the idempotency key that is sent to new servers.
     pub fn key(&self) -> Option<&str> {
         self.plan.key.as_deref()
     }
 }
 
 impl MessageCorpus {
-    /// Of classes with the names of the worked mappings; the name of the first that has none otherwise.
+    /// Loads the mappings of the classes with these names. The error is the name of the first class without a mapping.
     pub fn new<'a>(classes: impl Iterator<Item = &'a str>) -> Result<MessageCorpus, String> {
         let kinds = [Kind::Lookup, Kind::Correction, Kind::Copy];
         let classes = classes.map(|name| {
-            let at = WORKED.iter().position(|(known, _)| *known == name).ok_or(name)?;
-            let mapping = mapping::read(WORKED[at].1).map_err(|_| name)?;
-            Ok((kinds[at], Rc::new(mapping)))
+            let index = MAPPINGS.iter().position(|(known, _)| *known == name).ok_or(name)?;
+            let mapping = mapping::read(MAPPINGS[index].1).map_err(|_| name)?;
+            Ok((kinds[index], Rc::new(mapping)))
         });
         let classes: Result<Vec<_>, &str> = classes.collect();
         classes.map(|classes| MessageCorpus { classes }).map_err(str::to_owned)
     }
 
-    /// A call of a client that speaks `side`, as its agent plans it for servers that speak `serving`; `None` if it can't be sent.
-    /// A new client takes the key that the old fields make, or with `own_key` one that they do not.
+    /// Generates the request of a client with dialect `side`, and translates it as the agent does for servers with the dialects
+    /// `serving`; `None` if it cannot be sent. A new client uses the key derived from the old fields, or with `own_key` another one.
     pub fn encode_request(
         &self,
         class: usize,
@@ -246,10 +247,10 @@
         serving: Sides,
     ) -> Option<EncodedRequest> {
         let (kind, mapping) = &self.classes[class];
-        let own = ExpectedExchange { number: call as u64 }.request(*kind, side).into_bytes();
+        let original = ExpectedExchange { number: call as u64 }.request(*kind, side).into_bytes();
         let plan = match side {
             Side::Old => {
-                let message = mapping.old.decode(Part::Request, &own, Limits::default()).ok()?;
+                let message = mapping.old.decode(Part::Request, &original, Limits::default()).ok()?;
                 mixed::from_old(mapping, &message, serving).ok()?
             }
             Side::New => {
@@ -258,10 +259,10 @@
                     (true, true) => Some(format!("own-{call}")),
                     (true, false) => self.key_of_old(class, call),
                 };
-                mixed::from_new(mapping, &own, key.as_deref(), serving)
+                mixed::from_new(mapping, &original, key.as_deref(), serving)
             }
         };
-        Some(EncodedRequest { side, own, plan })
+        Some(EncodedRequest { side, original, plan })
     }
 
     fn key_of_old(&self, class: usize, call: usize) -> Option<String> {
@@ -270,33 +271,39 @@
         mapping.key(&mapping.old.decode(Part::Request, old.as_bytes(), Limits::default()).ok()?)
     }
 
-    /// What a server that speaks `side` tells repeats of this request by, whoever sent it; it reads old ones itself.
-    pub fn key_at_server(&self, class: usize, side: Side, said: &[u8], key: Option<&str>) -> Option<String> {
+    /// Returns the key by which a server with dialect `side` recognizes repeats of a request. Old servers derive it from the fields.
+    pub fn key_at_server(
+        &self,
+        class: usize,
+        side: Side,
+        request: &[u8],
+        key: Option<&str>,
+    ) -> Option<String> {
         let mapping = &self.classes[class].1;
         match side {
             Side::New => key.map(str::to_owned),
-            Side::Old => mapping.key(&mapping.old.decode(Part::Request, said, Limits::default()).ok()?),
+            Side::Old => mapping.key(&mapping.old.decode(Part::Request, request, Limits::default()).ok()?),
         }
     }
 
-    /// Whether a server got what was meant, to the byte.
-    pub fn is_expected_request(&self, class: usize, call: usize, side: Side, said: &[u8]) -> bool {
-        ExpectedExchange { number: call as u64 }.request(self.classes[class].0, side).as_bytes() == said
+    /// Returns whether the request that a server received is the expected one, byte by byte.
+    pub fn is_expected_request(&self, class: usize, call: usize, side: Side, request: &[u8]) -> bool {
+        ExpectedExchange { number: call as u64 }.request(self.classes[class].0, side).as_bytes() == request
     }
 
-    /// A server's true answer.
+    /// Generates the response of a server.
     pub fn response(&self, class: usize, call: usize, side: Side) -> Vec<u8> {
-        ExpectedExchange { number: call as u64 }.answer(self.classes[class].0, side).into_bytes()
+        ExpectedExchange { number: call as u64 }.response(self.classes[class].0, side).into_bytes()
     }
 
-    /// An answer as the agent hands it to a client of the other side; `None` if it can't be said there.
-    pub fn translate_response(&self, class: usize, from: Side, answer: &[u8]) -> Option<Vec<u8>> {
-        mixed::answer(&self.classes[class].1, from, answer).ok().map(|(bytes, _)| bytes)
+    /// Translates a response for a client of the other dialect as the agent does; `None` if it cannot be expressed there.
+    pub fn translate_response(&self, class: usize, from: Side, response: &[u8]) -> Option<Vec<u8>> {
+        mixed::answer(&self.classes[class].1, from, response).ok().map(|(bytes, _)| bytes)
     }
 
-    /// Whether a client got the truth, to the byte.
-    pub fn is_expected_response(&self, class: usize, call: usize, side: Side, answer: &[u8]) -> bool {
-        self.response(class, call, side) == answer
+    /// Returns whether the response that a client received is the expected one, byte by byte.
+    pub fn is_expected_response(&self, class: usize, call: usize, side: Side, response: &[u8]) -> bool {
+        self.response(class, call, side) == response
     }
 }
 
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of runs: a JSON file that other commands read.
+//! The JSON file of runs, which other commands read.
 
 use crate::checker::{check, first_successes, service_weight, CheckResult, ClientResponse};
 use crate::emulation::World;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Which way a run was played.
+/// The mode in which a run was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
@@ -18,132 +18,132 @@
     Real,
 }
 
-/// How a run went.
+/// The result of one run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Run {
-    /// The scenario's name.
+    /// The name of the scenario.
     pub scenario: String,
-    /// How it was played.
+    /// The mode.
     pub mode: Mode,
-    /// Who chose the servers.
+    /// The load-balancing policy.
     pub policy: Policy,
-    /// What all draws came from.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How many agents.
+    /// The number of agents.
     pub agents: usize,
-    /// How many servers.
+    /// The number of servers.
     pub servers: usize,
-    /// It was not interrupted.
+    /// Whether the run was not interrupted.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// What the judge found.
+    /// The result of the check.
     #[serde(rename = "verdict")]
     pub result: CheckResult,
-    /// What clients wanted,
+    /// The number of calls of clients.
     pub calls: usize,
-    /// how often they tried,
+    /// The number of client attempts.
     #[serde(rename = "tries")]
     pub client_attempts: usize,
-    /// and how often agents sent.
+    /// The number of attempts of agents at servers.
     pub sends: usize,
-    /// Connections opened to servers.
+    /// The number of connections opened to servers.
     #[serde(rename = "connects")]
     pub connections_opened: u64,
-    /// The most that one server held at once.
+    /// The largest number of connections open at one server at once.
     #[serde(rename = "most_open")]
     pub max_open_connections: usize,
-    /// Probes of servers.
+    /// The number of health probes.
     pub probes: u64,
-    /// Lines of lists that discovery wrote.
+    /// The number of endpoint list entries that the registry wrote.
     #[serde(rename = "lines")]
     pub list_entries: u64,
-    /// The greatest push on a cold server, in multiples of what it bears; it falls at 3.
+    /// The largest load on a cold server as a multiple of its capacity; it crashes at 3.
     #[serde(rename = "worst_push")]
     pub worst_cold_load: f64,
-    /// The most memory that an agent took, in real mode.
+    /// The peak memory of any agent, in real mode.
     pub memory_mb: Option<f64>,
-    /// What the process held beside what the run writes down, by milliseconds, where that is looked at.
+    /// Samples of the memory of agents and server models in bytes, by time in milliseconds, where they are taken.
     #[serde(default)]
     pub memory: Vec<(u64, i64)>,
-    /// Requests that servers ran in the dialect that their clients do not speak: in the old one, in the new one.
+    /// Translated requests that servers executed: in the old dialect, in the new dialect.
     #[serde(default)]
     pub translated: (u64, u64),
-    /// By class: what was served and in which time, from when each call was meant to be sent.
+    /// Successes and latencies by class. Latency counts from when a call was due.
     pub classes: Vec<ClassTimes>,
-    /// Second by second.
+    /// Values for each second and class.
     #[serde(rename = "seconds_of")]
     pub class_seconds: Vec<ClassSecond>,
-    /// The servers' requests in flight, now and then, by milliseconds.
+    /// Samples of the requests in flight at each server, by time in milliseconds.
     pub load: Vec<(u64, Vec<u32>)>,
-    /// What happened, by milliseconds.
+    /// The events of the scenario, by time in milliseconds.
     pub marks: Vec<(u64, String)>,
     #[serde(default)]
-    /// Tries and their answers, sends and their ends, connections, probes, lists told: what was simulated.
+    /// The number of simulated events: client attempts, sends, connections, probes and list updates.
     pub events: u64,
-    /// A digest of the whole ledger, by which two runs can be told apart.
+    /// A digest of the ledger, to compare runs.
     pub digest: String,
-    /// What it took to play.
+    /// The time that the run took, in seconds.
     pub seconds: f64,
 }
 
-/// Times of a class in milliseconds.
+/// Successes and latencies of a class, in milliseconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClassTimes {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Calls.
+    /// The number of calls.
     pub calls: usize,
-    /// Those that were served.
+    /// The number of calls that succeeded.
     pub served: usize,
-    /// Half of them took no longer than this, and so on.
+    /// The median latency.
     pub p50: f64,
-    /// 90 in 100.
+    /// The 90th percentile.
     pub p90: f64,
-    /// 99 in 100.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 in 1000.
+    /// The 99.9th percentile.
     pub p999: f64,
 }
 
-/// One second of one class.
+/// The values of one class in one second.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClassSecond {
-    /// Which second.
+    /// The second since the start of the run.
     pub second: u64,
-    /// The class's place.
+    /// The index of the class.
     pub class: usize,
-    /// Calls that were meant to be sent in it.
+    /// The number of calls due in this second.
     pub calls: usize,
-    /// What their answers were worth.
+    /// The sum of their weights in the service.
     #[serde(rename = "worth")]
     pub service_weight: f64,
-    /// Of those that were served, in milliseconds.
+    /// The median latency of the calls that succeeded, in milliseconds.
     pub p50: f64,
-    /// 99 in 100.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
 /// A file of runs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Record {
-    /// The form of this file.
+    /// The version of the file format.
     pub format: u32,
-    /// All that was asked for has been played.
+    /// Whether all requested runs are included and were not interrupted.
     pub complete: bool,
-    /// In the order in which they were asked for.
+    /// The runs, in the requested order.
     pub runs: Vec<Run>,
 }
 
-/// The form of the file that is written.
+/// The version of the file format that is written.
 pub const FORMAT: u32 = 1;
 
 impl Record {
-    /// Writes the file so that a reader sees either the old one or the new one.
+    /// Writes the file atomically: a reader sees either the old file or the new one.
     pub fn write(&self, path: &Path) -> Result<(), String> {
         let text = serde_json::to_string(self).map_err(|e| format!("{}: {e}", path.display()))?;
-        let fresh = path.with_extension("part");
-        std::fs::write(&fresh, text)
-            .and_then(|()| std::fs::rename(&fresh, path))
+        let temporary = path.with_extension("part");
+        std::fs::write(&temporary, text)
+            .and_then(|()| std::fs::rename(&temporary, path))
             .map_err(|e| format!("cannot write {}: {e}", path.display()))
     }
 
@@ -154,40 +154,42 @@
         let record: Record = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
         match record.format {
             FORMAT => Ok(record),
-            other => Err(format!("{}: form {other}; this program reads {FORMAT}", path.display())),
+            other => {
+                Err(format!("{}: file format {other}; this program reads format {FORMAT}", path.display()))
+            }
         }
     }
 }
 
-fn times() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are kept")
+fn latency_histogram() -> Histogram<u64> {
+    Histogram::new(3).expect("3 significant digits are valid")
 }
 
-fn ms(times: &Histogram<u64>, share: f64) -> f64 {
-    times.value_at_quantile(share) as f64 / 1e3
+fn quantile_ms(latencies: &Histogram<u64>, share: f64) -> f64 {
+    latencies.value_at_quantile(share) as f64 / 1e3
 }
 
 impl Run {
-    /// The 99th percentile of the class that is slowest there, in milliseconds.
+    /// Returns the largest 99th percentile of any class, in milliseconds.
     pub fn slowest_p99(&self) -> f64 {
         self.classes.iter().map(|class| class.p99).fold(0.0, f64::max)
     }
 
-    /// Judges what was written down.
-    pub fn from_emulation(world: &World, mode: Mode, policy: Policy, seed: u64, whole: bool) -> Run {
+    /// Checks a finished run and collects its metrics.
+    pub fn from_emulation(world: &World, mode: Mode, policy: Policy, seed: u64, complete: bool) -> Run {
         let scenario = &world.scenario;
         let worst_cold_load = world.worst_cold_load();
         let load = world.load_samples.take().into_iter().map(|(at, load)| (at / 1000, load)).collect();
         let ledger = world.take_ledger();
-        let aims: Vec<_> =
+        let objectives: Vec<_> =
             scenario.classes.iter().map(|class| (class.latency_objective, class.deadline)).collect();
-        // FNV-1a over all that happened.
+        // FNV-1a over all responses and sends.
         let mut digest = 0xcbf2_9ce4_8422_2325_u64;
         let mut mix = |value: u64| digest = (digest ^ value).wrapping_mul(0x0100_0000_01b3);
-        for t in &ledger.client_attempts {
-            for (at, answer) in &t.responses {
+        for attempt in &ledger.client_attempts {
+            for (at, response) in &attempt.responses {
                 mix(*at);
-                mix(match answer {
+                mix(match response {
                     ClientResponse::Success => 1,
                     ClientResponse::Failed => 2,
                     ClientResponse::Rejected(wait) => 3 + wait.unwrap_or(0),
@@ -198,41 +200,43 @@
             .sends
             .iter()
             .for_each(|(at, server, agent)| mix(at ^ ((*server as u64) << 40) ^ ((*agent as u64) << 52)));
-        let mut all: Vec<_> = scenario.classes.iter().map(|_| (0, 0, times())).collect();
-        let mut slices: std::collections::BTreeMap<(Micros, usize), (usize, f64, Histogram<u64>)> =
+        let mut totals: Vec<_> = scenario.classes.iter().map(|_| (0, 0, latency_histogram())).collect();
+        let mut seconds: std::collections::BTreeMap<(Micros, usize), (usize, f64, Histogram<u64>)> =
             Default::default();
         for (call, at) in ledger.calls.iter().zip(first_successes(&ledger)) {
-            let class = &mut all[call.class];
-            let slice = slices
+            let class = &mut totals[call.class];
+            let second = seconds
                 .entry((call.scheduled_at / 1_000_000, call.class))
-                .or_insert_with(|| (0, 0.0, times()));
+                .or_insert_with(|| (0, 0.0, latency_histogram()));
             class.0 += 1;
-            slice.0 += 1;
-            slice.1 += service_weight(call, at, aims[call.class]);
+            second.0 += 1;
+            second.1 += service_weight(call, at, objectives[call.class]);
             if let Some(at) = at {
                 class.1 += 1;
-                let took = at.saturating_sub(call.scheduled_at).max(1);
-                let _ = class.2.record(took);
-                let _ = slice.2.record(took);
+                let latency = at.saturating_sub(call.scheduled_at).max(1);
+                let _ = class.2.record(latency);
+                let _ = second.2.record(latency);
             }
         }
-        let classes = scenario.classes.iter().zip(all).map(|(class, (calls, served, times))| ClassTimes {
-            name: class.name.clone(),
-            calls,
-            served,
-            p50: ms(&times, 0.5),
-            p90: ms(&times, 0.9),
-            p99: ms(&times, 0.99),
-            p999: ms(&times, 0.999),
-        });
-        let seconds_of = slices.into_iter().map(|((second, class), (calls, worth, times))| ClassSecond {
-            second,
-            class,
-            calls,
-            service_weight: worth,
-            p50: ms(&times, 0.5),
-            p99: ms(&times, 0.99),
-        });
+        let classes =
+            scenario.classes.iter().zip(totals).map(|(class, (calls, served, latencies))| ClassTimes {
+                name: class.name.clone(),
+                calls,
+                served,
+                p50: quantile_ms(&latencies, 0.5),
+                p90: quantile_ms(&latencies, 0.9),
+                p99: quantile_ms(&latencies, 0.99),
+                p999: quantile_ms(&latencies, 0.999),
+            });
+        let class_seconds =
+            seconds.into_iter().map(|((second, class), (calls, weight, latencies))| ClassSecond {
+                second,
+                class,
+                calls,
+                service_weight: weight,
+                p50: quantile_ms(&latencies, 0.5),
+                p99: quantile_ms(&latencies, 0.99),
+            });
         Run {
             scenario: scenario.name.clone(),
             mode,
@@ -240,8 +244,8 @@
             seed,
             agents: scenario.agents,
             servers: scenario.fleet.servers,
-            complete: whole,
-            result: check(&ledger, &aims, scenario.settings.drain_grace.0, &scenario.requirements),
+            complete,
+            result: check(&ledger, &objectives, scenario.settings.drain_grace.0, &scenario.requirements),
             calls: ledger.calls.len(),
             client_attempts: ledger.client_attempts.len(),
             sends: ledger.sends.len(),
@@ -254,7 +258,7 @@
             translated: ledger.translated,
             memory: ledger.memory.iter().map(|(at, held)| (at / 1000, *held)).collect(),
             classes: classes.collect(),
-            class_seconds: seconds_of.collect(),
+            class_seconds: class_seconds.collect(),
             load,
             marks: scenario.events.iter().map(|event| (event.at / 1000, event.label())).collect(),
             events: (2 * (ledger.client_attempts.len() + ledger.sends.len())) as u64
--- a/crates/lab/src/registry.rs
+++ b/crates/lab/src/registry.rs
@@ -1,50 +1,49 @@
-//! Discovery as it really is, without I/O: lists with versions, written by something that has only so much room, and that
-//! can be down.
+//! A model of the registry behind discovery, without I/O: versioned endpoint lists, limited write capacity, and outages.
 
 use crate::server_model::Micros;
 use heronhoist_engine::EndpointState;
 use std::mem::size_of;
 
-/// A line of the list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListEntry {
-    /// Its name; another machine at the same address has another.
+    /// The name of the server; a replacement at the same address has another name.
     pub name: String,
-    /// The server that listens at its address.
+    /// The index of the server, which stands for its address.
     pub server: usize,
-    /// Its building.
+    /// The building of the server.
     pub building: u32,
-    /// It speaks the old dialect.
+    /// Whether the server speaks the old dialect.
     pub speaks_old: bool,
-    /// What it does.
+    /// The state of the endpoint.
     pub state: EndpointState,
-    /// When it last started, if that was in this run.
+    /// When the server last started, if that was during this run.
     pub started: Option<Micros>,
-    /// The version that changed it last.
+    /// The version of the list that last changed the entry.
     pub version: i64,
 }
 
-/// Discovery.
+/// The registry of endpoints.
 #[derive(Debug, Clone)]
 pub struct Registry {
     entries: Vec<ListEntry>,
-    /// By address: which version brought which state.
-    past: Vec<Vec<(i64, EndpointState)>>,
+    /// By server: the versions that changed its state, with the state.
+    history: Vec<Vec<(i64, EndpointState)>>,
     version: i64,
     lines_per_s: Option<f64>,
     busy_until: Micros,
     down: bool,
-    /// Lines that it has written.
+    /// The number of entries written to agents.
     pub entries_written: u64,
 }
 
-/// A call that would be answered later than this is turned away.
+/// The longest backlog with which the registry accepts a call.
 const MAX_BACKLOG: Micros = 5_000_000;
 
 impl Registry {
-    /// All servers serve, each for long.
+    /// Creates a list in which all servers are serving and none has started recently.
     pub fn new(servers: usize, buildings: usize, lines_per_s: Option<f64>) -> Self {
-        let line = |server: usize| ListEntry {
+        let entry = |server: usize| ListEntry {
             name: format!("s{server}"),
             server,
             building: building(server, servers, buildings),
@@ -53,10 +52,10 @@
             started: None,
             version: 1,
         };
-        let lines = (0..servers).map(line).collect();
+        let entries = (0..servers).map(entry).collect();
         Registry {
-            entries: lines,
-            past: vec![Vec::new(); servers],
+            entries,
+            history: vec![Vec::new(); servers],
             version: 1,
             lines_per_s,
             busy_until: 0,
@@ -65,59 +64,66 @@
         }
     }
 
-    /// Bytes of what it remembers.
+    /// Returns the heap size of the registry in bytes.
     pub fn held_bytes(&self) -> usize {
-        let lines = self.entries.capacity() * size_of::<ListEntry>();
-        let names = self.entries.iter().map(|line| line.name.capacity()).sum::<usize>();
-        let past =
-            self.past.iter().map(|past| past.capacity() * size_of::<(i64, EndpointState)>()).sum::<usize>();
-        lines + names + past
+        let entries = self.entries.capacity() * size_of::<ListEntry>();
+        let names = self.entries.iter().map(|entry| entry.name.capacity()).sum::<usize>();
+        let history = self
+            .history
+            .iter()
+            .map(|history| history.capacity() * size_of::<(i64, EndpointState)>())
+            .sum::<usize>();
+        entries + names + history
     }
 
-    /// What the machine at this address did by this version.
+    /// Returns the state of a server as of a version.
     pub fn state(&self, server: usize, version: i64) -> EndpointState {
-        let past = self.past.get(server).map_or(&[][..], Vec::as_slice);
-        past.iter().rev().find(|(at, _)| *at <= version).map_or(EndpointState::Serving, |(_, state)| *state)
+        let history = self.history.get(server).map_or(&[][..], Vec::as_slice);
+        history
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= version)
+            .map_or(EndpointState::Serving, |(_, state)| *state)
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub fn version(&self) -> i64 {
         self.version
     }
 
-    /// All lines but those of servers that left before this version; all that ever were if it is `None`.
+    /// Returns the entries changed after this version; with `None` all entries that are not removed.
     pub fn entries_since(&self, version: Option<i64>) -> Vec<ListEntry> {
         match version {
-            Some(from) => self.entries.iter().filter(|line| line.version > from).cloned().collect(),
+            Some(from) => self.entries.iter().filter(|entry| entry.version > from).cloned().collect(),
             None => {
-                self.entries.iter().filter(|line| line.state != EndpointState::Removed).cloned().collect()
+                self.entries.iter().filter(|entry| entry.state != EndpointState::Removed).cloned().collect()
             }
         }
     }
 
-    /// The machine at this address changes; returns the version that says so.
+    /// Changes the state of a server and returns the new version.
     pub fn set(&mut self, server: usize, state: EndpointState, started: Option<Micros>) -> i64 {
         self.version += 1;
         let version = self.version;
-        if let Some(line) = self.entries.iter_mut().rev().find(|line| line.server == server) {
-            (line.state, line.version) = (state, version);
-            line.started = started.or(line.started);
+        if let Some(entry) = self.entries.iter_mut().rev().find(|entry| entry.server == server) {
+            (entry.state, entry.version) = (state, version);
+            entry.started = started.or(entry.started);
         }
-        if let Some(past) = self.past.get_mut(server) {
-            past.push((version, state));
+        if let Some(history) = self.history.get_mut(server) {
+            history.push((version, state));
         }
         version
     }
 
-    /// The machine at this address has left, and another has come; returns the version that says so.
+    /// Replaces the server at an address by a new one and returns the new version.
     pub fn replace(&mut self, server: usize, now: Micros) -> i64 {
         let version = self.set(server, EndpointState::Removed, None);
-        let Some(old) = self.entries.iter().rev().find(|line| line.server == server).cloned() else {
+        let Some(old) = self.entries.iter().rev().find(|entry| entry.server == server).cloned() else {
             return version;
         };
         let name = format!("s{server}-{version}");
-        if let Some(past) = self.past.get_mut(server) {
-            past.push((version, EndpointState::Serving));
+        if let Some(history) = self.history.get_mut(server) {
+            history.push((version, EndpointState::Serving));
         }
         self.entries.push(ListEntry {
             name,
@@ -129,41 +135,41 @@
         version
     }
 
-    /// What the machine at this address speaks, from its newest line on.
+    /// Sets the dialect of a server in its newest entry.
     pub fn set_dialect(&mut self, server: usize, old: bool) {
-        if let Some(line) = self.entries.iter_mut().rev().find(|line| line.server == server) {
-            line.speaks_old = old;
+        if let Some(entry) = self.entries.iter_mut().rev().find(|entry| entry.server == server) {
+            entry.speaks_old = old;
         }
     }
 
-    /// Goes down, or comes back.
+    /// Starts or ends an outage.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
     }
 
-    /// Whether it says anything.
+    /// Returns whether the registry is down.
     pub fn is_down(&self) -> bool {
         self.down
     }
 
-    /// When an answer of so many lines is written; `None` if it turns the call away for want of room.
-    pub fn write_list(&mut self, now: Micros, lines: usize) -> Option<Micros> {
+    /// Returns when a list of this many entries is written; `None` if the call is rejected because the backlog is too long.
+    pub fn write_list(&mut self, now: Micros, entries: usize) -> Option<Micros> {
         let Some(rate) = self.lines_per_s else {
-            self.entries_written += lines as u64;
+            self.entries_written += entries as u64;
             return Some(now);
         };
-        let begin = self.busy_until.max(now);
-        if begin - now > MAX_BACKLOG {
+        let start = self.busy_until.max(now);
+        if start - now > MAX_BACKLOG {
             return None;
         }
-        self.entries_written += lines as u64;
-        // Even an empty answer is work.
-        self.busy_until = begin + (lines.max(1) as f64 / rate * 1e6) as Micros;
+        self.entries_written += entries as u64;
+        // Even an empty list takes the time of one entry.
+        self.busy_until = start + (entries.max(1) as f64 / rate * 1e6) as Micros;
         Some(self.busy_until)
     }
 }
 
-/// The building in which a server stands: they are filled one after the other.
+/// Returns the building of a server. Servers are assigned to buildings in consecutive groups.
 pub fn building(server: usize, servers: usize, buildings: usize) -> u32 {
     (server / servers.div_ceil(buildings).max(1)) as u32
 }
--- a/crates/lab/src/registry/tests.rs
+++ b/crates/lab/src/registry/tests.rs
@@ -1,14 +1,17 @@
 use super::*;
 
 #[test]
-fn lists_have_versions_and_a_replacement_has_a_name_of_its_own() {
+fn changes_have_versions_and_a_replacement_gets_a_new_name() {
     let mut registry = Registry::new(4, 2, None);
-    assert_eq!(registry.entries_since(None).iter().map(|l| l.building).collect::<Vec<_>>(), [0, 0, 1, 1]);
+    assert_eq!(
+        registry.entries_since(None).iter().map(|entry| entry.building).collect::<Vec<_>>(),
+        [0, 0, 1, 1]
+    );
     assert_eq!(registry.set(1, EndpointState::Draining, None), 2);
     assert_eq!(registry.replace(1, 77), 3);
     let changed = registry.entries_since(Some(2));
     assert_eq!(
-        changed.iter().map(|l| (l.name.as_str(), l.state)).collect::<Vec<_>>(),
+        changed.iter().map(|entry| (entry.name.as_str(), entry.state)).collect::<Vec<_>>(),
         [("s1", EndpointState::Removed), ("s1-3", EndpointState::Serving)]
     );
     assert_eq!((registry.entries_since(None).len(), registry.entries_since(Some(3)).len()), (4, 0));
@@ -22,7 +25,7 @@
 }
 
 #[test]
-fn it_writes_so_many_lines_a_second_and_turns_floods_away() {
+fn the_write_rate_is_limited_and_a_long_backlog_rejects_calls() {
     let mut registry = Registry::new(4, 1, Some(100.0));
     assert_eq!(registry.write_list(0, 10), Some(100_000));
     assert_eq!(registry.write_list(0, 10), Some(200_000));
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -86,12 +86,12 @@
 }
 
 /// Executes the runs. The record has them in the given order, without those that were not started.
-pub fn run_all(runs_to_execute: &[PlannedRun], options: &RunOptions) -> Result<Record, String> {
-    let finished: Mutex<Vec<Option<Run>>> = Mutex::new(vec![None; runs_to_execute.len()]);
+pub fn run_all(planned_runs: &[PlannedRun], options: &RunOptions) -> Result<Record, String> {
+    let finished: Mutex<Vec<Option<Run>>> = Mutex::new(vec![None; planned_runs.len()]);
     let record = |complete: bool| {
         let finished = finished.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let runs: Vec<Run> = finished.iter().flatten().cloned().collect();
-        let complete = complete && runs.len() == runs_to_execute.len() && runs.iter().all(|run| run.complete);
+        let complete = complete && runs.len() == planned_runs.len() && runs.iter().all(|run| run.complete);
         Record { format: FORMAT, complete, runs }
     };
     // Serializes the writers of the file.
@@ -102,17 +102,17 @@
         options.out.as_ref().map_or(Ok(()), |out| record(false).write(out))
     };
     let measures_memory =
-        runs_to_execute.iter().any(|planned| planned.scenario.requirements.memory_growth.is_some());
+        planned_runs.iter().any(|planned| planned.scenario.requirements.memory_growth.is_some());
     match options.mode {
         Mode::Real if measures_memory => {
             return Err("hold.memory_growth: memory growth is only measured in simulated time".into());
         }
-        Mode::Real if runs_to_execute.iter().any(|planned| planned.scenario.dialects.is_some()) => {
+        Mode::Real if planned_runs.iter().any(|planned| planned.scenario.dialects.is_some()) => {
             return Err("dialects: mixed dialects are only supported in simulated time".into());
         }
         Mode::Real => {
             let program = agent_program(options.agent.as_deref())?;
-            for (index, planned) in runs_to_execute.iter().enumerate() {
+            for (index, planned) in planned_runs.iter().enumerate() {
                 if INTERRUPTED.load(Ordering::Relaxed) {
                     break;
                 }
@@ -132,18 +132,18 @@
             }
         }
         Mode::Virtual => {
-            let bar = bar(runs_to_execute.iter().map(|planned| planned.scenario.duration / 1000).sum());
+            let bar = bar(planned_runs.iter().map(|planned| planned.scenario.duration / 1000).sum());
             let next = AtomicUsize::new(0);
             let failed: Mutex<Option<String>> = Mutex::new(None);
             std::thread::scope(|scope| {
                 // Memory is measured for the whole process.
                 let threads =
-                    if measures_memory { 1 } else { options.threads.clamp(1, runs_to_execute.len().max(1)) };
+                    if measures_memory { 1 } else { options.threads.clamp(1, planned_runs.len().max(1)) };
                 for _ in 0..threads {
                     scope.spawn(|| loop {
                         let index = next.fetch_add(1, Ordering::Relaxed);
                         let Some(planned) =
-                            runs_to_execute.get(index).filter(|_| !INTERRUPTED.load(Ordering::Relaxed))
+                            planned_runs.get(index).filter(|_| !INTERRUPTED.load(Ordering::Relaxed))
                         else {
                             return;
                         };
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenario files: a fleet, its agents and clients, a timeline of faults, and what must hold. Strict; every fault of a file
-//! is told with its place.
+//! Scenario files: a fleet, its agents and clients, a timeline of events, and requirements. Unknown keys are faults, and every
+//! fault of a file is reported with its position.
 
 use crate::checker::{RepeatEffect, Requirements};
 use crate::messages::MessageCorpus;
@@ -13,194 +13,194 @@
 use std::ops::Range;
 use toml::de::DeValue;
 
-/// A run, but for its seed.
+/// The description of a run, without its seed.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// How long clients send.
+    /// How long clients send requests.
     pub duration: Micros,
-    /// How it is played unless the command line says otherwise.
+    /// The default mode, which the command line can override.
     pub mode: Mode,
     /// The servers.
     pub fleet: Fleet,
-    /// Who says which servers there are.
+    /// The registry of servers.
     pub registry: Registry,
-    /// How many agents there are.
+    /// The number of agents.
     pub agents: usize,
-    /// A planted fault: agents keep so many bytes of each attempt for ever.
+    /// An injected bug: agents leak this many bytes for each attempt.
     pub leak_bytes: usize,
-    /// Both dialects are spoken.
+    /// The mix of dialects, if both are in use.
     pub dialects: Option<MixedDialects>,
-    /// What each module is told.
+    /// The settings of the decision modules.
     pub settings: Settings,
-    /// Who asks.
+    /// The clients.
     pub clients: Clients,
     /// The classes, in the order of the settings.
     pub classes: Vec<ClassMix>,
-    /// The tenants' names, and the parts of all requests that each sends; empty if there are none.
+    /// The names of the tenants and their shares of all requests; empty if there are none.
     pub tenants: Vec<(String, f64)>,
-    /// What happens, in order.
+    /// The events, in order of time.
     pub events: Vec<Event>,
-    /// What must hold beside the rules.
+    /// The requirements in addition to the rules.
     pub requirements: Requirements,
 }
 
-/// The servers, all of one kind.
+/// The servers, all with the same specification.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    /// How many.
+    /// The number of servers.
     pub servers: usize,
-    /// In so many buildings, one after the other; the servers of one drop each other's repeats.
+    /// The number of buildings. Servers are assigned in consecutive groups; the servers of a building share deduplication memory.
     pub buildings: usize,
-    /// What each is made of.
+    /// The specification of each server.
     pub server_spec: ServerSpec,
-    /// One way between an agent and a server.
+    /// The one-way network delay between an agent and a server.
     pub one_way_delay: Micros,
-    /// This share of them works at this multiple of their kind's speed.
+    /// The share of slow servers, and their speed as a multiple of the specified speed.
     pub slow: (f64, f64),
-    /// Each of them, this share of the time, works at this multiple of its speed.
+    /// The share of the time in which each server is slowed down by a noisy neighbor, and its speed factor in that time.
     pub noisy: (f64, f64),
 }
 
-/// Discovery.
+/// The registry that agents discover servers from.
 #[derive(Debug, Clone)]
 pub struct Registry {
-    /// Agents hear of a change so late.
+    /// The mean delay with which agents learn of a change.
     pub notification_delay: Micros,
-    /// Lines that it writes in a second, to all agents together; no bound if none.
+    /// The number of list entries that it can write per second to all agents together; `None` for no limit.
     pub lines_per_s: Option<f64>,
 }
 
-/// Who asks, and how.
+/// The behavior of clients.
 #[derive(Debug, Clone)]
 pub struct Clients {
-    /// Requests a second, of all clients together.
+    /// Requests per second of all clients together.
     pub rate: f64,
-    /// The rate swings by this share of itself
+    /// The amplitude of the periodic change of the rate, as a share of the rate.
     pub wave: f64,
-    /// in this time.
+    /// The period of that change.
     pub wave_period: Micros,
-    /// From when to when the rate is this multiple.
+    /// Intervals in which the rate is multiplied by a factor.
     pub surges: Vec<(Range<Micros>, f64)>,
-    /// From when to when so many come beside the others.
+    /// Intervals in which this many additional requests are sent.
     pub herds: Vec<(Range<Micros>, usize)>,
-    /// How often a client tries at most.
+    /// The maximum number of attempts of a client at each call.
     pub max_attempts: u32,
-    /// Its pause before it tries again; it doubles each time.
+    /// The delay before the first retry; it doubles with each retry.
     pub backoff: Micros,
-    /// It waits as long as it is advised to.
+    /// Whether clients honor Retry-After.
     pub honors_retry_after: bool,
-    /// This share of the tries is given up early.
+    /// The share of calls whose attempts the client cancels before the deadline.
     pub early_cancel_share: f64,
 }
 
-/// Who speaks what, where both dialects are spoken.
+/// Which servers and clients use which dialect.
 #[derive(Debug, Clone)]
 pub struct MixedDialects {
-    /// So many servers, the first ones, speak the old one at the start.
+    /// The number of servers, counted from the first, that start with the old dialect.
     pub old_servers: usize,
-    /// The share of clients that speak it.
+    /// The share of clients with the old dialect.
     pub old_clients: f64,
-    /// The share of new clients that make keys of their own, which old servers do not know.
+    /// The share of new clients that use their own idempotency keys, which old servers cannot derive.
     pub own_keys: f64,
-    /// A planted fault of the agents' translation.
+    /// An injected bug of the translation.
     pub bug: TranslationBug,
 }
 
-/// How agents are made to translate wrongly, to see that it is noticed.
+/// An injected bug of the translation, to test that the checker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TranslationBug {
-    /// Not at all.
+    /// No bug.
     Absent,
-    /// New servers are told another key than old ones know.
+    /// New servers get a key that differs from the one that old servers derive.
     WrongKeys,
-    /// One digit of what is translated is another.
+    /// One digit of a translated request is wrong.
     WrongFields,
 }
 
-/// A class as clients send it.
+/// The requests of a class.
 #[derive(Debug, Clone)]
 pub struct ClassMix {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its part of all requests, among the parts of all classes.
+    /// Its weight in the mix of all classes.
     pub share: f64,
-    /// The mean of its work.
+    /// The mean work of a request.
     pub work: Micros,
-    /// How unequal its work is: 0 for the same each time.
+    /// The sigma of the log-normal distribution of the work; 0 for constant work.
     pub work_spread: f64,
-    /// The work has a heavy tail instead: the exponent of a Pareto distribution.
+    /// If present, the work has a Pareto distribution with this exponent instead.
     pub tail_exponent: Option<f64>,
-    /// Clients tell how much work it is, more or less.
+    /// Whether clients send an approximate cost hint.
     pub sends_cost_hints: bool,
-    /// What a repeat would do.
+    /// The effect of executing a request again.
     pub repeat_effect: RepeatEffect,
-    /// An answer within this is worth all.
+    /// A response within this time has full weight in the service.
     pub latency_objective: Micros,
-    /// How long its clients wait.
+    /// How long clients wait for a response.
     pub deadline: Micros,
 }
 
-/// A fault, or its end.
+/// A fault or another event, or the end of a fault.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
-    /// When.
+    /// When it happens.
     pub at: Micros,
-    /// What.
+    /// What happens.
     pub kind: EventKind,
-    /// The servers or agents that it happens to, from the first to before the last; none for discovery.
+    /// The indexes of the affected servers or agents; empty for the registry.
     pub targets: Range<usize>,
 }
 
-/// What can happen.
+/// The kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EventKind {
-    /// Servers die with all that they hold; the list says that they have left.
+    /// Servers are killed and removed from the endpoint list.
     Kill,
-    /// Servers die, and nobody says so.
+    /// Servers are killed but stay in the endpoint list.
     Crash,
-    /// Servers start, cold, in the list again.
+    /// Servers start cold and are in the endpoint list again.
     Start,
-    /// Servers die, and others start cold at their addresses, under names of their own.
+    /// Servers are killed, and replacements with new names start cold at their addresses.
     Replace,
-    /// The same, and the others speak the new dialect.
+    /// Like `Replace`; the replacements use the new dialect.
     ReplaceWithNewDialect,
-    /// The same, and the others speak the old one.
+    /// Like `Replace`; the replacements use the old dialect.
     ReplaceWithOldDialect,
-    /// Servers start again under their names, cold, in the other dialect.
+    /// Servers restart cold under the same names with the other dialect.
     SwitchDialect,
-    /// The list says that they drain.
+    /// Servers are marked as draining in the endpoint list.
     Drain,
-    /// They are cut off, and nobody says so.
+    /// Servers become unreachable but stay in the endpoint list.
     Isolate,
-    /// They can be reached again.
+    /// Servers become reachable again.
     Reconnect,
-    /// They work at this multiple of their speed.
+    /// Servers work at this multiple of the specified speed.
     SetSpeed(f64),
-    /// They stand still, though they take requests.
+    /// Servers stop executing but still accept requests.
     Stall,
-    /// They go on.
+    /// Servers resume execution.
     Resume,
-    /// They spoil this share of their answers.
+    /// Servers respond with an error to this share of the requests that they execute.
     FailResponses(f64),
-    /// Discovery says nothing.
+    /// The registry goes down.
     RegistryDown,
-    /// It speaks again.
+    /// The registry is available again.
     RegistryUp,
-    /// Agents are killed with all that they hold.
+    /// Agents are killed with all their requests.
     KillAgent,
-    /// Agents are asked to stop, and finish what they hold.
+    /// Agents shut down gracefully.
     StopAgent,
-    /// Agents start from nothing; what they know may be old.
+    /// Agents start with the endpoint list of their previous process, which may be outdated.
     StartAgent,
-    /// A new process takes over from the one there is.
+    /// A successor process takes over in a hot restart.
     UpgradeAgent,
-    /// Agents read their settings again.
+    /// Agents reload their settings.
     ReloadAgent,
 }
 
-/// Names, meaning, and whether it happens to servers (`s`), agents (`a`) or discovery (`-`).
+/// The name of each kind, and whether it affects servers (`s`), agents (`a`) or the registry (`-`).
 const KINDS: [(&str, EventKind, char); 21] = [
     ("kill", EventKind::Kill, 's'),
     ("crash", EventKind::Crash, 's'),
@@ -226,7 +226,7 @@
 ];
 
 impl EventKind {
-    /// Servers begin another life.
+    /// Returns whether servers start with this event.
     pub fn starts_servers(self) -> bool {
         matches!(
             self,
@@ -240,11 +240,11 @@
 }
 
 impl Event {
-    /// As a mark on a plot.
+    /// Returns the label of the event in plots.
     pub fn label(&self) -> String {
         let name = KINDS
             .iter()
-            .find(|(_, what, _)| std::mem::discriminant(what) == std::mem::discriminant(&self.kind))
+            .find(|(_, kind, _)| std::mem::discriminant(kind) == std::mem::discriminant(&self.kind))
             .map_or("fault", |(name, ..)| name);
         match self.targets.len() {
             0 => name.to_string(),
@@ -264,13 +264,13 @@
     scenario.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
-const MS: &str = "milliseconds above 0";
+const POSITIVE_MS: &str = "milliseconds above 0";
 
-fn ms(value: &DeValue<'_>) -> Option<Micros> {
+fn positive_ms(value: &DeValue<'_>) -> Option<Micros> {
     number(value).filter(|n| *n > 0.0 && *n <= 1e9).map(|n| (n * 1e3) as Micros)
 }
 
-fn ms_or_none(value: &DeValue<'_>) -> Option<Micros> {
+fn nonnegative_ms(value: &DeValue<'_>) -> Option<Micros> {
     number(value).filter(|n| (0.0..=1e9).contains(n)).map(|n| (n * 1e3) as Micros)
 }
 
@@ -292,7 +292,7 @@
 
 fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<Scenario> {
     let name = reader.get(&mut root, "name", Presence::Required, "a name", text);
-    let length = reader.get(&mut root, "length_ms", Presence::Required, MS, ms);
+    let length = reader.get(&mut root, "length_ms", Presence::Required, POSITIVE_MS, positive_ms);
     let mode =
         reader.get(&mut root, "mode", Presence::Default(Mode::Virtual), "\"virtual\" or \"real\"", |v| {
             match text(v)?.as_str() {
@@ -304,30 +304,34 @@
     let fleet = fleet(reader, &mut root);
 
     let mut section = reader.section(&mut root, "registry");
-    let late = reader.get(&mut section, "late_ms", Presence::Default(200_000), "milliseconds", ms_or_none);
+    let late =
+        reader.get(&mut section, "late_ms", Presence::Default(200_000), "milliseconds", nonnegative_ms);
     let lines = reader.get(&mut section, "lines_per_s", Presence::Optional, "lines a second", positive);
     reader.finish(section);
 
     let mut agents = reader.section(&mut root, "agents");
     let number = reader.get(&mut agents, "count", Presence::Required, "how many agents", count);
-    let told = reader.get(&mut agents, "balancers", Presence::Optional, "how many agents are told", count);
+    let balancers =
+        reader.get(&mut agents, "balancers", Presence::Optional, "how many agents are told", count);
     let attempts = reader.get(&mut agents, "max_attempts", Presence::Default(3), "how many attempts", count);
-    let copies = reader.get(&mut agents, "second_copies", Presence::Default(true), "true or false", boolean);
+    let hedging = reader.get(&mut agents, "second_copies", Presence::Default(true), "true or false", boolean);
     let cancel = reader.get(&mut agents, "cancel", Presence::Default(true), "true or false", boolean);
     let probes = reader.get(&mut agents, "probes", Presence::Default(true), "true or false", boolean);
     let reports = reader.get(&mut agents, "load_reports", Presence::Default(false), "true or false", boolean);
-    let advises = reader.get(&mut agents, "retry_after", Presence::Default(true), "true or false", boolean);
+    let retry_after =
+        reader.get(&mut agents, "retry_after", Presence::Default(true), "true or false", boolean);
     let leak = reader.get(&mut agents, "leak_bytes", Presence::Default(0), "bytes", count);
-    let grace = reader.get(&mut agents, "drain_grace_ms", Presence::Default(500_000), MS, ms);
+    let grace =
+        reader.get(&mut agents, "drain_grace_ms", Presence::Default(500_000), POSITIVE_MS, positive_ms);
     reader.finish(agents);
 
     let clients = clients(reader, &mut root);
     let mixed = mixed(reader, &mut root, fleet.as_ref().map_or(0, |fleet| fleet.servers));
-    let holds = holds(reader, &mut root);
+    let requirements = requirements(reader, &mut root);
     let tenants = tenants(reader, &mut root);
     let classes = classes(reader, &mut root);
     if let (Some(Some(_)), Some(classes)) = (&mixed, &classes) {
-        // Without this such a class would be played as if all spoke alike, and nothing of it compared.
+        // Otherwise the class would run as if there were one dialect, without any check of its messages.
         if let Err(name) = MessageCorpus::new(classes.iter().map(|(mix, _)| mix.name.as_str())) {
             reader.add_fault(&root, "dialects", format!("class {name} has no worked mapping"));
         }
@@ -335,21 +339,21 @@
     let servers = fleet.as_ref().map_or(usize::MAX, |fleet| fleet.servers);
     let events = events(reader, &mut root, servers, number.unwrap_or(usize::MAX), length.unwrap_or(0));
     reader.finish(root);
-    let (mixes, terms): (Vec<ClassMix>, Vec<Class>) = classes?.into_iter().unzip();
+    let (mixes, class_settings): (Vec<ClassMix>, Vec<Class>) = classes?.into_iter().unzip();
     let (mut fleet, tenants) = (fleet?, tenants?);
     let parts: f64 = mixes.iter().map(|mix| mix.share).sum();
     fleet.server_spec.mean_work = mixes.iter().map(|mix| mix.share / parts * mix.work as f64).sum();
     let settings = Settings {
-        balancers: told.or(number)? as u32,
-        classes: terms,
+        balancers: balancers.or(number)? as u32,
+        classes: class_settings,
         tenants: tenants.iter().map(|(_, tenant)| tenant.clone()).collect(),
         max_attempts: attempts? as u32,
-        hedging: copies?,
+        hedging: hedging?,
         cancel: cancel?,
         health_checks: probes?,
         report_source: if reports? { ReportSource::Responses } else { ReportSource::None },
         report_fields: vec![ReportField::InFlight, ReportField::Queue, ReportField::Utilisation],
-        retry_after: advises?,
+        retry_after: retry_after?,
         drain_grace: Span(grace?),
         initial_capacity_share: fleet.server_spec.cold_share,
         warm_up_time: Span(fleet.server_spec.warm_up_time),
@@ -371,7 +375,7 @@
         classes: mixes,
         tenants: tenants.into_iter().map(|(name, tenant)| (name, tenant.quota_fraction)).collect(),
         events: events?,
-        requirements: holds,
+        requirements,
     })
 }
 
@@ -384,15 +388,19 @@
     let room = reader.get(&mut fleet, "room", Presence::Default(20), "how many may wait", count);
     let crowding = reader.get(&mut fleet, "crowding", Presence::Default(0.0), "a factor", factor);
     let connections = reader.get(&mut fleet, "connections", Presence::Default(10_000), "how many", count);
-    let connect = reader.get(&mut fleet, "connect_work_ms", Presence::Default(0), "milliseconds", ms_or_none);
+    let connect =
+        reader.get(&mut fleet, "connect_work_ms", Presence::Default(0), "milliseconds", nonnegative_ms);
     let cancels = reader.get(&mut fleet, "cancels", Presence::Default(true), "true or false", boolean);
-    let late = reader.get(&mut fleet, "reports_late_ms", Presence::Default(0), "milliseconds", ms_or_none);
+    let late =
+        reader.get(&mut fleet, "reports_late_ms", Presence::Default(0), "milliseconds", nonnegative_ms);
     let cold_share = reader.get(&mut fleet, "cold_share", Presence::Default(0.2), "0 to 1", share);
-    let warm_after = reader.get(&mut fleet, "warm_after_ms", Presence::Default(20_000_000), MS, ms);
-    let warm_work = reader.get(&mut fleet, "warm_work_ms", Presence::Optional, MS, ms);
+    let warm_after =
+        reader.get(&mut fleet, "warm_after_ms", Presence::Default(20_000_000), POSITIVE_MS, positive_ms);
+    let warm_work = reader.get(&mut fleet, "warm_work_ms", Presence::Optional, POSITIVE_MS, positive_ms);
     let bears_chance =
         reader.get(&mut fleet, "bears_chance", Presence::Default(false), "true or false", boolean);
-    let one_way_delay = reader.get(&mut fleet, "one_way_ms", Presence::Default(500), MS, ms);
+    let one_way_delay =
+        reader.get(&mut fleet, "one_way_ms", Presence::Default(500), POSITIVE_MS, positive_ms);
     let mut part = |key, absent, wanted, read: fn(&DeValue<'_>) -> Option<f64>| {
         reader.get(&mut fleet, key, Presence::Default(absent), wanted, read)
     };
@@ -431,21 +439,23 @@
     let mut section = reader.section(root, "clients");
     let rate = reader.get(&mut section, "rate_per_s", Presence::Required, "requests a second", positive);
     let wave = reader.get(&mut section, "wave", Presence::Default(0.0), "0 to 1", share);
-    let wave_period = reader.get(&mut section, "wave_period_ms", Presence::Default(20_000_000), MS, ms);
+    let wave_period =
+        reader.get(&mut section, "wave_period_ms", Presence::Default(20_000_000), POSITIVE_MS, positive_ms);
     let tries = reader.get(&mut section, "tries", Presence::Default(1), "how many tries", count);
-    let backoff = reader.get(&mut section, "backoff_ms", Presence::Default(100_000), MS, ms);
+    let backoff =
+        reader.get(&mut section, "backoff_ms", Presence::Default(100_000), POSITIVE_MS, positive_ms);
     let honors_retry_after =
         reader.get(&mut section, "heeds_waits", Presence::Default(true), "true or false", boolean);
     let impatient = reader.get(&mut section, "impatient", Presence::Default(0.0), "0 to 1", share);
     let mut spans = |key, size: &'static str| {
         let mut spans = Some(Vec::new());
         for mut section in reader.sections(&mut section, key) {
-            let from = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", ms_or_none);
-            let long = reader.get(&mut section, "for_ms", Presence::Required, MS, ms);
+            let from = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", nonnegative_ms);
+            let length = reader.get(&mut section, "for_ms", Presence::Required, POSITIVE_MS, positive_ms);
             let size = reader.get(&mut section, size, Presence::Required, "a number above 0", positive);
             reader.finish(section);
-            spans = spans.zip(from.zip(long).zip(size)).map(|(mut spans, ((from, long), size))| {
-                spans.push((from..from + long, size));
+            spans = spans.zip(from.zip(length).zip(size)).map(|(mut spans, ((from, length), size))| {
+                spans.push((from..from + length, size));
                 spans
             });
         }
@@ -466,25 +476,17 @@
     })
 }
 
-fn holds<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Requirements {
+fn requirements<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Requirements {
     let mut section = reader.section(root, "hold");
-    let mut least = |key| reader.get(&mut section, key, Presence::Optional, "0 to 1", share);
-    let (whole, worst_window) = (least("whole"), least("worst_window"));
-    let (worst_class, waits_kept) = (least("worst_class"), least("waits_kept"));
+    let mut minimum = |key| reader.get(&mut section, key, Presence::Optional, "0 to 1", share);
+    let (overall, worst_window) = (minimum("whole"), minimum("worst_window"));
+    let (worst_class, waits_kept) = (minimum("worst_class"), minimum("waits_kept"));
     let connections =
         reader.get(&mut section, "connections_per_server", Presence::Optional, "how many", count);
     let memory_mb = reader.get(&mut section, "memory_mb", Presence::Optional, "megabytes", positive);
     let memory_growth = reader.get(&mut section, "memory_growth", Presence::Optional, "0 to 1", share);
     reader.finish(section);
-    Requirements {
-        overall: whole,
-        worst_window,
-        worst_class,
-        waits_kept,
-        connections,
-        memory_mb,
-        memory_growth,
-    }
+    Requirements { overall, worst_window, worst_class, waits_kept, connections, memory_mb, memory_growth }
 }
 
 fn mixed<'t>(
@@ -499,9 +501,9 @@
         reader.get(&mut section, "old_servers", Presence::Optional, "so many of the servers", up_to);
     let old_clients = reader.get(&mut section, "old_clients", Presence::Default(0.5), "0 to 1", share);
     let own_keys = reader.get(&mut section, "own_keys", Presence::Default(0.0), "0 to 1", share);
-    let nothing = Presence::Default(TranslationBug::Absent);
+    let no_bug = Presence::Default(TranslationBug::Absent);
     let planted =
-        reader.get(&mut section, "planted", nothing, "\"keys\" or \"fields\"", |v| match text(v)?.as_str() {
+        reader.get(&mut section, "planted", no_bug, "\"keys\" or \"fields\"", |v| match text(v)?.as_str() {
             "keys" => Some(TranslationBug::WrongKeys),
             "fields" => Some(TranslationBug::WrongFields),
             _ => None,
@@ -549,9 +551,9 @@
 }
 
 fn class<'t>(reader: &mut Reader<'t>, section: &mut Section<'t>) -> Option<(ClassMix, Class)> {
-    let plain =
+    let valid_name =
         |v: &DeValue<'_>| text(v).filter(|n| n.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-'));
-    let name = reader.get(section, "name", Presence::Required, "a name of letters, digits and -", plain);
+    let name = reader.get(section, "name", Presence::Required, "a name of letters, digits and -", valid_name);
     let wanted = "\"idempotent\", \"at_most_once\" or \"deduplicated\"";
     let effect = reader.get(section, "effect", Presence::Required, wanted, |v| match text(v)?.as_str() {
         "idempotent" => Some(0),
@@ -559,7 +561,8 @@
         "deduplicated" => Some(2),
         _ => None,
     });
-    let window = reader.get(section, "dedup_window_ms", Presence::Default(60_000_000), MS, ms);
+    let window =
+        reader.get(section, "dedup_window_ms", Presence::Default(60_000_000), POSITIVE_MS, positive_ms);
     let group = reader.get(
         section,
         "dedup_group",
@@ -571,8 +574,8 @@
             _ => None,
         },
     );
-    let part = reader.get(section, "share", Presence::Default(1.0), "a part above 0", positive);
-    let work = reader.get(section, "work_ms", Presence::Required, MS, ms);
+    let weight = reader.get(section, "share", Presence::Default(1.0), "a part above 0", positive);
+    let work = reader.get(section, "work_ms", Presence::Required, POSITIVE_MS, positive_ms);
     let spread = reader.get(section, "work_spread", Presence::Default(0.5), "0 to 3", |v| {
         number(v).filter(|n| (0.0..=3.0).contains(n))
     });
@@ -580,8 +583,8 @@
         number(v).filter(|n| *n > 1.0 && *n <= 10.0)
     });
     let hints = reader.get(section, "hints", Presence::Default(false), "true or false", boolean);
-    let aim = reader.get(section, "aim_ms", Presence::Required, MS, ms);
-    let deadline = reader.get(section, "deadline_ms", Presence::Required, MS, ms);
+    let aim = reader.get(section, "aim_ms", Presence::Required, POSITIVE_MS, positive_ms);
+    let deadline = reader.get(section, "deadline_ms", Presence::Required, POSITIVE_MS, positive_ms);
     let (window, group) = (window?, group?);
     let (effect, repeat_effect) = match effect? {
         0 => (Effect::Idempotent, RepeatEffect::Harmless),
@@ -592,14 +595,14 @@
         ),
     };
     let (aim, deadline) = (aim?, deadline?);
-    let terms = Class {
+    let class_settings = Class {
         effect,
         latency_objective: Span(aim),
         deadline: Span(deadline),
         late_weight_share: 0.5,
         ..Class::default()
     };
-    let (name, share, work, spread, hints) = (name?, part?, work?, spread?, hints?);
+    let (name, share, work, spread, hints) = (name?, weight?, work?, spread?, hints?);
     Some((
         ClassMix {
             name,
@@ -612,7 +615,7 @@
             latency_objective: aim,
             deadline,
         },
-        terms,
+        class_settings,
     ))
 }
 
@@ -627,60 +630,71 @@
     let wanted = format!("one of {}", names.join(", "));
     let mut events = Some(Vec::new());
     for mut section in reader.sections(root, "fault") {
-        let at = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", ms_or_none);
-        let pace = reader.get(&mut section, "pace", Presence::Optional, "a factor above 0", positive);
-        let spoilt = reader.get(&mut section, "share", Presence::Optional, "0 to 1", share);
+        let at = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", nonnegative_ms);
+        let speed_factor = reader.get(&mut section, "pace", Presence::Optional, "a factor above 0", positive);
+        let error_share = reader.get(&mut section, "share", Presence::Optional, "0 to 1", share);
         let kind = reader.get(&mut section, "what", Presence::Required, &wanted, |v| {
             let name = text(v)?;
-            KINDS.iter().find(|(known, ..)| *known == name).map(|(_, what, to)| (*what, *to))
+            KINDS.iter().find(|(known, ..)| *known == name).map(|(_, kind, target)| (*kind, *target))
         });
-        let index = |most: usize| {
-            move |v: &DeValue<'_>| integer(v).and_then(|n| usize::try_from(n).ok()).filter(|n| *n < most)
+        let index_below = |limit: usize| {
+            move |v: &DeValue<'_>| integer(v).and_then(|n| usize::try_from(n).ok()).filter(|n| *n < limit)
         };
-        let (on, to, most, wanted) = match kind.map_or('-', |(_, to)| to) {
+        let (first_key, last_key, target_count, expected) = match kind.map_or('-', |(_, target)| target) {
             's' => ("server", "to_server", servers, "a server, counted from 0"),
             'a' => ("agent", "to_agent", agents, "an agent, counted from 0"),
             _ => ("server", "to_server", 0, "no server"),
         };
-        let at_one = kind.is_some_and(|(_, to)| to != '-');
-        let first = match at_one {
-            true => reader.get(&mut section, on, Presence::Required, wanted, index(most)),
+        let has_targets = kind.is_some_and(|(_, target)| target != '-');
+        let first = match has_targets {
+            true => {
+                reader.get(&mut section, first_key, Presence::Required, expected, index_below(target_count))
+            }
             false => Some(0),
         };
-        let last = match at_one {
-            true => reader.get(&mut section, to, Presence::Optional, wanted, index(most)),
+        let last = match has_targets {
+            true => {
+                reader.get(&mut section, last_key, Presence::Optional, expected, index_below(target_count))
+            }
             false => None,
         };
-        // One after the other: the same again, so much later, for the next ones.
+        // Repeats the event at this interval, each time for the next targets.
         let times = reader.get(&mut section, "times", Presence::Default(1), "how many times", count);
-        let every = reader.get(&mut section, "every_ms", Presence::Default(1_000_000), MS, ms);
-        // Around and around instead, as long as the run is.
+        let every =
+            reader.get(&mut section, "every_ms", Presence::Default(1_000_000), POSITIVE_MS, positive_ms);
+        // Continues with the first targets after the last ones, for the whole run.
         let wraps = reader.get(&mut section, "wraps", Presence::Default(false), "true or false", boolean);
-        if kind.is_some_and(|(what, _)| matches!(what, EventKind::SetSpeed(_))) && pace.is_none() {
+        if kind.is_some_and(|(kind, _)| matches!(kind, EventKind::SetSpeed(_))) && speed_factor.is_none() {
             reader.add_fault(&section, "pace", "found nothing; wanted a factor above 0".into());
         }
-        if kind.is_some_and(|(what, _)| matches!(what, EventKind::FailResponses(_))) && spoilt.is_none() {
+        if kind.is_some_and(|(kind, _)| matches!(kind, EventKind::FailResponses(_))) && error_share.is_none()
+        {
             reader.add_fault(&section, "share", "found nothing; wanted 0 to 1".into());
         }
         let width = last.zip(first).map_or(1, |(last, first)| last.max(first) - first + 1);
-        let beyond = |(times, first): (usize, usize)| at_one && first + times.saturating_mul(width) > most;
-        if wraps == Some(false) && times.zip(first).is_some_and(beyond) {
-            reader.add_fault(&section, "times", format!("goes beyond the last of {most}"));
+        let exceeds_targets = |(times, first): (usize, usize)| {
+            has_targets && first + times.saturating_mul(width) > target_count
+        };
+        if wraps == Some(false) && times.zip(first).is_some_and(exceeds_targets) {
+            reader.add_fault(&section, "times", format!("goes beyond the last of {target_count}"));
         }
         reader.finish(section);
-        let what = kind.map(|(what, _)| match what {
-            EventKind::SetSpeed(_) => EventKind::SetSpeed(pace.unwrap_or(1.0)),
-            EventKind::FailResponses(_) => EventKind::FailResponses(spoilt.unwrap_or(0.0)),
+        let kind = kind.map(|(kind, _)| match kind {
+            EventKind::SetSpeed(_) => EventKind::SetSpeed(speed_factor.unwrap_or(1.0)),
+            EventKind::FailResponses(_) => EventKind::FailResponses(error_share.unwrap_or(0.0)),
             other => other,
         });
-        let event = at.zip(what).zip(first).zip(times.zip(every).zip(wraps));
-        events = events.zip(event).map(|(mut events, (((at, what), first), ((times, every), wraps)))| {
+        let event = at.zip(kind).zip(first).zip(times.zip(every).zip(wraps));
+        events = events.zip(event).map(|(mut events, (((at, kind), first), ((times, every), wraps)))| {
             let times = if wraps { (length.saturating_sub(at) / every) as usize + 1 } else { times };
             events.extend((0..times).map(|n| {
-                let from =
-                    if wraps { (first + n * width) % (most + 1 - width).max(1) } else { first + n * width };
-                let whom = if at_one { from..from + width } else { 0..0 };
-                Event { at: at + n as Micros * every, kind: what, targets: whom }
+                let from = if wraps {
+                    (first + n * width) % (target_count + 1 - width).max(1)
+                } else {
+                    first + n * width
+                };
+                let targets = if has_targets { from..from + width } else { 0..0 };
+                Event { at: at + n as Micros * every, kind, targets }
             }));
             events
         });
--- a/crates/lab/tests/golden.rs
+++ b/crates/lab/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What the program writes for other programs and for people's scripts: its flags, the file of its runs, and its lines.
+//! Golden tests of the interfaces that other programs and scripts use: the flags, the file of runs and the printed lines.
 
 #[path = "../../agent/tests/support/command_line.rs"]
 mod command_line;
@@ -13,13 +13,17 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_heronhoist-lab");
 
-fn run(scenario: &str, more: &[&str]) -> Output {
+fn run(scenario: &str, arguments: &[&str]) -> Output {
     let file = format!("{}/../../scenarios/{scenario}.toml", env!("CARGO_MANIFEST_DIR"));
-    Command::new(PROGRAM).args(["run", &file, "--virtual"]).args(more).output().expect("it starts")
+    Command::new(PROGRAM)
+        .args(["run", &file, "--virtual"])
+        .args(arguments)
+        .output()
+        .expect("the program cannot be started")
 }
 
-/// Each path to a value and the value's kind, items of lists taken together.
-fn paths(at: &str, value: &Value, all: &mut BTreeSet<String>) {
+/// Collects the path and the type of each value; all items of a list share one path.
+fn collect_paths(path: &str, value: &Value, paths: &mut BTreeSet<String>) {
     let kind = match value {
         Value::Object(_) => "object",
         Value::Array(_) => "array",
@@ -28,83 +32,85 @@
         Value::Number(_) => "number",
         Value::String(_) => "string",
     };
-    all.insert(format!("{at} {kind}"));
+    paths.insert(format!("{path} {kind}"));
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(key, value)| paths(&format!("{at}.{key}"), value, all));
+            fields.iter().for_each(|(key, value)| collect_paths(&format!("{path}.{key}"), value, paths));
+        }
+        Value::Array(items) => {
+            items.iter().for_each(|value| collect_paths(&format!("{path}[]"), value, paths));
         }
-        Value::Array(items) => items.iter().for_each(|value| paths(&format!("{at}[]"), value, all)),
         _ => {}
     }
 }
 
-fn paths_of(text: &str) -> String {
+fn value_paths(text: &str) -> String {
     let value: Value = serde_json::from_str(text).expect("JSON");
-    let mut all = BTreeSet::new();
-    paths("", &value, &mut all);
-    all.into_iter().map(|path| path + "\n").collect()
+    let mut paths = BTreeSet::new();
+    collect_paths("", &value, &mut paths);
+    paths.into_iter().map(|path| path + "\n").collect()
 }
 
-/// Figures masked, since they change with each change of a decision; runs of blanks taken together.
-fn masked(text: &str) -> String {
-    let mut page = String::new();
+/// Masks numbers and digests, since any change of a decision changes them, and collapses runs of spaces.
+fn mask(text: &str) -> String {
+    let mut output = String::new();
     for line in text.lines() {
         let words = line.split_whitespace().map(|word| {
             let hex = word.trim_end_matches(':');
-            if hex.len() == 16 && hex.chars().all(|c| c.is_ascii_hexdigit()) {
+            if hex.len() == 16 && hex.chars().all(|character| character.is_ascii_hexdigit()) {
                 return word.replace(hex, "DIGEST");
             }
             let mut masked = String::new();
-            for c in word.chars() {
-                let digit = c.is_ascii_digit();
+            for character in word.chars() {
+                let digit = character.is_ascii_digit();
                 if !(digit && masked.ends_with('#')) {
-                    masked.push(if digit { '#' } else { c });
+                    masked.push(if digit { '#' } else { character });
                 }
             }
             masked
         });
-        page += &(words.collect::<Vec<_>>().join(" ") + "\n");
+        output += &(words.collect::<Vec<_>>().join(" ") + "\n");
     }
-    page
+    output
 }
 
 #[test]
-fn commands_and_flags_stay() {
+fn commands_and_flags_are_stable() {
     assert_golden("tests/golden/heronhoist-lab.flags", &command_line::of(PROGRAM, &[]));
 }
 
-/// A run that holds and one that breaks a rule; their keys, the kinds of their values, and the lines that are printed.
+/// Compares keys, value types and printed lines of a run that passes and of one that breaks a rule.
 #[test]
-fn the_file_of_the_runs_and_the_lines_stay() {
-    for (name, scenario, more) in [
+fn the_file_of_runs_and_the_printed_lines_are_stable() {
+    for (name, scenario, arguments) in [
         ("quiet", "quiet", &["--set", "length_ms=4000", "--all"][..]),
         ("herd", "herd", &["--policy", "random"][..]),
     ] {
         let out = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{name}.json"));
-        // What an earlier run has left must not stand for this one's.
+        // A file left by an earlier test run must not be taken for the result of this one.
         let _ = std::fs::remove_file(&out);
-        let ran = run(scenario, &[more, &["--out", &out.to_string_lossy()]].concat());
-        let text = std::fs::read_to_string(&out).expect("the file of the runs");
-        assert_golden(&format!("tests/golden/{name}.paths"), &paths_of(&text));
+        let result = run(scenario, &[arguments, &["--out", &out.to_string_lossy()]].concat());
+        let text = std::fs::read_to_string(&out).expect("the file of runs cannot be read");
+        assert_golden(&format!("tests/golden/{name}.paths"), &value_paths(&text));
         let folder = format!("{}/", env!("CARGO_TARGET_TMPDIR"));
-        let said = String::from_utf8(ran.stdout).expect("UTF-8").replace(&folder, "");
-        assert_golden(&format!("tests/golden/{name}.lines"), &masked(&said));
+        let output = String::from_utf8(result.stdout).expect("UTF-8").replace(&folder, "");
+        assert_golden(&format!("tests/golden/{name}.lines"), &mask(&output));
     }
 }
 
-/// Scenarios of council processes write no file; what they print is all that there is of them.
+/// Scenarios of coordinator processes write no file, so only the printed lines are compared.
 #[test]
-fn the_lines_of_council_scenarios_stay() {
+fn the_lines_of_council_scenarios_are_stable() {
     for name in ["cut-disk", "stopped-leader"] {
-        let ran = run(&format!("council/{name}"), &["--seeds", "1..2"]);
-        let said = String::from_utf8(ran.stdout).expect("UTF-8");
-        assert_golden(&format!("tests/golden/{name}.lines"), &masked(&said));
+        let result = run(&format!("council/{name}"), &["--seeds", "1..2"]);
+        let output = String::from_utf8(result.stdout).expect("UTF-8");
+        assert_golden(&format!("tests/golden/{name}.lines"), &mask(&output));
     }
 }
 
-/// A file of runs that was written before is read by the commands that take one.
+/// A file of runs written by an earlier version can still be read.
 #[test]
-fn a_file_of_runs_from_before_is_read() {
+fn a_file_of_runs_from_an_earlier_version_is_read() {
     let file = format!("{}/tests/golden/record.json", env!("CARGO_MANIFEST_DIR"));
     let compared = Command::new(PROGRAM).args(["compare", &file, &file]).output().expect("it starts");
     assert_eq!(compared.status.code(), Some(0), "{}", String::from_utf8_lossy(&compared.stderr));
