--- a/crates/agent/tests/loopback/idle_connections.rs
+++ b/crates/agent/tests/loopback/idle_connections.rs
@@ -186,8 +186,8 @@
     }
 }
 
-/// A request that was written to a connection that ends then may have run: it is retried where its class allows, on a new connection,
-/// and gets its one response in time.
+/// A request that is written to an idle connection just as that ends may have run: it is retried where its class allows, on a new
+/// connection, and gets its one response in time.
 #[test]
 fn a_request_that_crosses_the_end_of_an_idle_connection_may_have_run() {
     for how in ENDS {
--- a/crates/agent/tests/loopback/mixed.rs
+++ b/crates/agent/tests/loopback/mixed.rs
@@ -177,7 +177,7 @@
         "it ran at one of them at most"
     );
 
-    // A correction is: servers of both dialects recognize repetitions by the same key.
+    // A correction is sent again: servers of both dialects recognize repetitions by the same key.
     let (broken, new) = (RecordServer::new(|_| Action::RespondAndClose(String::new())), new_server());
     let (agent, _folder) = start("legacy", &[(&broken, OLD), (&new, NEW)]);
     let mut client = Client::connect(&agent);
--- a/crates/agent/tests/loopback/shutdown.rs
+++ b/crates/agent/tests/loopback/shutdown.rs
@@ -15,7 +15,7 @@
     assert_eq!(idle.exchange(&request("read", 9000)).status(), 200);
     let mut new = Client::connect(&agent);
     agent.terminate();
-    // Idle connections are closed once the listener is. The pause gives wrongly closed ones time to be closed too.
+    // Idle connections are closed once the listener is. The pause leaves time for the agent to close others by mistake.
     assert!(idle.read().is_none());
     std::thread::sleep(std::time::Duration::from_millis(100));
     assert!(std::net::TcpStream::connect(agent.address).is_err());
@@ -78,7 +78,7 @@
     assert_eq!(idle.exchange(&request("read", 1200)).status(), 200);
     agent.terminate();
     assert!(idle.read().is_none(), "idle connections are closed with the listener");
-    // Its server never responds, so its deadline ends later than the longest deadline counted from the signal.
+    // Its server never responds, so it ends at its deadline, which is later than the longest deadline counted from the signal.
     new.write(&request("once", 1200));
     assert!(new.read().is_some(), "its response is pending");
     last.write("");
