--- a/crates/lab/src/checker/tests.rs
+++ b/crates/lab/src/checker/tests.rs
@@ -58,9 +58,8 @@
         [Rule::OneFinalResponse]
     );
     assert_eq!(violations(|ledger| ledger.client_attempts[7].responses.clear()), [Rule::OneFinalResponse]);
-    let excused = |ledger: &mut Ledger| {
-        (ledger.client_attempts[7].responses.clear(), ledger.client_attempts[7].excused = true).1;
-    };
+    let excused =
+        |l: &mut Ledger| (l.client_attempts[7].responses.clear(), l.client_attempts[7].excused = true).1;
     assert_eq!(violations(excused), [], "its agent was killed");
     assert_eq!(violations(|ledger| ledger.calls[7].effects.push((9000, 1, 0))), [Rule::NoDuplicateEffect]);
     assert_eq!(
@@ -80,13 +79,10 @@
         "this agent received the list later"
     );
     assert_eq!(violations(|ledger| ledger.sends.push((540_000, 1, 0))), [], "within the grace period");
-    let used_again = |ledger: &mut Ledger| {
-        (ledger.sends.push((710_000, 1, 0)), ledger.unavailable[0].until = Some(700_000)).1;
-    };
+    let used_again =
+        |l: &mut Ledger| (l.sends.push((710_000, 1, 0)), l.unavailable[0].until = Some(700_000)).1;
     assert_eq!(violations(used_again), [], "the server may be used again");
-    let restarted = |ledger: &mut Ledger| {
-        (ledger.sends.push((710_000, 1, 0)), ledger.list_versions[0].push((700_000, 1))).1;
-    };
+    let restarted = |l: &mut Ledger| (l.sends.push((710_000, 1, 0)), l.list_versions[0].push((700_000, 1))).1;
     assert_eq!(violations(restarted), [], "a restarted agent knows only its old list");
     assert_eq!(violations(|ledger| ledger.cold_crashes = 1), [Rule::ColdStart]);
     assert_eq!(violations(|ledger| ledger.crashed_agents = 1), [Rule::Crash]);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -95,7 +95,7 @@
         sleep_until(due).await;
         number += 1;
         if pending.get() >= load.most {
-            *counts.borrow_mut().results.entry("not sent: over limit".into()).or_default() += 1;
+            *counts.borrow_mut().results.entry("not sent: too many".into()).or_default() += 1;
             continue;
         }
         pending.set(pending.get() + 1);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -90,7 +90,7 @@
     let rows = [
         ("agents, servers", format!("{}, {}", run.agents, run.servers)),
         (
-            "service: overall, worst 10 s, worst class, worst tenant",
+            "service: whole, worst 10 s, worst class, worst tenant",
             format!(
                 "{:.3}, {:.3}, {:.3}, {:.3}",
                 service.overall, service.worst_window, service.worst_class, service.worst_tenant
--- a/crates/lab/src/server_model/tests.rs
+++ b/crates/lab/src/server_model/tests.rs
@@ -133,7 +133,7 @@
             .find(|n| server.submit(*n, *n, 10_000, true) == Admission::Down)
             .expect("the server crashes")
     };
-    // Slightly more than 1 + 3 + 3, 9 + 9 + 3, 29.9 + 16.4 + 3, 30.1 + 10.9 + 2 and 100 + 20 + 2.
+    // Slightly more than 1 + 3 + 3 = 7, 9 + 9 + 3 = 21, 29.9 + 16.4 + 3, 30.1 + 10.9 + 2 and 100 + 20 + 2 = 122.
     assert_eq!([1.01, 9.01, 29.9, 30.1, 100.01].map(max_requests), [7, 21, 49, 43, 122]);
     let warming = |at: Micros| {
         let mut server = Server::new(ServerSpec { allows_chance: true, warm_up_time: 9_000_000, ..kind() });
