--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -26,7 +26,7 @@
 /// The final response to a client attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// A server's response.
+    /// A successful response of a server.
     Success,
     /// The request was rejected, perhaps with a time after which to retry.
     Rejected(Option<Micros>),
@@ -243,6 +243,7 @@
 
 /// The weight of a response between latency objective and deadline.
 const LATE_WEIGHT: f64 = 0.5;
+/// The length of the windows of which the worst service is reported.
 const SERVICE_WINDOW: Micros = 10_000_000;
 /// Added to the time limits of the rules.
 const SLACK: Micros = 50_000;
@@ -258,10 +259,10 @@
     grace: Micros,
     requirements: &Requirements,
 ) -> CheckResult {
-    let mut breaches = BTreeMap::new();
+    let mut violations = BTreeMap::new();
     let mut count = |rule, n: usize| {
         if n > 0 {
-            breaches.insert(rule, n);
+            violations.insert(rule, n);
         }
     };
     let has_wrong_count = |attempt: &&ClientAttempt| {
@@ -315,7 +316,7 @@
             .map(|minimum| format!("{name} is {value:.3}, below {minimum}"))
     });
     let void = (ledger.timer_lateness > MAX_TIMER_LATENESS).then_some(ledger.timer_lateness);
-    CheckResult { violations: breaches, missed: missed.collect(), service, waits_kept, void }
+    CheckResult { violations, missed: missed.collect(), service, waits_kept, void }
 }
 
 /// Counts requests sent to an unavailable server more than `bound` after the sending agent had received that version of the list.
@@ -345,20 +346,20 @@
 
 /// Returns for each call when its first successful attempt got its response, if there was one.
 pub fn first_successes(ledger: &Ledger) -> Vec<Option<Micros>> {
-    let mut served: Vec<Option<Micros>> = vec![None; ledger.calls.len()];
+    let mut successes: Vec<Option<Micros>> = vec![None; ledger.calls.len()];
     for attempt in &ledger.client_attempts {
         if let Some((at, ClientResponse::Success)) = attempt.responses.first() {
-            let first = &mut served[attempt.call];
+            let first = &mut successes[attempt.call];
             *first = Some(first.map_or(*at, |first| first.min(*at)));
         }
     }
-    served
+    successes
 }
 
 /// Returns the weight in the service of a call that succeeded at this time.
-pub fn service_weight(call: &Call, served: Option<Micros>, (aim, deadline): (Micros, Micros)) -> f64 {
+pub fn service_weight(call: &Call, served: Option<Micros>, (objective, deadline): (Micros, Micros)) -> f64 {
     match served {
-        Some(at) if at - call.scheduled_at <= aim => 1.0,
+        Some(at) if at - call.scheduled_at <= objective => 1.0,
         Some(at) if at - call.scheduled_at <= deadline => LATE_WEIGHT,
         _ => 0.0,
     }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -143,14 +143,14 @@
         if rng.random_bool(0.3) { 0.5 } else { 0.0 },
     );
     for effect in ["idempotent", "deduplicated", "at_most_once"] {
-        let aim = work * rng.random_range(4.0..20.0);
+        let objective = work * rng.random_range(4.0..20.0);
         let _ = write!(
             text,
-            "[[class]]\nname = \"{}\"\neffect = \"{effect}\"\nshare = {}\nwork_ms = {work:.2}\naim_ms = {aim:.0}\ndeadline_ms = {:.0}\n\
+            "[[class]]\nname = \"{}\"\neffect = \"{effect}\"\nshare = {}\nwork_ms = {work:.2}\naim_ms = {objective:.0}\ndeadline_ms = {:.0}\n\
              hints = {}\ndedup_group = \"{}\"\ndedup_window_ms = {}\n",
             effect.replace('_', "-"),
             rng.random_range(1..=10),
-            aim * rng.random_range(1.5..6.0),
+            objective * rng.random_range(1.5..6.0),
             rng.random_bool(0.5),
             if rng.random_bool(0.5) { "all" } else { "cell" },
             rng.random_range(100..5000),
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -42,8 +42,8 @@
     #[arg(long)]
     header: Vec<String>,
     /// The maximum number of requests in flight; requests beyond it are counted but not sent.
-    #[arg(long, default_value_t = 10_000)]
-    most: usize,
+    #[arg(long = "most", value_name = "MOST", default_value_t = 10_000)]
+    max_in_flight: usize,
     /// The seed of the send times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -94,7 +94,7 @@
         let due = start + Duration::from_secs_f64(offset);
         sleep_until(due).await;
         number += 1;
-        if pending.get() >= load.most {
+        if pending.get() >= load.max_in_flight {
             *counts.borrow_mut().results.entry("not sent: too many".into()).or_default() += 1;
             continue;
         }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -137,8 +137,8 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// The maximum number of runs.
-        #[arg(long, default_value_t = 300)]
-        plays: usize,
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 300)]
+        max_runs: usize,
         /// Where to write the smaller scenario.
         #[arg(long)]
         out: PathBuf,
@@ -158,8 +158,8 @@
         #[arg(long, default_value_t = 4)]
         threads: usize,
         /// The maximum number of runs to reduce each finding.
-        #[arg(long, default_value_t = 120)]
-        plays: usize,
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 120)]
+        max_runs: usize,
     },
     /// Start a fleet with its agents and leave it running, for manual tests.
     Fleet {
@@ -258,8 +258,8 @@
 
 fn planned_runs(source: &ScenarioSource, arguments: &RunArgs) -> Result<Vec<PlannedRun>, String> {
     let scenario = source.scenario()?;
-    let job = |policy| arguments.seeds.clone().map(move |seed| (policy, seed));
-    let pairs = policies(arguments).into_iter().flat_map(job);
+    let with_seeds = |policy| arguments.seeds.clone().map(move |seed| (policy, seed));
+    let pairs = policies(arguments).into_iter().flat_map(with_seeds);
     Ok(pairs.map(|(policy, seed)| PlannedRun { scenario: scenario.clone(), policy, seed }).collect())
 }
 
@@ -290,7 +290,7 @@
             print(&format!("report: {}", out.display()));
             Ok(true)
         }
-        Command::Minimize { file, seed, plays, out } => {
+        Command::Minimize { file, seed, max_runs, out } => {
             let source = read(&file)?;
             let Some(finding) = hunt::find_problem(&source.scenario()?, seed) else {
                 return Err(format!(
@@ -298,10 +298,12 @@
                     file.display()
                 ));
             };
-            write_finding(&source, seed, &finding, plays, &out)?;
+            write_finding(&source, seed, &finding, max_runs, &out)?;
             Ok(true)
         }
-        Command::Hunt { minutes, seed, out, threads, plays } => hunt(minutes, seed, &out, threads, plays),
+        Command::Hunt { minutes, seed, out, threads, max_runs } => {
+            hunt(minutes, seed, &out, threads, max_runs)
+        }
         Command::Fleet { file, agent, seconds } => fleet(&file, agent.as_deref(), seconds),
         Command::Load(load) => {
             let (text, any) = load::run(&load)?;
@@ -513,8 +515,8 @@
         }
         let service = |policy: Policy| {
             let runs = record.runs.iter().filter(|run| run.policy == policy);
-            let whole: Vec<f64> = runs.map(|run| run.result.service.overall).collect();
-            whole.iter().sum::<f64>() / whole.len().max(1) as f64
+            let overall: Vec<f64> = runs.map(|run| run.result.service.overall).collect();
+            overall.iter().sum::<f64>() / overall.len().max(1) as f64
         };
         services.push(Policy::ALL.map(service));
     }
--- a/crates/lab/src/registry.rs
+++ b/crates/lab/src/registry.rs
@@ -9,7 +9,7 @@
 pub struct ListEntry {
     /// The name of the server; a replacement at the same address has another name.
     pub name: String,
-    /// The index of the server, which stands for its address.
+    /// The index of the server; it represents the address.
     pub server: usize,
     /// The building of the server.
     pub building: u32,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -61,7 +61,7 @@
     Ok(svg)
 }
 
-fn by_class(run: &Run, metric: impl Fn(&crate::record::ClassSecond) -> f64) -> Lines {
+fn lines_by_class(run: &Run, metric: impl Fn(&crate::record::ClassSecond) -> f64) -> Lines {
     let line = |(class, times): (usize, &crate::record::ClassTimes)| {
         let of_class = run.class_seconds.iter().filter(|second| second.class == class);
         (times.name.clone(), of_class.map(|second| (second.second as f64, metric(second))).collect())
@@ -134,9 +134,9 @@
         );
     }
     html += "</table>";
-    let goodput = by_class(run, |second| second.service_weight);
-    let p50 = by_class(run, |second| second.p50);
-    let p99 = by_class(run, |second| second.p99);
+    let goodput = lines_by_class(run, |second| second.service_weight);
+    let p50 = lines_by_class(run, |second| second.p50);
+    let p99 = lines_by_class(run, |second| second.p99);
     let servers = run.load.first().map_or(0, |(_, load)| load.len());
     let load: Lines = (0..servers)
         .map(|server| {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -292,7 +292,7 @@
 
 fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<Scenario> {
     let name = reader.get(&mut root, "name", Presence::Required, "a name", text);
-    let length = reader.get(&mut root, "length_ms", Presence::Required, POSITIVE_MS, positive_ms);
+    let duration = reader.get(&mut root, "length_ms", Presence::Required, POSITIVE_MS, positive_ms);
     let mode =
         reader.get(&mut root, "mode", Presence::Default(Mode::Virtual), "\"virtual\" or \"real\"", |v| {
             match text(v)?.as_str() {
@@ -310,10 +310,10 @@
     reader.finish(section);
 
     let mut agents = reader.section(&mut root, "agents");
-    let number = reader.get(&mut agents, "count", Presence::Required, "how many agents", count);
-    let balancers =
-        reader.get(&mut agents, "balancers", Presence::Optional, "how many agents are told", count);
-    let attempts = reader.get(&mut agents, "max_attempts", Presence::Default(3), "how many attempts", count);
+    let agent_count = reader.get(&mut agents, "count", Presence::Required, "how many agents", count);
+    let balancers = reader.get(&mut agents, "balancers", Presence::Optional, "how many agents", count);
+    let max_attempts =
+        reader.get(&mut agents, "max_attempts", Presence::Default(3), "how many attempts", count);
     let hedging = reader.get(&mut agents, "second_copies", Presence::Default(true), "true or false", boolean);
     let cancel = reader.get(&mut agents, "cancel", Presence::Default(true), "true or false", boolean);
     let probes = reader.get(&mut agents, "probes", Presence::Default(true), "true or false", boolean);
@@ -337,17 +337,17 @@
         }
     }
     let servers = fleet.as_ref().map_or(usize::MAX, |fleet| fleet.servers);
-    let events = events(reader, &mut root, servers, number.unwrap_or(usize::MAX), length.unwrap_or(0));
+    let events = events(reader, &mut root, servers, agent_count.unwrap_or(usize::MAX), duration.unwrap_or(0));
     reader.finish(root);
     let (mixes, class_settings): (Vec<ClassMix>, Vec<Class>) = classes?.into_iter().unzip();
     let (mut fleet, tenants) = (fleet?, tenants?);
-    let parts: f64 = mixes.iter().map(|mix| mix.share).sum();
-    fleet.server_spec.mean_work = mixes.iter().map(|mix| mix.share / parts * mix.work as f64).sum();
+    let total_share: f64 = mixes.iter().map(|mix| mix.share).sum();
+    fleet.server_spec.mean_work = mixes.iter().map(|mix| mix.share / total_share * mix.work as f64).sum();
     let settings = Settings {
-        balancers: balancers.or(number)? as u32,
+        balancers: balancers.or(agent_count)? as u32,
         classes: class_settings,
         tenants: tenants.iter().map(|(_, tenant)| tenant.clone()).collect(),
-        max_attempts: attempts? as u32,
+        max_attempts: max_attempts? as u32,
         hedging: hedging?,
         cancel: cancel?,
         health_checks: probes?,
@@ -363,11 +363,11 @@
     };
     Some(Scenario {
         name: name?,
-        duration: length?,
+        duration: duration?,
         mode: mode?,
         fleet,
         registry: Registry { notification_delay: late?, lines_per_s: lines },
-        agents: number?,
+        agents: agent_count?,
         leak_bytes: leak?,
         dialects: mixed?,
         settings,
@@ -385,44 +385,51 @@
     let buildings = reader.get(&mut fleet, "buildings", Presence::Default(1), "how many buildings", count);
     let cores = reader.get(&mut fleet, "cores", Presence::Default(2), "how many cores", count);
     let speed = reader.get(&mut fleet, "speed", Presence::Default(1.0), "a speed above 0", positive);
-    let room = reader.get(&mut fleet, "room", Presence::Default(20), "how many may wait", count);
-    let crowding = reader.get(&mut fleet, "crowding", Presence::Default(0.0), "a factor", factor);
-    let connections = reader.get(&mut fleet, "connections", Presence::Default(10_000), "how many", count);
+    let queue_capacity = reader.get(&mut fleet, "room", Presence::Default(20), "how many requests", count);
+    let queue_slowdown = reader.get(&mut fleet, "crowding", Presence::Default(0.0), "a factor", factor);
+    let max_connections = reader.get(&mut fleet, "connections", Presence::Default(10_000), "how many", count);
     let connect =
         reader.get(&mut fleet, "connect_work_ms", Presence::Default(0), "milliseconds", nonnegative_ms);
-    let cancels = reader.get(&mut fleet, "cancels", Presence::Default(true), "true or false", boolean);
+    let drops_cancelled =
+        reader.get(&mut fleet, "cancels", Presence::Default(true), "true or false", boolean);
     let late =
         reader.get(&mut fleet, "reports_late_ms", Presence::Default(0), "milliseconds", nonnegative_ms);
     let cold_share = reader.get(&mut fleet, "cold_share", Presence::Default(0.2), "0 to 1", share);
-    let warm_after =
+    let warm_up_time =
         reader.get(&mut fleet, "warm_after_ms", Presence::Default(20_000_000), POSITIVE_MS, positive_ms);
-    let warm_work = reader.get(&mut fleet, "warm_work_ms", Presence::Optional, POSITIVE_MS, positive_ms);
-    let bears_chance =
+    let warm_up_work = reader.get(&mut fleet, "warm_work_ms", Presence::Optional, POSITIVE_MS, positive_ms);
+    let allows_chance =
         reader.get(&mut fleet, "bears_chance", Presence::Default(false), "true or false", boolean);
     let one_way_delay =
         reader.get(&mut fleet, "one_way_ms", Presence::Default(500), POSITIVE_MS, positive_ms);
-    let mut part = |key, absent, wanted, read: fn(&DeValue<'_>) -> Option<f64>| {
+    let mut share_or_factor = |key, absent, wanted, read: fn(&DeValue<'_>) -> Option<f64>| {
         reader.get(&mut fleet, key, Presence::Default(absent), wanted, read)
     };
-    let slow = (part("slow_share", 0.0, "0 to 1", share), part("slow_pace", 0.5, "a factor", positive));
-    let noisy = (part("noisy_share", 0.0, "0 to 1", share), part("noisy_pace", 0.3, "a factor", positive));
+    let slow = (
+        share_or_factor("slow_share", 0.0, "0 to 1", share),
+        share_or_factor("slow_pace", 0.5, "a factor", positive),
+    );
+    let noisy = (
+        share_or_factor("noisy_share", 0.0, "0 to 1", share),
+        share_or_factor("noisy_pace", 0.3, "a factor", positive),
+    );
     reader.finish(fleet);
     let server_spec = ServerSpec {
         cores: cores?,
         speed: speed?,
-        queue_capacity: room?,
-        queue_slowdown: crowding?,
-        max_connections: connections?,
+        queue_capacity: queue_capacity?,
+        queue_slowdown: queue_slowdown?,
+        max_connections: max_connections?,
         connect_work: connect?,
-        drops_cancelled: cancels?,
+        drops_cancelled: drops_cancelled?,
         report_delay: late?,
         cold_share: cold_share?,
-        warm_up_time: warm_after?,
-        warm_up_work: warm_work,
+        warm_up_time: warm_up_time?,
+        warm_up_work,
         overload_factor: 3.0,
         overload_tolerance: 3_000_000,
         mean_work: 0.0,
-        allows_chance: bears_chance?,
+        allows_chance: allows_chance?,
     };
     let (slow, noisy) = ((slow.0?, slow.1?), (noisy.0?, noisy.1?));
     Some(Fleet {
@@ -441,21 +448,21 @@
     let wave = reader.get(&mut section, "wave", Presence::Default(0.0), "0 to 1", share);
     let wave_period =
         reader.get(&mut section, "wave_period_ms", Presence::Default(20_000_000), POSITIVE_MS, positive_ms);
-    let tries = reader.get(&mut section, "tries", Presence::Default(1), "how many tries", count);
+    let max_attempts = reader.get(&mut section, "tries", Presence::Default(1), "how many attempts", count);
     let backoff =
         reader.get(&mut section, "backoff_ms", Presence::Default(100_000), POSITIVE_MS, positive_ms);
     let honors_retry_after =
         reader.get(&mut section, "heeds_waits", Presence::Default(true), "true or false", boolean);
-    let impatient = reader.get(&mut section, "impatient", Presence::Default(0.0), "0 to 1", share);
+    let early_cancel_share = reader.get(&mut section, "impatient", Presence::Default(0.0), "0 to 1", share);
     let mut spans = |key, size: &'static str| {
         let mut spans = Some(Vec::new());
         for mut section in reader.sections(&mut section, key) {
             let from = reader.get(&mut section, "at_ms", Presence::Required, "milliseconds", nonnegative_ms);
-            let length = reader.get(&mut section, "for_ms", Presence::Required, POSITIVE_MS, positive_ms);
+            let duration = reader.get(&mut section, "for_ms", Presence::Required, POSITIVE_MS, positive_ms);
             let size = reader.get(&mut section, size, Presence::Required, "a number above 0", positive);
             reader.finish(section);
-            spans = spans.zip(from.zip(length).zip(size)).map(|(mut spans, ((from, length), size))| {
-                spans.push((from..from + length, size));
+            spans = spans.zip(from.zip(duration).zip(size)).map(|(mut spans, ((from, duration), size))| {
+                spans.push((from..from + duration, size));
                 spans
             });
         }
@@ -469,10 +476,10 @@
         wave_period: wave_period?,
         surges: surges?,
         herds: herds?.into_iter().map(|(when, size)| (when, size.min(1e6) as usize)).collect(),
-        max_attempts: tries? as u32,
+        max_attempts: max_attempts? as u32,
         backoff: backoff?,
         honors_retry_after: honors_retry_after?,
-        early_cancel_share: impatient?,
+        early_cancel_share: early_cancel_share?,
     })
 }
 
@@ -498,19 +505,19 @@
     let up_to =
         |value: &DeValue<'_>| integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| *n <= servers);
     let old_servers =
-        reader.get(&mut section, "old_servers", Presence::Optional, "so many of the servers", up_to);
+        reader.get(&mut section, "old_servers", Presence::Optional, "at most the number of servers", up_to);
     let old_clients = reader.get(&mut section, "old_clients", Presence::Default(0.5), "0 to 1", share);
     let own_keys = reader.get(&mut section, "own_keys", Presence::Default(0.0), "0 to 1", share);
     let no_bug = Presence::Default(TranslationBug::Absent);
-    let planted =
+    let bug =
         reader.get(&mut section, "planted", no_bug, "\"keys\" or \"fields\"", |v| match text(v)?.as_str() {
             "keys" => Some(TranslationBug::WrongKeys),
             "fields" => Some(TranslationBug::WrongFields),
             _ => None,
         });
     reader.finish(section);
-    let (old_clients, own_keys, planted) = (old_clients?, own_keys?, planted?);
-    Some(old_servers.map(|old_servers| MixedDialects { old_servers, old_clients, own_keys, bug: planted }))
+    let (old_clients, own_keys, bug) = (old_clients?, own_keys?, bug?);
+    Some(old_servers.map(|old_servers| MixedDialects { old_servers, old_clients, own_keys, bug }))
 }
 
 fn tenants<'t>(reader: &mut Reader<'t>, root: &mut Section<'t>) -> Option<Vec<(String, Tenant)>> {
@@ -528,8 +535,8 @@
         });
     }
     let mut tenants = tenants?;
-    let all: f64 = tenants.iter().map(|(_, tenant)| tenant.quota_fraction).sum();
-    tenants.iter_mut().for_each(|(_, tenant)| tenant.quota_fraction /= all);
+    let total: f64 = tenants.iter().map(|(_, tenant)| tenant.quota_fraction).sum();
+    tenants.iter_mut().for_each(|(_, tenant)| tenant.quota_fraction /= total);
     Some(tenants)
 }
 
@@ -583,7 +590,7 @@
         number(v).filter(|n| *n > 1.0 && *n <= 10.0)
     });
     let hints = reader.get(section, "hints", Presence::Default(false), "true or false", boolean);
-    let aim = reader.get(section, "aim_ms", Presence::Required, POSITIVE_MS, positive_ms);
+    let objective = reader.get(section, "aim_ms", Presence::Required, POSITIVE_MS, positive_ms);
     let deadline = reader.get(section, "deadline_ms", Presence::Required, POSITIVE_MS, positive_ms);
     let (window, group) = (window?, group?);
     let (effect, repeat_effect) = match effect? {
@@ -594,10 +601,10 @@
             RepeatEffect::Deduplicated { everywhere: group == DeduplicationScope::All, window },
         ),
     };
-    let (aim, deadline) = (aim?, deadline?);
+    let (objective, deadline) = (objective?, deadline?);
     let class_settings = Class {
         effect,
-        latency_objective: Span(aim),
+        latency_objective: Span(objective),
         deadline: Span(deadline),
         late_weight_share: 0.5,
         ..Class::default()
@@ -612,7 +619,7 @@
             tail_exponent: tail,
             sends_cost_hints: hints,
             repeat_effect,
-            latency_objective: aim,
+            latency_objective: objective,
             deadline,
         },
         class_settings,
@@ -624,7 +631,7 @@
     root: &mut Section<'t>,
     servers: usize,
     agents: usize,
-    length: Micros,
+    duration: Micros,
 ) -> Option<Vec<Event>> {
     let names: Vec<_> = KINDS.iter().map(|(name, ..)| *name).collect();
     let wanted = format!("one of {}", names.join(", "));
@@ -686,7 +693,7 @@
         });
         let event = at.zip(kind).zip(first).zip(times.zip(every).zip(wraps));
         events = events.zip(event).map(|(mut events, (((at, kind), first), ((times, every), wraps)))| {
-            let times = if wraps { (length.saturating_sub(at) / every) as usize + 1 } else { times };
+            let times = if wraps { (duration.saturating_sub(at) / every) as usize + 1 } else { times };
             events.extend((0..times).map(|n| {
                 let from = if wraps {
                     (first + n * width) % (target_count + 1 - width).max(1)
--- a/crates/lab/src/server_model.rs
+++ b/crates/lab/src/server_model.rs
@@ -33,9 +33,9 @@
     pub warm_up_work: Option<Micros>,
     /// A cold server crashes if it is sent this multiple of its capacity for the time of `overload_tolerance`.
     pub overload_factor: f64,
-    /// How long a cold server bears overload.
+    /// How long a cold server withstands overload.
     pub overload_tolerance: Micros,
-    /// The mean work of a request, in microseconds. It converts the work that a cold server bears within the tolerance into a
+    /// The mean work of a request, in microseconds. It converts the work that a cold server withstands within the tolerance into a
     /// budget of requests; some requests beyond the budget count as [random variation](random_excess).
     pub mean_work: f64,
     /// Whether the operators' formula alone decides: the server allows for random variation also after the tolerance has
@@ -327,11 +327,11 @@
             self.started.is_some_and(|started| now - started >= self.spec.overload_tolerance);
         // The server warms up linearly, so its mean capacity is the mean of the first and the last value.
         let mean_capacity = (self.capacity(from) + self.capacity(now)) / 2.0;
-        let bearable = mean_capacity * self.spec.overload_tolerance as f64 / SECOND;
+        let sustainable_work = mean_capacity * self.spec.overload_tolerance as f64 / SECOND;
         if tolerance_passed {
-            self.worst_cold_load = self.worst_cold_load.max(self.recent_work / bearable.max(1e-9));
+            self.worst_cold_load = self.worst_cold_load.max(self.recent_work / sustainable_work.max(1e-9));
         }
-        let budget = self.spec.overload_factor * bearable;
+        let budget = self.spec.overload_factor * sustainable_work;
         let excess = random_excess(budget / mean_work) * mean_work;
         if !self.excess_counted && self.recent_work > budget + excess && self.caused_knowingly() {
             self.excess_counted = true;
