--- a/crates/agent/src/idle_timeout.rs
+++ b/crates/agent/src/idle_timeout.rs
@@ -1,126 +1,144 @@
-//! How long idle connections to backends stay good, learned from those that were used again. Backends close them at
-//! the time in the settings at the latest, but some do so far sooner, and a request that is written to such a
-//! connection ends as a reset that may have run.
+//! How long idle connections to servers stay usable, learned from connections that were used again. Servers close them
+//! after the keep-alive time of the settings at the latest, but some do so far sooner, and a request that is written to
+//! such a connection ends as a reset after which it may have been executed.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Ages are told apart by powers of two, in milliseconds.
-const AGES: usize = 16;
-/// Younger ones than this power are what a break by mere chance is measured by.
-const YOUNG: usize = 5;
-/// An age is bad if this much more of its connections have broken, out of so many at least.
-const WORSE: f64 = 0.1;
-const ENOUGH: f64 = 4.0;
-/// And so much more of them silent: where servers are slow, many are by chance, on connections of any age.
-const FAR_WORSE: f64 = 0.6;
-/// What has been seen counts half after this time, so that an age is tried again.
+/// Idle times are grouped by powers of two, in milliseconds.
+const AGE_BUCKETS: usize = 16;
+/// The buckets below this one show the usual share of failures, against which the older ones are compared.
+const YOUNG_BUCKETS: usize = 5;
+/// A bucket is bad if the share of its connections that broke exceeds the usual share by this much, ...
+const MAX_EXCESS_BROKEN_SHARE: f64 = 0.1;
+/// ... out of at least this many.
+const MIN_SAMPLES: f64 = 4.0;
+/// A bucket is also bad if its share of timeouts exceeds the usual share by this much. The bound is wide because where
+/// servers are slow many requests time out on connections of any age.
+const MAX_EXCESS_TIMEOUT_SHARE: f64 = 0.6;
+/// After this time an observation counts half, so that an idle time found bad is tried again.
 const HALF_LIFE_S: f64 = 15.0;
 
-/// What came of a request on a connection.
+/// How a request on a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// Something was read on it.
     Responded,
     /// It broke with nothing read.
     Broken,
-    /// Nothing was read on it until the request's time was up. Slow servers do that too, on connections of any age.
+    /// Nothing was read on it until the request's time was up. Slow servers cause that too, on connections of any age.
     TimedOut,
 }
 
+/// Decayed counts of the ways in which requests ended.
 #[derive(Clone, Copy, Default)]
-struct Seen {
-    answered: f64,
+struct EndCounts {
+    responded: f64,
     broken: f64,
-    silent: f64,
+    timed_out: f64,
 }
 
-impl Seen {
+impl EndCounts {
     fn add(&mut self, end: ConnectionEnd) {
         match end {
-            ConnectionEnd::Responded => self.answered += 1.0,
+            ConnectionEnd::Responded => self.responded += 1.0,
             ConnectionEnd::Broken => self.broken += 1.0,
-            ConnectionEnd::TimedOut => self.silent += 1.0,
+            ConnectionEnd::TimedOut => self.timed_out += 1.0,
         }
     }
 
-    fn plus(self, other: Seen) -> Seen {
-        let answered = self.answered + other.answered;
-        Seen { answered, broken: self.broken + other.broken, silent: self.silent + other.silent }
+    fn plus(self, other: EndCounts) -> EndCounts {
+        let responded = self.responded + other.responded;
+        EndCounts {
+            responded,
+            broken: self.broken + other.broken,
+            timed_out: self.timed_out + other.timed_out,
+        }
     }
 
-    fn faded(self, keep: f64) -> Seen {
-        Seen { answered: self.answered * keep, broken: self.broken * keep, silent: self.silent * keep }
+    fn decayed(self, keep: f64) -> EndCounts {
+        EndCounts {
+            responded: self.responded * keep,
+            broken: self.broken * keep,
+            timed_out: self.timed_out * keep,
+        }
     }
 
     fn broken_share(self) -> f64 {
-        self.broken / (self.answered + self.broken).max(1.0)
+        self.broken / (self.responded + self.broken).max(1.0)
     }
 
-    fn silent_share(self) -> f64 {
-        self.silent / (self.answered + self.silent).max(1.0)
+    fn timed_out_share(self) -> f64 {
+        self.timed_out / (self.responded + self.timed_out).max(1.0)
     }
 }
 
-/// What has become of connections by the time that they had been idle.
+/// Learns after which idle time connections fail, and limits the idle time accordingly.
 pub struct IdleTimeout {
-    most: Cell<Duration>,
+    max: Cell<Duration>,
     limit: Cell<Duration>,
-    seen: RefCell<[Seen; AGES]>,
-    /// The same of new connections, by which it is told what silence is by mere chance.
-    fresh: Cell<Seen>,
-    faded_at: Cell<Instant>,
+    /// How requests on reused connections ended, by the power of two of the connection's idle time.
+    by_age: RefCell<[EndCounts; AGE_BUCKETS]>,
+    /// The same for new connections; they show how often requests time out regardless of the connection's age.
+    new_connections: Cell<EndCounts>,
+    decayed_at: Cell<Instant>,
 }
 
 impl IdleTimeout {
-    /// Nothing seen yet; connections never rest longer than `most`.
-    pub fn new(most: Duration) -> Self {
-        let (most, limit) = (Cell::new(most), Cell::new(most));
-        let faded_at = Cell::new(Instant::now());
-        IdleTimeout { most, limit, seen: RefCell::default(), fresh: Cell::default(), faded_at }
+    /// Starts with no observations; the limit never exceeds `max`.
+    pub fn new(max: Duration) -> Self {
+        let (max, limit) = (Cell::new(max), Cell::new(max));
+        let decayed_at = Cell::new(Instant::now());
+        IdleTimeout { max, limit, by_age: RefCell::default(), new_connections: Cell::default(), decayed_at }
     }
 
-    /// Connections never rest longer than `most` from now on.
-    pub fn set_max(&self, most: Duration) {
-        // What was learned of ages shows again with the next use.
-        if self.most.replace(most) != most {
-            self.limit.set(most);
+    /// Changes the bound that the limit never exceeds.
+    pub fn set_max(&self, max: Duration) {
+        // The next use of a connection applies the observations again.
+        if self.max.replace(max) != max {
+            self.limit.set(max);
         }
     }
 
-    /// How long a connection may rest at present.
+    /// Returns how long a connection may be idle at present.
     pub fn limit(&self) -> Duration {
         self.limit.get()
     }
 
-    /// A connection that had been idle for `age`, or a new one, has been used.
+    /// Records how a request ended on a connection that had been idle for `age`, or on a new one if that is `None`.
     pub fn record(&self, age: Option<Duration>, end: ConnectionEnd) {
-        let seen = &mut *self.seen.borrow_mut();
-        let faded = self.faded_at.get().elapsed();
-        if faded > Duration::from_secs(1) {
-            let keep = 0.5_f64.powf(faded.as_secs_f64() / HALF_LIFE_S);
-            seen.iter_mut().for_each(|s| *s = s.faded(keep));
-            self.fresh.set(self.fresh.get().faded(keep));
-            self.faded_at.set(Instant::now());
+        let by_age = &mut *self.by_age.borrow_mut();
+        let since_decay = self.decayed_at.get().elapsed();
+        if since_decay > Duration::from_secs(1) {
+            let keep = 0.5_f64.powf(since_decay.as_secs_f64() / HALF_LIFE_S);
+            by_age.iter_mut().for_each(|counts| *counts = counts.decayed(keep));
+            self.new_connections.set(self.new_connections.get().decayed(keep));
+            self.decayed_at.set(Instant::now());
         }
         let Some(age) = age else {
-            let mut fresh = self.fresh.get();
-            fresh.add(end);
-            self.fresh.set(fresh);
+            let mut new_connections = self.new_connections.get();
+            new_connections.add(end);
+            self.new_connections.set(new_connections);
             return;
         };
-        let class = (age.as_millis().max(1).ilog2() as usize).min(AGES - 1);
-        seen[class].add(end);
-        let young = seen[..YOUNG].iter().fold(Seen::default(), |all, s| all.plus(*s));
-        let usual_silence = young.plus(self.fresh.get()).silent_share();
-        let breaks =
-            |s: &Seen| s.answered + s.broken >= ENOUGH && s.broken_share() > young.broken_share() + WORSE;
-        let forgets =
-            |s: &Seen| s.answered + s.silent >= ENOUGH && s.silent_share() > usual_silence + FAR_WORSE;
-        let first = (YOUNG..AGES).find(|&class| breaks(&seen[class]) || forgets(&seen[class]));
+        let bucket = (age.as_millis().max(1).ilog2() as usize).min(AGE_BUCKETS - 1);
+        by_age[bucket].add(end);
+        let young =
+            by_age[..YOUNG_BUCKETS].iter().fold(EndCounts::default(), |sum, counts| sum.plus(*counts));
+        let usual_timeouts = young.plus(self.new_connections.get()).timed_out_share();
+        let breaks = |counts: &EndCounts| {
+            counts.responded + counts.broken >= MIN_SAMPLES
+                && counts.broken_share() > young.broken_share() + MAX_EXCESS_BROKEN_SHARE
+        };
+        let times_out = |counts: &EndCounts| {
+            counts.responded + counts.timed_out >= MIN_SAMPLES
+                && counts.timed_out_share() > usual_timeouts + MAX_EXCESS_TIMEOUT_SHARE
+        };
+        let first_bad = (YOUNG_BUCKETS..AGE_BUCKETS)
+            .find(|&bucket| breaks(&by_age[bucket]) || times_out(&by_age[bucket]));
         self.limit.set(
-            first.map_or(self.most.get(), |class| self.most.get().min(Duration::from_millis(1 << class))),
+            first_bad.map_or(self.max.get(), |bucket| self.max.get().min(Duration::from_millis(1 << bucket))),
         );
     }
 }
--- a/crates/agent/src/reuse.rs
+++ b/crates/agent/src/reuse.rs
@@ -1,68 +1,78 @@
-//! Which servers' connections may be reused before they have rested. A server that sends an answer twice may do so some
-//! milliseconds late, and what comes after the next request was written can't be told from its answer. So trust is earned, by
-//! connections that rested and stayed quiet, and lost at the first byte that nobody asked for.
+//! Which servers' connections may be reused before they have been idle for the minimum time. A server that sends a
+//! response twice may send the copy some milliseconds late, and bytes that arrive after the next request was written
+//! can't be told from its response. So a server earns trust by connections that stay quiet while they are idle, and
+//! loses it with the first unrequested byte.
 
 use heronhoist_decision::ServerId;
 use heronhoist_engine::Incarnation;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// A server is trusted after so many quiet rests in a row: one of a hundred answers sent twice would most likely have shown.
-const QUIET_RESTS: u32 = 128;
+/// A server is trusted after this many quiet idle periods in a row: if it sent one response in a hundred twice, that
+/// would most likely have shown by then.
+const MIN_QUIET_PERIODS: u32 = 128;
 
-/// What one incarnation of a server has shown.
+/// What was observed of one incarnation of a server.
 #[derive(Clone, Copy, Default)]
-struct Conduct {
+struct ServerHistory {
     incarnation: Incarnation,
-    /// Quiet rests since the last unrequested byte of any server of the pool.
-    quiet_rests: u32,
-    /// It has sent bytes that nobody asked for.
-    strict: bool,
+    /// Quiet idle periods since the last unrequested byte of any server of the pool.
+    quiet_periods: u32,
+    /// It has sent bytes that were not requested.
+    sent_unrequested: bool,
 }
 
-/// How far the servers of a pool are trusted to send nothing that was not asked for.
+/// Tracks which servers of a pool are trusted to send nothing unrequested.
 #[derive(Default)]
-pub struct ReuseTrust(RefCell<HashMap<ServerId, Conduct>>);
+pub struct ReuseTrust(RefCell<HashMap<ServerId, ServerHistory>>);
 
 impl ReuseTrust {
-    /// A connection to this incarnation has rested after an answer, as long as late bytes may take, and nothing came.
+    /// Records that a connection to this incarnation stayed quiet after a response for as long as late bytes may take.
     pub fn record_quiet_idle(&self, server: ServerId, incarnation: Incarnation) {
-        let mut all = self.0.borrow_mut();
-        let conduct = current(&mut all, server, incarnation);
-        if conduct.incarnation == incarnation {
-            conduct.quiet_rests = conduct.quiet_rests.saturating_add(1);
+        let mut histories = self.0.borrow_mut();
+        let history = current(&mut histories, server, incarnation);
+        if history.incarnation == incarnation {
+            history.quiet_periods = history.quiet_periods.saturating_add(1);
         }
     }
 
-    /// Bytes have come from this incarnation that nobody asked for: it is trusted no more, and the others have to earn it
-    /// anew, since one build of the servers' program usually runs on all.
+    /// Records unrequested bytes from this incarnation. It is no longer trusted, and the other servers have to earn
+    /// trust again, since all servers usually run the same build.
     pub fn record_unrequested_bytes(&self, server: ServerId, incarnation: Incarnation) {
-        let mut all = self.0.borrow_mut();
-        let conduct = current(&mut all, server, incarnation);
-        conduct.strict |= conduct.incarnation == incarnation;
-        all.values_mut().for_each(|conduct| conduct.quiet_rests = 0);
+        let mut histories = self.0.borrow_mut();
+        let history = current(&mut histories, server, incarnation);
+        history.sent_unrequested |= history.incarnation == incarnation;
+        histories.values_mut().for_each(|history| history.quiet_periods = 0);
     }
 
-    /// Whether a connection to this incarnation may be reused before it has rested.
+    /// Returns whether a connection to this incarnation may be reused before the minimum idle time.
     pub fn is_trusted(&self, server: ServerId, incarnation: Incarnation) -> bool {
-        let all = self.0.borrow();
-        all.get(&server)
-            .is_some_and(|c| c.incarnation == incarnation && !c.strict && c.quiet_rests >= QUIET_RESTS)
+        let histories = self.0.borrow();
+        histories.get(&server).is_some_and(|history| {
+            history.incarnation == incarnation
+                && !history.sent_unrequested
+                && history.quiet_periods >= MIN_QUIET_PERIODS
+        })
     }
 
-    /// Forgets the servers that are not what they were.
+    /// Forgets the servers whose recorded incarnation is no longer current.
     pub fn retain(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
-        self.0.borrow_mut().retain(|&server, conduct| is_current(server, conduct.incarnation));
+        self.0.borrow_mut().retain(|&server, history| is_current(server, history.incarnation));
     }
 }
 
-/// The conduct of a server, begun anew if this is a later incarnation; word of an earlier one leaves it as it is.
-fn current(all: &mut HashMap<ServerId, Conduct>, server: ServerId, incarnation: Incarnation) -> &mut Conduct {
-    let conduct = all.entry(server).or_insert(Conduct { incarnation, ..Conduct::default() });
-    if conduct.incarnation < incarnation {
-        *conduct = Conduct { incarnation, ..Conduct::default() };
+/// Returns the history of a server, reset if `incarnation` is later than the recorded one; an earlier one leaves it as it is.
+fn current(
+    histories: &mut HashMap<ServerId, ServerHistory>,
+    server: ServerId,
+    incarnation: Incarnation,
+) -> &mut ServerHistory {
+    let history =
+        histories.entry(server).or_insert(ServerHistory { incarnation, ..ServerHistory::default() });
+    if history.incarnation < incarnation {
+        *history = ServerHistory { incarnation, ..ServerHistory::default() };
     }
-    conduct
+    history
 }
 
 #[cfg(test)]
--- a/crates/agent/src/reuse/tests.rs
+++ b/crates/agent/src/reuse/tests.rs
@@ -1,66 +1,66 @@
 use super::*;
 
-const ONE: ServerId = ServerId(1);
+const SERVER: ServerId = ServerId(1);
 const OTHER: ServerId = ServerId(2);
 
-fn rest(trust: &ReuseTrust, server: ServerId, incarnation: Incarnation, times: u32) {
+fn record_quiet(trust: &ReuseTrust, server: ServerId, incarnation: Incarnation, times: u32) {
     (0..times).for_each(|_| trust.record_quiet_idle(server, incarnation));
 }
 
 #[test]
-fn trust_takes_an_unbroken_row_of_quiet_rests() {
+fn trust_requires_consecutive_quiet_periods() {
     let trust = ReuseTrust::default();
-    assert!(!trust.is_trusted(ONE, Incarnation(0)));
-    rest(&trust, ONE, Incarnation(0), QUIET_RESTS - 1);
-    assert!(!trust.is_trusted(ONE, Incarnation(0)));
-    rest(&trust, ONE, Incarnation(0), 1);
-    assert!(trust.is_trusted(ONE, Incarnation(0)));
-    assert!(!trust.is_trusted(OTHER, Incarnation(0)), "each server earns its own");
+    assert!(!trust.is_trusted(SERVER, Incarnation(0)));
+    record_quiet(&trust, SERVER, Incarnation(0), MIN_QUIET_PERIODS - 1);
+    assert!(!trust.is_trusted(SERVER, Incarnation(0)));
+    record_quiet(&trust, SERVER, Incarnation(0), 1);
+    assert!(trust.is_trusted(SERVER, Incarnation(0)));
+    assert!(!trust.is_trusted(OTHER, Incarnation(0)), "each server earns its own trust");
 }
 
 #[test]
-fn an_unrequested_byte_ends_it_for_the_incarnation_and_sets_the_others_back() {
+fn unrequested_bytes_end_trust_in_the_incarnation_and_reset_the_other_servers() {
     let trust = ReuseTrust::default();
-    rest(&trust, ONE, Incarnation(0), QUIET_RESTS);
-    rest(&trust, OTHER, Incarnation(0), QUIET_RESTS);
-    trust.record_unrequested_bytes(ONE, Incarnation(0));
-    assert!(!trust.is_trusted(ONE, Incarnation(0)) && !trust.is_trusted(OTHER, Incarnation(0)));
-    rest(&trust, OTHER, Incarnation(0), QUIET_RESTS - 1);
-    assert!(!trust.is_trusted(OTHER, Incarnation(0)), "the row begins anew");
-    rest(&trust, OTHER, Incarnation(0), 1);
-    rest(&trust, ONE, Incarnation(0), 10 * QUIET_RESTS);
+    record_quiet(&trust, SERVER, Incarnation(0), MIN_QUIET_PERIODS);
+    record_quiet(&trust, OTHER, Incarnation(0), MIN_QUIET_PERIODS);
+    trust.record_unrequested_bytes(SERVER, Incarnation(0));
+    assert!(!trust.is_trusted(SERVER, Incarnation(0)) && !trust.is_trusted(OTHER, Incarnation(0)));
+    record_quiet(&trust, OTHER, Incarnation(0), MIN_QUIET_PERIODS - 1);
+    assert!(!trust.is_trusted(OTHER, Incarnation(0)), "the count starts again");
+    record_quiet(&trust, OTHER, Incarnation(0), 1);
+    record_quiet(&trust, SERVER, Incarnation(0), 10 * MIN_QUIET_PERIODS);
     assert!(trust.is_trusted(OTHER, Incarnation(0)));
-    assert!(!trust.is_trusted(ONE, Incarnation(0)), "strict to the end of its incarnation");
+    assert!(!trust.is_trusted(SERVER, Incarnation(0)), "not trusted again in this incarnation");
 }
 
 #[test]
-fn another_incarnation_begins_with_nothing() {
+fn new_incarnation_starts_untrusted() {
     let trust = ReuseTrust::default();
-    rest(&trust, ONE, Incarnation(0), QUIET_RESTS);
-    rest(&trust, ONE, Incarnation(1), 1);
-    assert!(!trust.is_trusted(ONE, Incarnation(1)) && !trust.is_trusted(ONE, Incarnation(0)));
-    // What connections to the one before still tell is nothing for this one, but a warning to all.
-    rest(&trust, ONE, Incarnation(0), QUIET_RESTS);
-    assert!(!trust.is_trusted(ONE, Incarnation(1)));
-    rest(&trust, ONE, Incarnation(1), QUIET_RESTS);
-    assert!(trust.is_trusted(ONE, Incarnation(1)));
-    trust.record_unrequested_bytes(ONE, Incarnation(0));
-    assert!(!trust.is_trusted(ONE, Incarnation(1)));
-    rest(&trust, ONE, Incarnation(1), QUIET_RESTS);
-    assert!(trust.is_trusted(ONE, Incarnation(1)), "the strict one was the one before");
-    trust.record_unrequested_bytes(ONE, Incarnation(1));
-    rest(&trust, ONE, Incarnation(2), QUIET_RESTS);
-    assert!(trust.is_trusted(ONE, Incarnation(2)));
+    record_quiet(&trust, SERVER, Incarnation(0), MIN_QUIET_PERIODS);
+    record_quiet(&trust, SERVER, Incarnation(1), 1);
+    assert!(!trust.is_trusted(SERVER, Incarnation(1)) && !trust.is_trusted(SERVER, Incarnation(0)));
+    // Quiet connections to the earlier incarnation count nothing for this one, but unrequested bytes reset all servers.
+    record_quiet(&trust, SERVER, Incarnation(0), MIN_QUIET_PERIODS);
+    assert!(!trust.is_trusted(SERVER, Incarnation(1)));
+    record_quiet(&trust, SERVER, Incarnation(1), MIN_QUIET_PERIODS);
+    assert!(trust.is_trusted(SERVER, Incarnation(1)));
+    trust.record_unrequested_bytes(SERVER, Incarnation(0));
+    assert!(!trust.is_trusted(SERVER, Incarnation(1)));
+    record_quiet(&trust, SERVER, Incarnation(1), MIN_QUIET_PERIODS);
+    assert!(trust.is_trusted(SERVER, Incarnation(1)), "the earlier incarnation sent the unrequested bytes");
+    trust.record_unrequested_bytes(SERVER, Incarnation(1));
+    record_quiet(&trust, SERVER, Incarnation(2), MIN_QUIET_PERIODS);
+    assert!(trust.is_trusted(SERVER, Incarnation(2)));
 }
 
 #[test]
-fn nothing_is_kept_of_servers_that_have_left() {
+fn servers_that_have_left_are_forgotten() {
     let trust = ReuseTrust::default();
     for n in 0..1000 {
         trust.record_quiet_idle(ServerId(n), Incarnation(0));
         trust.record_unrequested_bytes(ServerId(n), Incarnation(0));
     }
-    trust.retain(|server, incarnation| server == ONE && incarnation == Incarnation(0));
+    trust.retain(|server, incarnation| server == SERVER && incarnation == Incarnation(0));
     assert_eq!(trust.0.borrow().len(), 1);
     trust.retain(|_, incarnation| incarnation == Incarnation(1));
     assert!(trust.0.borrow().is_empty());
--- a/crates/agent/src/stall_timeout.rs
+++ b/crates/agent/src/stall_timeout.rs
@@ -1,54 +1,61 @@
-//! How long an answer that has begun and paused is waited for, learned from those that paused before. Where peers are
-//! slow most go on; where they spoil answers most never do, and whoever waits for one wastes its request's time.
+//! How long the agent waits for the rest of a response that has stalled. The wait is learned from earlier stalls: where
+//! servers are slow most responses resume; where they break responses most never do, and waiting for one wastes the
+//! time of its request.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long is waited for more where pauses are mostly the end.
+/// The stall timeout where most stalled responses never resume.
 pub const BASE_TIMEOUT: Duration = Duration::from_millis(100);
-/// And how much longer where answers mostly go on.
-const LONGER: Duration = Duration::from_millis(500);
-/// One in so many is waited for all the same, so that a change is noticed.
-const TRY_EVERY: u32 = 8;
-/// What has been seen counts half after this time.
+/// Added to [`BASE_TIMEOUT`] where most stalled responses resume.
+const TIMEOUT_EXTENSION: Duration = Duration::from_millis(500);
+/// One in this many stalled responses gets the extension in any case, so that a change is noticed.
+const SAMPLE_EVERY: u32 = 8;
+/// After this time an observation counts half.
 const HALF_LIFE_S: f64 = 15.0;
 
-/// What has become of answers that had paused.
+/// Learns whether responses that have stalled resume.
 pub struct StallTimeout {
-    /// Those that went on, and those that did not.
-    seen: RefCell<(f64, f64)>,
-    faded_at: Cell<Instant>,
+    /// The decayed counts of stalled responses that resumed and of those that did not.
+    counts: RefCell<(f64, f64)>,
+    decayed_at: Cell<Instant>,
+    /// Stalled responses since the last one that got the extension.
     skipped: Cell<u32>,
 }
 
 impl Default for StallTimeout {
     fn default() -> Self {
-        StallTimeout { seen: RefCell::default(), faded_at: Cell::new(Instant::now()), skipped: Cell::new(0) }
+        StallTimeout {
+            counts: RefCell::default(),
+            decayed_at: Cell::new(Instant::now()),
+            skipped: Cell::new(0),
+        }
     }
 }
 
 impl StallTimeout {
-    /// How much longer than [`BASE_TIMEOUT`] an answer is waited for that pauses now.
+    /// Returns how much longer than [`BASE_TIMEOUT`] to wait for a response that stalls now, or `None` for no longer.
     pub fn extension(&self) -> Option<Duration> {
-        let (went_on, ended) = *self.seen.borrow();
-        if went_on >= ended || self.skipped.get() + 1 >= TRY_EVERY {
+        let (resumed, ended) = *self.counts.borrow();
+        if resumed >= ended || self.skipped.get() + 1 >= SAMPLE_EVERY {
             self.skipped.set(0);
-            return Some(LONGER);
+            return Some(TIMEOUT_EXTENSION);
         }
         self.skipped.set(self.skipped.get() + 1);
         None
     }
 
-    /// An answer that was waited for has gone on, or has not.
-    pub fn record(&self, went_on: bool) {
-        let seen = &mut *self.seen.borrow_mut();
-        let keep = 0.5_f64.powf(self.faded_at.replace(Instant::now()).elapsed().as_secs_f64() / HALF_LIFE_S);
-        *seen = (seen.0 * keep, seen.1 * keep);
-        if went_on {
-            seen.0 += 1.0;
+    /// Records whether a response that got the extension has resumed.
+    pub fn record(&self, resumed: bool) {
+        let counts = &mut *self.counts.borrow_mut();
+        let keep =
+            0.5_f64.powf(self.decayed_at.replace(Instant::now()).elapsed().as_secs_f64() / HALF_LIFE_S);
+        *counts = (counts.0 * keep, counts.1 * keep);
+        if resumed {
+            counts.0 += 1.0;
         } else {
-            seen.1 += 1.0;
+            counts.1 += 1.0;
         }
     }
 }
