--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -1,4 +1,4 @@
-//! How this program makes connections, and of whom a connection that fails says anything.
+//! Opens connections, and decides whether a failed one is the fault of the server or of this machine.
 
 use crate::connections::EndpointAddress;
 use crate::socket_error::ConnectError;
@@ -15,18 +15,18 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// Pause before a connection is tried again that this machine could not begin. That costs nobody else anything.
-const AGAIN_PAUSE: Duration = Duration::from_millis(150);
-/// Two failures for want of a route that lie further apart are two troubles.
-const SPELL_GAP: Duration = Duration::from_secs(10);
+/// The delay before a connection is tried again that failed on this machine, which puts no load on the peer.
+const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Two "no route" failures that are further apart belong to separate streaks.
+const MAX_STREAK_GAP: Duration = Duration::from_secs(10);
 
-/// Makes connections.
+/// Opens connections.
 pub trait Connector {
-    /// A connection to this address.
+    /// Opens a connection to this address.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<TcpStream>>;
 }
 
-/// Makes them by the machine's own TCP.
+/// Opens connections with the operating system's TCP.
 pub struct Tcp;
 
 impl Connector for Tcp {
@@ -35,69 +35,72 @@
     }
 }
 
-/// A connection; a call that was interrupted is made again. Others get a turn between two, or its time could not end it.
+/// Opens a connection, and repeats a call that was interrupted. Yields between two calls so that a timeout can end the loop.
 async fn connect(connector: &impl Connector, address: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match connector.connect(address).await {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => yield_now().await,
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// A connection, for callers with one peer: a failure of this machine is no answer of the peer, which nothing has been asked,
-/// and is tried again soon, for as long as the caller waits. Each try may take so long.
+/// Opens a connection for callers that have a single peer. A failure of this machine never reached the peer, so it is
+/// tried again after a short delay, for as long as the caller waits. Each try may take `connect_timeout`.
 pub async fn connect_with_retry(
     connector: &impl Connector,
     address: SocketAddr,
-    within: Duration,
+    connect_timeout: Duration,
 ) -> io::Result<TcpStream> {
     loop {
-        match timeout(within, connect(connector, address)).await {
+        match timeout(connect_timeout, connect(connector, address)).await {
             Ok(Ok(stream)) => return Ok(stream),
-            Ok(Err(error)) if ConnectError::from(&error) != ConnectError::Remote => sleep(AGAIN_PAUSE).await,
+            Ok(Err(error)) if ConnectError::from(&error) != ConnectError::Remote => {
+                sleep(LOCAL_RETRY_DELAY).await
+            }
             Ok(Err(error)) => return Err(error),
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
         }
     }
 }
 
-/// Tells connections that fail for want of a server from those that fail for want of something here.
+/// Distinguishes connections that fail because of the server from those that fail because of this machine.
 ///
-/// A want of descriptors, memory or ports says nothing of a server, and its attempt counts as not sent.
+/// A lack of descriptors, memory or ports is no evidence against a server, and the attempt counts as not sent.
 ///
-/// "No route" may be either's fault: a machine that has lost its network has no route to anybody, and must not have all of its
-/// servers ejected; a server in a net that can't be reached from here must be, since nothing is ever out to it and so it would
-/// seem to be the lightest of all. The others tell the two apart: it is this machine's fault as long as nobody else has been
-/// reached since the server's first such failure, and the server's from then on. "Since" leaves as much time between as a
-/// connection may take to come up, so that what was still under way when the route went is no proof; a server that says
-/// nothing costs an attempt as much. A host that its neighbours can't reach is itself away: EHOSTUNREACH is the server's at once.
+/// "No route" may be the fault of either side. A machine that has lost its network has no route to any server, and must not
+/// cause all of them to be ejected. A server in a network that can't be reached from here must be ejected, since it never has
+/// a request in flight and so would seem to be the least loaded. The other servers decide: the failure counts against this
+/// machine until another server has been reached since the first failure of the streak, and against the server from then on.
+/// A server counts as reached since only if that is later by the time that a connection may take to open, because a
+/// connection that was being opened when the route was lost proves nothing; a silent server costs an attempt as much time.
+/// EHOSTUNREACH counts against the server at once: the host's own neighbours can't reach it.
 #[derive(Default)]
 pub struct Reachability {
-    /// When anybody was reached last while there were unrouted ones.
-    reached: Cell<Option<Instant>>,
-    /// Servers to which no route led when they were last asked for.
-    unrouted: RefCell<HashMap<ServerId, Spell>>,
+    /// When a server was last reached while there was no route to another.
+    last_reached: Cell<Option<Instant>>,
+    /// Servers whose last connection failed because there was no route.
+    no_route: RefCell<HashMap<ServerId, Streak>>,
 }
 
-/// A row of failures for want of a route.
-struct Spell {
+/// A streak of "no route" failures of one server.
+struct Streak {
     incarnation: Incarnation,
     first: Instant,
     last: Instant,
 }
 
 impl Reachability {
-    /// A connection to a server, which may take so long; without one, what that says of the server.
+    /// Opens a connection to a server, which may take `connect_timeout`, or returns the outcome of the attempt.
     pub async fn connect(
         &self,
         connector: &impl Connector,
-        place: EndpointAddress,
-        within: Duration,
+        endpoint: EndpointAddress,
+        connect_timeout: Duration,
     ) -> Result<TcpStream, Outcome> {
-        let error = match timeout(within, connect(connector, place.address)).await {
+        let error = match timeout(connect_timeout, connect(connector, endpoint.address)).await {
             Ok(Ok(stream)) => {
-                self.unrouted.borrow_mut().remove(&place.server);
+                self.no_route.borrow_mut().remove(&endpoint.server);
                 self.record_reached();
                 return Ok(stream);
             }
@@ -106,35 +109,38 @@
         };
         Err(match ConnectError::from(&error) {
             ConnectError::LocalResource => Outcome::NotSent,
-            ConnectError::NoRoute if self.is_only_unrouted(place, within) => Outcome::ConnectFailed,
+            ConnectError::NoRoute if self.record_no_route(endpoint, connect_timeout) => {
+                Outcome::ConnectFailed
+            }
             ConnectError::NoRoute => Outcome::NotSent,
             ConnectError::Remote => Outcome::ConnectFailed,
         })
     }
 
-    /// Somebody has been reached: a connection has come up, or bytes have come on one.
+    /// Records that a server has been reached: a connection was opened, or bytes were received on one.
     pub fn record_reached(&self) {
-        // Only what comes after a failure is asked about, and usually there is none.
-        if !self.unrouted.borrow().is_empty() {
-            self.reached.set(Some(Instant::now()));
+        // The time matters only after a failure, and usually there is none.
+        if !self.no_route.borrow().is_empty() {
+            self.last_reached.set(Some(Instant::now()));
         }
     }
 
-    /// Forgets servers that are not what they were: `is_current` tells of a server and an incarnation whether that still is.
+    /// Forgets the servers for whose recorded incarnation `is_current` returns false.
     pub fn retain(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
-        self.unrouted.borrow_mut().retain(|&server, spell| is_current(server, spell.incarnation));
+        self.no_route.borrow_mut().retain(|&server, streak| is_current(server, streak.incarnation));
     }
 
-    /// No route leads to a server while others have been reached.
-    fn is_only_unrouted(&self, place: EndpointAddress, within: Duration) -> bool {
-        let (now, mut unrouted) = (Instant::now(), self.unrouted.borrow_mut());
-        let new = || Spell { incarnation: place.incarnation, first: now, last: now };
-        let spell = unrouted.entry(place.server).or_insert_with(new);
-        if spell.incarnation != place.incarnation || now.duration_since(spell.last) > SPELL_GAP {
-            *spell = new();
+    /// Records that there is no route to a server. Returns whether other servers have been reached since its first such
+    /// failure.
+    fn record_no_route(&self, endpoint: EndpointAddress, connect_timeout: Duration) -> bool {
+        let (now, mut no_route) = (Instant::now(), self.no_route.borrow_mut());
+        let new = || Streak { incarnation: endpoint.incarnation, first: now, last: now };
+        let streak = no_route.entry(endpoint.server).or_insert_with(new);
+        if streak.incarnation != endpoint.incarnation || now.duration_since(streak.last) > MAX_STREAK_GAP {
+            *streak = new();
         }
-        spell.last = now;
-        self.reached.get().is_some_and(|reached| reached > spell.first + within)
+        streak.last = now;
+        self.last_reached.get().is_some_and(|reached| reached > streak.first + connect_timeout)
     }
 }
 
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -1,5 +1,5 @@
-//! Connections that fail in a forced order; those that don't are real ones. Time is the runtime's own and moves only when nothing
-//! else can happen.
+//! Connections that fail with scripted errors; all others are real ones. The clock is paused and advances only when no task
+//! can run.
 
 use super::*;
 use crate::dialect::NEW;
@@ -8,9 +8,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Fails with these, and then makes the connections that it is asked for.
+/// Fails with these errors in order, and then opens real connections.
 #[derive(Default)]
 struct Scripted {
     errors: RefCell<VecDeque<Errno>>,
@@ -34,10 +34,10 @@
     }
 }
 
-/// A peer on loopback; connections wait in its queue.
+/// A peer on loopback; connections stay in its accept queue.
 struct Peer {
     listener: TcpListener,
-    place: EndpointAddress,
+    endpoint: EndpointAddress,
 }
 
 async fn peer(number: u32) -> Peer {
@@ -45,7 +45,7 @@
     let address = listener.local_addr().unwrap();
     Peer {
         listener,
-        place: EndpointAddress {
+        endpoint: EndpointAddress {
             server: ServerId(number),
             address,
             incarnation: Incarnation(0),
@@ -55,145 +55,175 @@
 }
 
 impl Reachability {
-    async fn fails(&self, errno: Errno, place: EndpointAddress) -> Outcome {
-        self.connect(&Scripted::failing([errno]), place, WITHIN).await.expect_err("it fails")
+    async fn expect_failure(&self, errno: Errno, endpoint: EndpointAddress) -> Outcome {
+        self.connect(&Scripted::failing([errno]), endpoint, CONNECT_TIMEOUT)
+            .await
+            .expect_err("the connection expect_failure")
     }
 
-    async fn comes_up(&self, place: EndpointAddress) {
-        self.connect(&Tcp, place, WITHIN).await.expect("it comes up");
+    async fn expect_connection(&self, endpoint: EndpointAddress) {
+        self.connect(&Tcp, endpoint, CONNECT_TIMEOUT).await.expect("the connection opens");
     }
 }
 
-/// The bytes of a connection go over a real one.
-async fn talks(mut stream: TcpStream, peer: &Peer) {
-    let (mut other, _) = peer.listener.accept().await.unwrap();
+/// Checks that bytes written to `stream` arrive at the peer.
+async fn assert_connected_to(mut stream: TcpStream, peer: &Peer) {
+    let (mut accepted, _) = peer.listener.accept().await.unwrap();
     stream.write_all(b"ask").await.unwrap();
     let mut read = [0; 3];
-    other.read_exact(&mut read).await.unwrap();
+    accepted.read_exact(&mut read).await.unwrap();
     assert_eq!(&read, b"ask");
 }
 
-/// The want is here: however often it comes and whoever else is reached, it says nothing of the server.
+/// A lack of resources on this machine never counts against the server, however often it occurs and whichever other
+/// servers are reached.
 #[tokio::test(start_paused = true)]
-async fn want_of_something_here_is_never_the_servers_fault() {
-    let (one, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
+async fn local_resource_failures_never_count_against_the_server() {
+    let (server, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN]
     {
         for _ in 0..5 {
-            assert_eq!(reachability.fails(errno, one.place).await, Outcome::NotSent, "{errno:?}");
-            sleep(2 * WITHIN).await;
-            reachability.comes_up(other.place).await;
+            assert_eq!(
+                reachability.expect_failure(errno, server.endpoint).await,
+                Outcome::NotSent,
+                "{errno:?}"
+            );
+            sleep(2 * CONNECT_TIMEOUT).await;
+            reachability.expect_connection(other.endpoint).await;
         }
     }
-    let stream = reachability.connect(&Scripted::default(), one.place, WITHIN).await.expect("now it can");
-    talks(stream, &one).await;
+    let stream = reachability
+        .connect(&Scripted::default(), server.endpoint, CONNECT_TIMEOUT)
+        .await
+        .expect("the errors are used up");
+    assert_connected_to(stream, &server).await;
 }
 
-/// What the peer or the network has answered is the server's at once.
+/// An error that the peer or the network reported counts against the server at once.
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_refuses_is_the_servers_fault() {
-    let (one, reachability) = (peer(1).await, Reachability::default());
+async fn errors_of_the_peer_count_against_the_server() {
+    let (server, reachability) = (peer(1).await, Reachability::default());
     for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
-        assert_eq!(reachability.fails(errno, one.place).await, Outcome::ConnectFailed, "{errno:?}");
+        assert_eq!(
+            reachability.expect_failure(errno, server.endpoint).await,
+            Outcome::ConnectFailed,
+            "{errno:?}"
+        );
     }
 }
 
-/// A machine that has lost its network has no route to anybody: no server is to blame, however long that lasts, nor when it is over.
+/// A machine that has lost its network has no route to any server. This counts against no server, however long it lasts, nor
+/// once the network is back.
 #[tokio::test(start_paused = true)]
-async fn a_machine_without_a_network_blames_no_server() {
-    let (one, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
-    reachability.comes_up(one.place).await;
-    reachability.comes_up(other.place).await;
+async fn network_loss_of_this_machine_counts_against_no_server() {
+    let (server, other, reachability) = (peer(1).await, peer(2).await, Reachability::default());
+    reachability.expect_connection(server.endpoint).await;
+    reachability.expect_connection(other.endpoint).await;
     for errno in [Errno::NETUNREACH, Errno::NETDOWN, Errno::PERM, Errno::ACCESS] {
         for round in 0..20 {
-            for peer in [&one, &other] {
+            for peer in [&server, &other] {
                 assert_eq!(
-                    reachability.fails(errno, peer.place).await,
+                    reachability.expect_failure(errno, peer.endpoint).await,
                     Outcome::NotSent,
                     "{errno:?} {round}"
                 );
             }
-            // An answer that had come before.
+            // A response that was received before the loss.
             if round == 0 {
                 reachability.record_reached();
             }
-            sleep(WITHIN).await;
+            sleep(CONNECT_TIMEOUT).await;
         }
-        reachability.comes_up(one.place).await;
-        reachability.comes_up(other.place).await;
+        reachability.expect_connection(server.endpoint).await;
+        reachability.expect_connection(other.endpoint).await;
     }
-    // It is lost again, long after: what was reached between says nothing of this time.
-    assert_eq!(reachability.fails(Errno::NETUNREACH, other.place).await, Outcome::NotSent);
-    sleep(2 * SPELL_GAP).await;
-    reachability.comes_up(one.place).await;
-    assert_eq!(reachability.fails(Errno::NETUNREACH, other.place).await, Outcome::NotSent);
+    // The network is lost again, much later: servers reached in between prove nothing about this loss.
+    assert_eq!(reachability.expect_failure(Errno::NETUNREACH, other.endpoint).await, Outcome::NotSent);
+    sleep(2 * MAX_STREAK_GAP).await;
+    reachability.expect_connection(server.endpoint).await;
+    assert_eq!(reachability.expect_failure(Errno::NETUNREACH, other.endpoint).await, Outcome::NotSent);
 }
 
-/// No route leads to one server, and others are reached: it is ejected like any that can't be reached, by new connections or by
-/// answers on old ones.
+/// There is no route to one server while others are reached, by new connections or by responses on existing ones: the failure
+/// counts against that server, so that it is ejected.
 #[tokio::test(start_paused = true)]
-async fn a_server_to_which_alone_no_route_leads_is_to_blame() {
-    let (one, other) = (peer(1).await, peer(2).await);
-    for by_answer in [false, true] {
+async fn missing_route_to_a_single_server_counts_against_it() {
+    let (server, other) = (peer(1).await, peer(2).await);
+    for by_response in [false, true] {
         let reachability = Reachability::default();
-        assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::NotSent);
-        sleep(2 * WITHIN).await;
-        match by_answer {
+        assert_eq!(reachability.expect_failure(Errno::NETUNREACH, server.endpoint).await, Outcome::NotSent);
+        sleep(2 * CONNECT_TIMEOUT).await;
+        match by_response {
             true => reachability.record_reached(),
-            false => reachability.comes_up(other.place).await,
+            false => reachability.expect_connection(other.endpoint).await,
         }
         for _ in 0..3 {
-            assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::ConnectFailed);
+            assert_eq!(
+                reachability.expect_failure(Errno::NETUNREACH, server.endpoint).await,
+                Outcome::ConnectFailed
+            );
         }
-        // Another incarnation of it may stand elsewhere.
-        let moved = EndpointAddress { incarnation: Incarnation(1), ..one.place };
-        assert_eq!(reachability.fails(Errno::NETUNREACH, moved).await, Outcome::NotSent);
-        // Once it has been reached all begins anew.
-        reachability.comes_up(one.place).await;
-        assert_eq!(reachability.fails(Errno::NETUNREACH, one.place).await, Outcome::NotSent);
+        // Another incarnation of the server may be in another network.
+        let moved = EndpointAddress { incarnation: Incarnation(1), ..server.endpoint };
+        assert_eq!(reachability.expect_failure(Errno::NETUNREACH, moved).await, Outcome::NotSent);
+        // Reaching the server starts a new streak.
+        reachability.expect_connection(server.endpoint).await;
+        assert_eq!(reachability.expect_failure(Errno::NETUNREACH, server.endpoint).await, Outcome::NotSent);
     }
 }
 
-/// Servers come and go under ever new numbers.
+/// Servers join and leave with ever new ids, so the records of those that left must be removed.
 #[tokio::test(start_paused = true)]
 async fn servers_that_have_left_are_forgotten() {
-    let (one, reachability) = (peer(1).await, Reachability::default());
-    for server in 0..100 {
+    let (server, reachability) = (peer(1).await, Reachability::default());
+    for number in 0..100 {
         reachability
-            .fails(Errno::NETUNREACH, EndpointAddress { server: ServerId(server), ..one.place })
+            .expect_failure(
+                Errno::NETUNREACH,
+                EndpointAddress { server: ServerId(number), ..server.endpoint },
+            )
             .await;
     }
     reachability.retain(|server, _| server == ServerId(7));
-    assert_eq!(reachability.unrouted.borrow().len(), 1);
+    assert_eq!(reachability.no_route.borrow().len(), 1);
 }
 
-/// A signal that comes while a connection is begun says nothing, and costs no attempt.
+/// A signal that interrupts `connect` is no evidence against the server, and must not cost an attempt.
 #[tokio::test(start_paused = true)]
-async fn an_interrupted_connect_is_made_again() {
-    let (one, reachability) = (peer(1).await, Reachability::default());
+async fn interrupted_connect_is_repeated() {
+    let (server, reachability) = (peer(1).await, Reachability::default());
     let connector = Scripted::failing([Errno::INTR; 9]);
-    let stream = reachability.connect(&connector, one.place, WITHIN).await.expect("in the end");
+    let stream = reachability
+        .connect(&connector, server.endpoint, CONNECT_TIMEOUT)
+        .await
+        .expect("after the interruptions");
     assert_eq!(connector.calls.get(), 10);
-    talks(stream, &one).await;
-    let (connector, begun) = (Scripted::failing([Errno::INTR; 9]), Instant::now());
-    let stream = connect_with_retry(&connector, one.place.address, WITHIN).await.expect("in the end");
-    assert_eq!((connector.calls.get(), begun.elapsed()), (10, Duration::ZERO), "at once");
-    talks(stream, &one).await;
+    assert_connected_to(stream, &server).await;
+    let (connector, start) = (Scripted::failing([Errno::INTR; 9]), Instant::now());
+    let stream = connect_with_retry(&connector, server.endpoint.address, CONNECT_TIMEOUT)
+        .await
+        .expect("after the interruptions");
+    assert_eq!((connector.calls.get(), start.elapsed()), (10, Duration::ZERO), "at once");
+    assert_connected_to(stream, &server).await;
 }
 
-/// For one with a single peer, a failure of this machine is tried again soon; one of the peer is told at once.
+/// With a single peer, a failure of this machine is retried after a short delay, and one of the peer is returned at once.
 #[tokio::test(start_paused = true)]
-async fn what_could_not_be_begun_is_tried_again_soon() {
-    let one = peer(1).await;
-    let row = [Errno::MFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NOBUFS, Errno::INTR];
-    let (connector, begun) = (Scripted::failing(row), Instant::now());
-    let stream = connect_with_retry(&connector, one.place.address, WITHIN).await.expect("in the end");
-    assert_eq!(connector.calls.get(), row.len() + 1);
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
-    talks(stream, &one).await;
+async fn local_failure_is_retried_and_failure_of_the_peer_is_returned() {
+    let server = peer(1).await;
+    let errors = [Errno::MFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NOBUFS, Errno::INTR];
+    let (connector, start) = (Scripted::failing(errors), Instant::now());
+    let stream = connect_with_retry(&connector, server.endpoint.address, CONNECT_TIMEOUT)
+        .await
+        .expect("after the scripted errors");
+    assert_eq!(connector.calls.get(), errors.len() + 1);
+    assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
+    assert_connected_to(stream, &server).await;
     for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         let connector = Scripted::failing([errno]);
-        let error = connect_with_retry(&connector, one.place.address, WITHIN).await.expect_err("told");
+        let error = connect_with_retry(&connector, server.endpoint.address, CONNECT_TIMEOUT)
+            .await
+            .expect_err("the error of the peer");
         assert_eq!((Errno::from_io_error(&error), connector.calls.get()), (Some(errno), 1));
     }
 }
--- a/crates/agent/src/socket_error.rs
+++ b/crates/agent/src/socket_error.rs
@@ -1,17 +1,17 @@
-//! What an error of `accept` or `connect` says, and of whom: the new connection, the peer, or this machine. By Linux's pages
-//! accept(2), connect(2) and socket(2).
+//! Classifies errors of `accept` and `connect` by whom they concern: the new connection, the peer, or this machine. Follows
+//! the Linux manual pages accept(2), connect(2) and socket(2).
 
 use rustix::io::Errno;
 use std::io::{Error, ErrorKind};
 
-/// What an error of `accept` says.
+/// The meaning of an error of `accept`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptError {
-    /// One connection broke off before it was accepted, or the call was interrupted. The next one may be had at once.
+    /// A connection was aborted before it was accepted, or the call was interrupted. The next connection can be accepted at once.
     ConnectionAborted,
     /// This machine has no descriptor or memory for another connection.
     ResourceExhausted,
-    /// The listener itself does not do.
+    /// The listener itself is unusable.
     Other,
 }
 
@@ -21,7 +21,7 @@
             return AcceptError::ResourceExhausted;
         }
         match error.kind() {
-            // Linux passes on what has already befallen the new socket, be it the network's word or a firewall's.
+            // Linux reports errors that are already pending on the new socket, whether from the network or a firewall.
             ErrorKind::ConnectionAborted
             | ErrorKind::ConnectionReset
             | ErrorKind::TimedOut
@@ -41,16 +41,16 @@
     }
 }
 
-/// What an error of `connect`, or of the `socket` before it, says.
+/// The meaning of an error of `connect`, or of the `socket` call before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectError {
-    /// This machine lacks a descriptor, memory or a port, or the call was interrupted: nothing has been asked of the network, and
-    /// it says nothing of the peer.
+    /// This machine lacks a descriptor, memory or a port, or the call was interrupted. Nothing was sent to the network, so the
+    /// error is no evidence against the peer.
     LocalResource,
-    /// No way leads from here, or none may be taken: no route, no network, a rule of this machine. Whether that is so for this
-    /// peer only does not follow from the error.
+    /// There is no route from this machine, its network is down, or a local rule forbids the connection. The error does not show
+    /// whether that applies to this peer only.
     NoRoute,
-    /// The peer, or a machine next to it, has answered so or has kept silent.
+    /// The peer or a machine next to it reported the error, or did not respond.
     Remote,
 }
 
@@ -60,7 +60,7 @@
             return ConnectError::LocalResource;
         }
         match error.kind() {
-            // All ports of this machine are taken, be it by all or by connections to this peer that are just over.
+            // All local ports are in use, whether overall or by recently closed connections to this peer.
             ErrorKind::AddrNotAvailable
             | ErrorKind::AddrInUse
             | ErrorKind::Interrupted
@@ -68,13 +68,14 @@
             ErrorKind::NetworkUnreachable | ErrorKind::NetworkDown | ErrorKind::PermissionDenied => {
                 ConnectError::NoRoute
             }
-            // HostUnreachable too: the host does not answer its neighbours.
+            // Includes HostUnreachable: the host does not respond to its neighbours.
             _ => ConnectError::Remote,
         }
     }
 }
 
-/// Descriptors of this process or of the machine, memory for a socket, or room among those that are waited for.
+/// Returns whether the error reports a lack of descriptors of this process or machine, of memory for a socket, or of capacity
+/// to poll another one.
 fn lacks_resource(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::OutOfMemory | ErrorKind::StorageFull)
         || matches!(
@@ -83,12 +84,12 @@
         )
 }
 
-/// A call to the system, made again for as long as signals interrupt it: that says nothing of what was asked.
+/// Repeats a system call for as long as signals interrupt it; an interruption is no result of the call.
 pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> Result<T, Error>) -> Result<T, Error> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/agent/src/socket_error/tests.rs
+++ b/crates/agent/src/socket_error/tests.rs
@@ -1,15 +1,15 @@
-//! Each error that Linux documents, by its number.
+//! Covers each error that Linux documents, by its number.
 
 use super::*;
 
-fn raw(errno: Errno) -> Error {
+fn error_of(errno: Errno) -> Error {
     Error::from_raw_os_error(errno.raw_os_error())
 }
 
 #[test]
-fn each_error_of_accept_says_of_whom_it_is() {
+fn accept_errors_are_classified() {
     use AcceptError::*;
-    for (errno, says) in [
+    for (errno, expected) in [
         // "A connection has been aborted"; "Protocol error"; "Firewall rules forbid connection".
         (Errno::CONNABORTED, ConnectionAborted),
         (Errno::PROTO, ConnectionAborted),
@@ -32,23 +32,23 @@
         (Errno::NOBUFS, ResourceExhausted),
         (Errno::NOMEM, ResourceExhausted),
         (Errno::NOSR, ResourceExhausted),
-        // Of `epoll_ctl`, by which the new socket is waited for.
+        // From `epoll_ctl`, which registers the new socket.
         (Errno::NOSPC, ResourceExhausted),
-        // The listener is none (any more).
+        // The descriptor is not, or no longer, a listener.
         (Errno::BADF, Other),
         (Errno::INVAL, Other),
         (Errno::NOTSOCK, Other),
         (Errno::FAULT, Other),
     ] {
-        assert_eq!(AcceptError::from(&raw(errno)), says, "{errno:?}");
+        assert_eq!(AcceptError::from(&error_of(errno)), expected, "{errno:?}");
     }
     assert_eq!(AcceptError::from(&Error::other("no number")), Other);
 }
 
 #[test]
-fn each_error_of_connect_says_of_whom_it_is() {
+fn connect_errors_are_classified() {
     use ConnectError::*;
-    for (errno, says) in [
+    for (errno, expected) in [
         (Errno::MFILE, LocalResource),
         (Errno::NFILE, LocalResource),
         (Errno::NOBUFS, LocalResource),
@@ -68,10 +68,10 @@
         (Errno::CONNRESET, Remote),
         (Errno::TIMEDOUT, Remote),
         (Errno::PIPE, Remote),
-        // An address that this machine has no family for is the list's fault: that server can't be reached.
+        // An address of an unsupported family is an error of the endpoint list: that server can't be reached.
         (Errno::AFNOSUPPORT, Remote),
     ] {
-        assert_eq!(ConnectError::from(&raw(errno)), says, "{errno:?}");
+        assert_eq!(ConnectError::from(&error_of(errno)), expected, "{errno:?}");
     }
     assert_eq!(ConnectError::from(&Error::other("no number")), Remote);
 }
