--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -1,5 +1,6 @@
-//! What servers of a mixed fleet speak, and requests and answers in both dialects. Where a request may go is settled by
-//! `heronhoist_translate::mixed` before the module draws; an attempt speaks its server's dialect as that was when it began.
+//! The dialects of the servers in a mixed fleet, and the translation of requests and responses between them. Before the decision
+//! module selects a server, `heronhoist_translate::mixed` determines which dialects a request may be sent in. An attempt uses
+//! the dialect that its server had when the attempt began.
 
 use crate::backend::{LegacyRequest, ResponseBody, UpstreamRequest, UpstreamResponse};
 use crate::intake::IDEMPOTENCY_KEY;
@@ -14,26 +15,26 @@
 use hyper::{Method, Uri};
 use std::rc::Rc;
 
-/// The servers' own protocol.
+/// The dialect of the record servers' own protocol.
 pub const NEW: DialectId = DialectId(0);
-/// The old sides of the mapping files.
+/// The dialect on the old sides of the mapping files.
 pub const OLD: DialectId = DialectId(1);
-/// Names what a SOAP client wants (SOAP 1.1, 6.1.1).
+/// The header that names the operation of a SOAP request (SOAP 1.1, 6.1.1).
 pub const SOAP_ACTION: HeaderName = HeaderName::from_static("soapaction");
 
-/// What servers speak, in the translator's terms.
+/// Converts the decision module's set of dialects to the translator's.
 pub fn sides(dialects: Dialects) -> Sides {
     Sides { old: dialects.contains(OLD), new: dialects.contains(NEW) }
 }
 
-/// And in the module's.
+/// Converts the translator's set of dialects to the decision module's.
 pub fn dialects(sides: Sides) -> Dialects {
-    let known = [(sides.new, NEW), (sides.old, OLD)].into_iter().filter(|(is, _)| *is);
+    let known = [(sides.new, NEW), (sides.old, OLD)].into_iter().filter(|(is_known, _)| *is_known);
     known.fold(Dialects::NONE, |all, (_, dialect)| all.with(dialect))
 }
 
-/// The request of a new client for old servers too, where it can be said to them without loss and with the same key. Where it
-/// can't, it goes to new ones only.
+/// Adds the old dialect's form to a new client's request if it can be translated without loss and with the same idempotency
+/// key. Otherwise the request goes to new servers only.
 pub fn add_legacy_form(
     mappings: &Mappings,
     new_request: &mut NewRequest<UpstreamRequest>,
@@ -46,25 +47,29 @@
     if !serving.contains(OLD) {
         return;
     }
-    let call = &new_request.request;
-    let said = mappings.of_new(call.method.as_str(), call.uri.path()).find_map(|mapping| {
-        let RequestBody::Buffered(body) = &call.body else { return None };
-        let is_query = call.method == Method::GET;
-        let bytes = if is_query { call.uri.query().unwrap_or_default().as_bytes() } else { body };
-        let key = call.headers.get(IDEMPOTENCY_KEY).map(|key| key.to_str().unwrap_or_default());
+    let request = &new_request.request;
+    let legacy = mappings.of_new(request.method.as_str(), request.uri.path()).find_map(|mapping| {
+        let RequestBody::Buffered(body) = &request.body else { return None };
+        let is_query = request.method == Method::GET;
+        let bytes = if is_query { request.uri.query().unwrap_or_default().as_bytes() } else { body };
+        let key = request.headers.get(IDEMPOTENCY_KEY).map(|key| key.to_str().unwrap_or_default());
         let plan = mixed::from_new(mapping, bytes, key, sides(serving));
-        said(mapping, &call.headers, plan.other?)
+        legacy_request(mapping, &request.headers, plan.other?)
     });
-    if let Some(said) = said {
-        new_request.request.legacy = Some(Box::new(said));
+    if let Some(legacy) = legacy {
+        new_request.request.legacy = Some(Box::new(legacy));
         new_request.dialects = new_request.dialects.with(OLD);
     }
 }
 
-/// A message as old servers get it.
-fn said(mapping: &Rc<Mapping>, from: &HeaderMap, bytes: Vec<u8>) -> Option<LegacyRequest> {
+/// Builds the request for old servers; `client_headers` are those of the client's request.
+fn legacy_request(
+    mapping: &Rc<Mapping>,
+    client_headers: &HeaderMap,
+    bytes: Vec<u8>,
+) -> Option<LegacyRequest> {
     let old = &mapping.old;
-    let (method, uri, mut headers, body) = to_http_parts(old, from, bytes)?;
+    let (method, uri, mut headers, body) = to_http_parts(old, client_headers, bytes)?;
     if old.form == Form::Soap && method != Method::GET {
         let action = format!("\"{}#{}\"", old.namespace, old.operation);
         headers.insert(SOAP_ACTION, HeaderValue::try_from(action).ok()?);
@@ -72,15 +77,16 @@
     Some(LegacyRequest { method, uri, headers, body, mapping: Some(Rc::clone(mapping)) })
 }
 
-/// A translated request as its side has it over HTTP: in the query of a GET, in the body of others. `from` is the client's head.
+/// Converts a translated request to its dialect's HTTP form: in the query of a GET, in the body of other methods.
+/// `client_headers` are those of the client's request.
 pub fn to_http_parts(
     to: &Dialect,
-    from: &HeaderMap,
+    client_headers: &HeaderMap,
     bytes: Vec<u8>,
 ) -> Option<(Method, Uri, HeaderMap, Bytes)> {
     let method: Method = to.method.parse().ok()?;
     let mut headers = HeaderMap::with_capacity(5);
-    if let Some(host) = from.get(HOST) {
+    if let Some(host) = client_headers.get(HOST) {
         headers.insert(HOST, host.clone());
     }
     let (uri, body) = if method == Method::GET {
@@ -92,15 +98,15 @@
     Some((method, uri.parse().ok()?, headers, body))
 }
 
-/// Turns a server's answer into that of the other side: its body, the memory that the server's held, and what was lost. One that
-/// can't be said there may have run, and is a failure.
+/// Translates a server's response to the other side. Returns the body, the reservation of the server's body, and notices of what
+/// was lost. A response that can't be translated is an error, although the request may have been executed.
 pub fn translate_response(
     mapping: &Mapping,
     from: Side,
-    served: UpstreamResponse,
+    response: UpstreamResponse,
 ) -> Result<(Bytes, Reservation, Vec<Notice>), String> {
-    let ResponseBody::Buffered(bytes, reservation) = served.body else {
-        return Err(format!("it is longer than {MAX_BUFFERED_BYTES} bytes"));
+    let ResponseBody::Buffered(bytes, reservation) = response.body else {
+        return Err(format!("the response is longer than {MAX_BUFFERED_BYTES} bytes"));
     };
     let (body, notices) = mixed::answer(mapping, from, &bytes)?;
     Ok((body.into(), reservation, notices))
--- a/crates/agent/src/pools.rs
+++ b/crates/agent/src/pools.rs
@@ -1,11 +1,11 @@
-//! The pools of the process as a plan names them, made, revised and closed as plans change.
+//! The pools of the process. They are created, updated and closed as the plan changes.
 
 use crate::backend::HttpUpstream;
 use crate::connections::{ConnectionRegistry, Connections};
 use crate::discovery::Discovery;
 use crate::metrics::{LatencyHistograms, Metrics};
 use crate::plan::{KnownEndpoints, PoolEndpoints, PoolPlan};
-use heronhoist_decision::{ClassId, Discovery as Heard, Settings, Span};
+use heronhoist_decision::{ClassId, Discovery as DiscoveryMode, Settings, Span};
 use heronhoist_engine::{
     DrainableSource, EndpointInfo, EndpointList, EndpointSource, Pool, PoolOptions, PoolStats, Quota,
     QuotaShare, Rejection, StaticEndpoints,
@@ -17,52 +17,52 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// When to come back if there was no memory for a body: others are done with theirs by then.
-const BODY_RETRY: Span = Span(100_000);
+/// The Retry-After time if there was no memory for a body: others have released theirs by then.
+const BODY_RETRY_AFTER: Span = Span(100_000);
 
-/// What changes a pool's list from here.
+/// The sender that updates the source of a pool's endpoint list.
 enum Source {
     Discovery(watch::Sender<SocketAddr>),
     Fixed(watch::Sender<Vec<EndpointInfo<SocketAddr>>>),
 }
 
-/// One pool, and what belongs to it here.
+/// A pool with the resources and settings that the agent keeps for it.
 pub struct HttpPool {
-    /// The pool.
+    /// The pool of the engine.
     pub engine_pool: Pool<HttpUpstream>,
-    /// The memory for bodies of its requests and answers.
+    /// The memory for bodies of its requests and responses.
     pub bodies: Rc<QuotaShare>,
     source: Source,
     legacy_machine_types: Vec<String>,
-    /// The longest time to come back that its clients may be told; none where the settings don't let them be told.
+    /// The longest Retry-After time that its clients may get; `None` if the settings send none.
     max_retry_after: Cell<Option<Span>>,
-    /// The times of each class that has asked here.
-    times: RefCell<Vec<(String, Rc<LatencyHistograms>)>>,
+    /// The latencies of each class that has sent requests here.
+    latencies: RefCell<Vec<(String, Rc<LatencyHistograms>)>>,
 }
 
 impl HttpPool {
-    /// The times of a class's requests here.
+    /// Returns the latency histograms of a class's requests in this pool.
     pub fn latency(&self, metrics: &Metrics, class: &str) -> Rc<LatencyHistograms> {
-        let mut known = self.times.borrow_mut();
-        if let Some((_, times)) = known.iter().find(|(name, _)| name == class) {
-            return Rc::clone(times);
+        let mut known = self.latencies.borrow_mut();
+        if let Some((_, latencies)) = known.iter().find(|(name, _)| name == class) {
+            return Rc::clone(latencies);
         }
-        let times = metrics.latency(self.engine_pool.name(), class);
-        known.push((class.to_string(), Rc::clone(&times)));
-        times
+        let latencies = metrics.latency(self.engine_pool.name(), class);
+        known.push((class.to_string(), Rc::clone(&latencies)));
+        latencies
     }
 
-    /// When a client is told to come back that was declined.
-    pub fn retry_after(&self, declined: Rejection) -> Option<Span> {
-        Some(declined.retry_after()?.min(self.max_retry_after.get()?))
+    /// Returns the Retry-After time for a rejected request.
+    pub fn retry_after(&self, rejection: Rejection) -> Option<Span> {
+        Some(rejection.retry_after()?.min(self.max_retry_after.get()?))
     }
 
-    /// When a client is told to come back for whose body there was no memory.
+    /// Returns the Retry-After time for a request for whose body there was no memory.
     pub fn body_retry_after(&self) -> Option<Span> {
-        Some(BODY_RETRY.min(self.max_retry_after.get()?))
+        Some(BODY_RETRY_AFTER.min(self.max_retry_after.get()?))
     }
 
-    /// Takes over a plan of the same membership; false, and nothing changed, if the list comes from elsewhere now.
+    /// Applies a new plan. Returns false and changes nothing if the endpoint list now comes from a different kind of source.
     fn update(&self, plan: &PoolPlan, ids: &[ClassId]) -> bool {
         if self.legacy_machine_types != plan.legacy_machine_types {
             return false;
@@ -71,18 +71,18 @@
             (Source::Discovery(source), PoolEndpoints::Discovery(address)) => {
                 source.send_if_modified(|old| std::mem::replace(old, *address) != *address);
             }
-            (Source::Fixed(source), PoolEndpoints::Static(members)) => {
+            (Source::Fixed(source), PoolEndpoints::Static(endpoints)) => {
                 source.send_if_modified(|old| {
-                    let changed = old != members;
-                    old.clone_from(members);
+                    let changed = old != endpoints;
+                    old.clone_from(endpoints);
                     changed
                 });
             }
             (Source::Discovery(_), PoolEndpoints::Static(_))
             | (Source::Fixed(_), PoolEndpoints::Discovery(_)) => return false,
         }
-        // Classes that have vanished are looked up anew should they come back.
-        self.times.borrow_mut().clear();
+        // Classes that were removed are looked up again if they return.
+        self.latencies.borrow_mut().clear();
         self.engine_pool.upstream().update_settings(&plan.http);
         self.max_retry_after.set(max_retry_after(&plan.settings));
         self.engine_pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
@@ -94,7 +94,7 @@
     settings.retry_after.then_some(settings.max_retry_after)
 }
 
-/// All pools, and what they share.
+/// All pools, and the resources that they share.
 pub struct Pools {
     pools: RefCell<Vec<Rc<HttpPool>>>,
     registry: Rc<ConnectionRegistry>,
@@ -102,23 +102,23 @@
     bodies: Rc<Quota>,
     requests: Rc<Quota>,
     seed: Cell<u64>,
-    /// Names of servers that the fleet has agreed to drain; none where the agent takes part in no fleet.
+    /// The names of the servers that the fleet drains; `None` if the agent is not a member of a fleet.
     drained: RefCell<Option<watch::Receiver<BTreeSet<String>>>>,
-    /// Pools that take nothing new, and still have something under way.
+    /// Closed pools that accept no new requests but may still have some in flight.
     closing: RefCell<Vec<Rc<HttpPool>>>,
 }
 
-/// What the process may hold for all pools.
+/// Limits of the process for all pools together.
 #[derive(Clone, Copy)]
 pub struct UpstreamLimits {
-    /// Connections to record servers.
+    /// Open connections to record servers.
     pub connections: usize,
-    /// Bytes of bodies.
+    /// Bytes of buffered bodies.
     pub body_bytes: usize,
 }
 
 impl Pools {
-    /// No pools yet; together they may hold so many requests at any time.
+    /// Creates an empty set of pools, which together hold at most `requests` requests at a time.
     pub fn new(limits: UpstreamLimits, requests: usize, seed: u64) -> Rc<Self> {
         let (pools, registry) = Default::default();
         let (connections, bodies) = (Quota::new(limits.connections), Quota::new(limits.body_bytes));
@@ -127,51 +127,51 @@
         Rc::new(Pools { pools, registry, connections, bodies, requests, seed, drained, closing })
     }
 
-    /// Pools that are opened from now on send nothing new to these servers either.
+    /// Makes pools that are opened from now on send no new requests to the servers in `drained`.
     pub fn follow_drains(&self, drained: watch::Receiver<BTreeSet<String>>) {
         self.drained.replace(Some(drained));
     }
 
-    /// What servers lack of what they can do, by name; the most, where several pools know one.
+    /// Returns the missing share of each server's capacity, by server name: the largest, if several pools know the server.
     pub fn missing_capacity(&self) -> BTreeMap<String, f64> {
         let mut missing_capacity = BTreeMap::new();
         for missing in self.pools.borrow().iter().flat_map(|pool| pool.engine_pool.missing_capacity()) {
-            let most = missing_capacity.entry(missing.server).or_insert(missing.share);
-            *most = missing.share.max(*most);
+            let share = missing_capacity.entry(missing.server).or_insert(missing.share);
+            *share = missing.share.max(*share);
         }
         missing_capacity
     }
 
-    /// Pools that were closed and have nothing under way any more are let go of.
-    fn forget_closed(&self) {
+    /// Drops the closed pools that have no request in flight any more.
+    fn drop_finished_pools(&self) {
         self.closing.borrow_mut().retain(|pool| pool.engine_pool.stats().open_requests > 0);
     }
 
-    /// Whether nothing is out to a server, and nothing will be sent to it while it drains.
+    /// Returns whether a server has no request in flight, and will get none while it drains.
     pub fn is_drained(&self, server: &str) -> bool {
-        self.forget_closed();
+        self.drop_finished_pools();
         let (pools, closing) = (self.pools.borrow(), self.closing.borrow());
         pools.iter().chain(closing.iter()).all(|pool| pool.engine_pool.is_drained(server))
     }
 
-    /// So much from now on; what is held beyond that is given back as far as it rests.
+    /// Applies new limits. Idle connections beyond them are closed.
     pub fn set_limits(&self, limits: UpstreamLimits) {
         self.connections.set_limit(limits.connections);
         self.bodies.set_limit(limits.body_bytes);
         self.pools.borrow().iter().for_each(|pool| pool.engine_pool.upstream().connections().close_excess());
     }
 
-    /// The pools, in the order of the plan.
+    /// Returns the pools in the order of the plan.
     pub fn all(&self) -> Vec<Rc<HttpPool>> {
         self.pools.borrow().clone()
     }
 
-    /// True if there is a server to send to in one of them.
+    /// Returns whether any pool has a server that can receive requests.
     pub fn has_serving_server(&self) -> bool {
         self.pools.borrow().iter().any(|pool| pool.engine_pool.has_serving_server())
     }
 
-    /// What all of them are now, added up.
+    /// Returns the sum of the statistics of all pools.
     pub fn stats(&self) -> PoolStats {
         let pools = self.pools.borrow();
         let stats = pools.iter().map(|pool| pool.engine_pool.stats());
@@ -182,15 +182,15 @@
         })
     }
 
-    /// Takes over the pools of a plan, whose settings have been validated. A pool goes on under its name unless its list
-    /// comes from elsewhere now; one that the plan lacks takes nothing new, and what is under way in it ends as it began.
-    /// `known` is the first pool's list as it was last known.
+    /// Applies the pools of a plan whose settings have been validated. A pool of the same name is kept unless its endpoint
+    /// list now comes from a different kind of source. A pool that is not in the plan accepts no new requests, and its requests
+    /// in flight complete under the old settings. `known` is the last known endpoint list of the first pool.
     pub fn update(&self, plans: &[PoolPlan], ids: &[ClassId], mut known: Option<KnownEndpoints>) {
-        self.forget_closed();
+        self.drop_finished_pools();
         let old = self.pools.take();
         let pools = plans.iter().map(|plan| {
-            let same = old.iter().find(|pool| pool.engine_pool.name() == plan.name && pool.update(plan, ids));
-            same.map_or_else(|| self.open(plan, ids, known.take()), Rc::clone)
+            let kept = old.iter().find(|pool| pool.engine_pool.name() == plan.name && pool.update(plan, ids));
+            kept.map_or_else(|| self.open(plan, ids, known.take()), Rc::clone)
         });
         let pools: Vec<Rc<HttpPool>> = pools.collect();
         for pool in old.iter().filter(|pool| !pools.iter().any(|other| Rc::ptr_eq(pool, other))) {
@@ -209,55 +209,55 @@
         let bodies = self.bodies.share();
         let upstream =
             HttpUpstream::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
-        let (source, membership): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.endpoints {
+        let (source, endpoint_source): (_, Box<dyn EndpointSource<SocketAddr>>) = match &plan.endpoints {
             PoolEndpoints::Discovery(address) => {
                 let (sender, address) = watch::channel(*address);
-                let is_pushed = plan.settings.discovery == Heard::Pushed;
+                let is_pushed = plan.settings.discovery == DiscoveryMode::Pushed;
                 let legacy_machine_types = plan.legacy_machine_types.clone();
                 (Source::Discovery(sender), Box::new(Discovery { address, is_pushed, legacy_machine_types }))
             }
-            PoolEndpoints::Static(members) => {
-                let (tell, told) = watch::channel(members.clone());
-                (Source::Fixed(tell), Box::new(StaticEndpoints::new(told)))
+            PoolEndpoints::Static(endpoints) => {
+                let (sender, receiver) = watch::channel(endpoints.clone());
+                (Source::Fixed(sender), Box::new(StaticEndpoints::new(receiver)))
             }
         };
-        // A list that stands in the file is known from the start.
+        // A list in the settings file is known from the start.
         let fixed = || match &plan.endpoints {
-            PoolEndpoints::Static(members) => {
-                let list = EndpointList { version: 0, is_complete: true, endpoints: members.clone() };
+            PoolEndpoints::Static(endpoints) => {
+                let list = EndpointList { version: 0, is_complete: true, endpoints: endpoints.clone() };
                 Some(KnownEndpoints { list, is_version_valid: true })
             }
             PoolEndpoints::Discovery(_) => None,
         };
         let known = known.or_else(fixed);
-        let membership = match &*self.drained.borrow() {
+        let endpoint_source = match &*self.drained.borrow() {
             Some(drained) => {
-                let members = known.as_ref().map_or(&[][..], |known| &known.list.endpoints);
-                Box::new(DrainableSource::new(membership, drained.clone(), members))
+                let endpoints = known.as_ref().map_or(&[][..], |known| &known.list.endpoints);
+                Box::new(DrainableSource::new(endpoint_source, drained.clone(), endpoints))
             }
-            None => membership,
+            None => endpoint_source,
         };
-        let known_stands = known.as_ref().is_some_and(|known| known.is_version_valid);
+        let continues_versions = known.as_ref().is_some_and(|known| known.is_version_valid);
         let known = known.map(|known| known.list);
-        // Each pool draws for itself.
+        // Each pool gets its own random numbers.
         let seed = self.seed.replace(self.seed.get().wrapping_add(0x9e37_79b9_7f4a_7c15));
-        let setup = PoolOptions {
+        let options = PoolOptions {
             name: plan.name.clone(),
             settings: plan.settings.clone(),
             seed,
             server_names: plan.names.clone(),
             initial_list: known,
-            continues_versions: known_stands,
+            continues_versions,
             epoch: None,
             upstream,
             request_quota: self.requests.share(),
         };
-        let engine_pool = Pool::new(setup).expect("settings are validated with their plan");
-        // Its classes were numbered by their places; that is no number that another pool's class has.
-        if ids.iter().enumerate().any(|(place, id)| place != id.0) {
+        let engine_pool = Pool::new(options).expect("the settings of a plan are valid");
+        // The pool has numbered its classes by position. Applies the ids, which are unique across all pools, where they differ.
+        if ids.iter().enumerate().any(|(index, id)| index != id.0) {
             engine_pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
         }
-        spawn_local(engine_pool.clone().run(membership));
+        spawn_local(engine_pool.clone().run(endpoint_source));
         let max_retry_after = Cell::new(max_retry_after(&plan.settings));
         let legacy_machine_types = plan.legacy_machine_types.clone();
         Rc::new(HttpPool {
@@ -266,7 +266,7 @@
             source,
             legacy_machine_types,
             max_retry_after,
-            times: RefCell::default(),
+            latencies: RefCell::default(),
         })
     }
 }
