--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to backends: at work, idle, or not there yet.
+//! The connections to the servers of a pool: opens them, keeps idle ones for reuse and closes them.
 
 use crate::connect::{Reachability, Tcp};
 use crate::idle_timeout::{ConnectionEnd, IdleTimeout};
@@ -17,28 +17,28 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A connection rests for this share of the time after which a backend closes it, so that the two never cross.
+/// A connection is kept idle for this share of the time after which a server closes it, so that no request crosses the close.
 const IDLE_SHARE: f64 = 0.8;
-/// A connection that has just brought an answer rests at least this long before it carries another request. A server that sends an
-/// answer twice may do so some milliseconds late: that has to be seen while the connection rests, since what comes after the next
-/// request was written can't be told from its answer.
-const IDLE_LEAST: Duration = Duration::from_millis(20);
-/// A trusted server's connections carry the next request before that, the one that has rested longest first, but only while
-/// so many of them are resting: requests that come less densely have their connections rest as any other server's.
-const UNRESTED_LEAST: usize = 2;
-/// More than so many resting ones of a trusted server are not kept: they were opened while each had to rest, and to go round
-/// among them costs more than the requests do.
-const IDLE_ENOUGH: usize = 5;
-/// Where not even the coldest connection has rested this long, all are in turn to be used again.
-const IN_TURN: Duration = IDLE_LEAST.saturating_mul(2);
-/// How long a connection may take to be ready again once its answer has been read.
-const SETTLE_WAIT: Duration = Duration::from_millis(500);
-/// The largest head of an answer, and its lines; hyper's own bounds would let a few hundred endless heads fill
-/// the memory.
-const HEAD_MOST: usize = 16 * 1024;
-const HEADERS_MOST: usize = 64;
-
-/// A server on the network.
+/// After a response, a connection is idle for at least this long before it carries another request. A server that sends a
+/// response twice may send the copy some milliseconds late. The copy must arrive while the connection is idle: bytes that
+/// arrive after the next request was written can't be told from its response.
+const MIN_IDLE: Duration = Duration::from_millis(20);
+/// A trusted server's connections are reused before [`MIN_IDLE`], the longest idle first, but only while at least this many
+/// of them have been idle for less than that. At lower request rates its connections wait as any other server's.
+const MIN_RECENT_FOR_REUSE: usize = 2;
+/// Of a trusted server no more idle connections than this are kept. More were opened only while each had to wait for
+/// [`MIN_IDLE`], and cycling through them costs more than the requests do.
+const MAX_TRUSTED_IDLE: usize = 5;
+/// While not even the least recently used connection has been idle this long, all connections are about to be reused.
+const ALL_IN_USE_IDLE: Duration = MIN_IDLE.saturating_mul(2);
+/// How long a connection may take to become ready again after its response has been read.
+const READY_TIMEOUT: Duration = Duration::from_millis(500);
+/// The largest head of a response. With hyper's own bounds a few hundred endless heads would fill the memory.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The largest number of headers of a response.
+const MAX_HEADERS: usize = 64;
+
+/// A server and its network address.
 pub type EndpointAddress = heronhoist_engine::EndpointAddress<SocketAddr>;
 
 /// A connection that carries no request.
@@ -48,92 +48,93 @@
     task: AbortHandle,
     since: Instant,
     incarnation: Incarnation,
-    /// Its rest can tell how the server behaves after an answer, and has not yet.
+    /// The connection has carried a response, and its idle period has not been recorded as quiet yet.
     is_evidence: bool,
 }
 
-/// What can be done with an idle connection.
+/// Whether an idle connection can be reused.
 #[derive(Clone, Copy, PartialEq)]
-enum Use {
+enum Reusability {
     Now,
-    /// Its last answer may not be all that comes.
-    Unrested,
-    /// hyper has not put its last answer behind it yet.
-    Soon,
+    /// Idle for less than [`MIN_IDLE`]: more bytes may follow its last response.
+    TooRecent,
+    /// hyper has not finished its last exchange yet.
+    NotReady,
     Never,
 }
 
 impl Idle {
-    /// Whatever has come on it since its last answer makes it useless: it would be taken for the next answer.
-    fn usable(&self, now: Instant, rest: Duration, incarnation: Incarnation) -> Use {
+    /// Returns whether the connection can be reused. Never if bytes have arrived since its last response: they would be
+    /// read as part of the next one.
+    fn reusability(&self, now: Instant, limit: Duration, incarnation: Incarnation) -> Reusability {
         let age = now.saturating_duration_since(self.since);
-        if age >= rest
+        if age >= limit
             || self.incarnation != incarnation
             || self.sender.is_closed()
             || !self.monitor.is_idle()
         {
-            Use::Never
+            Reusability::Never
         } else if self.sender.is_ready() {
-            if self.has_rested(now) {
-                Use::Now
+            if self.has_min_idle(now) {
+                Reusability::Now
             } else {
-                Use::Unrested
+                Reusability::TooRecent
             }
-        } else if age < SETTLE_WAIT {
-            Use::Soon
+        } else if age < READY_TIMEOUT {
+            Reusability::NotReady
         } else {
-            Use::Never
+            Reusability::Never
         }
     }
 
-    fn has_rested(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.since) >= IDLE_LEAST
+    fn has_min_idle(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.since) >= MIN_IDLE
     }
 }
 
-/// Closes its connection when dropped, unless that has been given back: nobody waits on it any more, and what
-/// still came on it would be taken for the answer to the next request.
+/// A connection taken from [`Connections`]. Dropping it without [`Connections::release`] closes the connection: a late
+/// response would be read as the response to the next request.
 pub struct PooledConnection {
     sender: Option<SendRequest<AttemptBody>>,
-    /// Its socket.
+    /// The monitor of its socket.
     pub monitor: StreamMonitor,
     task: AbortHandle,
-    /// How long it had been idle; `None` if it has carried nothing yet.
-    rested: Option<Duration>,
-    /// Bytes written to it and read from it before.
+    /// How long it had been idle when it was acquired; `None` if it is new.
+    idle_for: Option<Duration>,
+    /// Bytes written to it and read from it before it was acquired.
     written: u64,
     received: u64,
 }
 
 impl PooledConnection {
-    /// It has carried nothing yet.
+    /// Returns whether it has carried no request yet.
     pub fn is_new(&self) -> bool {
-        self.rested.is_none()
+        self.idle_for.is_none()
     }
 
-    /// What it had carried when it was leased.
+    /// Returns a record of the connection as it was when it was acquired.
     pub fn usage(&self) -> ConnectionUsage {
-        let (monitor, rested) = (self.monitor.clone(), self.rested);
-        ConnectionUsage { monitor, rested, written: self.written, received: self.received }
+        let (monitor, idle_for) = (self.monitor.clone(), self.idle_for);
+        ConnectionUsage { monitor, idle_for, written: self.written, received: self.received }
     }
 
-    /// What sends on it.
+    /// Returns the handle that sends requests on it.
     pub fn sender(&mut self) -> Option<&mut SendRequest<AttemptBody>> {
         self.sender.as_mut()
     }
 }
 
-/// A connection as it was when it was leased, to tell afterwards what has come of that.
+/// A connection as it was when it was acquired; shows afterwards what happened on it since.
 pub struct ConnectionUsage {
     monitor: StreamMonitor,
-    /// How long it had been idle; `None` if it had carried nothing yet.
-    rested: Option<Duration>,
+    /// How long it had been idle; `None` if it was new.
+    idle_for: Option<Duration>,
     written: u64,
     received: u64,
 }
 
 impl ConnectionUsage {
-    /// Nothing has been read on it since.
+    /// Returns whether nothing has been read on it since.
     pub fn has_received_nothing(&self) -> bool {
         self.monitor.bytes_received() == self.received
     }
@@ -147,24 +148,25 @@
     }
 }
 
-/// The connections of all pools of the process, which share its descriptors.
+/// The connections of all pools of the process, which share one quota of descriptors.
 #[derive(Default)]
 pub struct ConnectionRegistry(RefCell<Vec<Weak<Connections>>>);
 
 impl ConnectionRegistry {
-    /// Closes the coldest idle connection of those pools that hold more than their reserve; false if there is none.
+    /// Closes the least recently used idle connection of the pools that hold more than their reserve. Returns false if there
+    /// is none.
     fn close_borrowed(&self) -> bool {
-        let all: Vec<_> = self.0.borrow().iter().filter_map(Weak::upgrade).collect();
-        let borrowed = all.iter().filter(|sibling| sibling.open.has_borrowed());
-        let coldest = borrowed.filter_map(|sibling| Some((sibling.coldest()?, sibling)));
-        coldest.min_by_key(|(since, _)| *since).is_some_and(|(_, sibling)| sibling.close_coldest())
+        let pools: Vec<_> = self.0.borrow().iter().filter_map(Weak::upgrade).collect();
+        let borrowers = pools.iter().filter(|pool| pool.quota.has_borrowed());
+        let oldest = borrowers.filter_map(|pool| Some((pool.oldest_idle_since()?, pool)));
+        oldest.min_by_key(|(since, _)| *since).is_some_and(|(_, pool)| pool.close_least_recent())
     }
 }
 
-/// The connections to all backends of a pool.
+/// The connections to all servers of a pool.
 pub struct Connections {
     idle: RefCell<HashMap<ServerId, Vec<Idle>>>,
-    open: Rc<QuotaShare>,
+    quota: Rc<QuotaShare>,
     registry: Rc<ConnectionRegistry>,
     connect_timeout: Cell<Duration>,
     idle_timeout: IdleTimeout,
@@ -173,9 +175,9 @@
 }
 
 impl Connections {
-    /// No connections yet, and no more than `open` has room for.
+    /// Starts with no connections, and opens no more than `quota` allows.
     pub fn new(
-        open: Rc<QuotaShare>,
+        quota: Rc<QuotaShare>,
         registry: &Rc<ConnectionRegistry>,
         connect_timeout: Duration,
         keepalive: Duration,
@@ -183,108 +185,116 @@
         let idle_timeout = IdleTimeout::new(keepalive.mul_f64(IDLE_SHARE));
         let (idle, connect_timeout) = (RefCell::default(), Cell::new(connect_timeout));
         let (registry, reachability, trust) = (Rc::clone(registry), Reachability::default(), Rc::default());
-        let connections =
-            Rc::new(Connections { idle, open, registry, connect_timeout, idle_timeout, reachability, trust });
-        let mut all = connections.registry.0.borrow_mut();
-        all.retain(|sibling| sibling.strong_count() > 0);
-        all.push(Rc::downgrade(&connections));
-        drop(all);
+        let connections = Rc::new(Connections {
+            idle,
+            quota,
+            registry,
+            connect_timeout,
+            idle_timeout,
+            reachability,
+            trust,
+        });
+        let mut pools = connections.registry.0.borrow_mut();
+        pools.retain(|pool| pool.strong_count() > 0);
+        pools.push(Rc::downgrade(&connections));
+        drop(pools);
         connections
     }
 
-    /// Closes what rests, as far as there are more connections than there may be after their number was made smaller.
+    /// Closes idle connections that exceed the quota after it was lowered.
     pub fn close_excess(&self) {
-        for _ in 0..self.open.excess() {
-            if !self.close_coldest() {
+        for _ in 0..self.quota.excess() {
+            if !self.close_least_recent() {
                 return;
             }
         }
     }
 
-    /// Takes over new settings.
+    /// Applies new settings.
     pub fn update_settings(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.idle_timeout.set_max(keepalive.mul_f64(IDLE_SHARE));
     }
 
-    /// How many are open.
+    /// Returns how many connections are open.
     #[cfg(test)]
     pub fn count(&self) -> usize {
-        self.open.in_use()
+        self.quota.in_use()
     }
 
-    /// The warmest connection that has rested, one that a trusted server has to spare, or a new one.
-    pub async fn acquire(&self, place: EndpointAddress) -> Result<PooledConnection, Outcome> {
-        if let Some(idle) = self.pop(place) {
+    /// Returns the most recently used connection that has been idle for [`MIN_IDLE`], else a more recent one of a trusted
+    /// server, else a new one.
+    pub async fn acquire(&self, endpoint: EndpointAddress) -> Result<PooledConnection, Outcome> {
+        if let Some(idle) = self.pop(endpoint) {
             let Idle { sender, monitor, task, since, .. } = idle;
-            let (rested, written, received) =
+            let (idle_for, written, received) =
                 (Some(since.elapsed()), monitor.bytes_written(), monitor.bytes_received());
-            return Ok(PooledConnection { sender: Some(sender), monitor, task, rested, written, received });
+            return Ok(PooledConnection { sender: Some(sender), monitor, task, idle_for, written, received });
         }
-        // What is closed for this one gives its descriptor back in a moment.
-        let made_room = || self.close_one() || self.registry.close_borrowed();
-        let reservation = match self.open.try_reserve(1) {
+        // The connection that is closed for this one releases its descriptor in a moment.
+        let closed_another = || self.close_one_idle() || self.registry.close_borrowed();
+        let reservation = match self.quota.try_reserve(1) {
             Some(reservation) => reservation,
-            None if made_room() => self.open.force_reserve(1),
+            None if closed_another() => self.quota.force_reserve(1),
             None => return Err(Outcome::NotSent),
         };
-        let (server, begun) = (place.server.0, Instant::now());
-        let connected = self.reachability.connect(&Tcp, place, self.connect_timeout.get()).await;
+        let (server, start) = (endpoint.server.0, Instant::now());
+        let connected = self.reachability.connect(&Tcp, endpoint, self.connect_timeout.get()).await;
         tracing::debug!(
             target: "heronhoist::connection",
             server,
             up = connected.is_ok(),
-            held = self.open.in_use(),
-            elapsed_us = begun.elapsed().as_micros() as u64,
+            held = self.quota.in_use(),
+            elapsed_us = start.elapsed().as_micros() as u64,
             "connection opened"
         );
-        let (wire, monitor) = MeteredStream::new(connected?, reservation);
+        let (stream, monitor) = MeteredStream::new(connected?, reservation);
         let mut builder = Builder::new();
-        builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
-        let Ok((sender, connection)) = builder.handshake(wire).await else {
+        builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
+        let Ok((sender, connection)) = builder.handshake(stream).await else {
             return Err(Outcome::ConnectFailed);
         };
         let trust = Rc::clone(&self.trust);
         let task = tokio::task::spawn_local(async move {
-            if connection.await.is_err_and(|e| is_unrequested(&e)) {
-                trust.record_unrequested_bytes(place.server, place.incarnation);
+            if connection.await.is_err_and(|error| is_unrequested(&error)) {
+                trust.record_unrequested_bytes(endpoint.server, endpoint.incarnation);
             }
         });
         let task = task.abort_handle();
-        Ok(PooledConnection { sender: Some(sender), monitor, task, rested: None, written: 0, received: 0 })
+        Ok(PooledConnection { sender: Some(sender), monitor, task, idle_for: None, written: 0, received: 0 })
     }
 
-    fn pop(&self, place: EndpointAddress) -> Option<Idle> {
+    fn pop(&self, endpoint: EndpointAddress) -> Option<Idle> {
         let (now, limit) = (Instant::now(), self.idle_timeout.limit());
         let mut idle = self.idle.borrow_mut();
-        let pool = idle.get_mut(&place.server)?;
-        // They stand in the order in which their rests began.
-        let rested = pool.partition_point(|idle| idle.has_rested(now));
-        for i in (0..rested).rev() {
-            match pool[i].usable(now, limit, place.incarnation) {
-                Use::Now => {
+        let pool = idle.get_mut(&endpoint.server)?;
+        // The connections are sorted by the time at which they became idle.
+        let past_min_idle = pool.partition_point(|idle| idle.has_min_idle(now));
+        for i in (0..past_min_idle).rev() {
+            match pool[i].reusability(now, limit, endpoint.incarnation) {
+                Reusability::Now => {
                     let mut idle = pool.remove(i);
-                    self.learn(place.server, &mut idle);
+                    self.record_quiet(endpoint.server, &mut idle);
                     return Some(idle);
                 }
-                Use::Unrested | Use::Soon => {}
-                Use::Never => {
-                    self.close(place.server, &pool.remove(i));
+                Reusability::TooRecent | Reusability::NotReady => {}
+                Reusability::Never => {
+                    self.close(endpoint.server, &pool.remove(i));
                 }
             }
         }
-        if !self.trust.is_trusted(place.server, place.incarnation) {
+        if !self.trust.is_trusted(endpoint.server, endpoint.incarnation) {
             return None;
         }
-        let mut at = pool.partition_point(|idle| idle.has_rested(now));
-        while pool.len() - at >= UNRESTED_LEAST {
-            match pool[at].usable(now, limit, place.incarnation) {
-                Use::Now | Use::Unrested => return Some(pool.remove(at)),
-                Use::Soon => at += 1,
-                Use::Never => {
-                    self.close(place.server, &pool.remove(at));
-                    // What was seen on it may have ended the trust.
-                    if !self.trust.is_trusted(place.server, place.incarnation) {
+        let mut index = pool.partition_point(|idle| idle.has_min_idle(now));
+        while pool.len() - index >= MIN_RECENT_FOR_REUSE {
+            match pool[index].reusability(now, limit, endpoint.incarnation) {
+                Reusability::Now | Reusability::TooRecent => return Some(pool.remove(index)),
+                Reusability::NotReady => index += 1,
+                Reusability::Never => {
+                    self.close(endpoint.server, &pool.remove(index));
+                    // Unrequested bytes on the closed connection may have ended the trust.
+                    if !self.trust.is_trusted(endpoint.server, endpoint.incarnation) {
                         return None;
                     }
                 }
@@ -293,16 +303,17 @@
         None
     }
 
-    /// Counts the rest of a connection that is quiet.
-    fn learn(&self, server: ServerId, idle: &mut Idle) {
+    /// Records the idle period of a quiet connection, once.
+    fn record_quiet(&self, server: ServerId, idle: &mut Idle) {
         if std::mem::take(&mut idle.is_evidence) {
             self.trust.record_quiet_idle(server, idle.incarnation);
         }
     }
 
-    /// Closes an idle connection, and learns what came on it last; false if that makes no room, since it was closed already.
+    /// Closes an idle connection, and records any unrequested bytes on it. Returns false if it was closed already, so that this
+    /// releases no descriptor.
     fn close(&self, server: ServerId, idle: &Idle) -> bool {
-        // Of what hyper has read already its task has told.
+        // Bytes that hyper has already read were recorded by its task.
         if idle.monitor.has_unread_bytes() {
             self.trust.record_unrequested_bytes(server, idle.incarnation);
         }
@@ -310,45 +321,48 @@
         !idle.sender.is_closed()
     }
 
-    /// Learns from how a connection has served; and bytes may have come on it ahead of the request's first.
-    pub fn record_use(&self, place: EndpointAddress, usage: &ConnectionUsage, end: ConnectionEnd) {
+    /// Records how a request on the connection ended, and any bytes that arrived before the first byte of the request was
+    /// written.
+    pub fn record_use(&self, endpoint: EndpointAddress, usage: &ConnectionUsage, end: ConnectionEnd) {
         if end == ConnectionEnd::Responded {
             self.reachability.record_reached();
         }
-        self.idle_timeout.record(usage.rested, end);
+        self.idle_timeout.record(usage.idle_for, end);
         let monitor = &usage.monitor;
-        let unasked = monitor.bytes_written() == usage.written && monitor.bytes_received() > usage.received;
-        if unasked || monitor.has_unrequested_bytes() {
-            self.trust.record_unrequested_bytes(place.server, place.incarnation);
+        let is_unrequested =
+            monitor.bytes_written() == usage.written && monitor.bytes_received() > usage.received;
+        if is_unrequested || monitor.has_unrequested_bytes() {
+            self.trust.record_unrequested_bytes(endpoint.server, endpoint.incarnation);
         }
     }
 
     /// Keeps a connection for the next request.
-    pub fn release(&self, place: EndpointAddress, mut connection: PooledConnection) {
+    pub fn release(&self, endpoint: EndpointAddress, mut connection: PooledConnection) {
         let Some(sender) = connection.sender.take() else { return };
         let (monitor, task) = (connection.monitor.clone(), connection.task.clone());
         let (since, incarnation, is_evidence) =
-            (Instant::now(), place.incarnation, monitor.bytes_received() > connection.received);
+            (Instant::now(), endpoint.incarnation, monitor.bytes_received() > connection.received);
         let idle = Idle { sender, monitor, task, since, incarnation, is_evidence };
-        let mut all = self.idle.borrow_mut();
-        let pool = all.entry(place.server).or_default();
+        let mut idle_by_server = self.idle.borrow_mut();
+        let pool = idle_by_server.entry(endpoint.server).or_default();
         pool.push(idle);
-        if pool.len() > IDLE_ENOUGH && self.trust.is_trusted(place.server, place.incarnation) {
-            self.close(place.server, &pool.remove(0));
+        if pool.len() > MAX_TRUSTED_IDLE && self.trust.is_trusted(endpoint.server, endpoint.incarnation) {
+            self.close(endpoint.server, &pool.remove(0));
         }
     }
 
-    /// Makes room for a new connection; false if all are at work. Where demand exceeds what there may be, the coldest is
-    /// the next that can be used: to close it and open another each time would leave none to rest long enough.
-    fn close_one(&self) -> bool {
-        match self.coldest() {
-            Some(since) if since.elapsed() < IN_TURN => self.close_warmest(),
-            _ => self.close_coldest(),
+    /// Closes an idle connection so that a new one can be opened; returns false if all are in use. Where demand exceeds the
+    /// quota, the least recently used connection is the next that can be reused: to close it each time would leave none idle
+    /// long enough, so the most recently used one is closed instead.
+    fn close_one_idle(&self) -> bool {
+        match self.oldest_idle_since() {
+            Some(since) if since.elapsed() < ALL_IN_USE_IDLE => self.close_most_recent(),
+            _ => self.close_least_recent(),
         }
     }
 
-    /// Closes the idle connection that was used last; false if all are at work.
-    fn close_warmest(&self) -> bool {
+    /// Closes the most recently used idle connection; returns false if there is none.
+    fn close_most_recent(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let since = |pool: &Vec<Idle>| pool.last().map(|idle| idle.since);
         while let Some((&server, pool)) = idle.iter_mut().max_by_key(|(_, pool)| since(pool)) {
@@ -361,15 +375,15 @@
         false
     }
 
-    /// Closes the idle connection that was used longest ago; false if all are at work.
-    fn close_coldest(&self) -> bool {
+    /// Closes the least recently used idle connection; returns false if there is none.
+    fn close_least_recent(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let mut coldest = || {
+        let mut take_least_recent = || {
             let pools = idle.iter_mut().filter(|(_, pool)| !pool.is_empty());
             let (&server, pool) = pools.min_by_key(|(_, pool)| pool[0].since)?;
             Some((server, pool.remove(0)))
         };
-        while let Some((server, idle)) = coldest() {
+        while let Some((server, idle)) = take_least_recent() {
             if self.close(server, &idle) {
                 return true;
             }
@@ -377,8 +391,8 @@
         false
     }
 
-    /// When the coldest of the idle connections was last used.
-    fn coldest(&self) -> Option<Instant> {
+    /// Returns since when the least recently used connection has been idle.
+    fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().values().filter_map(|pool| pool.first()).map(|idle| idle.since).min()
     }
 
@@ -389,18 +403,18 @@
         }
     }
 
-    /// Closes what has rested long enough, has been closed by its server, or leads to one that is not what it
-    /// was: `is_current` tells of a server and an incarnation whether that still is.
+    /// Closes the idle connections that have exceeded the idle timeout, were closed by their server, or lead to an incarnation
+    /// of a server for which `is_current` returns false.
     pub fn close_stale(&self, is_current: impl Fn(ServerId, Incarnation) -> bool) {
         let (now, limit) = (Instant::now(), self.idle_timeout.limit());
         self.idle.borrow_mut().retain(|&server, pool| {
             pool.retain_mut(|idle| {
-                let use_of_it = idle.usable(now, limit, idle.incarnation);
-                let keep = use_of_it != Use::Never && is_current(server, idle.incarnation);
+                let reusability = idle.reusability(now, limit, idle.incarnation);
+                let keep = reusability != Reusability::Never && is_current(server, idle.incarnation);
                 if !keep {
                     self.close(server, idle);
-                } else if use_of_it == Use::Now {
-                    self.learn(server, idle);
+                } else if reusability == Reusability::Now {
+                    self.record_quiet(server, idle);
                 }
                 keep
             });
@@ -411,8 +425,8 @@
     }
 }
 
-/// hyper has no name for the bytes that come on an idle connection: of what ends one in disorder, they alone are neither the
-/// system's doing nor an end in the middle of a message.
+/// Returns whether unrequested bytes on an idle connection caused this error. hyper has no kind for that; of the errors that end
+/// a connection, it is the only one that is neither an I/O error nor a cancellation nor an end in the middle of a message.
 fn is_unrequested(error: &hyper::Error) -> bool {
     error.source().is_none() && !error.is_incomplete_message() && !error.is_canceled()
 }
--- a/crates/agent/src/connections/tests.rs
+++ b/crates/agent/src/connections/tests.rs
@@ -10,43 +10,43 @@
 use tokio::task::{spawn_local, yield_now, LocalSet};
 use tokio::time::advance;
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-/// Rests that earn trust.
-const EARNED: usize = 128;
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+/// Quiet idle periods that earn_trust trust.
+const PERIODS_FOR_TRUST: usize = 128;
 
-/// A server on loopback, and its ends of the connections in the order in which they came.
+/// A server on loopback, and its ends of the connections in the order in which they were accepted.
 struct Server {
-    place: EndpointAddress,
+    endpoint: EndpointAddress,
     streams: Rc<RefCell<Vec<Weak<TcpStream>>>>,
-    /// Written behind each answer, in the same piece.
-    behind: Rc<Cell<&'static [u8]>>,
+    /// Written after each response, in the same call.
+    trailing: Rc<Cell<&'static [u8]>>,
 }
 
 impl Server {
     async fn new(number: u32) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let place =
+        let endpoint =
             EndpointAddress { server: ServerId(number), address, incarnation: Incarnation(0), dialect: NEW };
-        let (streams, behind) = (Rc::<RefCell<Vec<_>>>::default(), Rc::new(Cell::new(&b""[..])));
-        let server = Server { place, streams: Rc::clone(&streams), behind: Rc::clone(&behind) };
+        let (streams, trailing) = (Rc::<RefCell<Vec<_>>>::default(), Rc::new(Cell::new(&b""[..])));
+        let server = Server { endpoint, streams: Rc::clone(&streams), trailing: Rc::clone(&trailing) };
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (stream, behind) = (Rc::new(stream), Rc::clone(&behind));
+                let (stream, trailing) = (Rc::new(stream), Rc::clone(&trailing));
                 streams.borrow_mut().push(Rc::downgrade(&stream));
                 spawn_local(async move {
-                    let mut heard = Vec::new();
+                    let mut received = Vec::new();
                     while stream.readable().await.is_ok() {
-                        let mut some = [0; 1024];
-                        match stream.try_read(&mut some) {
+                        let mut buffer = [0; 1024];
+                        match stream.try_read(&mut buffer) {
                             Ok(0) => return,
-                            Ok(n) => heard.extend_from_slice(&some[..n]),
+                            Ok(n) => received.extend_from_slice(&buffer[..n]),
                             Err(_) => {}
                         }
-                        if heard.ends_with(b"\r\n\r\n") {
-                            heard.clear();
-                            let answer = [ANSWER, behind.get()].concat();
-                            assert_eq!(stream.try_write(&answer).unwrap(), answer.len());
+                        if received.ends_with(b"\r\n\r\n") {
+                            received.clear();
+                            let response = [RESPONSE, trailing.get()].concat();
+                            assert_eq!(stream.try_write(&response).unwrap(), response.len());
                         }
                     }
                 });
@@ -63,30 +63,30 @@
         self.streams.borrow()[n].upgrade().expect("an open connection")
     }
 
-    /// Nobody has asked for this, on the connection that came as the n-th.
-    fn say(&self, n: usize, bytes: &[u8]) {
+    /// Sends unrequested bytes on the n-th connection.
+    fn send_unrequested(&self, n: usize, bytes: &[u8]) {
         assert_eq!(self.stream(n).try_write(bytes).unwrap(), bytes.len());
     }
 
-    /// Ends the connection that came as the n-th, in order or with a reset.
+    /// Closes the n-th connection, with a FIN or a reset.
     fn end(&self, n: usize, is_reset: bool) {
         let stream = self.stream(n);
         let socket = socket2::SockRef::from(&*stream);
         if is_reset {
             socket.set_linger(Some(Duration::ZERO)).unwrap();
         }
-        // The task that reads there hears of an end, and drops it.
+        // The reading task then reads the end of the stream and drops it.
         socket.shutdown(std::net::Shutdown::Read).unwrap();
     }
 }
 
-fn connections(most: usize) -> Rc<Connections> {
+fn connections(max: usize) -> Rc<Connections> {
     let (connect, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
-    Connections::new(Quota::single_share(most), &Rc::default(), connect, keepalive)
+    Connections::new(Quota::single_share(max), &Rc::default(), connect, keepalive)
 }
 
-/// Time stands but for what the test advances: while a blocking task runs, the clock does not go on by itself.
-async fn in_frozen_time(work: impl Future<Output = ()>) {
+/// Runs `work` with a clock that only the test advances: while a blocking task runs, the paused clock never advances by itself.
+async fn with_frozen_clock(work: impl Future<Output = ()>) {
     let (done, wait) = std::sync::mpsc::channel::<()>();
     let blocking = tokio::task::spawn_blocking(move || wait.recv());
     LocalSet::new().run_until(work).await;
@@ -94,7 +94,7 @@
     let _ = blocking.await;
 }
 
-/// Waits for what the tasks are about to do; far longer than they need.
+/// Waits until the other tasks have made `done` true, for far longer than they need.
 async fn until(done: impl Fn() -> bool) {
     let start = std::time::Instant::now();
     while !done() {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Waits for the kernel, while nothing else runs.
+/// Waits until the kernel has made `done` true, while no other task runs.
 fn block_until(done: impl Fn() -> bool) {
     let start = std::time::Instant::now();
     while !done() {
@@ -112,167 +112,173 @@
     }
 }
 
-/// A request and all of its answer.
+/// Sends a request and reads its complete response.
 async fn exchange(connection: &mut PooledConnection) {
     let mut request = Request::new(RequestBody::Buffered(Bytes::new()).attempt_body());
     *request.uri_mut() = hyper::Uri::from_static("/x");
     connection.monitor.begin_request(1 << 20, None);
-    let answer =
-        connection.sender().unwrap().try_send_request(request).await.map_err(|_| "no answer").unwrap();
-    assert_eq!(answer.into_body().collect().await.unwrap().to_bytes(), "ok");
-    // hyper puts it behind it.
+    let response =
+        connection.sender().unwrap().try_send_request(request).await.map_err(|_| "no response").unwrap();
+    assert_eq!(response.into_body().collect().await.unwrap().to_bytes(), "ok");
+    // hyper finishes the exchange.
     until(|| connection.sender.iter().all(|sender| sender.is_ready() || sender.is_closed())).await;
 }
 
-/// So many requests at once, each on a connection of its own, which then rest.
-async fn wave(connections: &Connections, server: &Server, count: usize) {
+/// Sends `count` requests at once, each on its own connection, and releases the connections.
+async fn exchange_on_each(connections: &Connections, server: &Server, count: usize) {
     let mut acquired = Vec::new();
     for _ in 0..count {
-        acquired.push(connections.acquire(server.place).await.unwrap());
+        acquired.push(connections.acquire(server.endpoint).await.unwrap());
     }
     for mut connection in acquired {
         exchange(&mut connection).await;
-        connections.release(server.place, connection);
+        connections.release(server.endpoint, connection);
     }
 }
 
-/// Waves until the server has shown as many quiet rests as earn trust; its connections have just been used then.
-async fn earn(connections: &Connections, server: &Server) {
-    for _ in 0..EARNED.div_ceil(UNRESTED_LEAST) {
-        wave(connections, server, UNRESTED_LEAST).await;
-        advance(IDLE_LEAST).await;
+/// Lets the server earn_trust trust by quiet idle periods. Its connections have just been used on return.
+async fn earn_trust(connections: &Connections, server: &Server) {
+    for _ in 0..PERIODS_FOR_TRUST.div_ceil(MIN_RECENT_FOR_REUSE) {
+        exchange_on_each(connections, server, MIN_RECENT_FOR_REUSE).await;
+        advance(MIN_IDLE).await;
     }
-    wave(connections, server, UNRESTED_LEAST).await;
+    exchange_on_each(connections, server, MIN_RECENT_FOR_REUSE).await;
 }
 
 fn is_trusted(connections: &Connections, server: &Server) -> bool {
-    connections.trust.is_trusted(server.place.server, server.place.incarnation)
+    connections.trust.is_trusted(server.endpoint.server, server.endpoint.incarnation)
 }
 
-/// Until hyper has heard what the server sent on that connection.
+/// Waits until hyper has closed an idle connection because of what the server sent.
 async fn until_closed(connections: &Connections, server: &Server) {
-    until(|| connections.idle.borrow()[&server.place.server].iter().any(|i| i.sender.is_closed())).await;
+    until(|| connections.idle.borrow()[&server.endpoint.server].iter().any(|i| i.sender.is_closed())).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn until_trust_is_earned_each_connection_rests() {
-    in_frozen_time(async {
+async fn connections_of_untrusted_server_wait_for_min_idle() {
+    with_frozen_clock(async {
         let (connections, server) = (connections(100), Server::new(1).await);
-        for _ in 0..EARNED / UNRESTED_LEAST {
-            wave(&connections, &server, UNRESTED_LEAST).await;
+        for _ in 0..PERIODS_FOR_TRUST / MIN_RECENT_FOR_REUSE {
+            exchange_on_each(&connections, &server, MIN_RECENT_FOR_REUSE).await;
             assert!(!is_trusted(&connections, &server));
-            assert!(connections.pop(server.place).is_none(), "none has rested");
-            advance(IDLE_LEAST - Duration::from_millis(1)).await;
-            assert!(connections.pop(server.place).is_none(), "none has rested long enough");
+            assert!(connections.pop(server.endpoint).is_none(), "none has been idle");
+            advance(MIN_IDLE - Duration::from_millis(1)).await;
+            assert!(connections.pop(server.endpoint).is_none(), "none has been idle long enough");
             advance(Duration::from_millis(1)).await;
         }
-        wave(&connections, &server, UNRESTED_LEAST).await;
+        exchange_on_each(&connections, &server, MIN_RECENT_FOR_REUSE).await;
         assert!(is_trusted(&connections, &server));
-        assert_eq!(server.opened(), UNRESTED_LEAST);
+        assert_eq!(server.opened(), MIN_RECENT_FOR_REUSE);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_trusted_servers_unrested_connection_is_reused_the_longest_rested_first() {
-    in_frozen_time(async {
+async fn trusted_servers_recent_connections_are_reused_longest_idle_first() {
+    with_frozen_clock(async {
         let (connections, server) = (connections(100), Server::new(1).await);
-        earn(&connections, &server).await;
+        earn_trust(&connections, &server).await;
         advance(Duration::from_millis(3)).await;
-        wave(&connections, &server, 1).await;
-        let connection = connections.acquire(server.place).await.unwrap();
-        assert_eq!(connection.rested, Some(Duration::from_millis(3)), "not the one that was used just now");
-        assert_eq!(server.opened(), UNRESTED_LEAST);
-        // Fewer are resting now than a busy server needs: as without trust, one more is opened.
-        assert!(connections.acquire(server.place).await.unwrap().is_new());
-        // One that has rested goes before all that have not.
-        advance(IDLE_LEAST).await;
-        let connection = connections.acquire(server.place).await.unwrap();
-        assert_eq!(connection.rested, Some(IDLE_LEAST));
+        exchange_on_each(&connections, &server, 1).await;
+        let connection = connections.acquire(server.endpoint).await.unwrap();
+        assert_eq!(connection.idle_for, Some(Duration::from_millis(3)), "not the most recently used one");
+        assert_eq!(server.opened(), MIN_RECENT_FOR_REUSE);
+        // Too few recent connections are left: a new one is opened, as without trust.
+        assert!(connections.acquire(server.endpoint).await.unwrap().is_new());
+        // A connection past the minimum idle time is preferred to recent ones.
+        advance(MIN_IDLE).await;
+        let connection = connections.acquire(server.endpoint).await.unwrap();
+        assert_eq!(connection.idle_for, Some(MIN_IDLE));
     })
     .await;
 }
 
-/// What ends trust: nobody has asked for the bytes, whenever they are seen.
+/// Unrequested bytes end trust whenever they are noticed.
 #[tokio::test(start_paused = true)]
-async fn one_unrequested_byte_ends_trust_and_sets_the_other_servers_back() {
-    in_frozen_time(async {
-        for seen in [
+async fn unrequested_byte_ends_trust_and_resets_the_other_servers() {
+    with_frozen_clock(async {
+        for noticed in [
             "by hyper",
-            "when taken",
+            "when acquired",
             "before the first byte",
-            "behind an answer",
-            "by the sweep",
-            "at the close",
+            "after a response",
+            "by close_stale",
+            "by close_idle",
         ] {
             let connections = connections(100);
             let (bad, good) = (Server::new(1).await, Server::new(2).await);
-            earn(&connections, &good).await;
-            earn(&connections, &bad).await;
-            wave(&connections, &good, UNRESTED_LEAST).await;
+            earn_trust(&connections, &good).await;
+            earn_trust(&connections, &bad).await;
+            exchange_on_each(&connections, &good, MIN_RECENT_FOR_REUSE).await;
             assert!(is_trusted(&connections, &bad) && is_trusted(&connections, &good));
-            let resting = |server: &Server| {
-                connections.idle.borrow()[&server.place.server].iter().any(|i| i.monitor.has_unread_bytes())
+            let has_unread = |server: &Server| {
+                connections.idle.borrow()[&server.endpoint.server]
+                    .iter()
+                    .any(|i| i.monitor.has_unread_bytes())
             };
-            match seen {
+            match noticed {
                 "by hyper" => {
-                    bad.say(1, b"H");
+                    bad.send_unrequested(1, b"H");
                     until_closed(&connections, &bad).await;
                 }
-                // Only the kernel knows of it: nothing has run since.
-                "when taken" => {
-                    bad.say(0, b"H");
-                    block_until(|| resting(&bad));
-                    assert!(connections.pop(bad.place).is_none());
+                // Only the kernel has the byte: no task has run since.
+                "when acquired" => {
+                    bad.send_unrequested(0, b"H");
+                    block_until(|| has_unread(&bad));
+                    assert!(connections.pop(bad.endpoint).is_none());
                 }
                 "before the first byte" => {
-                    let mut connection = connections.acquire(bad.place).await.unwrap();
+                    let mut connection = connections.acquire(bad.endpoint).await.unwrap();
                     connection.monitor.begin_request(1 << 20, None);
-                    bad.say(0, b"H");
+                    bad.send_unrequested(0, b"H");
                     block_until(|| connection.monitor.has_unread_bytes());
                     let request = Request::new(RequestBody::Buffered(Bytes::new()).attempt_body());
                     assert!(connection.sender().unwrap().try_send_request(request).await.is_err());
-                    connections.record_use(bad.place, &connection.usage(), ConnectionEnd::Broken);
+                    connections.record_use(bad.endpoint, &connection.usage(), ConnectionEnd::Broken);
                 }
-                "behind an answer" => {
-                    bad.behind.set(ANSWER);
-                    wave(&connections, &bad, 1).await;
+                "after a response" => {
+                    bad.trailing.set(RESPONSE);
+                    exchange_on_each(&connections, &bad, 1).await;
                     until_closed(&connections, &bad).await;
-                    bad.behind.set(b"");
+                    bad.trailing.set(b"");
                 }
-                "by the sweep" => {
-                    bad.say(1, b"H");
-                    block_until(|| resting(&bad));
+                "by close_stale" => {
+                    bad.send_unrequested(1, b"H");
+                    block_until(|| has_unread(&bad));
                     connections.close_stale(|_, _| true);
                 }
                 _ => {
-                    bad.say(1, b"H");
-                    block_until(|| resting(&bad));
-                    connections.close_idle(bad.place.server);
+                    bad.send_unrequested(1, b"H");
+                    block_until(|| has_unread(&bad));
+                    connections.close_idle(bad.endpoint.server);
                 }
             }
-            assert!(!is_trusted(&connections, &bad), "{seen}");
-            assert!(!is_trusted(&connections, &good), "{seen}: the others too");
+            assert!(!is_trusted(&connections, &bad), "{noticed}");
+            assert!(!is_trusted(&connections, &good), "{noticed}: the others are reset too");
             let opened = (bad.opened(), good.opened());
-            wave(&connections, &bad, 1).await;
-            wave(&connections, &good, 1).await;
-            assert_eq!((bad.opened(), good.opened()), (opened.0 + 1, opened.1 + 1), "{seen}: new ones");
-            advance(IDLE_LEAST).await;
-            earn(&connections, &good).await;
-            earn(&connections, &bad).await;
-            assert!(is_trusted(&connections, &good), "{seen}: earned anew");
-            assert!(!is_trusted(&connections, &bad), "{seen}: lost for good");
+            exchange_on_each(&connections, &bad, 1).await;
+            exchange_on_each(&connections, &good, 1).await;
+            assert_eq!(
+                (bad.opened(), good.opened()),
+                (opened.0 + 1, opened.1 + 1),
+                "{noticed}: new connections are opened"
+            );
+            advance(MIN_IDLE).await;
+            earn_trust(&connections, &good).await;
+            earn_trust(&connections, &bad).await;
+            assert!(is_trusted(&connections, &good), "{noticed}: trust is earned again");
+            assert!(!is_trusted(&connections, &bad), "{noticed}: trust stays lost");
         }
     })
     .await;
 }
 
-/// Servers close and reset resting connections as they like.
+/// Servers may close and reset idle connections at any time; that must not end trust.
 #[tokio::test(start_paused = true)]
-async fn a_close_or_a_reset_is_no_unrequested_byte() {
-    in_frozen_time(async {
+async fn close_or_reset_does_not_end_trust() {
+    with_frozen_clock(async {
         let (connections, server) = (connections(100), Server::new(1).await);
-        earn(&connections, &server).await;
+        earn_trust(&connections, &server).await;
         for (n, is_reset) in [(0, false), (1, true)] {
             server.end(n, is_reset);
             until_closed(&connections, &server).await;
@@ -280,96 +286,100 @@
         }
         assert!(connections.idle.borrow().is_empty());
         assert!(is_trusted(&connections, &server));
-        assert_eq!(server.opened(), UNRESTED_LEAST);
+        assert_eq!(server.opened(), MIN_RECENT_FOR_REUSE);
     })
     .await;
 }
 
-/// A rest counts once, whoever sees it first, and only one that came after an answer.
+/// A quiet idle period counts once, whether `close_stale` or `acquire` records it, and only after a response.
 #[tokio::test(start_paused = true)]
-async fn a_quiet_rest_counts_once() {
-    in_frozen_time(async {
+async fn quiet_idle_period_counts_once() {
+    with_frozen_clock(async {
         let (connections, server) = (connections(100), Server::new(1).await);
-        for _ in 0..EARNED - 1 {
-            wave(&connections, &server, 1).await;
-            advance(IDLE_LEAST).await;
+        for _ in 0..PERIODS_FOR_TRUST - 1 {
+            exchange_on_each(&connections, &server, 1).await;
+            advance(MIN_IDLE).await;
             connections.close_stale(|_, _| true);
             connections.close_stale(|_, _| true);
         }
         assert!(!is_trusted(&connections, &server));
         for _ in 0..3 {
-            // Taken, and given back with nothing sent: its answer's rest was seen before.
-            let connection = connections.acquire(server.place).await.unwrap();
-            connections.release(server.place, connection);
-            advance(IDLE_LEAST).await;
+            // Acquired and released with nothing sent: its idle period was recorded before.
+            let connection = connections.acquire(server.endpoint).await.unwrap();
+            connections.release(server.endpoint, connection);
+            advance(MIN_IDLE).await;
         }
         assert!(!is_trusted(&connections, &server));
-        wave(&connections, &server, 1).await;
+        exchange_on_each(&connections, &server, 1).await;
         connections.close_stale(|_, _| true);
-        assert!(!is_trusted(&connections, &server), "not before it has rested");
-        advance(IDLE_LEAST).await;
+        assert!(!is_trusted(&connections, &server), "the idle period is too short");
+        advance(MIN_IDLE).await;
         connections.close_stale(|_, _| true);
         assert!(is_trusted(&connections, &server));
         connections.close_stale(|_, _| false);
-        assert!(!is_trusted(&connections, &server), "nothing is kept of what has left");
+        assert!(!is_trusted(&connections, &server), "the history of a server that left is dropped");
     })
     .await;
 }
 
-/// One more connection is wanted in each rest than there may be. To close the coldest each time leaves none to rest.
+/// Each idle period needs one more connection than the quota allows. Closing the least recently used one each time would leave
+/// none idle for long enough to be reused.
 #[tokio::test(start_paused = true)]
-async fn with_too_few_connections_those_that_rest_are_kept() {
-    in_frozen_time(async {
+async fn idle_connections_are_kept_when_the_quota_is_too_small() {
+    with_frozen_clock(async {
         let (connections, server) = (connections(4), Server::new(1).await);
         for _ in 0..50 {
-            wave(&connections, &server, 1).await;
-            // What was closed gives back its room.
+            exchange_on_each(&connections, &server, 1).await;
+            // The closed connection releases its reservation.
             until(|| connections.count() <= 4).await;
-            advance(IDLE_LEAST / 5).await;
+            advance(MIN_IDLE / 5).await;
         }
         assert!(server.opened() <= 4 + 50 / 4, "{} opened for 50 requests", server.opened());
-        // Where all have rested long, the coldest is the one that is closed.
-        advance(IN_TURN).await;
-        let coldest = connections.coldest().unwrap();
+        // Once all have been idle for long, the least recently used one is closed.
+        advance(ALL_IN_USE_IDLE).await;
+        let oldest = connections.oldest_idle_since().unwrap();
         let other = Server::new(2).await;
-        assert!(connections.acquire(other.place).await.unwrap().is_new());
-        assert!(connections.coldest().unwrap() > coldest);
+        assert!(connections.acquire(other.endpoint).await.unwrap().is_new());
+        assert!(connections.oldest_idle_since().unwrap() > oldest);
     })
     .await;
 }
 
-/// What its server has closed already holds no descriptor that could be given to another.
+/// An idle connection that its server has closed holds no descriptor any more, so closing it allows no new connection.
 #[tokio::test(start_paused = true)]
-async fn room_is_made_only_by_closing_what_is_open() {
-    in_frozen_time(async {
-        for rest in [Duration::ZERO, IN_TURN] {
+async fn only_open_connections_are_closed_in_favor_of_new_ones() {
+    with_frozen_clock(async {
+        for idle_time in [Duration::ZERO, ALL_IN_USE_IDLE] {
             let (connections, server) = (connections(1), Server::new(1).await);
-            wave(&connections, &server, 1).await;
+            exchange_on_each(&connections, &server, 1).await;
             server.end(0, false);
             until_closed(&connections, &server).await;
             until(|| connections.count() == 0).await;
             let other = Server::new(2).await;
-            let at_work = connections.acquire(other.place).await.unwrap();
-            advance(rest).await;
-            assert!(matches!(connections.acquire(other.place).await, Err(Outcome::NotSent)), "{rest:?}");
+            let in_use = connections.acquire(other.endpoint).await.unwrap();
+            advance(idle_time).await;
+            assert!(
+                matches!(connections.acquire(other.endpoint).await, Err(Outcome::NotSent)),
+                "{idle_time:?}"
+            );
             assert_eq!(connections.count(), 1);
-            drop(at_work);
+            drop(in_use);
         }
     })
     .await;
 }
 
-/// What was opened while each connection had to rest is not kept.
+/// Connections that were opened while the server was not yet trusted are closed once it is.
 #[tokio::test(start_paused = true)]
-async fn of_a_trusted_server_no_more_are_kept_than_a_busy_one_needs() {
-    in_frozen_time(async {
+async fn excess_idle_connections_of_a_trusted_server_are_closed() {
+    with_frozen_clock(async {
         let (connections, server) = (connections(100), Server::new(1).await);
-        let idle = || connections.idle.borrow()[&server.place.server].len();
-        wave(&connections, &server, 50).await;
+        let idle = || connections.idle.borrow()[&server.endpoint.server].len();
+        exchange_on_each(&connections, &server, 50).await;
         assert_eq!(idle(), 50);
-        earn(&connections, &server).await;
-        wave(&connections, &server, 50).await;
-        assert_eq!(idle(), IDLE_ENOUGH);
+        earn_trust(&connections, &server).await;
+        exchange_on_each(&connections, &server, 50).await;
+        assert_eq!(idle(), MAX_TRUSTED_IDLE);
         assert!(is_trusted(&connections, &server));
     })
     .await;
