--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes: a message out, what comes back told as an outcome.
+//! Sends attempts and health probes to record servers, and converts their responses and failures to outcomes.
 
 use crate::connections::{ConnectionUsage, Connections, EndpointAddress, PooledConnection};
 use crate::dialect::{NEW, OLD};
@@ -27,75 +27,76 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most that is read for an answer that is held whole: a body in small chunks, its head, and what may come ahead.
-const ANSWER_MOST: u64 = 4 * MAX_BUFFERED_BYTES as u64;
-/// A backend that takes nothing of a request for this long gets no more of it.
-const STUCK_MOST: Duration = Duration::from_secs(3);
-/// How often that is looked at.
-const STUCK_LOOK: Duration = Duration::from_millis(250);
-/// Of an answer that does not say how long it is, so much is held, or what comes within so long.
-const BEGUN_MOST: usize = 4 * 1024;
-const BEGUN_WAIT: Duration = Duration::from_millis(50);
-/// A probe that has not been answered by then has failed.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
-/// A figure of a load report beyond this is no figure.
-const FIGURE_MOST: f64 = 1e5;
-
-/// A client's request as it goes to a backend.
+/// The most bytes that are read for a buffered response: a body in small chunks, its head, and 1xx responses before it.
+const MAX_BUFFERED_READ_BYTES: u64 = 4 * MAX_BUFFERED_BYTES as u64;
+/// An attempt is given up when its server accepts no more bytes of the request for this long.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval at which stalled writes are checked for.
+const WRITE_STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// A response of unknown length is forwarded as a stream once more bytes than this have arrived, ...
+const STREAMING_MIN_BYTES: usize = 4 * 1024;
+/// ... and this much time has passed.
+const STREAMING_DELAY: Duration = Duration::from_millis(50);
+/// The time after which a health probe without a response has failed.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The largest valid value in a load report.
+const MAX_REPORT_VALUE: f64 = 1e5;
+
+/// A client's request as it is sent to a server.
 pub struct UpstreamRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// The headers that go on unchanged.
+    /// The headers that are forwarded unchanged.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: RequestBody,
-    /// The same for servers of the old dialect, if it can be said to them.
+    /// The same request for servers of the old dialect, if it can be translated.
     pub legacy: Option<Box<LegacyRequest>>,
-    /// How long its client waits once all of it has come.
+    /// How long the client waits after it has sent the complete request.
     pub client_timeout: Duration,
-    /// What counts its attempts; probes have none.
+    /// Counts the request's attempts; `None` for probes.
     pub counters: Option<Rc<ClassCounters>>,
-    /// The connection of the client that waits for the answer; probes have none.
+    /// The connection of the client that waits for the response; `None` for probes.
     pub client: Option<StreamMonitor>,
-    /// The memory that the body holds.
+    /// The memory reserved for the body.
     pub _reservation: Option<Reservation>,
 }
 
-/// A request as servers of the old dialect get it.
+/// A request in the old dialect.
 pub struct LegacyRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// How it was translated, and its answer will be; `None` if it is what the client sent.
+    /// The mapping that translated the request and translates its response; `None` if the client sent it in this form.
     pub mapping: Option<Rc<Mapping>>,
 }
 
 impl UpstreamRequest {
-    /// How long an attempt that begins now may take, in whole milliseconds, if it is called off at `until`.
-    fn left(&self, until: Instant) -> Duration {
+    /// Returns how long an attempt that begins now may take, in whole milliseconds, if it is canceled at `deadline`.
+    fn remaining_time(&self, deadline: Instant) -> Duration {
         let unread_since = self.body.upload().and_then(|upload| upload.unread_since());
-        let until = unread_since.map_or(until, |since| until.min(since + self.client_timeout));
-        let left = until.saturating_duration_since(Instant::now()).min(self.client_timeout);
-        Duration::from_millis(left.as_millis() as u64)
+        let deadline = unread_since.map_or(deadline, |since| deadline.min(since + self.client_timeout));
+        let remaining = deadline.saturating_duration_since(Instant::now()).min(self.client_timeout);
+        Duration::from_millis(remaining.as_millis() as u64)
     }
 
-    /// Fewer bytes than this are certainly not the whole message; `None` while its length is not known.
-    fn least_bytes(&self, dialect: DialectId) -> Option<u64> {
-        let old = self.legacy.as_deref().filter(|_| dialect == OLD);
-        let (method, uri, headers) = match old {
-            Some(old) => (&old.method, &old.uri, &old.headers),
+    /// Returns a lower bound of the length of the complete request message; `None` while its length is not known.
+    fn min_bytes(&self, dialect: DialectId) -> Option<u64> {
+        let legacy = self.legacy.as_deref().filter(|_| dialect == OLD);
+        let (method, uri, headers) = match legacy {
+            Some(legacy) => (&legacy.method, &legacy.uri, &legacy.headers),
             None => (&self.method, &self.uri, &self.headers),
         };
-        let headers: usize = headers.iter().map(|(n, v)| n.as_str().len() + v.len()).sum();
-        let body = match (old, &self.body) {
-            (Some(old), _) => old.body.len() as u64,
+        let headers: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
+        let body = match (legacy, &self.body) {
+            (Some(legacy), _) => legacy.body.len() as u64,
             (None, RequestBody::Buffered(bytes)) => bytes.len() as u64,
             (None, RequestBody::Streaming(upload)) => upload.total_bytes()?,
         };
@@ -103,21 +104,21 @@
     }
 }
 
-/// A backend's 200, to be passed on unchanged.
+/// A server's 200 response, which is forwarded unchanged.
 pub struct UpstreamResponse {
     /// The body.
     pub body: ResponseBody,
-    /// What it is.
+    /// The media type of the body.
     pub content_type: Option<HeaderValue>,
-    /// What the server spoke.
+    /// The dialect of the response.
     pub dialect: DialectId,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub enum ResponseBody {
-    /// All of it, and the memory that it holds.
+    /// The complete body, and the memory reserved for it.
     Buffered(Bytes, Reservation),
-    /// Its beginning; the rest is to come.
+    /// The beginning of the body; the rest is still to be received.
     Streaming(Box<Download>),
 }
 
@@ -130,104 +131,104 @@
     }
 }
 
-/// Tells how a connection has served an attempt; also that it was called off when its time was up, with nothing read: servers may
-/// forget connections that rest, and say nothing.
-struct AtWork<'a> {
+/// Records how an attempt ended on its connection, also if the attempt is canceled after its timeout with nothing read: a server
+/// may silently forget an idle connection.
+struct UsageRecorder<'a> {
     connections: &'a Connections,
-    place: EndpointAddress,
+    endpoint: EndpointAddress,
     usage: ConnectionUsage,
-    until: Instant,
-    ended: bool,
+    deadline: Instant,
+    is_finished: bool,
 }
 
-impl<'a> AtWork<'a> {
+impl<'a> UsageRecorder<'a> {
     fn new(
         connections: &'a Connections,
-        place: EndpointAddress,
+        endpoint: EndpointAddress,
         connection: &PooledConnection,
-        until: Instant,
+        deadline: Instant,
     ) -> Self {
-        AtWork { connections, place, usage: connection.usage(), until, ended: false }
+        UsageRecorder { connections, endpoint, usage: connection.usage(), deadline, is_finished: false }
     }
 
-    /// The attempt has ended by itself, and has failed or not.
-    fn end(mut self, failed: bool) {
-        self.ended = true;
-        self.note(if failed { ConnectionEnd::Broken } else { ConnectionEnd::Responded });
+    /// Records an attempt that was not canceled.
+    fn finish(mut self, failed: bool) {
+        self.is_finished = true;
+        self.record(if failed { ConnectionEnd::Broken } else { ConnectionEnd::Responded });
     }
 
-    fn note(&self, end: ConnectionEnd) {
+    fn record(&self, end: ConnectionEnd) {
         let end = if self.usage.has_received_nothing() { end } else { ConnectionEnd::Responded };
-        self.connections.record_use(self.place, &self.usage, end);
+        self.connections.record_use(self.endpoint, &self.usage, end);
     }
 }
 
-impl Drop for AtWork<'_> {
+impl Drop for UsageRecorder<'_> {
     fn drop(&mut self) {
-        if !self.ended && Instant::now() >= self.until {
-            self.note(ConnectionEnd::TimedOut);
+        if !self.is_finished && Instant::now() >= self.deadline {
+            self.record(ConnectionEnd::TimedOut);
         }
     }
 }
 
-/// Why there is no answer.
+/// Why an exchange yielded no response.
 enum ExchangeError {
-    /// The connection ended, or what came could not be read.
+    /// The connection ended, or the response could not be parsed.
     Connection,
-    /// It is none that may be believed.
+    /// The response is incomplete or invalid.
     InvalidResponse,
-    /// The backend has taken nothing of the request for too long.
+    /// The server has accepted no bytes of the request for too long.
     WriteStalled,
 }
 
-/// Record servers that speak HTTP as the platform does.
+/// Sends requests to record servers over HTTP.
 #[derive(Clone)]
 pub struct HttpUpstream(Rc<Inner>);
 
 struct Inner {
     connections: Rc<Connections>,
     bodies: Rc<QuotaShare>,
-    fields: RefCell<Vec<String>>,
+    report_names: RefCell<Vec<String>>,
     has_reports: Cell<bool>,
     stall_timeout: StallTimeout,
 }
 
 impl HttpUpstream {
-    /// `fields` are the names in a load report, empty where there are none.
+    /// Creates an upstream. `report_names` are the field names of a load report, empty where there are none.
     pub fn new(
         connections: Rc<Connections>,
         bodies: Rc<QuotaShare>,
-        fields: Vec<String>,
+        report_names: Vec<String>,
         has_reports: bool,
     ) -> Self {
-        let (fields, has_reports) = (RefCell::new(fields), Cell::new(has_reports));
+        let (report_names, has_reports) = (RefCell::new(report_names), Cell::new(has_reports));
         let stall_timeout = StallTimeout::default();
-        HttpUpstream(Rc::new(Inner { connections, bodies, fields, has_reports, stall_timeout }))
+        HttpUpstream(Rc::new(Inner { connections, bodies, report_names, has_reports, stall_timeout }))
     }
 
-    /// Takes over new settings; what is under way goes on as it began.
-    pub fn update_settings(&self, terms: &HttpSettings) {
-        *self.0.fields.borrow_mut() = terms.report_names.clone();
-        self.0.has_reports.set(terms.has_reports);
-        self.0.connections.update_settings(terms.connect_timeout, terms.keepalive);
+    /// Applies new settings; attempts in progress keep the old ones.
+    pub fn update_settings(&self, settings: &HttpSettings) {
+        *self.0.report_names.borrow_mut() = settings.report_names.clone();
+        self.0.has_reports.set(settings.has_reports);
+        self.0.connections.update_settings(settings.connect_timeout, settings.keepalive);
     }
 
-    /// The connections.
+    /// Returns the connections to the servers.
     pub fn connections(&self) -> &Connections {
         &self.0.connections
     }
 }
 
-/// What the settings say of the servers' HTTP.
+/// The settings for HTTP to the servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpSettings {
-    /// The names of a load report's fields, in the order of the settings.
+    /// The field names of a load report, in the order of the settings.
     pub report_names: Vec<String>,
-    /// Whether there are reports.
+    /// Whether the servers send load reports.
     pub has_reports: bool,
-    /// A connection that is not up by then has failed.
+    /// The time after which opening a connection has failed.
     pub connect_timeout: Duration,
-    /// A backend closes a connection that has stood idle this long.
+    /// The time after which a server closes an idle connection.
     pub keepalive: Duration,
 }
 
@@ -236,12 +237,17 @@
     type Request = UpstreamRequest;
     type Response = UpstreamResponse;
 
-    async fn attempt(&self, place: EndpointAddress, call: &UpstreamRequest, gate: Gate<'_>) -> AttemptResult {
-        self.0.attempt(place, call, &gate).await
+    async fn attempt(
+        &self,
+        endpoint: EndpointAddress,
+        request: &UpstreamRequest,
+        gate: Gate<'_>,
+    ) -> AttemptResult {
+        self.0.attempt(endpoint, request, &gate).await
     }
 
-    async fn health_check(&self, place: EndpointAddress) -> AttemptResult {
-        self.0.probe(place).await
+    async fn health_check(&self, endpoint: EndpointAddress) -> AttemptResult {
+        self.0.probe(endpoint).await
     }
 
     fn close_idle(&self, server: ServerId) {
@@ -254,213 +260,224 @@
 }
 
 impl Inner {
-    /// Sends one attempt or a probe.
+    /// Sends an attempt or a probe.
     async fn attempt(
         &self,
-        place: EndpointAddress,
-        call: &UpstreamRequest,
+        endpoint: EndpointAddress,
+        request: &UpstreamRequest,
         gate: &Gate<'_>,
     ) -> AttemptResult {
-        if place.dialect != NEW && call.legacy.is_none() {
-            // It speaks otherwise since this was decided.
+        if endpoint.dialect != NEW && request.legacy.is_none() {
+            // The server's dialect has changed since it was selected.
             return Outcome::NotSent.into();
         }
         loop {
-            let mut connection = match self.connections.acquire(place).await {
+            let mut connection = match self.connections.acquire(endpoint).await {
                 Ok(connection) => connection,
                 Err(outcome) => return outcome.into(),
             };
-            // What was told while the process was held up closes the gate too.
+            // Events that arrived while the process was paused close the gate too.
             catch_up().await;
-            // Told no more than its client has left, and nothing if that is nothing.
-            let left = call.left(gate.deadline);
-            if left.is_zero() || !gate.open() {
-                self.connections.release(place, connection);
+            // The server gets no more time than the client has left, and no request if no time is left.
+            let remaining_time = request.remaining_time(gate.deadline);
+            if remaining_time.is_zero() || !gate.open() {
+                self.connections.release(endpoint, connection);
                 return Outcome::NotSent.into();
             }
             let monitor = connection.monitor.clone();
-            let before = monitor.bytes_written();
-            let at_work = AtWork::new(&self.connections, place, &connection, gate.deadline);
+            let written_before = monitor.bytes_written();
+            let usage_recorder = UsageRecorder::new(&self.connections, endpoint, &connection, gate.deadline);
             monitor.stop_counting();
-            let counted = async {
-                // Of a long body nobody may know the length before its end.
-                if let (None, Some(upload)) = (call.least_bytes(place.dialect), call.body.upload()) {
+            let count_attempt = async {
+                // The length of a long body may be unknown until its end.
+                if let (None, Some(upload)) = (request.min_bytes(endpoint.dialect), request.body.upload()) {
                     upload.wait_until_finished().await;
                 }
-                if let Some(least) = call.least_bytes(place.dialect) {
-                    monitor.count_attempt_at(before + least, call.counters.clone());
+                if let Some(min_bytes) = request.min_bytes(endpoint.dialect) {
+                    monitor.count_attempt_at(written_before + min_bytes, request.counters.clone());
                 }
                 std::future::pending::<()>().await;
             };
-            let answer = tokio::select! {
+            let result = tokio::select! {
                 biased;
-                () = counted => Err(ExchangeError::InvalidResponse),
-                answer = self.exchange(&mut connection, call, place, left) => answer,
-                () = stuck(&monitor) => Err(ExchangeError::WriteStalled),
+                () = count_attempt => Err(ExchangeError::InvalidResponse),
+                result = self.exchange(&mut connection, request, endpoint, remaining_time) => result,
+                () = write_stalled(&monitor) => Err(ExchangeError::WriteStalled),
             };
-            let written = monitor.bytes_written() - before;
-            let is_whole = call.least_bytes(place.dialect).is_some_and(|least| written >= least);
-            let broken =
-                call.body.upload().is_some_and(|upload| matches!(upload.state(), UploadState::Failed(_)));
-            at_work.end(answer.is_err());
-            match answer {
-                // An answer to what was not all there yet is none to this request.
-                Ok(mut ended) if is_whole => {
-                    match ended.response.as_mut().map(|served| &mut served.body) {
+            let written = monitor.bytes_written() - written_before;
+            let is_complete =
+                request.min_bytes(endpoint.dialect).is_some_and(|min_bytes| written >= min_bytes);
+            let upload_failed =
+                request.body.upload().is_some_and(|upload| matches!(upload.state(), UploadState::Failed(_)));
+            usage_recorder.finish(result.is_err());
+            match result {
+                // A response before the complete request was sent is not a response to this request.
+                Ok(mut attempt_result) if is_complete => {
+                    match attempt_result.response.as_mut().map(|response| &mut response.body) {
                         Some(ResponseBody::Streaming(download)) => {
                             download.keep_connection(Origin {
                                 connection,
-                                place,
+                                place: endpoint,
                                 connections: Rc::clone(&self.connections),
                             });
                         }
-                        // One that has ended with its answer is of no further use.
+                        // A connection that has ended with its response can't be reused.
                         Some(ResponseBody::Buffered(..)) | None if monitor.has_ended() => {}
                         Some(ResponseBody::Buffered(..)) | None => {
-                            self.connections.release(place, connection)
+                            self.connections.release(endpoint, connection)
                         }
                     }
-                    return ended;
+                    return attempt_result;
                 }
-                // The client has not sent all of it: that says nothing of the server, and nothing has run.
-                _ if broken && !is_whole => return Outcome::NotSent.into(),
-                // A server need not read to the end what it turns away.
-                Ok(ended) if ended.outcome == Outcome::Rejected => return ended,
-                // Its client had closed when the first byte could have gone.
+                // The client did not send the complete request: no evidence against the server, and nothing was executed.
+                _ if upload_failed && !is_complete => return Outcome::NotSent.into(),
+                // A server need not read a request to the end to reject it.
+                Ok(attempt_result) if attempt_result.outcome == Outcome::Rejected => return attempt_result,
+                // The client had closed its connection before the first byte was written.
                 Err(ExchangeError::Connection)
-                    if written == 0 && call.client.as_ref().is_some_and(StreamMonitor::is_closed_by_peer) =>
+                    if written == 0
+                        && request.client.as_ref().is_some_and(StreamMonitor::is_closed_by_peer) =>
                 {
                     gate.mark_unsent();
                     return Outcome::NotSent.into();
                 }
-                // A pooled connection that ended before anything was written to it says nothing of the server,
-                // and no attempt was made: take the next one. A new one that ends so does say something, and
-                // to go on would be a storm of connections.
+                // A pooled connection that ended before anything was written to it is no evidence against the
+                // server, and no attempt was made: the next connection is tried. A new one that ends so counts
+                // against the server; to repeat it would cause a storm of connections.
                 Err(ExchangeError::Connection) if !connection.is_new() && written == 0 => gate.mark_unsent(),
                 Err(ExchangeError::WriteStalled) => return Outcome::TimedOut.into(),
-                Ok(_) | Err(_) if !is_whole => return Outcome::ConnectFailed.into(),
+                Ok(_) | Err(_) if !is_complete => return Outcome::ConnectFailed.into(),
                 Ok(_) | Err(_) => return Outcome::ConnectionReset.into(),
             }
         }
     }
 
-    /// One request out and its answer in.
+    /// Sends a request and reads its response.
     async fn exchange(
         &self,
         connection: &mut PooledConnection,
-        call: &UpstreamRequest,
-        place: EndpointAddress,
-        left: Duration,
+        request: &UpstreamRequest,
+        endpoint: EndpointAddress,
+        remaining_time: Duration,
     ) -> Result<AttemptResult, ExchangeError> {
         let monitor = connection.monitor.clone();
         let sender = connection.sender().ok_or(ExchangeError::Connection)?;
-        let mut request = message(call, place, left);
-        // Answers 1xx come ahead of the one that counts, which may take its time after them.
-        let informed = Arc::new(AtomicBool::new(false));
-        let inform = Arc::clone(&informed);
-        hyper::ext::on_informational(&mut request, move |_| inform.store(true, Ordering::Relaxed));
+        let mut http_request = build_http_request(request, endpoint, remaining_time);
+        // After a 1xx response the final response may take its time.
+        let got_informational = Arc::new(AtomicBool::new(false));
+        let flag = Arc::clone(&got_informational);
+        hyper::ext::on_informational(&mut http_request, move |_| flag.store(true, Ordering::Relaxed));
         let received = monitor.bytes_received();
-        monitor.begin_request(ANSWER_MOST, call.client.clone());
-        let whole = async {
-            let answer = sender.try_send_request(request).await.map_err(|_| ExchangeError::Connection)?;
-            self.read(answer, &monitor, place.dialect).await
+        monitor.begin_request(MAX_BUFFERED_READ_BYTES, request.client.clone());
+        let send_and_read = async {
+            let response =
+                sender.try_send_request(http_request).await.map_err(|_| ExchangeError::Connection)?;
+            self.read(response, &monitor, endpoint.dialect).await
         };
         tokio::select! {
             biased;
-            answer = whole => answer,
-            () = stalled(&monitor, received, &informed, &self.stall_timeout) => Err(ExchangeError::InvalidResponse),
+            result = send_and_read => result,
+            () = response_stalled(&monitor, received, &got_informational, &self.stall_timeout) => Err(ExchangeError::InvalidResponse),
         }
     }
 
-    /// A short answer is read whole, so that a spoilt one is not passed on; a long one only as far as needed to tell
-    /// that it is long.
+    /// Reads a response. A short one is read to its end, so that an invalid one is not forwarded; a long one only until it is
+    /// known to be long.
     async fn read(
         &self,
-        answer: Response<Incoming>,
+        response: Response<Incoming>,
         monitor: &StreamMonitor,
         dialect: DialectId,
     ) -> Result<AttemptResult, ExchangeError> {
-        let (head, mut body) = answer.into_parts();
+        let (head, mut body) = response.into_parts();
         let framing = body_length(head.status, &head.headers).ok_or(ExchangeError::InvalidResponse)?;
         let length = framing.bytes();
-        let held_most = length.unwrap_or(MAX_BUFFERED_BYTES as u64).min(MAX_BUFFERED_BYTES as u64) as usize;
-        let reservation = self.bodies.try_reserve(held_most).ok_or(ExchangeError::InvalidResponse)?;
+        let max_buffered =
+            length.unwrap_or(MAX_BUFFERED_BYTES as u64).min(MAX_BUFFERED_BYTES as u64) as usize;
+        let reservation = self.bodies.try_reserve(max_buffered).ok_or(ExchangeError::InvalidResponse)?;
         let is_long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
-        let (mut begun, mut held) = (VecDeque::new(), 0);
-        let (mut ended, mut since) = (false, None);
-        while held <= MAX_BUFFERED_BYTES && !(is_long && held > 0) {
-            // One that goes on coming slowly may be long too; one that has stopped is not passed on.
-            let since = *since.get_or_insert_with(Instant::now);
-            if length.is_none() && held > BEGUN_MOST && since.elapsed() > BEGUN_WAIT {
+        let (mut chunks, mut buffered_bytes) = (VecDeque::new(), 0);
+        let (mut is_complete, mut start) = (false, None);
+        while buffered_bytes <= MAX_BUFFERED_BYTES && !(is_long && buffered_bytes > 0) {
+            // A body that keeps arriving slowly may be long too; one that has stalled is not forwarded.
+            let start = *start.get_or_insert_with(Instant::now);
+            if length.is_none() && buffered_bytes > STREAMING_MIN_BYTES && start.elapsed() > STREAMING_DELAY {
                 break;
             }
             match body.frame().await {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
-                        held += data.len();
-                        begun.push_back(data);
+                        buffered_bytes += data.len();
+                        chunks.push_back(data);
                     }
                 }
                 Some(Err(_)) => return Err(ExchangeError::InvalidResponse),
                 None => {
-                    ended = true;
+                    is_complete = true;
                     break;
                 }
             }
         }
-        if ended && framing == BodyLength::CloseDelimited && !monitor.has_ended_cleanly() {
+        if is_complete && framing == BodyLength::CloseDelimited && !monitor.has_ended_cleanly() {
             return Err(ExchangeError::InvalidResponse);
         }
-        let report = head.headers.get("x-load-report").and_then(|v| self.report(v.as_bytes()));
-        let turned_away = match dialect {
+        let load_report =
+            head.headers.get("x-load-report").and_then(|value| self.parse_report(value.as_bytes()));
+        let is_rejection = match dialect {
             OLD if head.status != StatusCode::OK => {
-                ended && is_refusal(head.status.as_u16(), &concat_chunks(begun.iter().cloned(), held))
+                is_complete
+                    && is_refusal(
+                        head.status.as_u16(),
+                        &concat_chunks(chunks.iter().cloned(), buffered_bytes),
+                    )
             }
-            _ => head.headers.get("x-rejected").is_some_and(|v| v == "1"),
+            _ => head.headers.get("x-rejected").is_some_and(|value| value == "1"),
         };
         let outcome = match head.status {
             StatusCode::OK => Outcome::Success,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejection => {
+                Outcome::Rejected
+            }
             _ => Outcome::ServerError,
         };
         if outcome != Outcome::Success {
-            // Nobody gets its body; one that is long costs its connection.
-            return if ended {
-                Ok(AttemptResult { outcome, load_report: report, response: None })
+            // The body is not forwarded. The connection is not kept if the body is long.
+            return if is_complete {
+                Ok(AttemptResult { outcome, load_report, response: None })
             } else {
                 Err(ExchangeError::InvalidResponse)
             };
         }
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
-        let body = if ended {
-            ResponseBody::Buffered(concat_chunks(begun, held), reservation)
+        let body = if is_complete {
+            ResponseBody::Buffered(concat_chunks(chunks, buffered_bytes), reservation)
         } else {
             monitor.lift_read_limit();
-            ResponseBody::Streaming(Box::new(Download::new(begun, body, framing, reservation)))
+            ResponseBody::Streaming(Box::new(Download::new(chunks, body, framing, reservation)))
         };
         Ok(AttemptResult {
             outcome,
-            load_report: report,
+            load_report,
             response: Some(UpstreamResponse { body, content_type, dialect }),
         })
     }
 
-    /// Asks a server how it is.
-    pub async fn probe(&self, place: EndpointAddress) -> AttemptResult {
-        // The old dialect has no such call: whatever answers is well.
-        let is_old = place.dialect == OLD;
+    /// Sends a health probe to a server.
+    pub async fn probe(&self, endpoint: EndpointAddress) -> AttemptResult {
+        // The old dialect has no health check: a server that responds at all is healthy.
+        let is_old = endpoint.dialect == OLD;
         let uri = Uri::from_static(match self.has_reports.get() {
             _ if is_old => "/",
             true => "/stats",
             false => "/health/live",
         });
-        let (method, client_timeout) = (Method::GET, PROBE_WAIT);
+        let (method, client_timeout) = (Method::GET, PROBE_TIMEOUT);
         let (headers, body) = (HeaderMap::new(), RequestBody::Buffered(Bytes::new()));
         let legacy = is_old.then(|| {
             let (method, uri, headers, body) = (method.clone(), uri.clone(), HeaderMap::new(), Bytes::new());
             Box::new(LegacyRequest { method, uri, headers, body, mapping: None })
         });
-        let call = UpstreamRequest {
+        let request = UpstreamRequest {
             method,
             uri,
             headers,
@@ -471,66 +488,67 @@
             client: None,
             _reservation: None,
         };
-        let until = Instant::now() + PROBE_WAIT;
-        // Nothing but its time can stop a probe.
-        let sent = Cell::new(false);
-        let gate = Gate::new(&sent, &|| true, until);
-        let Ok(mut ended) = timeout_at(until, self.attempt(place, &call, &gate)).await else {
+        let deadline = Instant::now() + PROBE_TIMEOUT;
+        // Only its timeout stops a probe.
+        let is_sent = Cell::new(false);
+        let gate = Gate::new(&is_sent, &|| true, deadline);
+        let Ok(mut result) = timeout_at(deadline, self.attempt(endpoint, &request, &gate)).await else {
             return Outcome::TimedOut.into();
         };
-        if is_old && ended.outcome == Outcome::ServerError {
-            ended.outcome = Outcome::Success;
+        if is_old && result.outcome == Outcome::ServerError {
+            result.outcome = Outcome::Success;
         }
-        if let Some(UpstreamResponse { body: ResponseBody::Buffered(text, _), .. }) = ended.response.take() {
-            ended.load_report = ended.load_report.or_else(|| self.report(&text));
+        if let Some(UpstreamResponse { body: ResponseBody::Buffered(text, _), .. }) = result.response.take() {
+            result.load_report = result.load_report.or_else(|| self.parse_report(&text));
         }
-        ended
+        result
     }
 
-    /// A load report in the order of the settings; `None` if it can't be read, lacks a field or is absurd.
-    fn report(&self, text: &[u8]) -> Option<Vec<f64>> {
+    /// Parses a load report. Returns its values in the order of the settings; `None` if it is malformed, lacks a field or has a
+    /// value out of range.
+    fn parse_report(&self, text: &[u8]) -> Option<Vec<f64>> {
         if !self.has_reports.get() {
             return None;
         }
         let text = std::str::from_utf8(text).ok()?;
         let text = text.trim();
-        let pairs: Option<HashMap<&str, f64>> = text.split(',').map(pair).collect();
+        let pairs: Option<HashMap<&str, f64>> = text.split(',').map(parse_pair).collect();
         let pairs = pairs?;
-        self.fields.borrow().iter().map(|field| pairs.get(field.as_str()).copied()).collect()
+        self.report_names.borrow().iter().map(|name| pairs.get(name.as_str()).copied()).collect()
     }
 }
 
-fn pair(text: &str) -> Option<(&str, f64)> {
+fn parse_pair(text: &str) -> Option<(&str, f64)> {
     let (name, value) = text.split_once('=')?;
     let value: f64 = value.trim().parse().ok()?;
-    (0.0..=FIGURE_MOST).contains(&value).then_some((name.trim(), value))
+    (0.0..=MAX_REPORT_VALUE).contains(&value).then_some((name.trim(), value))
 }
 
-/// The pieces of a short body as one.
-pub fn concat_chunks(pieces: impl IntoIterator<Item = Bytes>, bytes: usize) -> Bytes {
-    let mut pieces = pieces.into_iter();
-    let first = pieces.next().unwrap_or_default();
-    if first.len() == bytes {
+/// Returns the chunks of a short body, `len` bytes in all, as one.
+pub fn concat_chunks(chunks: impl IntoIterator<Item = Bytes>, len: usize) -> Bytes {
+    let mut chunks = chunks.into_iter();
+    let first = chunks.next().unwrap_or_default();
+    if first.len() == len {
         return first;
     }
-    let mut whole = BytesMut::with_capacity(bytes);
-    whole.extend_from_slice(&first);
-    pieces.for_each(|piece| whole.extend_from_slice(&piece));
-    whole.freeze()
+    let mut body = BytesMut::with_capacity(len);
+    body.extend_from_slice(&first);
+    chunks.for_each(|chunk| body.extend_from_slice(&chunk));
+    body.freeze()
 }
 
-/// Comes back when the peer has taken nothing of what waits to be written for too long.
-async fn stuck(monitor: &StreamMonitor) {
+/// Returns when the peer has accepted none of the unsent bytes for [`WRITE_STALL_TIMEOUT`].
+async fn write_stalled(monitor: &StreamMonitor) {
     loop {
-        sleep_until_caught_up(Instant::now() + STUCK_LOOK).await;
-        if monitor.write_stalled_since().is_some_and(|since| since.elapsed() > STUCK_MOST) {
+        sleep_until_caught_up(Instant::now() + WRITE_STALL_CHECK_INTERVAL).await;
+        if monitor.write_stalled_since().is_some_and(|since| since.elapsed() > WRITE_STALL_TIMEOUT) {
             return;
         }
     }
 }
 
-/// Where an answer's body ends, by its head; `None` if that says it twice or wrongly, or says more than any answer may hold:
-/// what is read behind such a head may be anything.
+/// Returns how the head of a response delimits its body; `None` if the framing headers are repeated, conflicting or invalid, or
+/// the length exceeds [`MAX_BODY_BYTES`]. The bytes after such a head can't be trusted.
 fn body_length(status: StatusCode, headers: &HeaderMap) -> Option<BodyLength> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
@@ -550,12 +568,12 @@
     }
 }
 
-/// Comes back when an answer has begun, has not been read whole, and nothing more of it has come for a while: it is
-/// spoilt, and whoever waits on would wait to the end of the attempt's time.
-async fn stalled(
+/// Returns when a response has begun and no more of it has arrived for the stall timeout: it is broken, and waiting for more
+/// would take until the attempt times out.
+async fn response_stalled(
     monitor: &StreamMonitor,
     received: u64,
-    informed: &AtomicBool,
+    got_informational: &AtomicBool,
     stall_timeout: &StallTimeout,
 ) {
     loop {
@@ -565,41 +583,46 @@
         }
         loop {
             while timeout(BASE_TIMEOUT, monitor.bytes_arrived()).await.is_ok() {}
-            if informed.swap(false, Ordering::Relaxed) {
+            if got_informational.swap(false, Ordering::Relaxed) {
                 break;
             }
-            let Some(more) = stall_timeout.extension() else { return };
-            let went_on = timeout(more, monitor.bytes_arrived()).await.is_ok();
-            stall_timeout.record(went_on);
-            if !went_on {
+            let Some(extension) = stall_timeout.extension() else { return };
+            let resumed = timeout(extension, monitor.bytes_arrived()).await.is_ok();
+            stall_timeout.record(resumed);
+            if !resumed {
                 return;
             }
         }
     }
 }
 
-/// The message to a backend: the client's own, with the time that this attempt has left. (The old dialect has no place for it.)
-fn message(call: &UpstreamRequest, place: EndpointAddress, left: Duration) -> Request<AttemptBody> {
-    let host = HeaderValue::from_str(&place.address.to_string());
-    if let Some(old) = call.legacy.as_deref().filter(|_| place.dialect == OLD) {
-        let mut request = Request::new(RequestBody::Buffered(old.body.clone()).attempt_body());
-        *request.method_mut() = old.method.clone();
-        *request.uri_mut() = old.uri.clone();
-        *request.headers_mut() = old.headers.clone();
+/// Builds the HTTP request to a server: the client's own, with the time that remains for this attempt. (The old dialect has no
+/// header for that time.)
+fn build_http_request(
+    request: &UpstreamRequest,
+    endpoint: EndpointAddress,
+    remaining_time: Duration,
+) -> Request<AttemptBody> {
+    let host = HeaderValue::from_str(&endpoint.address.to_string());
+    if let Some(legacy) = request.legacy.as_deref().filter(|_| endpoint.dialect == OLD) {
+        let mut http_request = Request::new(RequestBody::Buffered(legacy.body.clone()).attempt_body());
+        *http_request.method_mut() = legacy.method.clone();
+        *http_request.uri_mut() = legacy.uri.clone();
+        *http_request.headers_mut() = legacy.headers.clone();
         if let Ok(host) = host {
-            request.headers_mut().entry(HOST).or_insert(host);
+            http_request.headers_mut().entry(HOST).or_insert(host);
         }
-        return request;
+        return http_request;
     }
-    let mut request = Request::new(call.body.attempt_body());
-    *request.method_mut() = call.method.clone();
-    *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = call.headers.clone();
-    request.headers_mut().insert("x-budget-ms", HeaderValue::from(left.as_millis() as u64));
+    let mut http_request = Request::new(request.body.attempt_body());
+    *http_request.method_mut() = request.method.clone();
+    *http_request.uri_mut() = request.uri.clone();
+    *http_request.headers_mut() = request.headers.clone();
+    http_request.headers_mut().insert("x-budget-ms", HeaderValue::from(remaining_time.as_millis() as u64));
     if let Ok(host) = host {
-        request.headers_mut().entry(HOST).or_insert(host);
+        http_request.headers_mut().entry(HOST).or_insert(host);
     }
-    request
+    http_request
 }
 
 #[cfg(test)]
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -6,26 +6,26 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-fn of(most: usize, fields: &[&str]) -> Rc<Inner> {
-    let fields: Vec<String> = fields.iter().map(|f| f.to_string()).collect();
-    let has_reports = !fields.is_empty();
-    let (connect, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
+fn new_upstream(max_connections: usize, report_names: &[&str]) -> Rc<Inner> {
+    let report_names: Vec<String> = report_names.iter().map(|name| name.to_string()).collect();
+    let has_reports = !report_names.is_empty();
+    let (connect_timeout, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
     let connections = Connections::new(
-        Quota::single_share(most),
+        Quota::single_share(max_connections),
         &Rc::new(ConnectionRegistry::default()),
-        connect,
+        connect_timeout,
         keepalive,
     );
-    HttpUpstream::new(connections, Quota::single_share(1 << 20), fields, has_reports).0
+    HttpUpstream::new(connections, Quota::single_share(1 << 20), report_names, has_reports).0
 }
 
-fn post(body: usize) -> UpstreamRequest {
+fn post(body_bytes: usize) -> UpstreamRequest {
     let (uri, headers) = (Uri::from_static("/x"), HeaderMap::new());
     UpstreamRequest {
         method: Method::POST,
         uri,
         headers,
-        body: RequestBody::Buffered(vec![7; body].into()),
+        body: RequestBody::Buffered(vec![7; body_bytes].into()),
         legacy: None,
         client_timeout: Duration::from_secs(60),
         counters: None,
@@ -34,102 +34,107 @@
     }
 }
 
-async fn attempt(address: SocketAddr, body: usize) -> Outcome {
-    attempt_of(&of(4, &[]), address, body).await
+async fn attempt(address: SocketAddr, body_bytes: usize) -> Outcome {
+    attempt_on(&new_upstream(4, &[]), address, body_bytes).await
 }
 
-async fn attempt_of(backends: &Inner, address: SocketAddr, body: usize) -> Outcome {
-    gated(backends, address, body, true).await
+async fn attempt_on(upstream: &Inner, address: SocketAddr, body_bytes: usize) -> Outcome {
+    gated_attempt(upstream, address, body_bytes, true).await
 }
 
-async fn gated(backends: &Inner, address: SocketAddr, body: usize, may_send: bool) -> Outcome {
-    let place = EndpointAddress { server: ServerId(0), address, incarnation: Incarnation(0), dialect: NEW };
-    let (sent, lawful) = (Cell::new(false), || may_send);
-    let gate = Gate::new(&sent, &lawful, Instant::now() + Duration::from_secs(60));
-    backends.attempt(place, &post(body), &gate).await.outcome
+async fn gated_attempt(upstream: &Inner, address: SocketAddr, body_bytes: usize, may_send: bool) -> Outcome {
+    let endpoint =
+        EndpointAddress { server: ServerId(0), address, incarnation: Incarnation(0), dialect: NEW };
+    let (is_sent, may_send) = (Cell::new(false), || may_send);
+    let gate = Gate::new(&is_sent, &may_send, Instant::now() + Duration::from_secs(60));
+    upstream.attempt(endpoint, &post(body_bytes), &gate).await.outcome
 }
 
-/// The drain rule counts a send from its first byte: what was decided before may come too late to go.
+/// A drain forbids every send whose first byte is not yet written, so a closed gate stops an attempt that was decided before.
 #[tokio::test]
-async fn nothing_is_written_once_it_may_not_be_sent() {
+async fn nothing_is_written_after_the_gate_has_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let local = LocalSet::new();
-    assert_eq!(local.run_until(gated(&of(4, &[]), address, 9, false)).await, Outcome::NotSent);
+    assert_eq!(
+        local.run_until(gated_attempt(&new_upstream(4, &[]), address, 9, false)).await,
+        Outcome::NotSent
+    );
     drop(local);
     let (mut stream, _) = listener.accept().await.unwrap();
     assert_eq!(stream.read(&mut [0; 1]).await.unwrap_or(0), 0);
 }
 
-/// A client may close after the last look at its connection, and the process be held up there: the kernel is asked right
-/// before the first byte, also where the close stands behind bytes that nobody has read.
+/// A client may close its connection after the gate was checked, and the process may be paused then. So the kernel is asked right
+/// before the first byte is written, and also finds a close that follows unread bytes.
 #[tokio::test]
-async fn nothing_is_written_for_a_client_that_closed_after_the_gate_was_asked() {
-    for (behind, closes) in [("", true), ("GET /next", true), ("", false), ("GET /next", false)] {
+async fn nothing_is_written_for_a_client_that_closed_after_the_gate_opened() {
+    for (unread, closes) in [("", true), ("GET /next", true), ("", false), ("GET /next", false)] {
         let clients = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut client = std::net::TcpStream::connect(clients.local_addr().unwrap()).unwrap();
-        let (_wire, monitor) =
+        let (_stream, monitor) =
             crate::metered_stream::MeteredStream::for_client(clients.accept().await.unwrap().0);
-        std::io::Write::write_all(&mut client, behind.as_bytes()).unwrap();
+        std::io::Write::write_all(&mut client, unread.as_bytes()).unwrap();
         let server = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let place = EndpointAddress {
+        let endpoint = EndpointAddress {
             server: ServerId(0),
             address: server.local_addr().unwrap(),
             incarnation: Incarnation(0),
             dialect: NEW,
         };
-        let (sent, client) = (Cell::new(false), Cell::new(Some(client)));
-        // The close comes once the gate has been found open: no event of the runtime tells of it in time.
-        let lawful = || {
+        let (is_sent, client) = (Cell::new(false), Cell::new(Some(client)));
+        // The client closes once the gate has opened: no event of the runtime reports it in time.
+        let may_send = || {
             client.set(client.take().filter(|_| !closes));
             true
         };
-        let gate = Gate::new(&sent, &lawful, Instant::now() + Duration::from_secs(60));
-        let backends = of(4, &[]);
-        let call = UpstreamRequest { client: Some(monitor), ..post(9) };
-        let (outcome, heard) = LocalSet::new()
+        let gate = Gate::new(&is_sent, &may_send, Instant::now() + Duration::from_secs(60));
+        let upstream = new_upstream(4, &[]);
+        let request = UpstreamRequest { client: Some(monitor), ..post(9) };
+        let (outcome, received) = LocalSet::new()
             .run_until(async {
-                let heard = async {
+                let receive = async {
                     let (mut stream, _) = server.accept().await.unwrap();
-                    let heard = stream.read(&mut [0; 64]).await.unwrap_or(0);
-                    (heard, stream)
+                    let received = stream.read(&mut [0; 64]).await.unwrap_or(0);
+                    (received, stream)
                 };
                 tokio::select! {
                     biased;
-                    ended = backends.attempt(place, &call, &gate) => (Some(ended.outcome), 0),
-                    (heard, _stream) = heard => (None, heard),
+                    result = upstream.attempt(endpoint, &request, &gate) => (Some(result.outcome), 0),
+                    (received, _stream) = receive => (None, received),
                 }
             })
             .await;
         let expected = if closes { Some(Outcome::NotSent) } else { None };
-        assert_eq!((outcome, heard > 0), (expected, !closes), "{behind:?}, closes: {closes}");
-        assert_eq!(sent.get(), !closes, "{behind:?}");
+        assert_eq!((outcome, received > 0), (expected, !closes), "{unread:?}, closes: {closes}");
+        assert_eq!(is_sent.get(), !closes, "{unread:?}");
     }
 }
 
-/// The cap on connections: when all are at work nothing more is opened, and the server is not blamed.
+/// When all connections of the quota are in use no other is opened, and the failure does not count against the server.
 #[tokio::test]
-async fn past_the_cap_nothing_is_sent() {
+async fn nothing_is_sent_beyond_the_connection_quota() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let backends = of(1, &[]);
+    let upstream = new_upstream(1, &[]);
     let both = async {
         tokio::select! {
             biased;
-            outcome = attempt_of(&backends, address, 9) => panic!("silence gave {outcome:?}"),
-            outcome = attempt_of(&backends, address, 9) => outcome,
+            outcome = attempt_on(&upstream, address, 9) => panic!("the server sent nothing, but the outcome is {outcome:?}"),
+            outcome = attempt_on(&upstream, address, 9) => outcome,
         }
     };
     let outcome = timeout(Duration::from_secs(20), LocalSet::new().run_until(both)).await;
     assert_eq!(outcome.ok(), Some(Outcome::NotSent));
-    // What the first held is free again.
+    // The connection of the first attempt is closed and its reservation released.
     tokio::task::yield_now().await;
-    assert_eq!(backends.connections.count(), 0);
+    assert_eq!(upstream.connections.count(), 0);
 }
 
-/// More than the two sockets can hold, to a peer that closes: the last byte is provably not written.
+/// The peer closes the connection during a request that exceeds both socket buffers: its last byte is provably not written, so
+/// the request was not executed.
 #[tokio::test]
-async fn a_break_before_the_last_byte_never_ran() {
+async fn reset_before_the_last_byte_proves_not_executed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let peer = async {
@@ -140,14 +145,14 @@
     assert_eq!(LocalSet::new().run_until(both).await, Outcome::ConnectFailed);
 }
 
-/// A server that ends each new connection before anything could be written gets no storm of them.
+/// A server that closes each new connection before anything is written must not cause a storm of connections.
 #[tokio::test]
-async fn a_new_connection_that_ends_at_once_is_not_repeated() {
+async fn new_connection_that_ends_at_once_is_not_repeated() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
     let mut accepted = 0;
-    // Closes each connection before the runtime hears that it is up.
+    // Closes each connection before the runtime learns that it is open.
     let peer = async {
         while accepted < 20 {
             while listener.accept().is_ok() {
@@ -169,14 +174,14 @@
     assert_eq!(accepted, 1);
 }
 
-/// A machine that is cut off says nothing; the connect must not wait for ever, and nothing has run.
+/// An unreachable machine does not respond at all: the connect must time out, and nothing was executed.
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_never_comes_up_fails_in_time() {
+async fn connection_that_never_opens_times_out() {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     socket.listen(0).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
-    // What fills the queue is answered; what comes after it is not.
+    // The accept queue completes the connections that fill it, and ignores all later ones.
     let mut queue = Vec::new();
     for _ in 0..8 {
         let filler = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -188,10 +193,10 @@
 }
 
 #[test]
-fn a_report_is_read_by_name_and_a_malformed_one_is_none() {
-    let backends = of(4, &["qps", "queue"]);
-    assert_eq!(backends.report(b" queue=2, util=0.6,qps=7"), Some(vec![7.0, 2.0]));
-    for bad in [
+fn load_report_is_parsed_by_name_and_a_malformed_one_rejected() {
+    let upstream = new_upstream(4, &["qps", "queue"]);
+    assert_eq!(upstream.parse_report(b" queue=2, util=0.6,qps=7"), Some(vec![7.0, 2.0]));
+    for malformed in [
         "",
         "queue=2",
         "queue=2,qps",
@@ -201,12 +206,12 @@
         "queue=1e9,qps=1",
         "\u{ff}",
     ] {
-        assert_eq!(backends.report(bad.as_bytes()), None, "{bad:?}");
+        assert_eq!(upstream.parse_report(malformed.as_bytes()), None, "{malformed:?}");
     }
 }
 
-/// A server's answer without a length, ended by `end` before the agent gets to read any of it.
-async fn ended_by(end: impl FnOnce(&socket2::Socket)) -> Outcome {
+/// Returns the outcome of a response without a length that `end` ends before the agent reads any of it.
+async fn outcome_when_ended_by(end: impl FnOnce(&socket2::Socket)) -> Outcome {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let peer = async {
@@ -215,7 +220,7 @@
         while !request.ends_with(&[7; 9]) {
             stream.read_buf(&mut request).await.unwrap();
         }
-        // Nothing else runs from here to the end: the agent finds all of it at once.
+        // No other task runs from here to the end, so the agent finds the response and its end at once.
         let socket: socket2::Socket = stream.into_std().unwrap().into();
         socket.send(b"HTTP/1.1 200 OK\r\n\r\nbody").unwrap();
         end(&socket);
@@ -225,23 +230,24 @@
     LocalSet::new().run_until(both).await
 }
 
-/// A stream that reads as ended has not always ended in order: the socket may know better.
+/// A read may return the end of the stream although a reset followed the FIN; only the socket's pending error shows that.
 #[tokio::test]
-async fn an_end_that_a_reset_followed_is_none() {
+async fn end_of_stream_followed_by_a_reset_is_a_reset() {
     let reset = |socket: &socket2::Socket| socket.set_linger(Some(Duration::ZERO)).unwrap();
     let fin = |socket: &socket2::Socket| socket.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(ended_by(|socket| fin(socket)).await, Outcome::Success);
-    assert_eq!(ended_by(|socket| reset(socket)).await, Outcome::ConnectionReset);
-    let both = |socket: &socket2::Socket| {
+    assert_eq!(outcome_when_ended_by(|socket| fin(socket)).await, Outcome::Success);
+    assert_eq!(outcome_when_ended_by(|socket| reset(socket)).await, Outcome::ConnectionReset);
+    let fin_and_reset = |socket: &socket2::Socket| {
         fin(socket);
         reset(socket);
     };
-    assert_eq!(ended_by(both).await, Outcome::ConnectionReset);
+    assert_eq!(outcome_when_ended_by(fin_and_reset).await, Outcome::ConnectionReset);
 }
 
-/// A server may forget connections that rest, and say nothing: they have to rest shorter, as where it closes them.
+/// A server may silently forget idle connections. The agent must then keep them idle for a shorter time, as it does where the
+/// server closes them.
 #[tokio::test]
-async fn connections_that_are_forgotten_at_rest_are_soon_not_used() {
+async fn idle_connections_that_the_server_forgets_are_avoided() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let peer = async {
@@ -256,18 +262,18 @@
             forgotten.push(stream);
         }
     };
-    let backends = of(16, &[]);
+    let upstream = new_upstream(16, &[]);
     let client = async {
         let mut served = 0;
         for _ in 0..40 {
-            let place =
+            let endpoint =
                 EndpointAddress { server: ServerId(0), address, incarnation: Incarnation(0), dialect: NEW };
-            let (sent, lawful, until) =
+            let (is_sent, may_send, deadline) =
                 (Cell::new(false), || true, Instant::now() + Duration::from_millis(200));
-            let (gate, call) = (Gate::new(&sent, &lawful, until), post(9));
-            // As the engine calls it off.
-            let ended = timeout_at(until, backends.attempt(place, &call, &gate)).await;
-            served += usize::from(ended.is_ok_and(|ended| ended.outcome == Outcome::Success));
+            let (gate, request) = (Gate::new(&is_sent, &may_send, deadline), post(9));
+            // The engine cancels attempts in the same way.
+            let result = timeout_at(deadline, upstream.attempt(endpoint, &request, &gate)).await;
+            served += usize::from(result.is_ok_and(|result| result.outcome == Outcome::Success));
             sleep(Duration::from_millis(70)).await;
         }
         served
@@ -278,10 +284,10 @@
             () = peer => 0,
         }
     };
-    // It is tried again now and then whether they still do.
+    // Now and then a long-idle connection is tried again.
     let served = LocalSet::new().run_until(all).await;
     assert!(
         served >= 28,
-        "{served} of 40 served: half is what is left where each connection that has rested is used"
+        "{served} of 40 requests served; if each idle connection were reused, only half would be"
     );
 }
