--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -27,14 +27,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most bytes that are read for a buffered response: a body in small chunks, its head, and 1xx responses before it.
+/// The maximum number of bytes read for a buffered response: its body in small chunks, its head, and 1xx responses before it.
 const MAX_BUFFERED_READ_BYTES: u64 = 4 * MAX_BUFFERED_BYTES as u64;
 /// An attempt is given up when its server accepts no more bytes of the request for this long.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// The interval at which stalled writes are checked for.
 const WRITE_STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A response of unknown length is forwarded as a stream once more bytes than this have arrived, ...
-const STREAMING_MIN_BYTES: usize = 4 * 1024;
+const MIN_STREAMING_BYTES: usize = 4 * 1024;
 /// ... and this much time has passed.
 const STREAMING_DELAY: Duration = Duration::from_millis(50);
 /// The time after which a health probe without a response has failed.
@@ -377,7 +377,8 @@
         tokio::select! {
             biased;
             result = send_and_read => result,
-            () = response_stalled(&monitor, received, &got_informational, &self.stall_timeout) => Err(ExchangeError::InvalidResponse),
+            () = response_stalled(&monitor, received, &got_informational, &self.stall_timeout)
+                => Err(ExchangeError::InvalidResponse),
         }
     }
 
@@ -401,7 +402,7 @@
         while buffered_bytes <= MAX_BUFFERED_BYTES && !(is_long && buffered_bytes > 0) {
             // A body that keeps arriving slowly may be long too; one that has stalled is not forwarded.
             let start = *start.get_or_insert_with(Instant::now);
-            if length.is_none() && buffered_bytes > STREAMING_MIN_BYTES && start.elapsed() > STREAMING_DELAY {
+            if length.is_none() && buffered_bytes > MIN_STREAMING_BYTES && start.elapsed() > STREAMING_DELAY {
                 break;
             }
             match body.frame().await {
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -120,7 +120,7 @@
     let both = async {
         tokio::select! {
             biased;
-            outcome = attempt_on(&upstream, address, 9) => panic!("the server sent nothing, but the outcome is {outcome:?}"),
+            outcome = attempt_on(&upstream, address, 9) => panic!("{outcome:?} without a response"),
             outcome = attempt_on(&upstream, address, 9) => outcome,
         }
     };
--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -15,7 +15,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// The delay before a connection is tried again that failed on this machine, which puts no load on the peer.
+/// The delay before a connection is tried again that failed on this machine. It is short because such tries put no load on others.
 const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Two "no route" failures that are further apart belong to separate streaks.
 const MAX_STREAK_GAP: Duration = Duration::from_secs(10);
@@ -72,8 +72,9 @@
 /// cause all of them to be ejected. A server in a network that can't be reached from here must be ejected, since it never has
 /// a request in flight and so would seem to be the least loaded. The other servers decide: the failure counts against this
 /// machine until another server has been reached since the first failure of the streak, and against the server from then on.
-/// A server counts as reached since only if that is later by the time that a connection may take to open, because a
-/// connection that was being opened when the route was lost proves nothing; a silent server costs an attempt as much time.
+/// A connection that was already being opened when the route was lost proves nothing. So a server counts as reached only if it
+/// is reached more than the connect timeout after the first failure; waiting that long costs no more than an attempt to a server
+/// that does not respond.
 /// EHOSTUNREACH counts against the server at once: the host's own neighbours can't reach it.
 #[derive(Default)]
 pub struct Reachability {
--- a/crates/agent/src/connect/tests.rs
+++ b/crates/agent/src/connect/tests.rs
@@ -58,7 +58,7 @@
     async fn expect_failure(&self, errno: Errno, endpoint: EndpointAddress) -> Outcome {
         self.connect(&Scripted::failing([errno]), endpoint, CONNECT_TIMEOUT)
             .await
-            .expect_err("the connection expect_failure")
+            .expect_err("the connection fails")
     }
 
     async fn expect_connection(&self, endpoint: EndpointAddress) {
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -310,8 +310,8 @@
         }
     }
 
-    /// Closes an idle connection, and records any unrequested bytes on it. Returns false if it was closed already, so that this
-    /// releases no descriptor.
+    /// Closes an idle connection, and records any unrequested bytes on it. Returns false if it was closed already; then
+    /// this releases no descriptor.
     fn close(&self, server: ServerId, idle: &Idle) -> bool {
         // Bytes that hyper has already read were recorded by its task.
         if idle.monitor.has_unread_bytes() {
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Closes the most recently used idle connection; returns false if there is none.
+    /// Closes the most recently used idle connection; returns false if none is open.
     fn close_most_recent(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let since = |pool: &Vec<Idle>| pool.last().map(|idle| idle.since);
@@ -375,7 +375,7 @@
         false
     }
 
-    /// Closes the least recently used idle connection; returns false if there is none.
+    /// Closes the least recently used idle connection; returns false if none is open.
     fn close_least_recent(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let mut take_least_recent = || {
--- a/crates/agent/src/connections/tests.rs
+++ b/crates/agent/src/connections/tests.rs
@@ -11,7 +11,7 @@
 use tokio::time::advance;
 
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-/// Quiet idle periods that earn_trust trust.
+/// Quiet idle periods that earn trust.
 const PERIODS_FOR_TRUST: usize = 128;
 
 /// A server on loopback, and its ends of the connections in the order in which they were accepted.
@@ -81,8 +81,8 @@
 }
 
 fn connections(max: usize) -> Rc<Connections> {
-    let (connect, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
-    Connections::new(Quota::single_share(max), &Rc::default(), connect, keepalive)
+    let (connect_timeout, keepalive) = (Duration::from_secs(20), Duration::from_secs(60));
+    Connections::new(Quota::single_share(max), &Rc::default(), connect_timeout, keepalive)
 }
 
 /// Runs `work` with a clock that only the test advances: while a blocking task runs, the paused clock never advances by itself.
@@ -98,7 +98,7 @@
 async fn until(done: impl Fn() -> bool) {
     let start = std::time::Instant::now();
     while !done() {
-        assert!(start.elapsed() < Duration::from_secs(30), "it does not happen");
+        assert!(start.elapsed() < Duration::from_secs(30), "the condition is never met");
         yield_now().await;
     }
 }
@@ -107,7 +107,7 @@
 fn block_until(done: impl Fn() -> bool) {
     let start = std::time::Instant::now();
     while !done() {
-        assert!(start.elapsed() < Duration::from_secs(30), "it does not happen");
+        assert!(start.elapsed() < Duration::from_secs(30), "the condition is never met");
         std::thread::yield_now();
     }
 }
@@ -136,7 +136,7 @@
     }
 }
 
-/// Lets the server earn_trust trust by quiet idle periods. Its connections have just been used on return.
+/// Lets the server earn trust by quiet idle periods. Its connections have just been used on return.
 async fn earn_trust(connections: &Connections, server: &Server) {
     for _ in 0..PERIODS_FOR_TRUST.div_ceil(MIN_RECENT_FOR_REUSE) {
         exchange_on_each(connections, server, MIN_RECENT_FOR_REUSE).await;
@@ -151,7 +151,8 @@
 
 /// Waits until hyper has closed an idle connection because of what the server sent.
 async fn until_closed(connections: &Connections, server: &Server) {
-    until(|| connections.idle.borrow()[&server.endpoint.server].iter().any(|i| i.sender.is_closed())).await;
+    until(|| connections.idle.borrow()[&server.endpoint.server].iter().any(|idle| idle.sender.is_closed()))
+        .await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -214,7 +215,7 @@
             let has_unread = |server: &Server| {
                 connections.idle.borrow()[&server.endpoint.server]
                     .iter()
-                    .any(|i| i.monitor.has_unread_bytes())
+                    .any(|idle| idle.monitor.has_unread_bytes())
             };
             match noticed {
                 "by hyper" => {
--- a/crates/agent/src/pools.rs
+++ b/crates/agent/src/pools.rs
@@ -23,7 +23,7 @@
 /// The sender that updates the source of a pool's endpoint list.
 enum Source {
     Discovery(watch::Sender<SocketAddr>),
-    Fixed(watch::Sender<Vec<EndpointInfo<SocketAddr>>>),
+    Static(watch::Sender<Vec<EndpointInfo<SocketAddr>>>),
 }
 
 /// A pool with the resources and settings that the agent keeps for it.
@@ -71,7 +71,7 @@
             (Source::Discovery(source), PoolEndpoints::Discovery(address)) => {
                 source.send_if_modified(|old| std::mem::replace(old, *address) != *address);
             }
-            (Source::Fixed(source), PoolEndpoints::Static(endpoints)) => {
+            (Source::Static(source), PoolEndpoints::Static(endpoints)) => {
                 source.send_if_modified(|old| {
                     let changed = old != endpoints;
                     old.clone_from(endpoints);
@@ -79,7 +79,7 @@
                 });
             }
             (Source::Discovery(_), PoolEndpoints::Static(_))
-            | (Source::Fixed(_), PoolEndpoints::Discovery(_)) => return false,
+            | (Source::Static(_), PoolEndpoints::Discovery(_)) => return false,
         }
         // Classes that were removed are looked up again if they return.
         self.latencies.borrow_mut().clear();
@@ -204,8 +204,9 @@
 
     fn open(&self, plan: &PoolPlan, ids: &[ClassId], known: Option<KnownEndpoints>) -> Rc<HttpPool> {
         let http = &plan.http;
-        let open = self.connections.share();
-        let connections = Connections::new(open, &self.registry, http.connect_timeout, http.keepalive);
+        let connection_quota = self.connections.share();
+        let connections =
+            Connections::new(connection_quota, &self.registry, http.connect_timeout, http.keepalive);
         let bodies = self.bodies.share();
         let upstream =
             HttpUpstream::new(connections, Rc::clone(&bodies), http.report_names.clone(), http.has_reports);
@@ -218,7 +219,7 @@
             }
             PoolEndpoints::Static(endpoints) => {
                 let (sender, receiver) = watch::channel(endpoints.clone());
-                (Source::Fixed(sender), Box::new(StaticEndpoints::new(receiver)))
+                (Source::Static(sender), Box::new(StaticEndpoints::new(receiver)))
             }
         };
         // A list in the settings file is known from the start.
@@ -253,7 +254,8 @@
             request_quota: self.requests.share(),
         };
         let engine_pool = Pool::new(options).expect("the settings of a plan are valid");
-        // The pool has numbered its classes by position. Applies the ids, which are unique across all pools, where they differ.
+        // The pool has numbered its classes by position. The ids of the plan, which are unique across all pools, replace these
+        // numbers where they differ.
         if ids.iter().enumerate().any(|(index, id)| index != id.0) {
             engine_pool.update_settings(plan.settings.clone(), ids.to_vec(), &plan.names.zones);
         }
