--- a/crates/agent/tests/loopback/metrics_page.rs
+++ b/crates/agent/tests/loopback/metrics_page.rs
@@ -1,37 +1,38 @@
-//! The whole page of figures, name by name and label by label, against committed pages. Dashboards and alerts hang on it.
+//! Compares the complete metrics page, with all names and labels, to golden files: dashboards and alerts depend on it.
 
 use crate::common::*;
 use crate::golden::assert_golden;
 use crate::legacy::{mappings, order, records, CLASSES, ORDER};
 
-/// A line of the page, without its value where that hangs on how long something took.
-fn steady(line: &str) -> String {
-    let by_time = ["app_request_seconds_bucket{", "app_request_seconds_sum{", "app_record_servers_excluded "];
-    let by_time = by_time.into_iter().any(|name| line.starts_with(name)) && !line.starts_with('#');
+/// Returns a line of the page, without its value where that depends on how long something took.
+fn without_timing(line: &str) -> String {
+    let timed = ["app_request_seconds_bucket{", "app_request_seconds_sum{", "app_record_servers_excluded "];
+    let is_timed = timed.into_iter().any(|name| line.starts_with(name)) && !line.starts_with('#');
     match line.rsplit_once(' ') {
-        Some((name, _)) if by_time && !line.contains("le=\"+Inf\"") => format!("{name} TIME\n"),
+        Some((name, _)) if is_timed && !line.contains("le=\"+Inf\"") => format!("{name} TIME\n"),
         _ => format!("{line}\n"),
     }
 }
 
-/// The page once nothing is in flight.
-fn page(agent: &Agent) -> String {
+/// Returns the metrics page once no request is in flight.
+fn metrics_page(agent: &Agent) -> String {
     agent.wait_for_metric("app_in_flight", 0.0);
-    let answer = agent.ops_request("GET", "/-/metrics");
-    let kind = answer.header("content-type").expect("a kind");
-    let text = String::from_utf8(answer.body.clone()).expect("UTF-8");
-    let lines: String = text.lines().map(steady).collect();
-    format!("{} {kind}\n{lines}", answer.status())
+    let response = agent.ops_request("GET", "/-/metrics");
+    let content_type = response.header("content-type").expect("a content type");
+    let text = String::from_utf8(response.body.clone()).expect("UTF-8");
+    let lines: String = text.lines().map(without_timing).collect();
+    format!("{} {content_type}\n{lines}", response.status())
 }
 
-/// The platform's agent: served, refused and failed requests of several classes, and files that were taken and turned down.
+/// An agent with the platform's configuration: served and failed requests of several classes, and reloads that were applied
+/// and rejected.
 #[test]
-fn the_page_of_the_platforms_agent_stays() {
-    let backend = RecordServer::new(|m| match m.path() {
-        p if p.starts_with("/once") => status(500, ""),
+fn metrics_page_of_the_platforms_agent_is_unchanged() {
+    let server = RecordServer::new(|message| match message.path() {
+        path if path.starts_with("/once") => status(500, ""),
         _ => ok("x"),
     });
-    let line = serving("s0", backend.address);
+    let line = serving("s0", server.address);
     let discovery = Discovery::new(line.clone());
     let text = with_ops(&config(discovery.address, &line, SETTINGS, 1024));
     let agent = Agent::start(&text);
@@ -44,10 +45,10 @@
     agent.wait_for_metric("app_reloads_ok_total", 1.0);
     agent.reload("{");
     agent.wait_for_metric("app_reloads_failed_total", 1.0);
-    assert_golden("tests/golden/metrics-platform.txt", &page(&agent));
+    assert_golden("tests/golden/metrics-platform.txt", &metrics_page(&agent));
 }
 
-fn own(protocol: &str, server: &RecordServer, dialect: &str) -> Agent {
+fn agent_with_toml(protocol: &str, server: &RecordServer, dialect: &str) -> Agent {
     let mappings = mappings();
     let text = format!(
         "[ops]\nlisten = \"127.0.0.1:0\"\n{CLASSES}\n[translate]\nmappings = {mappings:?}\n\
@@ -59,24 +60,24 @@
     Agent::start_with_toml(&temp_dir(), &text)
 }
 
-/// Old clients before a new server: a value that was rounded is counted by its mapping.
+/// Legacy clients and a new server: a rounded value is counted under its mapping.
 #[test]
-fn the_page_of_a_legacy_front_stays() {
+fn metrics_page_of_a_legacy_front_is_unchanged() {
     let server = records();
-    let agent = own("legacy", &server, "");
+    let agent = agent_with_toml("legacy", &server, "");
     let mut client = Client::connect(&agent);
     assert_eq!(client.exchange(&order(ORDER)).status(), 200);
     let query = "STN=KMIA&BEG=03%2F08%2F2026+01%3A59&END=03%2F08%2F2026+03%3A00&WHAT=W&CLERK=Ann";
     let lookup = format!("GET /desk/lookup.cgi?{query} HTTP/1.0\r\n\r\n");
     assert_eq!(Client::connect(&agent).exchange(&lookup).status(), 200);
-    assert_golden("tests/golden/metrics-legacy.txt", &page(&agent));
+    assert_golden("tests/golden/metrics-legacy.txt", &metrics_page(&agent));
 }
 
-/// A new client before an old server, whose answer has no counterpart.
+/// A new client and an old server whose response can't be translated.
 #[test]
-fn the_page_of_a_pool_with_an_old_server_stays() {
+fn metrics_page_of_a_pool_with_an_old_server_is_unchanged() {
     let server = RecordServer::new(|_| ok("H|QUEUED|7|20261201080509\r\nT|1\r\n"));
-    let agent = own("http", &server, "dialect = \"old\"");
+    let agent = agent_with_toml("http", &server, "dialect = \"old\"");
     let body = "{\"case\":\"7\",\"station\":\"K\",\"period\":{\"first\":\"2026-02-01\",\"last\":\"2026-02-02\"},\"copies\":1,\
         \"sealed\":false,\"court\":{\"name\":\"x\"},\"parties\":[{\"name\":\"a\",\"role\":\"plaintiff\"}],\"language\":\"en\"}";
     let request = format!(
@@ -85,5 +86,5 @@
         body.len()
     );
     assert_eq!(Client::connect(&agent).exchange(&request).status(), 502);
-    assert_golden("tests/golden/metrics-mixed.txt", &page(&agent));
+    assert_golden("tests/golden/metrics-mixed.txt", &metrics_page(&agent));
 }
--- a/crates/agent/tests/loopback/pools.rs
+++ b/crates/agent/tests/loopback/pools.rs
@@ -1,4 +1,4 @@
-//! The project's own configuration: several pools, fronts and routes in one process, and how they change.
+//! The project's own configuration format: several pools, fronts and routes in one process, and how reloads change them.
 use crate::common::*;
 use std::net::SocketAddr;
 use std::process::Command;
@@ -27,17 +27,17 @@
     format!("[[route]]\nname = \"{class}\"\nclass = \"{class}\"\npool = \"{pool}\"\n")
 }
 
-fn file(sockets: usize, front: &str, rest: &[String]) -> String {
+fn config_text(sockets: usize, front: &str, sections: &[String]) -> String {
     format!(
         "default_pool = \"main\"\n[ops]\nlisten = \"127.0.0.1:0\"\n[limits]\nsockets = {sockets}\n{CLASSES}\n{front}{}",
-        rest.concat()
+        sections.concat()
     )
 }
 
 const FRONT: &str = "[[front]]\nname = \"desk\"\nlisten = \"127.0.0.1:0\"\n";
 
-fn paths(backend: &RecordServer) -> Vec<String> {
-    backend
+fn request_paths(server: &RecordServer) -> Vec<String> {
+    server
         .requests
         .all()
         .iter()
@@ -45,60 +45,62 @@
         .collect()
 }
 
-/// One pool's servers all hang and take what they can get of connections, memory and requests; the other's answers go on,
-/// and what finds no room is turned away at once.
+/// The server of one pool hangs, so the pool occupies all connections, memory and requests it can get. The other pool must keep
+/// serving, and requests beyond the quota are rejected at once.
 #[test]
-fn a_pool_that_hangs_leaves_the_other_its_share() {
-    let (quick, mute) = (RecordServer::new(|_| ok("quick")), RecordServer::new(|_| Action::Hang));
-    let rest = [pool("main", quick.address), pool("mute", mute.address), route("once", "mute")];
-    let agent = Agent::start_with_toml(&temp_dir(), &file(128, FRONT, &rest));
-    let mut hung = Vec::new();
-    let mut refused = 0;
-    // 40 clients may be here at once, of whom 10 are the other pool's own.
-    while refused == 0 {
+fn hanging_pool_leaves_the_other_its_share() {
+    let (fast, hanging) = (RecordServer::new(|_| ok("fast")), RecordServer::new(|_| Action::Hang));
+    let sections = [pool("main", fast.address), pool("hanging", hanging.address), route("once", "hanging")];
+    let agent = Agent::start_with_toml(&temp_dir(), &config_text(128, FRONT, &sections));
+    let mut waiting = Vec::new();
+    let mut rejected = 0;
+    // 40 requests may be in flight at once, of which 10 are reserved for the other pool.
+    while rejected == 0 {
         let mut client = Client::connect(&agent);
         client.write(&request("once", 10_000));
-        hung.push(client);
-        if hung.len() > 30 {
-            let answer = hung.pop().unwrap().read().expect("an answer at once");
-            assert_eq!(answer.status(), 503);
-            assert!(answer.header("retry-after").is_some_and(|after| after.parse::<f64>().unwrap() > 0.0));
-            refused += 1;
+        waiting.push(client);
+        if waiting.len() > 30 {
+            let response = waiting.pop().unwrap().read().expect("a response at once");
+            assert_eq!(response.status(), 503);
+            assert!(response
+                .header("retry-after")
+                .is_some_and(|seconds| seconds.parse::<f64>().unwrap() > 0.0));
+            rejected += 1;
         }
     }
-    assert_eq!(hung.len(), 30);
+    assert_eq!(waiting.len(), 30);
     for _ in 0..50 {
         assert_eq!(Client::connect(&agent).exchange(&request("read", 5000)).status(), 200);
     }
-    assert!(paths(&mute).iter().all(|path| path == "/once"));
+    assert!(request_paths(&hanging).iter().all(|path| path == "/once"));
 }
 
-/// What is under way in a pool that is removed ends there as it began; what comes after goes where the new file says.
+/// Requests in flight in a pool that a reload removes complete there; later ones follow the new file.
 #[test]
-fn a_reload_removes_a_pool_with_requests_under_way() {
+fn reload_removes_a_pool_with_requests_in_flight() {
     let (main, (old, release)) = (RecordServer::new(|_| ok("main")), RecordServer::gated());
     let folder = temp_dir();
     let both = [pool("main", main.address), pool("old", old.address), route("once", "old")];
-    let agent = Agent::start_with_toml(&folder, &file(1024, FRONT, &both));
+    let agent = Agent::start_with_toml(&folder, &config_text(1024, FRONT, &both));
     let mut client = Client::connect(&agent);
     client.write(&request("once", 9000));
     old.requests.wait_for(1);
-    agent.reload(&file(1024, FRONT, &both[..1]));
+    agent.reload(&config_text(1024, FRONT, &both[..1]));
     agent.wait_for_metric("app_reloads_ok_total", 1.0);
     for _ in 0..10 {
-        let answer = Client::connect(&agent).exchange(&request("once", 5000));
-        assert_eq!((answer.status(), answer.body), (200, b"main".to_vec()));
+        let response = Client::connect(&agent).exchange(&request("once", 5000));
+        assert_eq!((response.status(), response.body), (200, b"main".to_vec()));
     }
     release.send(()).unwrap();
-    let answer = client.read().expect("an answer");
-    assert_eq!((answer.status(), answer.body), (200, b"done".to_vec()));
-    assert_eq!(old.requests.all().len(), 1, "nothing new has come");
+    let response = client.read().expect("a response");
+    assert_eq!((response.status(), response.body), (200, b"done".to_vec()));
+    assert_eq!(old.requests.all().len(), 1, "no new request was sent to it");
     agent.wait_for_metric("app_record_servers_known", 1.0);
 }
 
-/// A pool that nobody has told its servers refuses at once, with a time to come back, and serves once it has a list.
+/// A pool without an endpoint list rejects requests at once, with Retry-After, and serves once it has a list.
 #[test]
-fn a_route_to_a_pool_without_a_list_is_refused_at_once() {
+fn pool_without_a_list_rejects_at_once() {
     let (main, late) = (RecordServer::new(|_| ok("main")), RecordServer::new(|_| ok("late")));
     let discovery = Discovery::new(serving("l", late.address));
     discovery.set_down(true);
@@ -106,29 +108,29 @@
         "[[pool]]\nname = \"late\"\nmembership = \"platform\"\ndiscovery = \"{}\"\n",
         discovery.address
     );
-    let rest = [pool("main", main.address), platform, route("once", "late")];
-    let agent = Agent::start_with_toml(&temp_dir(), &file(1024, FRONT, &rest));
-    let answer = Client::connect(&agent).exchange(&request("once", 9000));
-    assert_eq!(answer.status(), 503);
-    let after: f64 = answer.header("retry-after").expect("a time to come back").parse().unwrap();
-    assert!(after > 0.0 && after < 2.0, "{after}");
+    let sections = [pool("main", main.address), platform, route("once", "late")];
+    let agent = Agent::start_with_toml(&temp_dir(), &config_text(1024, FRONT, &sections));
+    let response = Client::connect(&agent).exchange(&request("once", 9000));
+    assert_eq!(response.status(), 503);
+    let retry_after: f64 = response.header("retry-after").expect("a Retry-After header").parse().unwrap();
+    assert!(retry_after > 0.0 && retry_after < 2.0, "{retry_after}");
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).status(), 200);
     discovery.set_down(false);
     let served = |_: &u32| Client::connect(&agent).exchange(&request("once", 9000)).status() == 200;
-    assert!((0..100_000).any(|n| served(&n)), "its list has come");
+    assert!((0..100_000).any(|n| served(&n)), "the pool serves once it has its list");
 }
 
-/// The new process takes the socket of the front that both have over, and opens the other itself.
+/// The successor process takes over the socket of the front that both configurations have, and opens the added front itself.
 #[test]
-fn a_handover_to_a_file_that_adds_a_front() {
-    let backend = RecordServer::new(|_| ok("main"));
+fn hot_restart_with_an_added_front() {
+    let server = RecordServer::new(|_| ok("main"));
     let folder = temp_dir();
-    let rest = [pool("main", backend.address)];
-    let mut old = Agent::start_with_toml(&folder, &file(1024, FRONT, &rest));
+    let sections = [pool("main", server.address)];
+    let mut old = Agent::start_with_toml(&folder, &config_text(1024, FRONT, &sections));
     let extra = "[[front]]\nname = \"extra\"\nlisten = \"127.0.0.1:0\"\n";
-    // The old one waits under the address that its own file has; the new one asks for it by that name.
-    let new = Agent::start_with_toml(&folder, &file(1024, &format!("{FRONT}{extra}"), &rest));
-    assert_eq!(new.fronts[0], old.address, "it listens on the same socket");
+    // The predecessor waits under the address in its own file, and the successor asks for it under the same address.
+    let new = Agent::start_with_toml(&folder, &config_text(1024, &format!("{FRONT}{extra}"), &sections));
+    assert_eq!(new.fronts[0], old.address, "it uses the same socket");
     assert_ne!(new.fronts[1], old.address);
     old.terminate();
     assert_eq!(old.wait_for_exit(), Some(0));
@@ -137,21 +139,21 @@
     }
 }
 
-/// Under load, a hundred signals with a file each, half of them broken: no request is lost, and what is in force at the
-/// end is the last file that was sound.
+/// Under load, a hundred reload signals with a file each, half of them invalid: no request may be lost, and the last valid file is
+/// in force at the end.
 #[test]
-fn a_storm_of_signals_loses_nothing() {
+fn storm_of_reloads_loses_no_request() {
     let (first, second) = (RecordServer::new(|_| ok("first")), RecordServer::new(|_| ok("second")));
-    let sound = |address| file(1024, FRONT, &[pool("main", address)]);
-    let agent = Agent::start_with_toml(&temp_dir(), &sound(first.address));
-    let over = Arc::new(AtomicBool::new(false));
+    let valid = |address| config_text(1024, FRONT, &[pool("main", address)]);
+    let agent = Agent::start_with_toml(&temp_dir(), &valid(first.address));
+    let is_over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4)
         .map(|_| {
-            let (address, over) = (agent.address, Arc::clone(&over));
+            let (address, is_over) = (agent.address, Arc::clone(&is_over));
             thread::spawn(move || {
                 let mut served = 0;
                 let mut client = Client::connect_to(address);
-                while !over.load(Ordering::Relaxed) {
+                while !is_over.load(Ordering::Relaxed) {
                     assert_eq!(client.exchange(&request("read", 9000)).status(), 200);
                     served += 1;
                 }
@@ -160,50 +162,51 @@
         })
         .collect();
     for n in 0..50 {
-        let broken =
-            sound(second.address).replace("aim_ms = 5000", if n % 2 == 0 { "aim_ms = 0" } else { "aim = " });
-        agent.reload(&broken);
-        agent.reload(&sound(if n % 2 == 0 { second.address } else { first.address }));
+        let invalid =
+            valid(second.address).replace("aim_ms = 5000", if n % 2 == 0 { "aim_ms = 0" } else { "aim = " });
+        agent.reload(&invalid);
+        agent.reload(&valid(if n % 2 == 0 { second.address } else { first.address }));
     }
-    // Signals that come while one waits are one: the last file is read all the same.
-    agent.reload(&sound(second.address));
-    let told = || {
+    // Signals that arrive while one is pending are merged; the last file is read nevertheless.
+    agent.reload(&valid(second.address));
+    let is_in_force = || {
         let before = second.requests.all().len();
-        let answer = Client::connect(&agent).exchange(&request("read", 9000));
-        answer.body == b"second" && second.requests.all().len() > before
+        let response = Client::connect(&agent).exchange(&request("read", 9000));
+        response.body == b"second" && second.requests.all().len() > before
     };
-    assert!((0..100_000).any(|_| told()), "the last sound file is in force");
-    let (taken, _) = agent.reloads();
+    assert!((0..100_000).any(|_| is_in_force()), "the last valid file is in force");
+    let (applied, _) = agent.reloads();
     agent.reload("no = [toml");
-    while agent.reloads().1 == 0.0 || agent.reloads().0 < taken {
+    while agent.reloads().1 == 0.0 || agent.reloads().0 < applied {
         thread::yield_now();
     }
-    over.store(true, Ordering::Relaxed);
+    is_over.store(true, Ordering::Relaxed);
     let served: Vec<u32> =
-        clients.into_iter().map(|client| client.join().expect("nothing was lost")).collect();
+        clients.into_iter().map(|client| client.join().expect("no request was lost")).collect();
     assert!(served.iter().all(|&served| served > 0));
     assert!((0..20).all(|_| Client::connect(&agent).exchange(&request("read", 9000)).body == b"second"));
 }
 
-/// What a process can't change while it runs is turned down with its key, and nothing else of the file is taken either.
+/// A file that changes what a running process can't change is rejected completely.
 #[test]
-fn a_file_that_changes_a_front_is_turned_down() {
+fn reload_that_changes_a_front_is_rejected() {
     let (first, second) = (RecordServer::new(|_| ok("first")), RecordServer::new(|_| ok("second")));
-    let agent = Agent::start_with_toml(&temp_dir(), &file(1024, FRONT, &[pool("main", first.address)]));
+    let agent =
+        Agent::start_with_toml(&temp_dir(), &config_text(1024, FRONT, &[pool("main", first.address)]));
     let other = FRONT.replace("desk", "office");
-    agent.reload(&file(1024, &other, &[pool("main", second.address)]));
+    agent.reload(&config_text(1024, &other, &[pool("main", second.address)]));
     agent.wait_for_metric("app_reloads_failed_total", 1.0);
     assert_eq!(Client::connect(&agent).exchange(&request("read", 9000)).body, b"first");
 }
 
-/// Routes see the front by which a request came.
+/// A route can select the pool by the front that received the request.
 #[test]
-fn a_front_has_its_own_pool() {
+fn route_selects_the_pool_by_front() {
     let (main, other) = (RecordServer::new(|_| ok("main")), RecordServer::new(|_| ok("other")));
     let fronts = format!("{FRONT}[[front]]\nname = \"yard\"\nlisten = \"127.0.0.1:0\"\n");
     let by_front = "[[route]]\nname = \"yard\"\nfront = \"yard\"\npool = \"other\"\n".to_string();
-    let rest = [pool("main", main.address), pool("other", other.address), by_front];
-    let agent = Agent::start_with_toml(&temp_dir(), &file(1024, &fronts, &rest));
+    let sections = [pool("main", main.address), pool("other", other.address), by_front];
+    let agent = Agent::start_with_toml(&temp_dir(), &config_text(1024, &fronts, &sections));
     assert_eq!(Client::connect_to(agent.fronts[0]).exchange(&request("read", 9000)).body, b"main");
     assert_eq!(Client::connect_to(agent.fronts[1]).exchange(&request("read", 9000)).body, b"other");
 }
@@ -215,35 +218,35 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// The exit codes and places that the documentation promises, for files and for a start.
+/// The documented exit codes and error positions, for checked files and for a start.
 #[test]
-fn the_command_line_keeps_its_word() {
-    let backend = SocketAddr::from(([127, 0, 0, 1], 9));
-    let text = file(1024, FRONT, &[pool("main", backend)]);
-    let written = |text: &str| {
+fn command_line_reports_exit_codes_and_error_positions() {
+    let server = SocketAddr::from(([127, 0, 0, 1], 9));
+    let text = config_text(1024, FRONT, &[pool("main", server)]);
+    let write_config = |text: &str| {
         let path = config_file(text).with_extension("toml");
         std::fs::write(&path, text).unwrap();
         path.to_str().unwrap().to_string()
     };
-    let (sound, bad) = (written(&text), written(&text.replace("aim_ms = 5000", "aim_ms = 0")));
-    let (code, out, _) = heronhoist(&["check", &sound]);
+    let (valid, invalid) = (write_config(&text), write_config(&text.replace("aim_ms = 5000", "aim_ms = 0")));
+    let (code, out, _) = heronhoist(&["check", &valid]);
     assert!(code == Some(0) && out.contains("main-1 at 127.0.0.1:9"), "{out}");
-    let (code, _, err) = heronhoist(&["check", &sound, &bad]);
-    assert_eq!((code, err.lines().count()), (Some(1), 2), "each fault has a line: {err}");
-    assert!(err.contains(&format!("{bad}:10:10: class[0].aim_ms: found 0; wanted")), "{err}");
-    let (code, _, err) = heronhoist(&["run", "--config", &bad]);
-    assert_eq!((code, err.lines().count()), (Some(1), 1), "a bad start is one line: {err}");
+    let (code, _, err) = heronhoist(&["check", &valid, &invalid]);
+    assert_eq!((code, err.lines().count()), (Some(1), 2), "one line per error: {err}");
+    assert!(err.contains(&format!("{invalid}:10:10: class[0].aim_ms: found 0; wanted")), "{err}");
+    let (code, _, err) = heronhoist(&["run", "--config", &invalid]);
+    assert_eq!((code, err.lines().count()), (Some(1), 1), "a failed start prints one line: {err}");
     assert_eq!(heronhoist(&["check", "/no/such/file.toml"]).0, Some(2));
     assert_eq!(heronhoist(&["run"]).0, Some(2));
     assert_eq!(heronhoist(&["fly"]).0, Some(2));
-    let (code, out, _) = heronhoist(&["config", "--config", &sound]);
+    let (code, out, _) = heronhoist(&["config", "--config", &valid]);
     assert!(code == Some(0) && out.contains("pool[0].drain_grace_ms = 500.0  # default"), "{out}");
     assert!(heronhoist(&["--version"]).1.starts_with("heronhoist "));
 }
 
-/// The example in the repository is sound.
+/// The example in the repository is valid.
 #[test]
-fn the_example_is_sound() {
+fn example_is_valid() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/heronhoist.toml");
     assert_eq!(heronhoist(&["check", path]).0, Some(0));
 }
