--- a/crates/agent/tests/loopback/handover.rs
+++ b/crates/agent/tests/loopback/handover.rs
@@ -1,4 +1,4 @@
-//! Hot restart: the new process shares the listening socket of the old one, and no accepted or queued connection is reset.
+//! Hot restart: the successor process shares the listening socket of its predecessor, and no accepted or queued connection is reset.
 
 use crate::common::*;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
     with_ops(&config(discovery.address, known, SETTINGS, 1024))
 }
 
-/// A private directory, and the configuration of agents with one server, which both discovery and the file list.
+/// A private directory, and the configuration of agents with one server, which is in both discovery and the configuration.
 struct Setup {
     directory: PathBuf,
     _discovery: Discovery,
@@ -18,12 +18,12 @@
 }
 
 impl Setup {
-    fn new(backend: &RecordServer) -> Self {
-        Setup::new_in(temp_dir(), backend)
+    fn new(server: &RecordServer) -> Self {
+        Setup::new_in(temp_dir(), server)
     }
 
-    fn new_in(directory: PathBuf, backend: &RecordServer) -> Self {
-        let endpoint = serving("s", backend.address);
+    fn new_in(directory: PathBuf, server: &RecordServer) -> Self {
+        let endpoint = serving("s", server.address);
         let discovery = Discovery::new(endpoint.clone());
         let configuration = configuration(&discovery, &endpoint);
         Setup { directory, _discovery: discovery, configuration }
@@ -33,7 +33,8 @@
         Agent::start_in_dir(&self.directory, &self.configuration)
     }
 
-    /// The second process reports the very address of the first, though the configuration leaves the port open.
+    /// Starts a predecessor and a successor. The successor must have the same address although the configuration leaves the port
+    /// open.
     fn start_old_and_new(&self) -> (Agent, Agent) {
         let (old, new) = (self.start(), self.start());
         assert_eq!(old.address, new.address);
@@ -51,35 +52,35 @@
     }
 }
 
-/// The same configuration with the address that the agent in fact listens on.
+/// Returns the configuration with the address that the agent actually listens on.
 fn with_address_of(agent: &Agent, configuration: &str) -> String {
     let address = format!("\"listen\":\"{}\"", agent.address);
     configuration.replacen("\"listen\":\"127.0.0.1:0\"", &address, 1)
 }
 
-/// Sends requests, each on a connection of its own, and checks that each is answered with 200.
+/// Sends requests, each on its own connection, and checks that each gets a 200 response.
 fn assert_serves(agent: &Agent, requests: usize) {
     for _ in 0..requests {
         assert_eq!(Client::connect(agent).exchange(&request("read", 9000)).status(), 200);
     }
 }
 
-/// The old process finishes its requests, the new one serves later ones, and only the old one exits.
+/// The predecessor finishes its requests, the successor serves later ones, and only the predecessor exits.
 #[test]
-fn the_old_process_finishes_its_requests_and_the_new_one_serves() {
-    let (backend, release) = RecordServer::gated();
-    let setup = Setup::new(&backend);
+fn predecessor_finishes_its_requests_and_successor_serves() {
+    let (server, release) = RecordServer::gated();
+    let setup = Setup::new(&server);
     let mut old = setup.start();
     let mut busy = Client::connect(&old);
     busy.write(&request("once", 9000));
-    backend.requests.wait_for(1);
+    server.requests.wait_for(1);
     let mut kept_alive = Client::connect(&old);
     assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200);
     let mut new = setup.start();
     assert_eq!(old.address, new.address);
     wait_until_ready(&new);
     old.terminate();
-    // A connection of the old process may still be used, and is closed with its response.
+    // A connection of the predecessor may still be used, and is closed with its response.
     let response = kept_alive.exchange(&request("read", 9000));
     assert_eq!(response.status(), 200);
     release.send(()).unwrap();
@@ -90,11 +91,11 @@
     setup.remove();
 }
 
-/// Connections in the queue while the old process stops belong to both processes: none is refused or reset.
+/// Connections in the accept queue while the predecessor stops belong to both processes: none is refused or reset.
 #[test]
-fn no_connection_is_reset_while_the_old_process_stops() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let setup = Setup::new(&backend);
+fn no_connection_is_reset_while_the_predecessor_stops() {
+    let server = RecordServer::new(|_| ok("x"));
+    let setup = Setup::new(&server);
     let (mut old, new) = setup.start_old_and_new();
     wait_until_ready(&new);
     old.terminate();
@@ -113,9 +114,9 @@
 
 /// Nothing accepts connections at the socket file of a killed process; the next process starts as if alone.
 #[test]
-fn the_socket_file_of_a_killed_process_is_harmless() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let setup = Setup::new(&backend);
+fn socket_file_of_a_killed_process_is_harmless() {
+    let server = RecordServer::new(|_| ok("x"));
+    let setup = Setup::new(&server);
     let (mut old, mut new) = setup.start_old_and_new();
     for agent in [&mut old, &mut new] {
         agent.child.kill().unwrap();
@@ -128,9 +129,9 @@
     setup.remove();
 }
 
-/// The new process must not use an outdated list in the file once the old process has had a newer one.
+/// The successor must not use an outdated list in the file once the predecessor has had a newer one.
 #[test]
-fn the_new_process_serves_once_discovery_has_sent_the_complete_list() {
+fn successor_serves_once_discovery_has_sent_the_complete_list() {
     let directory = temp_dir();
     let (stale, current) = (RecordServer::new(|_| ok("stale")), RecordServer::new(|_| ok("current")));
     let known = serving("s0", stale.address);
@@ -150,11 +151,11 @@
     std::fs::remove_dir_all(directory).unwrap();
 }
 
-/// A new version that fails to start leaves the old process as it was.
+/// A successor that fails to start leaves the predecessor as it was.
 #[test]
-fn a_new_version_that_fails_to_start_leaves_the_old_process_serving() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let setup = Setup::new(&backend);
+fn successor_that_fails_to_start_leaves_the_predecessor_serving() {
+    let server = RecordServer::new(|_| ok("x"));
+    let setup = Setup::new(&server);
     let old = setup.start();
     let admin_address_in_use = format!("\"{}\"", old.ops.unwrap());
     let configuration = setup.configuration.replacen("\"127.0.0.1:0\"", &admin_address_in_use, 1);
@@ -165,11 +166,11 @@
     setup.remove();
 }
 
-/// Without a private directory the socket cannot be handed over: the new process listens beside the old one.
+/// Without a private directory the socket cannot be handed over: the successor listens beside the predecessor.
 #[test]
 fn without_a_private_directory_both_processes_listen_at_the_address() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let endpoint = serving("s", backend.address);
+    let server = RecordServer::new(|_| ok("x"));
+    let endpoint = serving("s", server.address);
     let discovery = Discovery::new(endpoint.clone());
     let configuration = config(discovery.address, &endpoint, SETTINGS, 1024);
     let mut old = Agent::start(&configuration);
@@ -180,10 +181,10 @@
     assert_serves(&new, 10);
 }
 
-/// A `$TMPDIR` in which no socket can be bound (it is a file, is missing, has too long a name, or allows no new files) costs the
-/// handover, which is logged; old and new process serve side by side, and the end of the old one harms nobody.
+/// A `$TMPDIR` in which no socket can be bound (it is a file, is missing, has too long a name, or allows no new files) prevents the
+/// handover, which is logged. Both processes serve side by side, and no request fails when the predecessor ends.
 #[test]
-fn a_directory_without_sockets_stops_neither_the_old_nor_the_new_process() {
+fn directory_without_sockets_stops_neither_process() {
     let parent = temp_dir();
     let file = parent.join("file");
     std::fs::write(&file, "").unwrap();
@@ -191,8 +192,8 @@
     let long = parent.join("x".repeat(120));
     std::fs::create_dir(&long).unwrap();
     for directory in [&file, &parent.join("missing"), &long, Path::new("/proc")] {
-        let backend = RecordServer::new(|_| ok("x"));
-        let setup = Setup::new_in(directory.to_path_buf(), &backend);
+        let server = RecordServer::new(|_| ok("x"));
+        let setup = Setup::new_in(directory.to_path_buf(), &server);
         let mut old = setup.start();
         let mut kept_alive = Client::connect(&old);
         assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200);
@@ -208,7 +209,7 @@
         }
         assert_eq!(new.address, old.address);
         wait_until_ready(&new);
-        assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200, "the old one goes on");
+        assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200, "the predecessor still serves");
         old.terminate();
         assert_eq!(kept_alive.exchange(&request("read", 9000)).status(), 200);
         assert_eq!(old.wait_for_exit(), Some(0));
@@ -217,11 +218,11 @@
     std::fs::remove_dir_all(parent).unwrap();
 }
 
-/// A socket that is bound but cannot be moved to its final name leaves no file behind: each start would add one.
+/// A socket that is bound but cannot be moved to its final name leaves no file behind: otherwise each start would add one.
 #[test]
-fn a_socket_that_cannot_be_renamed_leaves_no_file_behind() {
-    let backend = RecordServer::new(|_| ok("x"));
-    let setup = Setup::new(&backend);
+fn socket_that_cannot_be_renamed_leaves_no_file_behind() {
+    let server = RecordServer::new(|_| ok("x"));
+    let setup = Setup::new(&server);
     std::fs::create_dir(setup.directory.join(SOCKET_NAME)).unwrap();
     for _ in 0..2 {
         let agent = setup.start();
@@ -234,22 +235,22 @@
     setup.remove();
 }
 
-/// The directory has become read-only when the new process starts: it takes over from the old one all the same and logs that
-/// no other process can take over from it; both serve to the end.
+/// The directory has become read-only when the successor starts: it takes over nevertheless, and logs that no other process can
+/// take over from it. Both processes serve until they exit.
 #[test]
-fn a_new_process_takes_over_in_a_directory_that_has_become_read_only() {
+fn successor_takes_over_in_a_directory_that_has_become_read_only() {
     use std::os::unix::fs::PermissionsExt;
-    let backend = RecordServer::new(|_| ok("x"));
-    let setup = Setup::new(&backend);
+    let server = RecordServer::new(|_| ok("x"));
+    let setup = Setup::new(&server);
     let mut old = setup.start();
     let set_mode = |mode| {
         std::fs::set_permissions(&setup.directory, std::fs::Permissions::from_mode(mode)).unwrap();
     };
     set_mode(0o555);
-    // A privileged user can write to it nevertheless; the takeover is checked all the same.
+    // A privileged user can write to it nevertheless. The takeover is checked in both cases, the log line only for a failed write.
     let is_read_only = std::fs::write(setup.directory.join("probe"), "").is_err();
     let new = setup.start();
-    assert_eq!(new.address, old.address, "it has the old one's socket");
+    assert_eq!(new.address, old.address, "the successor has the socket of the predecessor");
     assert_eq!(new.startup_log.contains("no handover"), is_read_only, "{}", new.startup_log);
     wait_until_ready(&new);
     old.terminate();
