--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -324,7 +324,7 @@
                         // A connection that has ended with its response can't be reused.
                         Some(ResponseBody::Buffered(..)) | None if monitor.has_ended() => {}
                         Some(ResponseBody::Buffered(..)) | None => {
-                            self.connections.release(endpoint, connection)
+                            self.connections.release(endpoint, connection);
                         }
                     }
                     return attempt_result;
