--- a/crates/agent/tests/loopback/metrics_page.rs
+++ b/crates/agent/tests/loopback/metrics_page.rs
@@ -62,15 +62,9 @@
 
 /// Legacy clients and a new server: a rounded value is counted under its mapping.
 #[test]
-<<<<<<< HEAD
 fn metrics_page_of_a_legacy_front_is_unchanged() {
-    let server = records();
-    let agent = agent_with_toml("legacy", &server, "");
-=======
-fn the_page_of_a_legacy_front_stays() {
     let server = new_server();
-    let agent = own("legacy", &server, "");
->>>>>>> main
+    let agent = agent_with_toml("legacy", &server, "");
     let mut client = Client::connect(&agent);
     assert_eq!(client.exchange(&order(ORDER)).status(), 200);
     let query = "STN=KMIA&BEG=03%2F08%2F2026+01%3A59&END=03%2F08%2F2026+03%3A00&WHAT=W&CLERK=Ann";
