--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// Records how an attempt ended on its connection, also if the attempt is canceled after its timeout with nothing read: a server
-/// may silently forget an idle connection.
+/// Records how an attempt ended on its connection, also if the attempt is canceled after its timeout with nothing read:
+/// a server may silently forget an idle connection.
 struct UsageRecorder<'a> {
     connections: &'a Connections,
     endpoint: EndpointAddress,
--- a/crates/agent/src/backend/tests.rs
+++ b/crates/agent/src/backend/tests.rs
@@ -65,8 +65,8 @@
     assert_eq!(stream.read(&mut [0; 1]).await.unwrap_or(0), 0);
 }
 
-/// A client may close its connection after the gate was checked, and the process may be paused then. So the kernel is asked right
-/// before the first byte is written, and also finds a close that follows unread bytes.
+/// A client may close its connection after the gate was checked, and the process may be paused then. So the kernel is
+/// asked right before the first byte is written, and also finds a close that follows unread bytes.
 #[tokio::test]
 async fn nothing_is_written_for_a_client_that_closed_after_the_gate_opened() {
     for (unread, closes) in [("", true), ("GET /next", true), ("", false), ("GET /next", false)] {
--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -15,7 +15,8 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// The delay before a connection is tried again that failed on this machine. It is short because such tries put no load on others.
+/// The delay before a connection is tried again that failed on this machine. It is short because such tries put no load
+/// on others.
 const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Two "no route" failures that are further apart belong to separate streaks.
 const MAX_STREAK_GAP: Duration = Duration::from_secs(10);
@@ -68,14 +69,14 @@
 ///
 /// A lack of descriptors, memory or ports is no evidence against a server, and the attempt counts as not sent.
 ///
-/// "No route" may be the fault of either side. A machine that has lost its network has no route to any server, and must not
-/// cause all of them to be ejected. A server in a network that can't be reached from here must be ejected, since it never has
-/// a request in flight and so would seem to be the least loaded. The other servers decide: the failure counts against this
-/// machine until another server has been reached since the first failure of the streak, and against the server from then on.
-/// A connection that was already being opened when the route was lost proves nothing. So a server counts as reached only if it
-/// is reached more than the connect timeout after the first failure; waiting that long costs no more than an attempt to a server
-/// that does not respond.
-/// EHOSTUNREACH counts against the server at once: the host's own neighbours can't reach it.
+/// "No route" may be the fault of either side. A machine that has lost its network has no route to any server, and must
+/// not cause all of them to be ejected. A server in a network that can't be reached from here must be ejected, since it
+/// never has a request in flight and so would seem to be the least loaded. The other servers decide: the failure counts
+/// against this machine until another server has been reached since the first failure of the streak, and against the
+/// server from then on. A connection that was already being opened when the route was lost proves nothing. So a server
+/// counts as reached only if it is reached more than the connect timeout after the first failure; waiting that long
+/// costs no more than an attempt to a server that does not respond. EHOSTUNREACH counts against the server at once: the
+/// host's own neighbours can't reach it.
 #[derive(Default)]
 pub struct Reachability {
     /// When a server was last reached while there was no route to another.
--- a/crates/agent/src/connections.rs
+++ b/crates/agent/src/connections.rs
@@ -425,8 +425,9 @@
     }
 }
 
-/// Returns whether unrequested bytes on an idle connection caused this error. hyper has no kind for that; of the errors that end
-/// a connection, it is the only one that is neither an I/O error nor a cancellation nor an end in the middle of a message.
+/// Returns whether unrequested bytes on an idle connection caused this error. hyper has no kind for that; of the errors
+/// that end a connection, it is the only one that is neither an I/O error nor a cancellation nor an end in the middle
+/// of a message.
 fn is_unrequested(error: &hyper::Error) -> bool {
     error.source().is_none() && !error.is_incomplete_message() && !error.is_canceled()
 }
--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -1,6 +1,6 @@
-//! The dialects of the servers in a mixed fleet, and the translation of requests and responses between them. Before the decision
-//! module selects a server, `heronhoist_translate::mixed` determines which dialects a request may be sent in. An attempt uses
-//! the dialect that its server had when the attempt began.
+//! The dialects of the servers in a mixed fleet, and the translation of requests and responses between them. Before the
+//! decision module selects a server, `heronhoist_translate::mixed` determines which dialects a request may be sent in.
+//! An attempt uses the dialect that its server had when the attempt began.
 
 use crate::backend::{LegacyRequest, ResponseBody, UpstreamRequest, UpstreamResponse};
 use crate::intake::IDEMPOTENCY_KEY;
@@ -98,8 +98,9 @@
     Some((method, uri.parse().ok()?, headers, body))
 }
 
-/// Translates a server's response to the other side. Returns the body, the reservation of the server's body, and notices of what
-/// was lost. A response that can't be translated is an error, although the request may have been executed.
+/// Translates a server's response to the other side. Returns the body, the reservation of the server's body, and
+/// notices of what was lost. A response that can't be translated is an error, although the request may have been
+/// executed.
 pub fn translate_response(
     mapping: &Mapping,
     from: Side,
--- a/crates/agent/src/socket_error.rs
+++ b/crates/agent/src/socket_error.rs
@@ -7,7 +7,8 @@
 /// The meaning of an error of `accept`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptError {
-    /// A connection was aborted before it was accepted, or the call was interrupted. The next connection can be accepted at once.
+    /// A connection was aborted before it was accepted, or the call was interrupted. The next connection can be
+    /// accepted at once.
     ConnectionAborted,
     /// This machine has no descriptor or memory for another connection.
     ResourceExhausted,
@@ -47,8 +48,8 @@
     /// This machine lacks a descriptor, memory or a port, or the call was interrupted. Nothing was sent to the network, so the
     /// error is no evidence against the peer.
     LocalResource,
-    /// There is no route from this machine, its network is down, or a local rule forbids the connection. The error does not show
-    /// whether that applies to this peer only.
+    /// There is no route from this machine, its network is down, or a local rule forbids the connection. The error does
+    /// not show whether that applies to this peer only.
     NoRoute,
     /// The peer or a machine next to it reported the error, or did not respond.
     Remote,
--- a/crates/agent/tests/loopback/budgets.rs
+++ b/crates/agent/tests/loopback/budgets.rs
@@ -1,5 +1,5 @@
-//! The time budget that an attempt sends to its server must never exceed what its client has left by the client's own clock, with
-//! the allowed tolerance of 0.15 s.
+//! The time budget that an attempt sends to its server must never exceed what its client has left by the client's own
+//! clock, with the allowed tolerance of 0.15 s.
 
 use crate::common::*;
 use std::io::{BufReader, Write};
@@ -107,8 +107,8 @@
     (head, vec![b'x'; bytes])
 }
 
-/// While a connection is being opened the agent does not read on in a long body, but the client may have sent all of it: its time
-/// runs, so the budget that is sent must be smaller.
+/// While a connection is being opened the agent does not read on in a long body, but the client may have sent all of
+/// it: its time runs, so the budget that is sent must be smaller.
 #[test]
 fn budget_shrinks_while_the_connection_opens() {
     assert_within_three_tries(|| {
--- a/crates/agent/tests/loopback/handover.rs
+++ b/crates/agent/tests/loopback/handover.rs
@@ -1,4 +1,5 @@
-//! Hot restart: the successor process shares the listening socket of its predecessor, and no accepted or queued connection is reset.
+//! Hot restart: the successor process shares the listening socket of its predecessor, and no accepted or queued
+//! connection is reset.
 
 use crate::common::*;
 use std::path::{Path, PathBuf};
@@ -33,8 +34,8 @@
         Agent::start_in_dir(&self.directory, &self.configuration)
     }
 
-    /// Starts a predecessor and a successor. The successor must have the same address although the configuration leaves the port
-    /// open.
+    /// Starts a predecessor and a successor. The successor must have the same address although the configuration leaves
+    /// the port open.
     fn start_old_and_new(&self) -> (Agent, Agent) {
         let (old, new) = (self.start(), self.start());
         assert_eq!(old.address, new.address);
@@ -181,8 +182,9 @@
     assert_serves(&new, 10);
 }
 
-/// A `$TMPDIR` in which no socket can be bound (it is a file, is missing, has too long a name, or allows no new files) prevents the
-/// handover, which is logged. Both processes serve side by side, and no request fails when the predecessor ends.
+/// A `$TMPDIR` in which no socket can be bound (it is a file, is missing, has too long a name, or allows no new files)
+/// prevents the handover, which is logged. Both processes serve side by side, and no request fails when the predecessor
+/// ends.
 #[test]
 fn directory_without_sockets_stops_neither_process() {
     let parent = temp_dir();
@@ -247,7 +249,7 @@
         std::fs::set_permissions(&setup.directory, std::fs::Permissions::from_mode(mode)).unwrap();
     };
     set_mode(0o555);
-    // A privileged user can write to it nevertheless. The takeover is checked in both cases, the log line only for a failed write.
+    // A privileged user can write to it nevertheless, and then no log line is expected.
     let is_read_only = std::fs::write(setup.directory.join("probe"), "").is_err();
     let new = setup.start();
     assert_eq!(new.address, old.address, "the successor has the socket of the predecessor");
--- a/crates/agent/tests/loopback/lists.rs
+++ b/crates/agent/tests/loopback/lists.rs
@@ -397,8 +397,9 @@
     });
 }
 
-/// An overloaded discovery server: it reads calls late, and responds in small chunks and to one call at a time, while many other
-/// callers request the complete list. The agent must apply each change, and have no more calls in flight than it needs.
+/// An overloaded discovery server: it reads calls late, and responds in small chunks and to one call at a time, while
+/// many other callers request the complete list. The agent must apply each change, and have no more calls in flight
+/// than it needs.
 #[test]
 fn slow_and_overloaded_discovery_is_followed() {
     std::thread::scope(|scope| {
--- a/crates/agent/tests/loopback/no_route.rs
+++ b/crates/agent/tests/loopback/no_route.rs
@@ -1,5 +1,5 @@
-//! Connects that fail on this machine. A TCP connect to the broadcast address of loopback fails with ENETUNREACH, as it does where
-//! there is no route.
+//! Connects that fail on this machine. A TCP connect to the broadcast address of loopback fails with ENETUNREACH, as it
+//! does where there is no route.
 
 use crate::common::*;
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
     settings.replace(r#""feedback":{"fields":["qps","queue"],"source":"piggyback"},"#, "")
 }
 
-/// There is no route to one of two servers, and the other is reached: the first must be ejected although it seems the least loaded
-/// with no request ever in flight, and every request gets its response.
+/// There is no route to one of two servers, and the other is reached: the first must be ejected although it seems the
+/// least loaded with no request ever in flight, and every request gets its response.
 #[test]
 fn single_server_without_a_route_is_ejected() {
     // Usually a request is in flight to this server, so the other one is the least loaded.
--- a/crates/agent/tests/loopback/pools.rs
+++ b/crates/agent/tests/loopback/pools.rs
@@ -139,8 +139,8 @@
     }
 }
 
-/// Under load, a hundred reload signals with a file each, half of them invalid: no request may be lost, and the last valid file is
-/// in force at the end.
+/// Under load, a hundred reload signals with a file each, half of them invalid: no request may be lost, and the last
+/// valid file is in force at the end.
 #[test]
 fn storm_of_reloads_loses_no_request() {
     let (first, second) = (RecordServer::new(|_| ok("first")), RecordServer::new(|_| ok("second")));
--- a/crates/agent/tests/loopback/start_times.rs
+++ b/crates/agent/tests/loopback/start_times.rs
@@ -1,12 +1,13 @@
-//! The start time of a server is read from its wall clock. A clock that is ahead or behind must not make a server that is warming
-//! up count as warm, nor keep it in slow start for longer than servers take to warm up.
+//! The start time of a server is read from its wall clock. A clock that is ahead or behind must not make a server that
+//! is warming up count as warm, nor keep it in slow start for longer than servers take to warm up.
 
 use crate::common::*;
 use std::path::PathBuf;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: i64 = 3_600_000;
-/// Requests per measurement of the shares. A server in slow start beside four warm ones gets about one in 21, a warm one a fifth.
+/// Requests per measurement of the shares. A server in slow start beside four warm ones gets about one in 21, a warm
+/// one a fifth.
 const SAMPLE_REQUESTS: usize = 400;
 const MAX_SLOW_START_REQUESTS: usize = SAMPLE_REQUESTS / 10;
 
