--- a/crates/agent/src/connect.rs
+++ b/crates/agent/src/connect.rs
@@ -57,7 +57,7 @@
         match timeout(connect_timeout, connect(connector, address)).await {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) if ConnectError::from(&error) != ConnectError::Remote => {
-                sleep(LOCAL_RETRY_DELAY).await
+                sleep(LOCAL_RETRY_DELAY).await;
             }
             Ok(Err(error)) => return Err(error),
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
