--- a/crates/agent/src/pools.rs
+++ b/crates/agent/src/pools.rs
@@ -62,7 +62,8 @@
         Some(BODY_RETRY_AFTER.min(self.max_retry_after.get()?))
     }
 
-    /// Applies a new plan. Returns false and changes nothing if the endpoint list now comes from a different kind of source.
+    /// Applies a new plan. Returns false and changes nothing if the kind of the endpoint source or the legacy machine types
+    /// differ.
     fn update(&self, plan: &PoolPlan, ids: &[ClassId]) -> bool {
         if self.legacy_machine_types != plan.legacy_machine_types {
             return false;
@@ -182,8 +183,8 @@
         })
     }
 
-    /// Applies the pools of a plan whose settings have been validated. A pool of the same name is kept unless its endpoint
-    /// list now comes from a different kind of source. A pool that is not in the plan accepts no new requests, and its requests
+    /// Applies the pools of a plan whose settings have been validated. A pool of the same name is kept unless the kind of
+    /// its endpoint source or its legacy machine types differ. A pool that is not kept accepts no new requests, and its requests
     /// in flight complete under the old settings. `known` is the last known endpoint list of the first pool.
     pub fn update(&self, plans: &[PoolPlan], ids: &[ClassId], mut known: Option<KnownEndpoints>) {
         self.drop_finished_pools();
