--- a/crates/agent/src/fleet/budgets.rs
+++ b/crates/agent/src/fleet/budgets.rs
@@ -1,6 +1,6 @@
-//! `heronhoist fleet budgets`: the rules of the disruption budgets from a file, and what is unavailable against them.
+//! `heronhoist fleet budgets`: sets the rules of the disruption budgets from a file, and shows what is unavailable against them.
 
-use super::client::{Client, ClientError, Where, OPERATOR};
+use super::client::{Client, ClientError, TargetArgs, OPERATOR};
 use heronhoist_config::reader::{integer, one_of, parse_toml, text, Presence, Reader, Section};
 use heronhoist_config::Fault;
 use heronhoist_disruption::denial::BudgetDenial;
@@ -14,7 +14,7 @@
 /// Why the budgets can't be written or shown.
 #[derive(Debug, thiserror::Error)]
 pub enum BudgetsError {
-    /// The coordination service can't be called, or gave no answer.
+    /// The coordination service can't be called, or did not respond.
     #[error(transparent)]
     Client(#[from] ClientError),
     /// The rules can't be written.
@@ -31,42 +31,42 @@
         /// Why.
         source: std::io::Error,
     },
-    /// The file is faulty.
+    /// The file is invalid.
     #[error("{}", all_faults(.path, .faults))]
     FaultyFile {
         /// The file.
         path: PathBuf,
-        /// Its faults, in the order of their places.
+        /// Its faults, ordered by line and column.
         faults: Vec<Fault>,
     },
 }
 
-/// One line per fault.
+/// Formats the faults, one per line.
 fn all_faults(path: &Path, faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", path.display())).collect();
     lines.join("\n")
 }
 
-/// The groups of the budgets, and what of them is unavailable, as a table.
+/// Formats the budgets' groups and what is unavailable in each as a table.
 pub fn table(groups: &[GroupStatus]) -> String {
     let mut page = format!("\n{:<28} {:>5} {:>9} {:>6}  who\n", "budget", "all", "may be", "out");
     for GroupStatus { name, total, limit, unavailable, causes } in groups {
-        let over = if *unavailable > f64::from(*limit) { "  OVERDRAWN" } else { "" };
+        let overdrawn = if *unavailable > f64::from(*limit) { "  OVERDRAWN" } else { "" };
         let _ = writeln!(
             page,
-            "{name:<28} {total:>5} {limit:>9} {unavailable:>6.2}  {}{over}",
+            "{name:<28} {total:>5} {limit:>9} {unavailable:>6.2}  {}{overdrawn}",
             causes.join(", ")
         );
     }
     page
 }
 
-/// Writes the rules that a file holds, if there is one; returns what is unavailable against the rules in force.
+/// Stores the rules of a file, if one is given; returns a table of what is unavailable against the rules in force.
 ///
 /// # Errors
-/// [`BudgetsError`], if the rules are not written or their outcome is unknown, or if nothing can be shown.
-pub async fn run(file: Option<&Path>, at: &Where) -> Result<String, BudgetsError> {
-    let mut client = Client::new(at, OPERATOR)?;
+/// [`BudgetsError`], if the rules are not stored, if it is unknown whether they are, or if nothing can be shown.
+pub async fn run(file: Option<&Path>, target: &TargetArgs) -> Result<String, BudgetsError> {
+    let mut client = Client::new(target, OPERATOR)?;
     if let Some(path) = file {
         let rules = read_rules(path)?;
         client.change(RULES_KEY, |view| rules.to_transaction(view)).await??;
@@ -81,13 +81,13 @@
     parse(&content).map_err(|faults| BudgetsError::FaultyFile { path: path.into(), faults })
 }
 
-/// The words of the file for the kinds of units.
+/// The file's names of the unit kinds.
 const UNIT_KINDS: [(&str, UnitKind); 2] = [("agents", UnitKind::Agents), ("servers", UnitKind::Servers)];
-/// The words of the file for the scopes.
+/// The file's names of the scopes.
 const SCOPES: [(&str, Scope); 4] =
     [("all", Scope::All), ("site", Scope::Site), ("kind", Scope::MachineType), ("cell", Scope::Cell)];
 
-/// A number, or a share in percent.
+/// Parses a limit: a number, or a share in percent.
 fn limit(value: &DeValue<'_>) -> Option<Limit> {
     if let Some(number) = integer(value) {
         return u32::try_from(number).ok().map(Limit::Number);
@@ -96,7 +96,7 @@
     (0.0..=100.0).contains(&share).then_some(Limit::Share(share / 100.0))
 }
 
-/// Reads the text of the file. Every fault is reported with its place.
+/// Parses the text of the file. Each fault is reported with its line and column.
 fn parse(content: &str) -> Result<Rules, Vec<Fault>> {
     let table = parse_toml(content)?;
     let (mut reader, mut root) = Reader::new(content, &table, &|_| None);
@@ -124,7 +124,7 @@
     }
 }
 
-/// Reads one rule. What can't be read is replaced, so that each rule keeps its index.
+/// Reads one rule. A value that can't be read is replaced by a default, so that each rule keeps its index.
 fn parse_rule<'text>(reader: &mut Reader<'text>, section: &mut Section<'text>) -> Rule {
     let unit_kind = reader.get(section, "of", Presence::Required, "agents or servers", one_of(&UNIT_KINDS));
     let scope = reader.get(section, "by", Presence::Required, "all, site, kind or cell", one_of(&SCOPES));
@@ -139,7 +139,7 @@
     }
 }
 
-/// Reads one server into the rules.
+/// Reads one server and adds it to the rules.
 fn parse_server<'text>(reader: &mut Reader<'text>, mut section: Section<'text>, rules: &mut Rules) {
     let name = reader.get(&mut section, "name", Presence::Required, "a server's name", text);
     let mut placement = |key| reader.get(&mut section, key, Presence::Default(String::new()), "a name", text);
@@ -147,25 +147,25 @@
         ["site", "kind", "cell"].map(&mut placement).map(Option::unwrap_or_default);
     if let Some(name) = name {
         if rules.servers.contains_key(&name) {
-            reader.add_fault(&section, "name", "found a second time; wanted a name of its own".into());
+            reader.add_fault(&section, "name", "found a second time; expected a unique name".into());
         }
         rules.servers.insert(name, Server { site, machine_type, cell });
     }
     reader.finish(section);
 }
 
-/// Reports the faults of rules that can each be read, at the places of their keys.
+/// Validates the rules, all of which could be read, and reports each fault at its key.
 fn report_invalid_rules(reader: &mut Reader<'_>, sections: &[Section<'_>], rules: &Rules) {
     for fault in rules.validate() {
-        let (rule, key) = place_of(&fault);
+        let (rule, key) = locate_fault(&fault);
         if let Some(section) = sections.get(rule) {
             reader.add_fault(section, key, fault.to_string());
         }
     }
 }
 
-/// The index of the rule that is at fault, and the key.
-fn place_of(fault: &InvalidRule) -> (usize, &'static str) {
+/// Returns the index of the invalid rule, and the key.
+fn locate_fault(fault: &InvalidRule) -> (usize, &'static str) {
     match fault {
         InvalidRule::TooMany => (MAX_RULES, "of"),
         InvalidRule::UnsupportedAgentScope(rule) => (*rule, "by"),
--- a/crates/agent/src/fleet/client.rs
+++ b/crates/agent/src/fleet/client.rs
@@ -1,6 +1,6 @@
 //! The client through which operators' commands call the coordination service.
 
-use super::link::{CallError, CoordinationClient, Unsettled};
+use super::transport::{CallError, CoordinationClient, Unsettled};
 use clap::Args;
 use heronhoist_config::Fault;
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
@@ -11,21 +11,22 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// The name of operators' commands as clients.
+/// The client name of operators' commands.
 pub const OPERATOR: &str = "operator";
-/// For how long a request is retried; its outcome is reported as unknown after that.
+/// How long a request is retried before its outcome is reported as unknown.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(15);
-/// The same for a status page, which an operator waits for.
+/// The retry timeout of a status page, which an operator waits for.
 pub const STATUS_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// The range of the pause before a transaction that conflicted is made anew, in milliseconds.
-const CONFLICT_PAUSE_MS: std::ops::Range<u64> = 5..50;
-/// Which council.
+/// The range of the delay before a conflicting transaction is rebuilt and sent again, in milliseconds.
+const CONFLICT_RETRY_DELAY_MS: std::ops::Range<u64> = 5..50;
+
+/// The arguments that select the coordination service.
 #[derive(Args, Clone)]
-pub struct Where {
-    /// An agent's file with a table `[fleet]`, or that of a council process.
+pub struct TargetArgs {
+    /// An agent's configuration file with a `[fleet]` table, or a council process's file.
     #[arg(short, long, value_name = "FILE", required_unless_present = "council")]
     config: Option<PathBuf>,
-    /// Addresses of council processes, in place of a file.
+    /// Addresses of council processes, instead of a file.
     #[arg(long, value_name = "ADDRESS", value_delimiter = ',', requires = "fleet")]
     council: Vec<SocketAddr>,
     /// The fleet's name, with --council.
@@ -33,7 +34,7 @@
     fleet: Option<String>,
 }
 
-/// Why a call of the coordination service gives nothing.
+/// Why a request to the coordination service fails.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The file that names the service cannot be read.
@@ -44,7 +45,7 @@
         /// Why.
         source: std::io::Error,
     },
-    /// The file that names the service is faulty.
+    /// The file that names the service is invalid.
     #[error("{}", first_fault(.path, .faults))]
     FaultyFile {
         /// The file.
@@ -53,29 +54,29 @@
         faults: Vec<Fault>,
     },
     /// The file names no service.
-    #[error("{}: it has neither [fleet] nor [council]", .0.display())]
+    #[error("{}: neither [fleet] nor [council] is present", .0.display())]
     NoFleet(PathBuf),
     /// The service refuses the request.
     #[error(transparent)]
     Refused(#[from] Refusal),
-    /// No response settled the request in time; its outcome is unknown.
-    #[error("no answer that settles it: {0}")]
+    /// No conclusive response arrived in time; the request's outcome is unknown.
+    #[error("no conclusive response: {0}")]
     Unsettled(CallError),
-    /// The response is none to this request.
-    #[error("{what}: {response:?}")]
+    /// The response does not match the request.
+    #[error("{message}: {response:?}")]
     UnexpectedResponse {
-        /// What was expected, for operators.
-        what: &'static str,
+        /// The error message for operators.
+        message: &'static str,
         /// The response.
         response: Box<Response>,
     },
-    /// The transaction was not carried out, for another reason than a conflict.
-    #[error("not written: {0:?}")]
+    /// The transaction was not applied, for a reason other than a conflict.
+    #[error("the transaction was not applied: {0:?}")]
     NotWritten(CommandResult),
 }
 
 impl ClientError {
-    /// Whether the file that names the service is at fault, rather than the service.
+    /// Whether the error lies in the configuration file rather than in the service.
     pub fn is_configuration(&self) -> bool {
         matches!(
             self,
@@ -83,9 +84,9 @@
         )
     }
 
-    /// The error that a response is none to the request.
-    pub fn unexpected(what: &'static str, response: Response) -> ClientError {
-        ClientError::UnexpectedResponse { what, response: Box::new(response) }
+    /// Returns the error for a response that does not match the request.
+    pub fn unexpected(message: &'static str, response: Response) -> ClientError {
+        ClientError::UnexpectedResponse { message, response: Box::new(response) }
     }
 }
 
@@ -93,13 +94,13 @@
     faults.first().map_or_else(String::new, |fault| format!("{}:{fault}", path.display()))
 }
 
-/// A coordination service.
+/// The coordination service to call: the fleet's name and the addresses of the service's processes.
 struct Target {
     fleet: String,
     addresses: Vec<SocketAddr>,
 }
 
-/// The service that a file names: an agent's file, or that of one of the service's own processes.
+/// Reads which service a configuration file names: an agent's file, or that of one of the service's processes.
 fn read_target(path: &Path) -> Result<Target, ClientError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ClientError::UnreadableFile { path: path.into(), source })?;
@@ -115,28 +116,28 @@
     Ok(Target { fleet: fleet.name, addresses: fleet.coordinators })
 }
 
-/// A client of the coordination service, which retries a request until a response settles it.
+/// A client of the coordination service, which retries a request until it gets a conclusive response.
 pub struct Client {
     /// The fleet's name.
     pub fleet: String,
     name: String,
-    /// The calls to the service's processes.
+    /// Calls the service's processes.
     pub calls: CoordinationClient,
-    /// For how long a request is retried.
+    /// How long a request is retried.
     pub retry_timeout: Duration,
-    /// The session under which commands are sent, and the last one's number.
+    /// The session under which commands are sent, and the number of the last command.
     pub session: Option<(u64, u64)>,
 }
 
 impl Client {
-    /// A client of this name, of the service that the command's arguments name.
+    /// Creates a client with this name for the service that the command's arguments select.
     ///
     /// # Errors
-    /// [`ClientError`], if the file that names the service can't be used.
-    pub fn new(at: &Where, name: &str) -> Result<Client, ClientError> {
-        let target = match &at.config {
+    /// [`ClientError`], if the file that names the service can't be read or is invalid.
+    pub fn new(args: &TargetArgs, name: &str) -> Result<Client, ClientError> {
+        let target = match &args.config {
             Some(path) => read_target(path)?,
-            None => Target { fleet: at.fleet.clone().unwrap_or_default(), addresses: at.council.clone() },
+            None => Target { fleet: args.fleet.clone().unwrap_or_default(), addresses: args.council.clone() },
         };
         Ok(Client {
             fleet: target.fleet,
@@ -147,7 +148,7 @@
         })
     }
 
-    /// The envelope of this client's requests.
+    /// Returns the envelope for this client's requests.
     pub fn envelope(&self) -> Envelope {
         let incarnation = self.session.map_or(0, |(session, _)| session);
         Envelope {
@@ -159,62 +160,62 @@
         }
     }
 
-    /// One call without retries.
+    /// Sends a request once, without retries.
     ///
     /// # Errors
-    /// The pause before the next call, in microseconds, if this one settled nothing.
-    pub async fn once(&mut self, request: &Request) -> Result<Response, u64> {
+    /// The delay before the next call in microseconds, if there was no conclusive response.
+    pub async fn call_once(&mut self, request: &Request) -> Result<Response, u64> {
         let envelope = self.envelope();
-        self.calls.call(&envelope, request, CALL_TIMEOUT).await.map_err(|unsettled| unsettled.pause)
+        self.calls.call(&envelope, request, CALL_TIMEOUT).await.map_err(|unsettled| unsettled.retry_delay)
     }
 
     /// Removes a member whose lease has ended from the list of members.
     ///
     /// # Errors
-    /// [`ClientError`], if no response settled it.
+    /// [`ClientError`], if there was no conclusive response.
     pub async fn forget(&mut self, name: &str) -> Result<CommandResult, ClientError> {
         self.session = None;
         self.command(Command::Forget { name: name.into() }).await
     }
 
-    /// Sends a request until a response settles it, for [`Client::retry_timeout`] at most.
+    /// Sends a request until there is a conclusive response, for at most [`Client::retry_timeout`].
     ///
     /// # Errors
-    /// [`ClientError::Refused`], or [`ClientError::Unsettled`] if there was no such response in time.
-    pub async fn ask(&mut self, request: &Request) -> Result<Response, ClientError> {
-        let until = Instant::now() + self.retry_timeout;
+    /// [`ClientError::Refused`], or [`ClientError::Unsettled`] if there was no conclusive response in time.
+    pub async fn call(&mut self, request: &Request) -> Result<Response, ClientError> {
+        let deadline = Instant::now() + self.retry_timeout;
         loop {
             let envelope = self.envelope();
             match self.calls.call(&envelope, request, CALL_TIMEOUT).await {
                 Ok(Response::Refused(refusal)) => return Err(refusal.into()),
                 Ok(response) => return Ok(response),
-                Err(Unsettled { error, .. }) if Instant::now() >= until => {
+                Err(Unsettled { error, .. }) if Instant::now() >= deadline => {
                     return Err(ClientError::Unsettled(error));
                 }
-                Err(Unsettled { pause, .. }) => sleep(Duration::from_micros(pause)).await,
+                Err(Unsettled { retry_delay, .. }) => sleep(Duration::from_micros(retry_delay)).await,
             }
         }
     }
 
-    /// All members, and the records whose keys begin with a prefix, by a linearizable read.
+    /// Reads all members, and the records whose keys begin with a prefix; the read is linearizable.
     ///
     /// # Errors
-    /// [`ClientError`], if no response settled it.
+    /// [`ClientError`], if there was no conclusive response.
     pub async fn read(&mut self, prefix: &str) -> Result<View, ClientError> {
-        match self.ask(&Request::Read { stale: false, prefix: prefix.into(), members: true }).await? {
+        match self.call(&Request::Read { stale: false, prefix: prefix.into(), members: true }).await? {
             Response::Read(view) => Ok(view),
-            other => Err(ClientError::unexpected("not an answer to a read", other)),
+            other => Err(ClientError::unexpected("not a response to a read", other)),
         }
     }
 
-    /// Carries out a command exactly once, however often it has to be sent.
+    /// Executes a command exactly once, however often it has to be sent.
     ///
     /// # Errors
-    /// [`ClientError`], if no response settled it: the command may have been carried out.
+    /// [`ClientError`], if there was no conclusive response: the command may have been executed.
     pub async fn command(&mut self, command: Command) -> Result<CommandResult, ClientError> {
         if self.session.is_none() {
             let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
-            match self.ask(&open).await? {
+            match self.call(&open).await? {
                 Response::Reply(CommandResult::SessionOpened(session), _) => {
                     self.session = Some((session, 0))
                 }
@@ -225,16 +226,17 @@
             *number += 1;
         }
         let request = Request::Command(CommandRequest { session: self.session, command });
-        match self.ask(&request).await? {
+        match self.call(&request).await? {
             Response::Reply(reply, _) => Ok(reply),
-            other => Err(ClientError::unexpected("not an answer to a command", other)),
+            other => Err(ClientError::unexpected("not a response to a command", other)),
         }
     }
 
-    /// Writes the transaction that `change` makes of the records below a prefix, anew while it conflicts with others.
+    /// Writes the transaction that `change` builds from the records with a key prefix. While it conflicts with other
+    /// transactions, it is rebuilt and sent again.
     ///
     /// # Errors
-    /// [`ClientError`], if no response settled it; inside, the error of `change`.
+    /// [`ClientError`], if there was no conclusive response; the inner error is that of `change`.
     pub async fn change<E>(
         &mut self,
         prefix: &str,
@@ -249,7 +251,7 @@
             match self.command(Command::Write(txn)).await? {
                 CommandResult::Done(_) => return Ok(Ok(())),
                 CommandResult::Conflict { .. } => {
-                    sleep(Duration::from_millis(fastrand::u64(CONFLICT_PAUSE_MS))).await;
+                    sleep(Duration::from_millis(fastrand::u64(CONFLICT_RETRY_DELAY_MS))).await;
                 }
                 other => return Err(ClientError::NotWritten(other)),
             }
--- a/crates/agent/src/fleet/coordinator/formation.rs
+++ b/crates/agent/src/fleet/coordinator/bootstrap.rs
@@ -1,7 +1,7 @@
-//! How the process finds the cluster that it takes part in, or forms it with the others, and starts its node.
+//! Finds the cluster that the process belongs to, or forms it with the other processes, and starts the node.
 
 use super::{random_id, Coordinator, LOG_TARGET};
-use crate::fleet::link::Link;
+use crate::fleet::transport::Link;
 use heronhoist_coordination::bootstrap::{self, initial_state, BootstrapStep, ClusterInfo, Identity};
 use heronhoist_coordination::lease::LeaseTerms;
 use heronhoist_coordination::log::DurableState;
@@ -14,18 +14,18 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a process without a cluster asks the others for their identities.
-const HELLO_INTERVAL: Duration = Duration::from_millis(200);
-/// An identity that has not come by then is asked for again in the next round.
-const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Ticks in an election timeout.
+/// The delay between two rounds in which a process without a cluster asks the others for their identities.
+const IDENTIFY_INTERVAL: Duration = Duration::from_millis(200);
+/// How long another process may take to return its identity; it is asked again in the next round.
+const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(1);
+/// The number of ticks in an election timeout.
 pub(super) const ELECTION_TICKS: usize = 10;
 
 impl Coordinator {
-    /// Starts the service from the store, once it is known which cluster it belongs to.
+    /// Starts the service from the stored state, once it is known which cluster the process belongs to.
     ///
     /// # Errors
-    /// [`NodeError`], if the store fails, or what is in it can't be gone on with.
+    /// [`NodeError`], if the store fails, or the node can't start from the stored state.
     pub(super) async fn start_service(&self, tick_interval: Time) -> Result<(), NodeError> {
         let stored = self.with_store(|store| store.load())?;
         let initial = match stored.snapshot.is_some() {
@@ -39,8 +39,8 @@
         Ok(())
     }
 
-    /// Asks the others until there is a cluster, and returns the state to begin with: that of the new cluster, or `stored`
-    /// if the cluster exists without this process.
+    /// Asks the others until a cluster is formed or found, and returns the state to start from: the initial state of the new
+    /// cluster, or `stored` if the cluster exists without this process.
     async fn find_cluster(&self, stored: DurableState) -> Result<DurableState, NodeError> {
         let peers: Vec<Peer> = self
             .config
@@ -56,7 +56,7 @@
             let reason = match bootstrap::next_step(&own, &peers, &responses, new_id) {
                 BootstrapStep::Form(cluster) => return self.form_cluster(own, cluster),
                 BootstrapStep::Excluded { is_disk_replaced, .. } => {
-                    let reason = self.outside_reason(is_disk_replaced);
+                    let reason = self.excluded_reason(is_disk_replaced);
                     tracing::warn!(target: LOG_TARGET, "{reason}");
                     *self.not_serving_reason.borrow_mut() = reason;
                     return Ok(stored);
@@ -68,11 +68,11 @@
             }
             logged.clone_from(&reason);
             *self.not_serving_reason.borrow_mut() = reason;
-            sleep(HELLO_INTERVAL).await;
+            sleep(IDENTIFY_INTERVAL).await;
         }
     }
 
-    /// Stores the cluster, and its first state.
+    /// Stores the new cluster and its initial state.
     fn form_cluster(&self, own: Identity, cluster: ClusterInfo) -> Result<DurableState, NodeError> {
         let initial = initial_state(&cluster);
         let identity = Identity { cluster: Some(cluster), ..own };
@@ -82,11 +82,11 @@
         Ok(initial)
     }
 
-    /// Why a process with an empty disk is no node of the cluster, and what an operator can do.
-    fn outside_reason(&self, is_replaced: bool) -> String {
+    /// Returns why a process with an empty disk is not a node of the cluster, and what an operator can do.
+    fn excluded_reason(&self, is_disk_replaced: bool) -> String {
         let name = &self.config.name;
         let address = self.config.listen;
-        match is_replaced {
+        match is_disk_replaced {
             true => format!("its disk is new, and the council knows {name} by another; `heronhoist fleet replace {name}` takes it in"),
             false => format!("the council does not know it; `heronhoist fleet replace OLD --with {address}` takes it in"),
         }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The identities of the other processes that respond, by name.
+    /// Returns the identities of the other processes that respond, by name.
     async fn request_identities(&self) -> BTreeMap<String, Identity> {
         let mut identities = BTreeMap::new();
         for (name, address) in &self.config.peers {
@@ -117,7 +117,7 @@
                 continue;
             }
             let response =
-                Link::new(*address).request(&self.envelope(), &Request::Identify, HELLO_TIMEOUT).await;
+                Link::new(*address).request(&self.envelope(), &Request::Identify, IDENTIFY_TIMEOUT).await;
             if let Ok(Response::Identity(identity)) = response {
                 identities.insert(name.clone(), identity);
             }
@@ -125,7 +125,7 @@
         identities
     }
 
-    /// The envelope of this process's messages.
+    /// Returns the envelope for this process's messages.
     pub(super) fn envelope(&self) -> Envelope {
         let term = self.status().map_or(0, |status| status.term);
         Envelope {
--- a/crates/agent/src/fleet/coordinator/error.rs
+++ b/crates/agent/src/fleet/coordinator/error.rs
@@ -1,4 +1,4 @@
-//! Why a process of the coordination service does not start, or ends.
+//! Why a coordinator process does not start, or ends.
 
 use heronhoist_coordination::log::DiskError;
 use heronhoist_coordination::node::NodeError;
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a process of the coordination service does not start, or ends. Each is one plain line for operators.
+/// Why a coordinator process does not start, or ends. Each error is one line of text for operators.
 #[derive(Debug, thiserror::Error)]
 pub enum CoordinatorError {
-    /// The runtime of its tasks can't be started.
+    /// The async runtime can't be started.
     #[error("{0}")]
     Runtime(String),
     /// The signal that ends the process can't be received.
@@ -20,7 +20,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
     /// It can't listen on the operators' address.
@@ -28,19 +28,19 @@
     ListenForOperators {
         /// The address.
         address: SocketAddr,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
-    /// The system does not tell the listener's address.
+    /// The listener's address can't be read.
     #[error("{0}")]
     LocalAddress(io::Error),
     /// The store can't be opened, read or written at the start.
     #[error(transparent)]
     Store(#[from] DiskError),
-    /// A copy is to be restored to a disk that is in use already.
-    #[error("{disk} is no new disk; a copy is only restored to one")]
+    /// A copy is to be restored to a store file that is in use already.
+    #[error("{disk} is in use already; a copy can be restored only to a new disk")]
     DiskInUse {
-        /// The disk, as the configuration names it.
+        /// The store file, as the configuration names it.
         disk: String,
     },
     /// The copy to be restored can't be read.
@@ -48,31 +48,31 @@
     ReadCopy {
         /// The copy's file.
         path: PathBuf,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
     /// The file to be restored is not a copy of a state.
-    #[error("{}: no copy of a council: {source}", path.display())]
+    #[error("{}: not a copy of a council's state: {source}", path.display())]
     InvalidCopy {
         /// The copy's file.
         path: PathBuf,
-        /// What can't be parsed.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// The disk belongs to a process of another name.
+    /// The store file belongs to a process of another name.
     #[error("{disk} is the disk of {owner}, not of {name}")]
     OtherProcessDisk {
-        /// The disk, as the configuration names it.
+        /// The store file, as the configuration names it.
         disk: String,
-        /// The name of the process that the disk belongs to.
+        /// The name of the process that the file belongs to.
         owner: String,
         /// The name of this process.
         name: String,
     },
-    /// The node must not go on.
+    /// The node must not continue.
     #[error(transparent)]
     Node(NodeError),
-    /// The process ended and left no error.
+    /// The process ended without an error.
     #[error("it must not go on")]
     Ended,
 }
--- a/crates/agent/src/fleet/coordinator/listener.rs
+++ b/crates/agent/src/fleet/coordinator/listener.rs
@@ -1,9 +1,9 @@
-//! The listener for clients and for the other processes, and the answers to their requests over HTTP.
+//! The HTTP listener for requests of clients and messages of the other processes.
 
 use super::peer_links::Frame;
 use super::Coordinator;
 use crate::accept::accept;
-use crate::fleet::link::{ClientRequest, RAFT_PATH, REQUEST_PATH};
+use crate::fleet::transport::{ClientRequest, RAFT_PATH, REQUEST_PATH};
 use crate::gauge::Gauge;
 use crate::metered_stream::MeteredStream;
 use bytes::Bytes;
@@ -20,16 +20,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Connections at a time, far more than the members of a fleet; later ones are closed at once.
+/// The maximum number of open connections, far more than the members of a fleet; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 8192;
-/// The largest request of a client, in bytes.
+/// The maximum size of a client's request, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
-/// The largest batch of messages of another process, in bytes: one message may hold a whole snapshot.
+/// The maximum size of a batch of messages of another process, in bytes: one message may hold a complete snapshot.
 const MAX_BATCH_BYTES: usize = 32 << 20;
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Serves connections for as long as the process lives.
+/// Accepts and serves connections until the process exits.
 pub(super) async fn serve_connections(coordinator: Rc<Coordinator>, listener: TcpListener) {
     let connections = Gauge::default();
     loop {
@@ -40,16 +40,20 @@
     }
 }
 
-/// Serves one connection, which is counted as long as `counted` lives.
-async fn serve_connection(coordinator: Rc<Coordinator>, stream: TcpStream, counted: impl Sized + 'static) {
-    let (wire, _) = MeteredStream::new(stream, counted);
+/// Serves one connection, which counts as open until `count_guard` is dropped.
+async fn serve_connection(
+    coordinator: Rc<Coordinator>,
+    stream: TcpStream,
+    count_guard: impl Sized + 'static,
+) {
+    let (wire, _) = MeteredStream::new(stream, count_guard);
     let service = service_fn(|request| {
         let coordinator = Rc::clone(&coordinator);
         async move { Ok::<_, Infallible>(coordinator.respond_to_http(request).await) }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.header_read_timeout(None);
-    // What fails here is the peer's connection, and the peer sees that too.
+    // An error only concerns this connection, and the peer sees it too.
     let _ = builder.serve_connection(wire, service).await;
 }
 
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Gives the messages of another process to the service.
+    /// Passes the messages of another process to the service.
     fn receive_batch(&self, body: &[u8]) -> HttpResponse {
         let Some((frame, messages)) = split_frame(body) else {
             return text_response(StatusCode::BAD_REQUEST, "messages that can't be read\n");
@@ -111,14 +115,15 @@
     }
 }
 
-/// The frame of a batch, which ends with a line feed, and the messages after it.
+/// Splits a batch into its frame, which ends with a line feed, and the messages after it.
 fn split_frame(body: &[u8]) -> Option<(Frame, &[u8])> {
     let end = body.iter().position(|byte| *byte == b'\n')?;
     let frame = serde_json::from_slice(&body[..end]).ok()?;
     Some((frame, &body[end + 1..]))
 }
 
-/// Each message follows its length in four bytes, the lowest first. One that is cut short ends the batch.
+/// Passes the messages of a batch to the service. Each message is preceded by its length, a little-endian number of four bytes.
+/// An incomplete message ends the batch.
 fn receive_messages(service: &mut Service, now: Time, mut batch: &[u8]) -> Result<(), NodeError> {
     while let Some((length, rest)) = batch.split_first_chunk::<4>() {
         let length = u32::from_le_bytes(*length) as usize;
--- a/crates/agent/src/fleet/coordinator/mod.rs
+++ b/crates/agent/src/fleet/coordinator/mod.rs
@@ -1,5 +1,5 @@
-//! A process of the coordination service: its listener, its links to the other processes, its disk and its clock. The
-//! [`Service`] in it decides what is answered, and has none of them.
+//! The coordinator process: its listener, its links to the other processes, its store and its clock. The [`Service`] in it
+//! decides how to respond, and contains none of these.
 
 use super::store::Store;
 use crate::ops;
@@ -24,67 +24,67 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
+mod bootstrap;
 pub mod error;
-mod formation;
 mod listener;
+mod ops_status;
 mod peer_links;
-mod ready_page;
 mod recovery;
 mod requests;
+mod service_loop;
 mod startup;
-mod work_loop;
 
-/// The target of all events of this module. Filters of levels name it, so it does not follow the module's name.
+/// The target of all log events of this module. Operators' log filters name it, so it does not change with the module's name.
 const LOG_TARGET: &str = "heronhoist::fleet::council";
 
 /// The state of the process.
 struct Coordinator {
     config: CoordinatorConfig,
     identity: RefCell<Identity>,
-    /// None until the process takes part in a cluster, and while its store fails.
+    /// None until the process belongs to a cluster, and while its store fails.
     service: RefCell<Option<Service>>,
-    /// None while it fails.
+    /// None while the store fails.
     store: RefCell<Option<Store>>,
     reopen_store: ReopenStore,
-    /// Where the responses to clients go.
+    /// The senders of the responses to clients.
     pending_calls: RefCell<HashMap<CallerId, oneshot::Sender<Response>>>,
     next_caller: Cell<CallerId>,
-    /// Notified when the service may have something to write, send or answer.
+    /// Notified when the service may have something to write or send.
     work_pending: Notify,
-    /// Messages that wait for each of the other processes.
+    /// The queue of messages to each other process.
     peer_queues: RefCell<HashMap<NodeId, mpsc::Sender<Vec<u8>>>>,
-    /// The addresses that processes sent with their messages, for those that the state does not name yet.
+    /// The addresses that processes sent with their messages, for processes that are not in the state yet.
     reported_addresses: RefCell<HashMap<NodeId, SocketAddr>>,
     started_at: Instant,
-    /// Why there is no service, for operators and for clients.
+    /// Why the service is not running, for operators and clients.
     not_serving_reason: RefCell<String>,
-    /// The error after which the process must end.
+    /// The error because of which the process must end.
     fatal_error: RefCell<Option<NodeError>>,
     /// Notified when there is a fatal error.
-    ended: Notify,
-    /// The last leader that was logged; 0 for none.
+    failed: Notify,
+    /// The leader that was last logged; 0 for none.
     logged_leader: Cell<NodeId>,
 }
 
-/// Opens a store again after it has failed.
+/// Opens the store again after a failure.
 type ReopenStore = Box<dyn Fn() -> Result<Store, DiskError>>;
 
-/// A random id of a process or a cluster. 0 stands for none.
+/// Returns a random id for a process or a cluster; never 0, which stands for none.
 fn random_id() -> u64 {
     fastrand::u64(1..u64::MAX)
 }
 
-/// Runs a process of the coordination service until SIGTERM. Its disk is relative to `folder`; `restore` is a copy of a state
-/// from which a new cluster begins.
+/// Runs a coordinator process until SIGTERM. The path of its store is relative to `folder`; `restore` is a copy of a state from
+/// which a new cluster starts.
 ///
 /// # Errors
-/// [`CoordinatorError`], if the process can't start or must not go on.
+/// [`CoordinatorError`], if the process can't start or must not continue.
 pub fn run(config: CoordinatorConfig, folder: &Path, restore: Option<&Path>) -> Result<(), CoordinatorError> {
     let disk = folder.join(&config.store_path);
     let process = async move {
         let store = open_store(!disk.exists(), || Store::open(&disk)).await?;
         if store.was_repaired {
-            tracing::warn!(target: LOG_TARGET, disk = %disk.display(), "the disk was not closed: looked through, an unfinished step was dropped");
+            tracing::warn!(target: LOG_TARGET, disk = %disk.display(), "the store was not closed properly: it was checked, and an uncommitted transaction was dropped");
         }
         serve(config, restore, store, Box::new(move || Store::reopen(&disk))).await
     };
@@ -94,7 +94,7 @@
 /// Serves clients and the other processes from an open store until SIGTERM.
 ///
 /// # Errors
-/// [`CoordinatorError`], if the process can't start or must not go on.
+/// [`CoordinatorError`], if the process can't start or must not continue.
 async fn serve(
     config: CoordinatorConfig,
     restore: Option<&Path>,
@@ -115,7 +115,7 @@
     spawn_local(Rc::clone(&coordinator).run());
     tokio::select! {
         _ = terminate.recv() => Ok(()),
-        () = coordinator.ended.notified() => {
+        () = coordinator.failed.notified() => {
             let error = coordinator.fatal_error.borrow_mut().take();
             Err(error.map_or(CoordinatorError::Ended, CoordinatorError::Node))
         }
@@ -143,12 +143,12 @@
             started_at: Instant::now(),
             not_serving_reason: RefCell::new("it looks for the others".into()),
             fatal_error: RefCell::new(None),
-            ended: Notify::new(),
+            failed: Notify::new(),
             logged_leader: Cell::new(0),
         }
     }
 
-    /// Serves the operators' address, if the configuration has one.
+    /// Listens on the operators' address, if the configuration has one.
     async fn serve_operators(self: &Rc<Self>) -> Result<(), CoordinatorError> {
         let Some(address) = self.config.ops_address else { return Ok(()) };
         let listener = TcpListener::bind(address)
@@ -158,15 +158,15 @@
         Ok(())
     }
 
-    /// Microseconds since the process started.
+    /// Returns the microseconds since the process started.
     fn now(&self) -> Time {
         self.started_at.elapsed().as_micros() as Time
     }
 
-    /// Ends the process. Of several errors the first one is reported.
+    /// Ends the process with an error. The first of several errors is reported.
     fn fail(&self, error: NodeError) {
         self.fatal_error.borrow_mut().get_or_insert(error);
-        self.ended.notify_one();
+        self.failed.notify_one();
     }
 }
 
--- a/crates/agent/src/fleet/coordinator/ready_page.rs
+++ b/crates/agent/src/fleet/coordinator/ops_status.rs
@@ -1,4 +1,4 @@
-//! What the operators' address shows: whether the process is ready, and its metrics.
+//! The readiness and the metrics of the process, for its operators' address.
 
 use super::Coordinator;
 use crate::ops::StatusSource;
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 
 impl Coordinator {
-    /// The node's status; none while the process takes part in no cluster.
+    /// Returns the node's status, or `None` while the process belongs to no cluster.
     pub(super) fn status(&self) -> Option<NodeStatus> {
         self.service.borrow().as_ref().map(|service| service.node().status())
     }
--- a/crates/agent/src/fleet/coordinator/peer_links.rs
+++ b/crates/agent/src/fleet/coordinator/peer_links.rs
@@ -1,7 +1,7 @@
-//! Links to the other processes: Raft messages in batches.
+//! Sends Raft messages to the other processes, in batches.
 
 use super::{Coordinator, LOG_TARGET};
-use crate::fleet::link::{Link, RAFT_PATH};
+use crate::fleet::transport::{Link, RAFT_PATH};
 use heronhoist_coordination::wire::Envelope;
 use heronhoist_coordination::NodeId;
 use hyper::StatusCode;
@@ -13,28 +13,28 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Messages that wait for one other process. Those over it are dropped; Raft sends again.
+/// The maximum number of messages in the queue to one process. Further messages are dropped; Raft sends them again.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// A batch takes no further message once it has this many bytes. One message alone may be larger.
-const BATCH_BYTES: usize = 1 << 20;
-/// A batch that is not answered by then counts as lost.
+/// No message is added to a batch once it has this size, in bytes. A single message may be larger.
+const FULL_BATCH_BYTES: usize = 1 << 20;
+/// A batch without a response by then is treated as lost.
 const BATCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a batch that was lost, so that a process that is down is not called all the time.
-const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// The delay after a lost or refused batch, so that a process that is down is not called continuously.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The first line of a batch of messages.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Frame {
     pub(super) envelope: Envelope,
-    /// The sender.
+    /// The sender's id.
     #[serde(rename = "number")]
     pub(super) node_id: NodeId,
-    /// Where the sender is reached.
+    /// The address at which the sender receives messages.
     pub(super) address: SocketAddr,
 }
 
 impl Coordinator {
-    /// Queues a message for another process. One that finds no room is lost, as on a bad link.
+    /// Queues a message for another process. If the queue is full, the message is dropped, as if the network had lost it.
     pub(super) fn send_to_peer(self: &Rc<Self>, peer: NodeId, message: Vec<u8>) {
         let mut queues = self.peer_queues.borrow_mut();
         let queue = queues.entry(peer).or_insert_with(|| {
@@ -45,7 +45,7 @@
         let _ = queue.try_send(message);
     }
 
-    /// Sends the messages for one other process, a batch at a time.
+    /// Sends the queued messages to one process, a batch at a time.
     async fn send_batches(self: Rc<Self>, peer: NodeId, mut messages: mpsc::Receiver<Vec<u8>>) {
         let mut link: Option<Link> = None;
         while let Some(first) = messages.recv().await {
@@ -59,15 +59,15 @@
                 Ok(response) if response.status == StatusCode::OK => continue,
                 Ok(response) => {
                     let status = response.status;
-                    tracing::warn!(target: LOG_TARGET, %address, %status, "refused: {}", response.text());
+                    tracing::warn!(target: LOG_TARGET, %address, %status, "a batch was refused: {}", response.text());
                 }
                 Err(error) => tracing::debug!(target: LOG_TARGET, %address, "a batch was lost: {error}"),
             }
-            sleep(RETRY_INTERVAL).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// The body of a batch: its frame, and the messages that wait, each after its length in four bytes.
+    /// Returns the body of a batch: its frame, and the queued messages, each preceded by its length in four bytes.
     fn next_batch(&self, first: Vec<u8>, messages: &mut mpsc::Receiver<Vec<u8>>) -> Vec<u8> {
         let frame = Frame {
             envelope: self.envelope(),
@@ -80,23 +80,23 @@
         while let Some(message) = next {
             batch.extend_from_slice(&(message.len() as u32).to_le_bytes());
             batch.extend_from_slice(&message);
-            next = if batch.len() < BATCH_BYTES { messages.try_recv().ok() } else { None };
+            next = if batch.len() < FULL_BATCH_BYTES { messages.try_recv().ok() } else { None };
         }
         batch
     }
 
-    /// Where the others reach this process.
+    /// Returns the address at which the others reach this process.
     fn advertised_address(&self) -> SocketAddr {
         let own = self.config.peers.iter().find(|(name, _)| *name == self.config.name);
         own.map_or(self.config.listen, |(_, address)| *address)
     }
 
-    /// Where another process is reached: as the state names it, else as it said itself.
+    /// Returns the address of another process: the one in the state, or else the one that the process sent itself.
     fn peer_address(&self, peer: NodeId) -> Option<SocketAddr> {
-        let agreed = self.service.borrow().as_ref().and_then(|service| {
+        let address_in_state = self.service.borrow().as_ref().and_then(|service| {
             let peer = service.node().state().peers.get(&peer)?;
             peer.address.parse().ok()
         });
-        agreed.or_else(|| self.reported_addresses.borrow().get(&peer).copied())
+        address_in_state.or_else(|| self.reported_addresses.borrow().get(&peer).copied())
     }
 }
--- a/crates/agent/src/fleet/coordinator/requests.rs
+++ b/crates/agent/src/fleet/coordinator/requests.rs
@@ -1,14 +1,14 @@
-//! Requests of clients: each is given to the service, and its caller waits for the response.
+//! Passes clients' requests to the service, and waits for the responses.
 
 use super::Coordinator;
-use crate::fleet::link::ClientRequest;
+use crate::fleet::transport::ClientRequest;
 use heronhoist_coordination::bootstrap::{ClusterInfo, Identity};
 use heronhoist_coordination::service::CallerId;
 use heronhoist_coordination::state::ClusterId;
 use heronhoist_coordination::wire::{check_envelope, Envelope, Refusal, Request, Response};
 use tokio::sync::oneshot;
 
-/// A call that waits for its response. It is cancelled when it is dropped first, as when the client disconnects.
+/// A call that waits for its response. If it is dropped before, for example because the client disconnects, it is cancelled.
 struct PendingCall<'c> {
     coordinator: &'c Coordinator,
     caller: CallerId,
@@ -26,7 +26,7 @@
 }
 
 impl Coordinator {
-    /// The response to a client's request, once there is one.
+    /// Handles a client's request, and waits for the response.
     pub(super) async fn handle_request(
         &self,
         ClientRequest { envelope, request }: ClientRequest,
@@ -47,7 +47,7 @@
         receiver.await.unwrap_or(Response::Refused(Refusal::Unknown))
     }
 
-    /// Gives a request to the service, whose response goes to `sender`.
+    /// Passes a request to the service, which sends the response to `sender`.
     fn submit(
         &self,
         envelope: &Envelope,
@@ -65,7 +65,7 @@
         Ok(caller)
     }
 
-    /// The identity of this process, with its cluster as it is now.
+    /// Returns the identity of this process, with the present state of its cluster.
     fn current_identity(&self) -> Identity {
         let mut identity = self.identity.borrow().clone();
         if let Some(service) = self.service.borrow().as_ref() {
--- a/crates/agent/src/fleet/coordinator/work_loop.rs
+++ b/crates/agent/src/fleet/coordinator/service_loop.rs
@@ -1,4 +1,4 @@
-//! The steps of the process: its clock, and what the service has to write, send and answer.
+//! Drives the service: advances its clock, writes its state to the store, and sends its messages and responses.
 
 use super::{Coordinator, LOG_TARGET};
 use heronhoist_coordination::node::NodeError;
@@ -11,7 +11,7 @@
 use tokio::time::{interval, MissedTickBehavior};
 
 impl Coordinator {
-    /// Moves the service's clock on, every `tick_interval` microseconds.
+    /// Advances the service's clock every `tick_interval` microseconds.
     pub(super) async fn run_clock(self: Rc<Self>, tick_interval: Time) {
         let mut ticks = interval(Duration::from_micros(tick_interval));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -24,10 +24,10 @@
         }
     }
 
-    /// Does the service's work whenever there may be some, until an error.
+    /// Advances the service whenever there may be work for it, until an error.
     ///
     /// # Errors
-    /// [`NodeError`], if the store fails or the node must not go on.
+    /// [`NodeError`], if the store fails or the node must not continue.
     pub(super) async fn run_service(self: &Rc<Self>) -> Result<Infallible, NodeError> {
         loop {
             self.advance()?;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Writes what has come in, and only then sends and answers what rests on it.
+    /// Writes the service's new state, and only then sends the messages and responses that depend on it.
     fn advance(self: &Rc<Self>) -> Result<(), NodeError> {
         if self.fatal_error.borrow().is_some() {
             return Ok(());
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// What the service has to send, after it is on the disk; none without a service or a store.
+    /// Advances the service and writes to the store. Returns what is to be sent, or `None` without a service or a store.
     fn advance_service(&self) -> Result<Option<Output>, NodeError> {
         let mut service = self.service.borrow_mut();
         let mut store = self.store.borrow_mut();
@@ -59,7 +59,7 @@
         service.advance(store, self.now()).map(Some)
     }
 
-    /// Logs who leads, if that has changed.
+    /// Logs the leader, if it has changed.
     fn log_leader(&self) {
         let service = self.service.borrow();
         let Some(service) = service.as_ref() else { return };
@@ -67,11 +67,11 @@
         if self.logged_leader.replace(leader) != leader {
             let peer = service.node().state().peers.get(&leader);
             let name = peer.map_or("nobody", |peer| peer.name.as_str());
-            tracing::info!(target: LOG_TARGET, leader = name, "who leads has changed");
+            tracing::info!(target: LOG_TARGET, leader = name, "the leader has changed");
         }
     }
 
-    /// Gives a caller its response, unless the caller has gone.
+    /// Sends a caller its response, unless the caller has disconnected.
     fn respond(&self, caller: CallerId, response: Response) {
         if let Some(sender) = self.pending_calls.borrow_mut().remove(&caller) {
             let _ = sender.send(response);
--- a/crates/agent/src/fleet/coordinator/startup.rs
+++ b/crates/agent/src/fleet/coordinator/startup.rs
@@ -1,4 +1,4 @@
-//! What is done before the process listens: the store is opened, and the process's identity is read or made.
+//! The steps before the process listens: it opens the store, and reads or creates its identity.
 
 use super::error::CoordinatorError;
 use super::{random_id, LOG_TARGET};
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Opens the store at the start. One that exists and fails holds what was acknowledged: it is tried again, as after a later
-/// failure, and the process does not listen meanwhile.
+/// Opens the store at the start. An existing store that fails may hold acknowledged writes, so opening it is retried, as after a
+/// later failure, and the process does not listen until it succeeds.
 ///
 /// # Errors
 /// [`DiskError`], if the store is unusable, or is new and fails.
@@ -30,12 +30,12 @@
         match open() {
             Err(error @ DiskError::Failed(_)) if !is_new => {
                 if !has_failed {
-                    tracing::warn!(target: LOG_TARGET, "the store failed, and is tried again; until then this process takes no part: {error}");
+                    tracing::warn!(target: LOG_TARGET, "the store failed; this process does not participate until the store can be reopened: {error}");
                 }
                 has_failed = true;
                 let now = started_at.elapsed().as_micros() as Time;
-                let pause = backoff.record_failure(now, fastrand::f64());
-                sleep(Duration::from_micros(pause)).await;
+                let retry_delay = backoff.record_failure(now, fastrand::f64());
+                sleep(Duration::from_micros(retry_delay)).await;
             }
             result => {
                 if has_failed && result.is_ok() {
@@ -47,10 +47,10 @@
     }
 }
 
-/// The identity on the disk. A new disk gets one, and the state of the copy `restore` if there is one.
+/// Returns the stored identity. For a new store it creates one, together with the state of the copy `restore` if that is given.
 ///
 /// # Errors
-/// [`CoordinatorError`], if the store fails, belongs to another process, or the copy can't be restored to it.
+/// [`CoordinatorError`], if the store fails, belongs to another process, or the copy can't be restored.
 pub(super) fn load_identity(
     store: &Store,
     config: &CoordinatorConfig,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Begins a new cluster, of this process alone, with the state of a copy.
+/// Starts a new cluster, which consists of this process alone, with the state of a copy.
 fn restore_copy(
     store: &Store,
     config: &CoordinatorConfig,
--- a/crates/agent/src/fleet/coordinator/tests/golden.rs
+++ b/crates/agent/src/fleet/coordinator/tests/golden.rs
@@ -1,11 +1,11 @@
-//! What council processes send each other, byte by byte: the files below `tests/golden/` are what the first version sends.
-//! A file is never changed to make a test pass: processes of both versions run side by side. In a `.bytes` file, bytes that
-//! are not printable ASCII stand as in a Rust byte string.
+//! The messages between coordinator processes, byte for byte: the files below `tests/golden/` contain what the first version
+//! sends. They are never changed to make a test pass, because processes of both versions run side by side. In a `.bytes` file,
+//! bytes that are not printable ASCII are escaped as in a Rust byte string.
 
 #[path = "../../../../../coordination/tests/support/escaped_bytes.rs"]
 mod escaped_bytes;
 
-use super::super::super::link::{ClientRequest, RAFT_PATH, REQUEST_PATH};
+use super::super::super::transport::{ClientRequest, RAFT_PATH, REQUEST_PATH};
 use super::super::peer_links::Frame;
 use super::*;
 use escaped_bytes::unescape;
@@ -13,28 +13,28 @@
 use heronhoist_coordination::state::{ClusterId, Peer};
 use std::collections::BTreeMap;
 
-const OWN_NUMBER: u64 = 5;
-const OTHER_NUMBER: u64 = 9;
-/// Where the process under test says that it is reached; nobody goes there.
+const OWN_ID: u64 = 5;
+const OTHER_ID: u64 = 9;
+/// The advertised address of the process under test; no process connects to it.
 const ADVERTISED: &str = "127.0.0.1:7400";
 /// `MsgRequestPreVoteResponse`, as the first field of a message.
-const VOTE_ANSWER: [u8; 2] = [0x08, 18];
+const VOTE_RESPONSE: [u8; 2] = [0x08, 18];
 
 fn golden_text(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let text = std::fs::read_to_string(path).unwrap_or_else(|why| panic!("{file}: {why}"));
+    let text = std::fs::read_to_string(path).unwrap_or_else(|error| panic!("{file}: {error}"));
     text.trim_end().to_string()
 }
 
-/// Bytes as they stand in a file; a line feed ends the file's line.
+/// Returns bytes as they are escaped in a golden file; a line feed ends the file's line.
 fn escaped(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
-fn formation(other: SocketAddr) -> ClusterInfo {
+fn cluster_info(other: SocketAddr) -> ClusterInfo {
     let peer = |name: &str, address: String| Peer { name: name.into(), address };
-    let own = (OWN_NUMBER, peer("c1", ADVERTISED.into()));
-    let peers = BTreeMap::from([own, (OTHER_NUMBER, peer("c2", other.to_string()))]);
+    let own = (OWN_ID, peer("c1", ADVERTISED.into()));
+    let peers = BTreeMap::from([own, (OTHER_ID, peer("c2", other.to_string()))]);
     ClusterInfo { cluster_id: ClusterId(77), peers }
 }
 
@@ -43,17 +43,17 @@
     CoordinatorConfig { peers, ..config(listen, None) }
 }
 
-/// A disk of the first process, which takes part in a council already or in none.
-fn disk(formation: Option<ClusterInfo>) -> Medium {
-    let medium = Medium::default();
-    let first = formation.as_ref().map(initial_state);
-    let identity = Identity { node_id: OWN_NUMBER, name: "c1".into(), cluster: formation };
-    on(&medium).and_then(|store| store.initialize(&identity, first.as_ref())).expect("begun");
-    medium
+/// Returns the backend of the first process's store, which belongs to this cluster, or to none.
+fn backend_of(cluster: Option<ClusterInfo>) -> FaultyBackend {
+    let backend = FaultyBackend::default();
+    let initial = cluster.as_ref().map(initial_state);
+    let identity = Identity { node_id: OWN_ID, name: "c1".into(), cluster };
+    store_on(&backend).and_then(|store| store.initialize(&identity, initial.as_ref())).expect("initialized");
+    backend
 }
 
-/// The head and body of one request; it is answered with a body of this text.
-async fn serve_one(listener: &TcpListener, answer: &str) -> (String, Vec<u8>) {
+/// Serves one request with this response body; returns the request's head and body.
+async fn serve_one(listener: &TcpListener, response: &str) -> (String, Vec<u8>) {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -63,45 +63,50 @@
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")).expect("a length");
     let mut body = vec![0; length.parse().expect("a number")];
     stream.read_exact(&mut body).await.expect("a body");
-    let length = answer.len();
-    let answer = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{answer}");
-    stream.write_all(answer.as_bytes()).await.expect("answered");
+    let length = response.len();
+    let response =
+        format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{response}");
+    stream.write_all(response.as_bytes()).await.expect("responded");
     (head, body)
 }
 
-/// The first line and the body of an answer.
+/// Sends a request; returns the first line and the body of the response.
 async fn send(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> (String, String) {
-    let mut stream = until("a connection", async || TcpStream::connect(address).await.ok()).await;
+    let mut stream = wait_until("a connection", async || TcpStream::connect(address).await.ok()).await;
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
     );
     stream.write_all(&[head.as_bytes(), body].concat()).await.expect("sent");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("an answer");
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.expect("a response");
+    let (head, body) = response.split_once("\r\n\r\n").expect("a head");
     (head.lines().next().unwrap_or_default().to_string(), body.to_string())
 }
 
-/// Plays the other process, at a listener, beside one that runs on the disk which is made for the other's address.
-fn beside(disk: impl FnOnce(SocketAddr) -> Medium, play: impl AsyncFnOnce(SocketAddr, TcpListener)) {
-    let (_lines, _log) = Lines::kept();
+/// Runs the process under test beside a scenario that acts as the other process, at a listener. The store of the process under
+/// test is created for the other's address.
+fn run_beside(
+    make_backend: impl FnOnce(SocketAddr) -> FaultyBackend,
+    scenario: impl AsyncFnOnce(SocketAddr, TcpListener),
+) {
+    let (_lines, _log) = LogLines::capture();
     crate::run_local(async {
-        let listen = free();
+        let listen = free_address();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let other = listener.local_addr().expect("an address");
-        let medium = disk(other);
-        let store = on(&medium).expect("a store");
-        let reopen: ReopenStore = Box::new(move || on(&medium));
+        let backend = make_backend(other);
+        let store = store_on(&backend).expect("a store");
+        let reopen: ReopenStore = Box::new(move || store_on(&backend));
         tokio::select! {
-            ended = serve(two_processes(listen, other), None, store, reopen) => panic!("it ended: {ended:?}"),
-            () = play(listen, listener) => {}
+            ended = serve(two_processes(listen, other), None, store, reopen) => panic!("the process ended: {ended:?}"),
+            () = scenario(listen, listener) => {}
         }
     })
     .expect("a runtime");
 }
 
-/// The head of a request of the process to the other one.
+/// Returns the head of a request from the process under test to the other one.
 fn head(path: &str, listener: &TcpListener, body: &[u8]) -> String {
     let address = listener.local_addr().expect("an address");
     let length = body.len();
@@ -117,68 +122,69 @@
 fn bodies_of_requests_and_the_head_of_a_batch() {
     let envelope =
         Envelope { fleet: "gulf".into(), protocol: PROTOCOL, from: "c1".into(), incarnation: 0, term: 0 };
-    let asked = ClientRequest { envelope: envelope.clone(), request: Request::Identify };
-    assert_eq!(serde_json::to_string(&asked).expect("written"), golden_text("ask-hello.json"));
+    let request = ClientRequest { envelope: envelope.clone(), request: Request::Identify };
+    assert_eq!(serde_json::to_string(&request).expect("written"), golden_text("ask-hello.json"));
     let read: ClientRequest = serde_json::from_str(&golden_text("ask-hello.json")).expect("read");
     assert_eq!((read.envelope, read.request), (envelope.clone(), Request::Identify));
     let address = ADVERTISED.parse().expect("an address");
-    let frame = Frame { envelope: envelope.clone(), node_id: OWN_NUMBER, address };
+    let frame = Frame { envelope: envelope.clone(), node_id: OWN_ID, address };
     assert_eq!(serde_json::to_string(&frame).expect("written"), golden_text("raft-frame.json"));
     let read: Frame = serde_json::from_str(&golden_text("raft-frame.json")).expect("read");
-    assert_eq!((read.envelope, read.node_id, read.address), (envelope, OWN_NUMBER, address));
+    assert_eq!((read.envelope, read.node_id, read.address), (envelope, OWN_ID, address));
 }
 
-/// A process without a council asks the other who it is, takes part in the council that the answer names, and says so itself.
+/// A process without a council asks the other for its identity, joins the council in the response, and returns its own identity
+/// with that council.
 #[test]
-fn a_process_asks_and_tells_who_it_is() {
-    beside(
-        |_| disk(None),
+fn identities_are_requested_and_returned() {
+    run_beside(
+        |_| backend_of(None),
         async |listen, listener| {
             let (sent, body) = serve_one(&listener, &golden_text("hello-of-c2.json")).await;
             assert_eq!(sent, head("/v1/ask", &listener, &body));
             assert_eq!(String::from_utf8(body).expect("text"), golden_text("ask-hello.json"));
-            let asked = golden_text("ask-hello.json");
-            let formed = until("it takes part", async || {
-                let (status, answer) = send(listen, "POST", "/v1/ask", asked.as_bytes()).await;
+            let request = golden_text("ask-hello.json");
+            let identity = wait_until("the process has joined the council", async || {
+                let (status, response) = send(listen, "POST", "/v1/ask", request.as_bytes()).await;
                 assert_eq!(status, "HTTP/1.1 200 OK");
-                (answer != golden_text("hello-without-council.json")).then_some(answer)
+                (response != golden_text("hello-without-council.json")).then_some(response)
             })
             .await;
-            assert_eq!(formed, golden_text("hello-of-c1.json"));
+            assert_eq!(identity, golden_text("hello-of-c1.json"));
         },
     );
 }
 
-/// A batch is sent and taken as it stands in the files: the process stands for election, and answers the vote that the other
-/// one asks for.
+/// Batches are sent and accepted as in the golden files: the process starts an election, and responds to the other one's request
+/// for a vote.
 #[test]
 fn batches_of_raft_messages() {
-    beside(
-        |other| disk(Some(formation(other))),
+    run_beside(
+        |other| backend_of(Some(cluster_info(other))),
         async |listen, listener| {
             let (sent, body) = serve_one(&listener, "").await;
             assert_eq!(sent, head("/v1/raft", &listener, &body));
             assert_eq!(escaped(&body), golden_text("raft-batch-of-c1.bytes"));
             let batch = unescape(&golden_text("raft-batch-of-c2.bytes"));
-            let taken = send(listen, "POST", "/v1/raft", &batch).await;
-            assert_eq!(taken, ("HTTP/1.1 200 OK".into(), String::new()));
-            let answer = loop {
+            let response = send(listen, "POST", "/v1/raft", &batch).await;
+            assert_eq!(response, ("HTTP/1.1 200 OK".into(), String::new()));
+            let response = loop {
                 let (_, body) = serve_one(&listener, "").await;
                 let message = body.iter().position(|byte| *byte == b'\n').expect("a frame") + 5;
-                if body[message..].starts_with(&VOTE_ANSWER) {
+                if body[message..].starts_with(&VOTE_RESPONSE) {
                     break body;
                 }
             };
-            assert_eq!(escaped(&answer), golden_text("raft-batch-answer-of-c1.bytes"));
+            assert_eq!(escaped(&response), golden_text("raft-batch-answer-of-c1.bytes"));
         },
     );
 }
 
-/// What is not taken is refused in these words.
+/// Invalid HTTP requests are refused with these statuses and texts.
 #[test]
-fn refusals_of_the_carrier() {
-    beside(
-        |_| disk(None),
+fn refusals_over_http() {
+    run_beside(
+        |_| backend_of(None),
         async |listen, _listener| {
             let other_fleet = golden_text("raft-frame.json").replace("gulf", "lake") + "\n";
             for (method, path, body, status, text) in [
@@ -193,8 +199,8 @@
                     "this is fleet \"gulf\"; the message is of \"lake\"\n",
                 ),
             ] {
-                let answer = send(listen, method, path, body.as_bytes()).await;
-                assert_eq!(answer, (format!("HTTP/1.1 {status}"), text.into()));
+                let response = send(listen, method, path, body.as_bytes()).await;
+                assert_eq!(response, (format!("HTTP/1.1 {status}"), text.into()));
             }
         },
     );
--- a/crates/agent/src/fleet/drain.rs
+++ b/crates/agent/src/fleet/drain.rs
@@ -1,7 +1,7 @@
-//! `heronhoist drain` and `heronhoist undrain`: record servers taken out by all agents together.
+//! `heronhoist drain` and `heronhoist undrain`: drains of record servers that all agents apply.
 
 use super::budgets;
-use super::client::{Client, Where, OPERATOR};
+use super::client::{Client, TargetArgs, OPERATOR};
 use super::command_error::CommandError;
 use super::terminal::{self, WATCH_INTERVAL};
 use clap::Subcommand;
@@ -18,74 +18,74 @@
 /// How often the barrier is read while the command waits for it.
 const BARRIER_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Take a record server out of all agents together.
+/// Drain a record server in all agents.
 ///
-/// Exit codes: 0 it is done; 1 a record can't be read; 3 the budgets don't allow it, or the server drains already; 5 the council
-/// did not answer.
+/// Exit codes: 0 success; 1 a record can't be read; 3 the budgets don't allow the drain, or the server drains already; 5 the
+/// council did not respond.
 #[derive(Subcommand)]
 pub enum DrainCommand {
-    /// Enter a drain: agents send nothing new to the server and finish what they have.
+    /// Start a drain: agents send no new requests to the server and finish those in flight.
     Server {
-        /// Its name, as agents know it.
+        /// The server's name in the agents' endpoint lists.
         name: String,
-        /// Why; others see it.
+        /// The reason, which is shown to others.
         #[arg(long)]
         why: String,
-        /// Come back once the server may stop; Ctrl-C leaves the drain as it is.
+        /// Wait until the server may stop; Ctrl-C leaves the drain in force.
         #[arg(long)]
         wait: bool,
-        /// Go on whatever the budgets say. You answer for it.
+        /// Start the drain even if it exceeds the budgets, at your own responsibility.
         #[arg(long)]
         over_budget: bool,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Show what drains, who is waited for, and how much is out.
+    /// Show the drains, the agents that they wait for, and what is unavailable against the budgets.
     Status {
-        /// Go on showing.
+        /// Refresh the page until interrupted.
         #[arg(long)]
         watch: bool,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long, conflicts_with = "watch")]
         json: bool,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
 }
 
-/// Take a drain back: agents send to the server again, as to one that is cold.
+/// End a drain: agents send to the server again, with slow start.
 #[derive(Subcommand)]
 pub enum UndrainCommand {
-    /// A record server's.
+    /// End the drain of a record server.
     Server {
-        /// Its name.
+        /// The server's name.
         name: String,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
 }
 
-/// Carries out a command; returns what it prints.
+/// Runs a `drain` command; returns what it prints.
 ///
 /// # Errors
 /// [`CommandError`], with the command's exit code.
 pub async fn run(tool: DrainCommand) -> Result<String, CommandError> {
     match tool {
-        DrainCommand::Server { name, why, wait, over_budget, at } => {
-            let mut client = Client::new(&at, OPERATOR)?;
-            let drain_id = enter(&mut client, &name, why, over_budget).await?;
+        DrainCommand::Server { name, why, wait, over_budget, target } => {
+            let mut client = Client::new(&target, OPERATOR)?;
+            let drain_id = start_drain(&mut client, &name, why, over_budget).await?;
             if wait {
-                wait_for(&mut client, &name, drain_id).await
+                wait_for_barrier(&mut client, &name, drain_id).await
             } else {
                 Ok(format!("{name} drains; `heronhoist drain status` shows when it may stop\n"))
             }
         }
-        DrainCommand::Status { watch, json, at } => status(watch, json, &at).await,
+        DrainCommand::Status { watch, json, target } => status(watch, json, &target).await,
     }
 }
 
-/// Enters a drain; returns its id.
-async fn enter(
+/// Starts a drain; returns its id.
+async fn start_drain(
     client: &mut Client,
     server: &str,
     reason: String,
@@ -98,21 +98,21 @@
     Ok(id)
 }
 
-/// Waits until the server may stop.
-async fn wait_for(client: &mut Client, server: &str, drain_id: u64) -> Result<String, CommandError> {
+/// Waits until the drain's barrier is open, so that the server may stop; returns what the command prints.
+async fn wait_for_barrier(client: &mut Client, server: &str, drain_id: u64) -> Result<String, CommandError> {
     let mut reported = String::new();
     loop {
-        // No answer opens no barrier: the service is asked again.
+        // Without a response the barrier counts as closed, and the service is called again.
         let Ok(view) = client.read("").await else {
             sleep(BARRIER_INTERVAL).await;
             continue;
         };
         let barrier = drain::barrier(&view, server)?;
         let Some(barrier) = barrier.filter(|barrier| barrier.drain.id == drain_id) else {
-            return Err(CommandError::Denied(format!("the drain of {server} was taken back by another")));
+            return Err(CommandError::Denied(format!("the drain of {server} was ended by another operator")));
         };
         if barrier.is_open() {
-            return Ok(open_barrier(server, &barrier));
+            return Ok(describe_open_barrier(server, &barrier));
         }
         let waiting = format!("{server} may not stop yet: waits for {}", barrier.waiting_for.join(", "));
         if waiting != reported {
@@ -123,7 +123,7 @@
     }
 }
 
-fn open_barrier(server: &str, barrier: &Barrier) -> String {
+fn describe_open_barrier(server: &str, barrier: &Barrier) -> String {
     let mut text = format!("{server} may stop: {} agents send it nothing\n", barrier.acknowledged.len());
     if !barrier.unconfirmed.is_empty() {
         let _ = writeln!(
@@ -140,16 +140,16 @@
 /// # Errors
 /// [`CommandError`], with the command's exit code.
 pub async fn run_undrain(
-    UndrainCommand::Server { name, at }: UndrainCommand,
+    UndrainCommand::Server { name, target }: UndrainCommand,
 ) -> Result<String, CommandError> {
-    let mut client = Client::new(&at, OPERATOR)?;
+    let mut client = Client::new(&target, OPERATOR)?;
     client.change(DRAIN_PREFIX, |view| drain::end(view, &name)).await??;
-    Ok(format!("{name} drains no more; agents send to it as to a cold server\n"))
+    Ok(format!("the drain of {name} has ended; agents send to it again with slow start\n"))
 }
 
-/// The status page; with `watch` it is shown until the output is closed.
-async fn status(watch: bool, json: bool, at: &Where) -> Result<String, CommandError> {
-    let mut client = Client::new(at, OPERATOR)?;
+/// Returns the status page; with `watch`, prints it repeatedly until the output is closed.
+async fn status(watch: bool, json: bool, target: &TargetArgs) -> Result<String, CommandError> {
+    let mut client = Client::new(target, OPERATOR)?;
     loop {
         let view = client.read("").await?;
         let page = if json { to_json(&view)? } else { to_text(&view)? };
@@ -186,9 +186,9 @@
     let acknowledged = barrier.acknowledged.len();
     let Drain { requested_by, reason, .. } = &barrier.drain;
     let _ = writeln!(page, "{server:<16} {state:<9} {acknowledged} quiet, for {requested_by}: {reason}");
-    for (what, agents) in [("waits for", &barrier.waiting_for), ("not confirmed", &barrier.unconfirmed)] {
+    for (label, agents) in [("waits for", &barrier.waiting_for), ("not confirmed", &barrier.unconfirmed)] {
         if !agents.is_empty() {
-            let _ = writeln!(page, "  {what}: {}", agents.join(", "));
+            let _ = writeln!(page, "  {label}: {}", agents.join(", "));
         }
     }
 }
--- a/crates/agent/src/fleet/fleet_command.rs
+++ b/crates/agent/src/fleet/fleet_command.rs
@@ -1,10 +1,10 @@
-//! `heronhoist fleet`: what operators ask of the coordination service, from the command line.
+//! `heronhoist fleet`: the commands by which operators inspect and change the coordination service's state.
 
 use super::budgets::{self, BudgetsError};
-use super::client::{Client, ClientError, Where, OPERATOR};
-use super::link::Link;
+use super::client::{Client, ClientError, TargetArgs, OPERATOR};
 use super::status;
 use super::terminal::{self, WATCH_INTERVAL};
+use super::transport::Link;
 use clap::Subcommand;
 use heronhoist_coordination::permit::{self, PermitDenial};
 use heronhoist_coordination::state::{CommandResult, Peer};
@@ -15,111 +15,111 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a process that is to be added may take to say who it is.
-const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// The keys of the permits' records begin so.
+/// How long a process that is to be added may take to return its identity.
+const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(2);
+/// The key prefix of the permits' records.
 const BUDGET_PREFIX: &str = "budget/";
-/// A prefix that selects few records, for reads that need the members and processes only.
+/// A key prefix that selects few records, for reads that need only the service's processes.
 const NOTE_PREFIX: &str = "note/";
 
-/// What can be asked.
+/// The subcommands of `heronhoist fleet`.
 #[derive(Subcommand)]
 pub enum FleetCommand {
     /// Show the council, the members and the permits.
     Status {
-        /// Go on showing.
+        /// Refresh the page until interrupted.
         #[arg(long)]
         watch: bool,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// State how many agents of a site may be out at a time by permits.
+    /// Set how many agents of a site may be out of service at a time by permits.
     Permits {
         /// The site.
         #[arg(long)]
         site: String,
-        /// So many.
+        /// The number of agents.
         #[arg(long)]
         most: u32,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// State how much may be out at a time, from a file; without one, show what is out.
+    /// Set the disruption budgets from a file; without one, show what is unavailable.
     Budgets {
-        /// The file, as deploy/budgets.toml.
+        /// The file, in the format of deploy/budgets.toml.
         file: Option<PathBuf>,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Take a permit back that nothing shows to be over. You answer for it.
+    /// Release a permit although the agent has not released it, at your own responsibility.
     Free {
-        /// What it is for, as agent:n3.
+        /// The agent that the permit is for, for example agent:n3.
         thing: String,
-        /// Why you know that it is over; it goes to the log.
+        /// Why the disruption is known to be over; printed with the result.
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Name a member that has ended no more.
+    /// Remove a member whose lease has ended from the list of members.
     Forget {
-        /// Its name.
+        /// The member's name.
         name: String,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Take a council process in that has an empty disk, in place of another.
+    /// Replace a council process by one that has an empty disk.
     Replace {
-        /// The one that goes.
+        /// The name of the process to remove.
         name: String,
-        /// Where the one that comes listens; where the other did, if it is not said.
+        /// The new process's address; by default, that of the removed process.
         #[arg(long)]
         with: Option<SocketAddr>,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Take one more council process in, which has an empty disk.
+    /// Add a council process, which has an empty disk.
     Add {
-        /// Where it listens.
+        /// The address on which the process listens.
         address: SocketAddr,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Let a council process go.
+    /// Remove a council process.
     Remove {
-        /// Its name.
+        /// The process's name.
         name: String,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
-    /// Write a copy of the agreed state, from which `heronhoist council --restore` begins anew.
+    /// Write a copy of the replicated state, from which `heronhoist council --restore` starts a new council.
     Copy {
         /// The file.
         #[arg(long)]
         out: PathBuf,
         #[command(flatten)]
-        at: Where,
+        target: TargetArgs,
     },
 }
 
-/// Why a command fails.
+/// Why a `fleet` command fails.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCommandError {
-    /// The coordination service can't be called, or gave no answer.
+    /// The coordination service can't be called, or did not respond.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// The permits don't allow it.
+    /// The permit can't be released, or the limit can't be set.
     #[error(transparent)]
     Permits(#[from] PermitDenial),
-    /// The budgets can't be written or shown.
+    /// The budgets can't be stored or shown.
     #[error(transparent)]
     Budgets(#[from] BudgetsError),
-    /// The permit is named in another form.
-    #[error("what a permit is for is written as agent:NAME")]
-    PermitName,
+    /// The name of the permit's agent is not of the form `agent:NAME`.
+    #[error("a permit is named by its agent: wanted agent:NAME")]
+    InvalidPermitName,
     /// The service refuses to forget the member.
     #[error("{0}")]
     NotForgotten(String),
@@ -129,18 +129,18 @@
     /// There is no such process.
     #[error("the council has no process {0}")]
     UnknownProcess(String),
-    /// The address of the process that replaces another is not known.
-    #[error("say with --with where it listens")]
-    NoAddress,
-    /// The process to be added has no answer.
-    #[error("{address}: {why}")]
+    /// The address of the new process is not known.
+    #[error("the new process's address is not known: wanted --with ADDRESS")]
+    UnknownAddress,
+    /// The process to be added does not return its identity.
+    #[error("{address}: {reason}")]
     NewProcess {
         /// Its address.
         address: SocketAddr,
         /// Why.
-        why: String,
+        reason: String,
     },
-    /// The process to be added belongs to a cluster.
+    /// The process to be added belongs to a cluster already.
     #[error("{name} at {address} is in a council already")]
     AlreadyInCluster {
         /// Its name.
@@ -158,33 +158,35 @@
     },
 }
 
-fn client(at: &Where) -> Result<Client, ClientError> {
-    Client::new(at, OPERATOR)
+fn client(target: &TargetArgs) -> Result<Client, ClientError> {
+    Client::new(target, OPERATOR)
 }
 
-/// Carries out a command; returns what it prints.
+/// Runs a `fleet` command; returns what it prints.
 ///
 /// # Errors
-/// [`FleetCommandError`], if it was not carried out, or its outcome is unknown.
+/// [`FleetCommandError`], if the command failed, or its outcome is unknown.
 pub async fn run(tool: FleetCommand) -> Result<String, FleetCommandError> {
     match tool {
-        FleetCommand::Status { watch: false, json, at } => Ok(status::page(&mut client(&at)?, json).await?),
-        FleetCommand::Status { watch: true, json, at } => watch_status(json, &at).await,
-        FleetCommand::Permits { site, most, at } => set_permits(&site, most, &at).await,
-        FleetCommand::Budgets { file, at } => Ok(budgets::run(file.as_deref(), &at).await?),
-        FleetCommand::Free { thing, why, at } => free(&thing, &why, &at).await,
-        FleetCommand::Forget { name, at } => forget(name, &at).await,
-        FleetCommand::Replace { name, with, at } => replace(&name, with, &at).await,
-        FleetCommand::Add { address, at } => add(address, &at).await,
-        FleetCommand::Remove { name, at } => remove(&name, &at).await,
-        FleetCommand::Copy { out, at } => copy(&out, &at).await,
+        FleetCommand::Status { watch: false, json, target } => {
+            Ok(status::page(&mut client(&target)?, json).await?)
+        }
+        FleetCommand::Status { watch: true, json, target } => watch_status(json, &target).await,
+        FleetCommand::Permits { site, most, target } => set_permits(&site, most, &target).await,
+        FleetCommand::Budgets { file, target } => Ok(budgets::run(file.as_deref(), &target).await?),
+        FleetCommand::Free { thing, why, target } => free(&thing, &why, &target).await,
+        FleetCommand::Forget { name, target } => forget(name, &target).await,
+        FleetCommand::Replace { name, with, target } => replace(&name, with, &target).await,
+        FleetCommand::Add { address, target } => add(address, &target).await,
+        FleetCommand::Remove { name, target } => remove(&name, &target).await,
+        FleetCommand::Copy { out, target } => copy(&out, &target).await,
     }
 }
 
-/// Shows the status until the output is closed. What can't be read is shown in its place.
-async fn watch_status(json: bool, at: &Where) -> Result<String, FleetCommandError> {
+/// Prints the status page repeatedly until the output is closed. If the status can't be read, the error is printed instead.
+async fn watch_status(json: bool, target: &TargetArgs) -> Result<String, FleetCommandError> {
     loop {
-        let page = status::page(&mut client(at)?, json).await;
+        let page = status::page(&mut client(target)?, json).await;
         let page = page.unwrap_or_else(|error| format!("{error}\n"));
         if terminal::show(&page, !json).is_err() {
             return Ok(String::new());
@@ -193,78 +195,86 @@
     }
 }
 
-async fn set_permits(site: &str, most: u32, at: &Where) -> Result<String, FleetCommandError> {
+async fn set_permits(site: &str, most: u32, target: &TargetArgs) -> Result<String, FleetCommandError> {
     let key = permit::agent_budget_key(site);
-    client(at)?.change(BUDGET_PREFIX, |view| permit::set_limit(view, &key, most)).await??;
+    client(target)?.change(BUDGET_PREFIX, |view| permit::set_limit(view, &key, most)).await??;
     Ok(format!("{most} agents of {site} may be out at a time\n"))
 }
 
-async fn free(unit: &str, why: &str, at: &Where) -> Result<String, FleetCommandError> {
-    let agent = unit.strip_prefix("agent:").ok_or(FleetCommandError::PermitName)?;
-    let mut client = client(at)?;
+async fn free(unit: &str, why: &str, target: &TargetArgs) -> Result<String, FleetCommandError> {
+    let agent = unit.strip_prefix("agent:").ok_or(FleetCommandError::InvalidPermitName)?;
+    let mut client = client(target)?;
     let view = client.read(BUDGET_PREFIX).await?;
     let key = permit::budgets_with_permit_for(&view, agent).into_iter().next();
     let key = key.ok_or_else(|| PermitDenial::NotTaken(unit.into()))?;
     client.change(BUDGET_PREFIX, |view| permit::force_release(view, &key, agent)).await??;
-    Ok(format!("the permit for {unit} is freed on your word: {why}\n"))
+    Ok(format!("the permit for {unit} is released at the operator's responsibility: {why}\n"))
 }
 
-async fn forget(name: String, at: &Where) -> Result<String, FleetCommandError> {
-    match client(at)?.forget(&name).await? {
-        CommandResult::Done(_) => Ok(format!("{name} is not named any more\n")),
+async fn forget(name: String, target: &TargetArgs) -> Result<String, FleetCommandError> {
+    match client(target)?.forget(&name).await? {
+        CommandResult::Done(_) => Ok(format!("{name} is removed from the list of members\n")),
         CommandResult::Refused(why) => Err(FleetCommandError::NotForgotten(why)),
         _ => Err(FleetCommandError::UnknownMember(name)),
     }
 }
 
-async fn replace(name: &str, with: Option<SocketAddr>, at: &Where) -> Result<String, FleetCommandError> {
-    let mut client = client(at)?;
-    let (old_id, old) = process_of_name(&mut client, name).await?;
-    let address = with.or_else(|| old.address.parse().ok()).ok_or(FleetCommandError::NoAddress)?;
-    let (new_id, new) = new_process(&client, address).await?;
+async fn replace(
+    name: &str,
+    with: Option<SocketAddr>,
+    target: &TargetArgs,
+) -> Result<String, FleetCommandError> {
+    let mut client = client(target)?;
+    let (old_id, old) = find_process(&mut client, name).await?;
+    let address = with.or_else(|| old.address.parse().ok()).ok_or(FleetCommandError::UnknownAddress)?;
+    let (new_id, new) = identify_new_process(&client, address).await?;
     change_processes(&mut client, Some((new_id, new.clone())), Some(old_id)).await?;
-    Ok(format!("{} at {address} is in the council in place of {name}\n", new.name))
+    Ok(format!("{} at {address} has replaced {name} in the council\n", new.name))
 }
 
-async fn add(address: SocketAddr, at: &Where) -> Result<String, FleetCommandError> {
-    let mut client = client(at)?;
-    let (new_id, new) = new_process(&client, address).await?;
+async fn add(address: SocketAddr, target: &TargetArgs) -> Result<String, FleetCommandError> {
+    let mut client = client(target)?;
+    let (new_id, new) = identify_new_process(&client, address).await?;
     change_processes(&mut client, Some((new_id, new.clone())), None).await?;
     Ok(format!("{} at {address} is in the council\n", new.name))
 }
 
-async fn remove(name: &str, at: &Where) -> Result<String, FleetCommandError> {
-    let mut client = client(at)?;
-    let (id, _) = process_of_name(&mut client, name).await?;
+async fn remove(name: &str, target: &TargetArgs) -> Result<String, FleetCommandError> {
+    let mut client = client(target)?;
+    let (id, _) = find_process(&mut client, name).await?;
     change_processes(&mut client, None, Some(id)).await?;
-    Ok(format!("{name} is in the council no more\n"))
+    Ok(format!("{name} is removed from the council\n"))
 }
 
-async fn copy(path: &Path, at: &Where) -> Result<String, FleetCommandError> {
-    match client(at)?.ask(&Request::Backup).await? {
+async fn copy(path: &Path, target: &TargetArgs) -> Result<String, FleetCommandError> {
+    match client(target)?.call(&Request::Backup).await? {
         Response::Backup(text) => {
             std::fs::write(path, &text)
                 .map_err(|source| FleetCommandError::Copy { path: path.into(), source })?;
             Ok(format!("{}: {} bytes\n", path.display(), text.len()))
         }
-        other => Err(ClientError::unexpected("not a copy", other).into()),
+        other => Err(ClientError::unexpected("not a copy of the state", other).into()),
     }
 }
 
-/// The id and the address of a process of the service.
-async fn process_of_name(client: &mut Client, name: &str) -> Result<(u64, Peer), FleetCommandError> {
+/// Returns the id of the service's process with this name, and its name and address.
+async fn find_process(client: &mut Client, name: &str) -> Result<(u64, Peer), FleetCommandError> {
     let view = client.read(NOTE_PREFIX).await?;
     let found = view.peers.into_iter().find(|(_, peer)| peer.name == name);
     found.ok_or_else(|| FleetCommandError::UnknownProcess(name.into()))
 }
 
-/// The id and the address of the process that listens at an address, which must not belong to a cluster.
-async fn new_process(client: &Client, address: SocketAddr) -> Result<(u64, Peer), FleetCommandError> {
-    let no_answer = |why| FleetCommandError::NewProcess { address, why };
-    let response = Link::new(address).request(&client.envelope(), &Request::Identify, HELLO_TIMEOUT).await;
-    let identity = match response.map_err(|error| no_answer(error.to_string()))? {
+/// Asks the process at an address for its identity, and returns its id, name and address. The process must not belong to a
+/// cluster.
+async fn identify_new_process(
+    client: &Client,
+    address: SocketAddr,
+) -> Result<(u64, Peer), FleetCommandError> {
+    let no_identity = |reason| FleetCommandError::NewProcess { address, reason };
+    let response = Link::new(address).request(&client.envelope(), &Request::Identify, IDENTIFY_TIMEOUT).await;
+    let identity = match response.map_err(|error| no_identity(error.to_string()))? {
         Response::Identity(identity) => identity,
-        other => return Err(no_answer(format!("{other:?}"))),
+        other => return Err(no_identity(format!("{other:?}"))),
     };
     if identity.cluster.is_some_and(|cluster| cluster.peers.contains_key(&identity.node_id)) {
         return Err(FleetCommandError::AlreadyInCluster { name: identity.name, address });
@@ -272,14 +282,14 @@
     Ok((identity.node_id, Peer { name: identity.name, address: address.to_string() }))
 }
 
-/// Adds a process to the service, removes one, or both in one step.
+/// Adds a process to the service, removes one, or does both in one step.
 async fn change_processes(
     client: &mut Client,
     add: Option<(u64, Peer)>,
     remove: Option<u64>,
 ) -> Result<(), ClientError> {
-    match client.ask(&Request::ChangePeers { add, remove }).await? {
+    match client.call(&Request::ChangePeers { add, remove }).await? {
         Response::PeersChanged => Ok(()),
-        other => Err(ClientError::unexpected("not done", other)),
+        other => Err(ClientError::unexpected("the processes are not changed", other)),
     }
 }
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -1,7 +1,7 @@
-//! `heronhoist hold`: takes one of the stated permits for an agent, runs a command, and waits until the agent serves again.
-//! The permit is not given back by this program, nor by its end: only by the agent itself, or by an operator's word.
+//! `heronhoist hold`: acquires a permit for an agent, runs a command, and waits until the agent serves again. Neither this
+//! program nor its exit releases the permit: only the agent itself does, or an operator by `heronhoist fleet free`.
 
-use super::client::{Client, Where};
+use super::client::{Client, TargetArgs};
 use super::command_error::CommandError;
 use clap::Args;
 use heronhoist_coordination::lease_holder::{LeaseHolder, MemberInfo};
@@ -18,48 +18,49 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, Instant};
 
-/// How often the permit is read while the wrapper waits for the agent; how often one is requested, jittered by half of it.
+/// How often the permit is read while the wrapper waits for the agent, and, with a jitter of half of it, how often a permit is
+/// requested.
 const PERMIT_INTERVAL: Duration = Duration::from_millis(300);
 /// How long the coordination service may take to grant the wrapper's lease.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(15);
 /// How often the wrapper checks whether its lease is granted.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Limits of the pause between two requests for the lease, in microseconds.
-const MIN_RENEWAL_PAUSE: Time = 1_000;
-const MAX_RENEWAL_PAUSE: Time = 100_000;
-/// The keys of the permits' records begin so.
+/// The limits of the delay between two requests of the lease holder, in microseconds.
+const MIN_RENEWAL_DELAY: Time = 1_000;
+const MAX_RENEWAL_DELAY: Time = 100_000;
+/// The key prefix of the permits' records.
 const BUDGET_PREFIX: &str = "budget/";
-/// The exit code of a command that was ended by a signal.
+/// The exit code that stands for a command that was ended by a signal.
 const ENDED_BY_SIGNAL: u8 = 1;
 
 /// Take a permit for an agent, run a command, and wait until the agent serves again.
 ///
-/// Exit codes: the command's own; 3 no permit was given and nothing was run; 4 the permit is still out; 5 the council did
-/// not answer.
+/// Exit codes: the command's own; 3 no permit was granted and nothing was run; 4 the permit is still outstanding; 5 the council
+/// did not respond.
 #[derive(Args)]
 pub struct Hold {
-    /// What is taken out, as agent:n3.
+    /// The agent to take out of service, for example agent:n3.
     #[arg(long = "for", value_name = "THING")]
-    thing: String,
-    /// Why; others see it.
+    unit: String,
+    /// The reason, which is shown to others.
     #[arg(long)]
     why: String,
-    /// Wait for a permit if all are out.
+    /// Wait for a permit if none is available.
     #[arg(long)]
     wait: bool,
     #[command(flatten)]
-    at: Where,
+    target: TargetArgs,
     /// The command and its arguments.
     #[arg(last = true, required = true)]
     command: Vec<String>,
 }
 
-/// Writes a line for the operator.
+/// Writes a line to standard error for the operator.
 fn report(text: &str) {
     let _ = writeln!(std::io::stderr(), "heronhoist hold: {text}");
 }
 
-/// Carries out `heronhoist hold`; returns its exit code.
+/// Runs `heronhoist hold`; returns its exit code.
 pub async fn run(hold: Hold) -> u8 {
     match run_under_permit(&hold).await {
         Ok(code) => code,
@@ -72,10 +73,10 @@
 
 async fn run_under_permit(hold: &Hold) -> Result<u8, CommandError> {
     let mut wrapper = Wrapper::join(hold).await?;
-    wrapper.take_permit(hold).await?;
+    wrapper.acquire_permit(hold).await?;
     wrapper.start_disruption().await?;
-    report(&format!("{} may be out: runs {}", hold.thing, hold.command.join(" ")));
-    let code = run_command(&hold.command).await.map_err(|why| wrapper.permit_out(why))?;
+    report(&format!("{} may be out: runs {}", hold.unit, hold.command.join(" ")));
+    let code = run_command(&hold.command).await.map_err(|reason| wrapper.permit_outstanding(reason))?;
     wrapper.finish_disruption().await?;
     report(&format!("the command ended with {code}; waits until {} serves again", wrapper.agent));
     wrapper.wait_for_return().await?;
@@ -83,68 +84,70 @@
     Ok(code)
 }
 
-/// A wrapper that takes part in the fleet, and the permit that it takes.
+/// The wrapper around the command: a member of the fleet that acquires a permit for an agent.
 struct Wrapper {
-    /// The wrapper's name as a member, and the incarnation of its lease.
+    /// The wrapper's name as a member.
     name: String,
+    /// The incarnation of the wrapper's lease.
     incarnation: u64,
     lease: Lease,
     client: Client,
-    /// The agent that is taken out of service, and its site.
+    /// The agent that is taken out of service.
     agent: String,
+    /// The agent's site.
     site: String,
-    /// The key of the record of the site's permits.
-    key: String,
+    /// The key of the record that holds the site's permits.
+    budget_key: String,
 }
 
 impl Wrapper {
-    /// Joins the fleet under a lease of its own.
+    /// Joins the fleet under a lease for this wrapper.
     async fn join(hold: &Hold) -> Result<Wrapper, CommandError> {
-        let agent = hold.thing.strip_prefix("agent:").map(String::from);
+        let agent = hold.unit.strip_prefix("agent:").map(String::from);
         let agent =
-            agent.ok_or_else(|| CommandError::Denied(format!("--for {}: wanted agent:NAME", hold.thing)))?;
+            agent.ok_or_else(|| CommandError::Denied(format!("--for {}: wanted agent:NAME", hold.unit)))?;
         let name = format!("hold:{agent}:{}.{:08x}", std::process::id(), fastrand::u32(..));
-        let mut client = Client::new(&hold.at, &name)?;
-        let about = MemberInfo {
+        let mut client = Client::new(&hold.target, &name)?;
+        let info = MemberInfo {
             name: name.clone(),
             site: String::new(),
             version: env!("CARGO_PKG_VERSION").into(),
             address: String::new(),
         };
-        let lease = Lease::keep(Client::new(&hold.at, &name)?, about);
-        let incarnation = lease.granted().await.ok_or(CommandError::NoLease)?;
+        let lease = Lease::maintain(Client::new(&hold.target, &name)?, info);
+        let incarnation = lease.wait_until_granted().await.ok_or(CommandError::NoLease)?;
         client.session = Some((incarnation, 0));
 
         let view = client.read("").await?;
         let site = view.members.get(&agent).map(|member| member.site.clone());
         let site = site.ok_or_else(|| CommandError::Denied(format!("the fleet has no agent {agent}")))?;
-        let key = permit::agent_budget_key(&site);
-        Ok(Wrapper { name, incarnation, lease, client, agent, site, key })
+        let budget_key = permit::agent_budget_key(&site);
+        Ok(Wrapper { name, incarnation, lease, client, agent, site, budget_key })
     }
 
-    /// Takes the permit; waits for it if that is asked for.
-    async fn take_permit(&mut self, hold: &Hold) -> Result<(), CommandError> {
-        let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
+    /// Acquires the permit; with `--wait`, waits until one is available.
+    async fn acquire_permit(&mut self, hold: &Hold) -> Result<(), CommandError> {
+        let (key, agent, taker) = (&self.budget_key, &self.agent, (self.name.as_str(), self.incarnation));
         let mut reported = String::new();
         loop {
-            let take = |view: &View| permits::acquire_for_agent(view, key, agent, taker, &hold.why);
-            let denial = match self.client.change("", take).await? {
+            let acquire = |view: &View| permits::acquire_for_agent(view, key, agent, taker, &hold.why);
+            let denial = match self.client.change("", acquire).await? {
                 Ok(()) => return Ok(()),
                 Err(denial) => denial,
             };
             if !(hold.wait && is_temporary(&denial)) {
-                return Err(self.not_given(&denial));
+                return Err(self.denied(&denial));
             }
-            let why = denial.to_string();
-            if why != reported {
-                report(&format!("waits: {why}"));
+            let reason = denial.to_string();
+            if reason != reported {
+                report(&format!("waits: {reason}"));
             }
-            reported = why;
+            reported = reason;
             sleep(PERMIT_INTERVAL.mul_f64(0.5 + fastrand::f64())).await;
         }
     }
 
-    fn not_given(&self, denial: &BudgetDenial) -> CommandError {
+    fn denied(&self, denial: &BudgetDenial) -> CommandError {
         CommandError::Denied(match denial {
             BudgetDenial::Permits(PermitDenial::NoBudget(_)) => {
                 let site = &self.site;
@@ -154,68 +157,72 @@
         })
     }
 
-    /// Records that the agent may be touched from now on.
+    /// Records that the disruption of the agent begins.
     async fn start_disruption(&mut self) -> Result<(), CommandError> {
-        let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
+        let (key, agent, taker) = (&self.budget_key, &self.agent, (self.name.as_str(), self.incarnation));
         let start = |view: &View| permit::start(view, key, agent, taker);
         let started = self.client.change(BUDGET_PREFIX, start).await;
-        started.map_err(|error| self.permit_out(error))?.map_err(|denial| self.permit_out(denial))?;
-        // At the last moment before the command: a wrapper that was paused finds out here.
-        if self.lease.holds() != Some(self.incarnation) {
-            let why = "the lease of this wrapper ended before the command was run; it was not run";
-            return Err(self.permit_out(why));
+        started
+            .map_err(|error| self.permit_outstanding(error))?
+            .map_err(|denial| self.permit_outstanding(denial))?;
+        // The last check before the command runs: a wrapper whose process was paused may have lost its lease.
+        if self.lease.held_incarnation() != Some(self.incarnation) {
+            let reason = "the lease of this wrapper ended before the command was run; it was not run";
+            return Err(self.permit_outstanding(reason));
         }
         Ok(())
     }
 
-    /// Records that the command has ended.
+    /// Records that the command has exited.
     async fn finish_disruption(&mut self) -> Result<(), CommandError> {
-        let (key, agent, taker) = (&self.key, &self.agent, (self.name.as_str(), self.incarnation));
+        let (key, agent, taker) = (&self.budget_key, &self.agent, (self.name.as_str(), self.incarnation));
         let finish = |view: &View| permit::finish(view, key, agent, taker);
         let finished = self.client.change(BUDGET_PREFIX, finish).await;
-        finished.map_err(|error| self.permit_out(error))?.map_err(|denial| self.permit_out(denial))
+        finished
+            .map_err(|error| self.permit_outstanding(error))?
+            .map_err(|denial| self.permit_outstanding(denial))
     }
 
-    /// Waits until the agent has given the permit back.
+    /// Waits until the agent has released the permit.
     async fn wait_for_return(&mut self) -> Result<(), CommandError> {
         let mut interrupt = signal(SignalKind::interrupt())?;
         let mut terminate = signal(SignalKind::terminate())?;
         loop {
             if let Ok(view) = self.client.read(BUDGET_PREFIX).await {
-                if !self.has_permit(&view) {
+                if !self.is_permit_outstanding(&view) {
                     report(&format!("{} serves again; the permit is back", self.agent));
                     return Ok(());
                 }
             }
             tokio::select! {
                 () = sleep(PERMIT_INTERVAL) => {}
-                _ = interrupt.recv() => return Err(self.permit_out("interrupted")),
-                _ = terminate.recv() => return Err(self.permit_out("told to end")),
+                _ = interrupt.recv() => return Err(self.permit_outstanding("interrupted")),
+                _ = terminate.recv() => return Err(self.permit_outstanding("terminated by SIGTERM")),
             }
         }
     }
 
-    /// Whether the permit that this wrapper took is out.
-    fn has_permit(&self, view: &View) -> bool {
+    /// Whether the permit that this wrapper acquired is outstanding.
+    fn is_permit_outstanding(&self, view: &View) -> bool {
         let taker = (self.name.clone(), self.incarnation);
-        permit::find(view, &self.key, &self.agent).is_some_and(|permit| permit.taker == taker)
+        permit::find(view, &self.budget_key, &self.agent).is_some_and(|permit| permit.taker == taker)
     }
 
     /// Leaves the fleet; if that fails, the lease expires by itself.
     async fn leave(&mut self) {
         let leave = self.lease.holder.borrow_mut().leave();
         if let Some(request) = leave {
-            let _ = self.client.ask(&request).await;
+            let _ = self.client.call(&request).await;
             let _ = self.client.forget(&self.name).await;
         }
     }
 
-    fn permit_out(&self, why: impl ToString) -> CommandError {
-        CommandError::PermitOut { agent: self.agent.clone(), why: why.to_string() }
+    fn permit_outstanding(&self, reason: impl ToString) -> CommandError {
+        CommandError::PermitOutstanding { agent: self.agent.clone(), reason: reason.to_string() }
     }
 }
 
-/// Whether the permit may be granted later without an operator's doing.
+/// Whether the permit may become available later without an operator's action.
 fn is_temporary(denial: &BudgetDenial) -> bool {
     matches!(
         denial,
@@ -224,10 +231,10 @@
     )
 }
 
-/// The wrapper's own lease, renewed in the background.
+/// The wrapper's lease, which is renewed in the background.
 struct Lease {
     holder: Rc<RefCell<LeaseHolder>>,
-    begun: Instant,
+    started_at: Instant,
     task: AbortHandle,
 }
 
@@ -238,44 +245,44 @@
 }
 
 impl Lease {
-    /// Requests a lease, and renews it until this is dropped.
-    fn keep(mut client: Client, about: MemberInfo) -> Lease {
-        let begun = Instant::now();
-        let holder = Rc::new(RefCell::new(LeaseHolder::new(about, fastrand::u64(..), 0)));
-        let kept = Rc::clone(&holder);
+    /// Requests a lease, and renews it until the returned value is dropped.
+    fn maintain(mut client: Client, info: MemberInfo) -> Lease {
+        let started_at = Instant::now();
+        let holder = Rc::new(RefCell::new(LeaseHolder::new(info, fastrand::u64(..), 0)));
+        let shared_holder = Rc::clone(&holder);
         let task = spawn_local(async move {
-            let now = || begun.elapsed().as_micros() as Time;
+            let now = || started_at.elapsed().as_micros() as Time;
             loop {
-                let request = kept.borrow_mut().next_request(now());
+                let request = shared_holder.borrow_mut().next_request(now());
                 if let Some(request) = request {
-                    let incarnation = kept.borrow().incarnation();
+                    let incarnation = shared_holder.borrow().incarnation();
                     client.session = Some((incarnation, 0)).filter(|(incarnation, _)| *incarnation != 0);
-                    let answer = client.once(&request).await;
-                    kept.borrow_mut().handle_response(
+                    let response = client.call_once(&request).await;
+                    shared_holder.borrow_mut().handle_response(
                         now(),
-                        answer.as_ref().ok(),
-                        answer.as_ref().err().copied().unwrap_or(0),
+                        response.as_ref().ok(),
+                        response.as_ref().err().copied().unwrap_or(0),
                         fastrand::f64(),
                     );
                 }
-                let wait = kept.borrow().next_request_at().unwrap_or(0).saturating_sub(now());
-                sleep(Duration::from_micros(wait.clamp(MIN_RENEWAL_PAUSE, MAX_RENEWAL_PAUSE))).await;
+                let delay = shared_holder.borrow().next_request_at().unwrap_or(0).saturating_sub(now());
+                sleep(Duration::from_micros(delay.clamp(MIN_RENEWAL_DELAY, MAX_RENEWAL_DELAY))).await;
             }
         })
         .abort_handle();
-        Lease { holder, begun, task }
+        Lease { holder, started_at, task }
     }
 
-    /// The incarnation, if the lease is held at this moment.
-    fn holds(&self) -> Option<u64> {
-        self.holder.borrow().held_incarnation(self.begun.elapsed().as_micros() as Time)
+    /// Returns the incarnation, if the lease is held at this moment.
+    fn held_incarnation(&self) -> Option<u64> {
+        self.holder.borrow().held_incarnation(self.started_at.elapsed().as_micros() as Time)
     }
 
-    /// Waits until the lease is granted; `None` if it is not in time.
-    async fn granted(&self) -> Option<u64> {
-        let until = Instant::now() + LEASE_TIMEOUT;
-        while Instant::now() < until {
-            if let Some(incarnation) = self.holds() {
+    /// Waits until the lease is granted and returns its incarnation, or `None` after [`LEASE_TIMEOUT`].
+    async fn wait_until_granted(&self) -> Option<u64> {
+        let deadline = Instant::now() + LEASE_TIMEOUT;
+        while Instant::now() < deadline {
+            if let Some(incarnation) = self.held_incarnation() {
                 return Some(incarnation);
             }
             sleep(LEASE_CHECK_INTERVAL).await;
@@ -284,18 +291,19 @@
     }
 }
 
-/// Runs the command to its end. Ctrl-C goes to it as to any program of the terminal; SIGTERM is passed on.
-async fn run_command(words: &[String]) -> Result<u8, String> {
-    let (program, arguments) = words.split_first().ok_or("no command")?;
+/// Runs the command until it exits, and returns its exit code. The terminal sends Ctrl-C to the command too; SIGTERM is forwarded
+/// to it.
+async fn run_command(command: &[String]) -> Result<u8, String> {
+    let (program, arguments) = command.split_first().ok_or("no command is given")?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let child = tokio::process::Command::new(program).args(arguments).spawn();
     let mut child = child.map_err(|e| format!("cannot run {program}: {e}"))?;
     loop {
         tokio::select! {
-            ended = child.wait() => {
-                let ended = ended.map_err(|e| e.to_string())?;
-                return Ok(ended.code().and_then(|code| u8::try_from(code).ok()).unwrap_or(ENDED_BY_SIGNAL));
+            status = child.wait() => {
+                let status = status.map_err(|e| e.to_string())?;
+                return Ok(status.code().and_then(|code| u8::try_from(code).ok()).unwrap_or(ENDED_BY_SIGNAL));
             }
             _ = interrupt.recv() => report("waits for the command, which was interrupted too"),
             _ = terminate.recv() => {
--- a/crates/agent/src/fleet/member/drains.rs
+++ b/crates/agent/src/fleet/member/drains.rs
@@ -1,7 +1,7 @@
-//! The drains that the fleet has agreed: the agent follows them, acknowledges them, and records what it observes of servers.
+//! Applies the fleet's drains, acknowledges them, and records the agent's observations of servers.
 
-use super::{Drains, Member, LOG_TARGET, MIN_PAUSE};
-use crate::fleet::link::CoordinationClient;
+use super::{Drains, Member, LOG_TARGET, MIN_DELAY};
+use crate::fleet::transport::CoordinationClient;
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
 use heronhoist_coordination::service::WATCH_TIMEOUT;
 use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, Txn};
@@ -18,12 +18,13 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// How often the agent checks whether it has an acknowledgement of drains to write: a drain waits for it.
+/// How often the agent checks whether it has an acknowledgement of drains to write. The interval is short because the barrier of
+/// a drain waits for the acknowledgement.
 const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the agent checks what it observes of servers; jittered by half of it.
-const OBSERVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the agent checks its observations of servers, with a jitter of half of it.
+const OBSERVATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A record of this agent in the agreed state.
+/// A record that this agent writes to the service.
 enum AgentRecord {
     Acknowledgement(DrainAcknowledgement),
     Observation(ObservedServers),
@@ -38,14 +39,14 @@
     }
 }
 
-/// What the agent observes of servers.
+/// The agent's observations of servers.
 struct Observations {
     last_written: Option<ObservedServers>,
     due_at: Instant,
 }
 
 impl Observations {
-    /// An observation that differs from the one that was written last, if it is time for one.
+    /// Returns the next observation, if it is due and differs from the one that was written last.
     fn next(
         &mut self,
         incarnation: Incarnation,
@@ -54,13 +55,13 @@
         if Instant::now() < self.due_at {
             return None;
         }
-        self.due_at = Instant::now() + OBSERVE_INTERVAL.mul_f64(0.5 + fastrand::f64());
+        self.due_at = Instant::now() + OBSERVATION_INTERVAL.mul_f64(0.5 + fastrand::f64());
         let observation = ObservedServers::new(incarnation, missing_capacity());
         Some(observation).filter(|observation| self.last_written.as_ref() != Some(observation))
     }
 }
 
-/// The member's own session. Under it, a command that arrives late can't undo what a later one wrote.
+/// The session of the member's commands. It numbers the commands, so that one that arrives late can't undo a later one.
 #[derive(Default)]
 struct CommandSession {
     incarnation: Incarnation,
@@ -68,7 +69,7 @@
 }
 
 impl CommandSession {
-    /// A request for a command under the next number. An incarnation counts from 1.
+    /// Returns the request for a command under the next number. The numbers of each incarnation start at 1.
     fn next_request(&mut self, incarnation: Incarnation, command: Command) -> Request {
         if self.incarnation != incarnation {
             *self = CommandSession { incarnation, last_number: 0 };
@@ -79,16 +80,16 @@
 }
 
 impl Member {
-    /// Follows which servers the fleet has agreed to drain, and acknowledges those that this agent sends nothing to any more. The
-    /// drains that were observed last stay in force while the service is silent, whether or not the lease is held.
+    /// Watches and applies the fleet's drains, and acknowledges a drain once this agent sends nothing to the server any more. The
+    /// last observed drains stay in force while the service does not respond, whether or not the lease is held.
     pub(super) async fn handle_drains(self: Rc<Self>, drains: Drains) {
         let observer = RefCell::new(DrainObserver::default());
         let write = self.write_records(&observer, &drains);
-        let follow = self.follow_drains(&observer, &drains.drained);
-        tokio::join!(write, follow);
+        let watch = self.watch_drains(&observer, &drains.drained);
+        tokio::join!(write, watch);
     }
 
-    async fn follow_drains(
+    async fn watch_drains(
         &self,
         observer: &RefCell<DrainObserver>,
         drained: &watch::Sender<BTreeSet<String>>,
@@ -101,19 +102,19 @@
                 Request::Watch { .. } => WATCH_TIMEOUT + CALL_TIMEOUT,
                 _ => CALL_TIMEOUT,
             };
-            let (response, pause) = match client.call(&envelope, &request, time_limit).await {
+            let (response, retry_delay) = match client.call(&envelope, &request, time_limit).await {
                 Ok(response) => (Some(response), 0),
-                Err(unsettled) => (None, unsettled.pause),
+                Err(unsettled) => (None, unsettled.retry_delay),
             };
             let updated = observer.borrow_mut().on_response(response.as_ref());
             match updated {
                 Ok(true) => self.apply_drains(observer.borrow().draining_servers(), drained),
                 Ok(false) => {}
                 Err(error) => {
-                    tracing::error!(target: LOG_TARGET, "the drains stay as they were: {error}");
+                    tracing::error!(target: LOG_TARGET, "cannot read the drains, so the last ones stay in force: {error}");
                 }
             }
-            sleep(Duration::from_micros(pause.max(MIN_PAUSE))).await;
+            sleep(Duration::from_micros(retry_delay.max(MIN_DELAY))).await;
         }
     }
 
@@ -125,14 +126,14 @@
             let has_changed = *current != servers;
             if has_changed {
                 let list = servers.iter().cloned().collect::<Vec<_>>().join(", ");
-                tracing::info!(target: LOG_TARGET, servers = list, "the fleet has agreed on what drains");
+                tracing::info!(target: LOG_TARGET, servers = list, "the set of draining servers has changed");
             }
             *current = servers;
             has_changed
         });
     }
 
-    /// Writes which drains this agent acknowledges, and what it observes of servers, whenever that has changed.
+    /// Writes this agent's acknowledgement of drains and its observations of servers whenever they have changed.
     async fn write_records(&self, observer: &RefCell<DrainObserver>, drains: &Drains) {
         let mut client = CoordinationClient::new(&self.fleet.coordinators);
         let mut session = CommandSession::default();
@@ -152,7 +153,7 @@
             let transaction = match record.to_transaction(&self.fleet.member) {
                 Ok(transaction) => transaction,
                 Err(error) => {
-                    tracing::error!(target: LOG_TARGET, "the acknowledgement or observation is not recorded: {error}");
+                    tracing::error!(target: LOG_TARGET, "cannot write the acknowledgement or observation: {error}");
                     continue;
                 }
             };
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Sends a command until it is settled or the lease is lost, and says whether it was carried out.
+    /// Sends a command until there is a conclusive response or the lease is lost; returns whether the command was executed.
     async fn write_record(
         &self,
         client: &mut CoordinationClient,
@@ -181,7 +182,7 @@
         while self.held_incarnation() == Some(incarnation) {
             match client.call(&envelope, request, CALL_TIMEOUT).await {
                 Ok(response) => return matches!(response, Response::Reply(CommandResult::Done(_), _)),
-                Err(unsettled) => sleep(Duration::from_micros(unsettled.pause)).await,
+                Err(unsettled) => sleep(Duration::from_micros(unsettled.retry_delay)).await,
             }
         }
         false
--- a/crates/agent/src/fleet/member/metrics.rs
+++ b/crates/agent/src/fleet/member/metrics.rs
@@ -1,10 +1,10 @@
-//! The member's metrics on the operators' page.
+//! The member's metrics.
 
 use super::Member;
 use std::fmt::Write as _;
 
 impl Member {
-    /// The metrics, in the text format of Prometheus.
+    /// Returns the metrics in the Prometheus text format.
     pub fn metrics_page(&self) -> String {
         let mut page = String::new();
         let is_lease_held = self.held_incarnation().is_some();
--- a/crates/agent/src/fleet/member/mod.rs
+++ b/crates/agent/src/fleet/member/mod.rs
@@ -1,7 +1,7 @@
-//! The agent as a member of its fleet: it joins, renews its lease, reports whether it can serve, and gives back the permit for
-//! itself once it serves again. Serving does not wait for any of it.
+//! The agent as a member of its fleet: it joins, renews its lease, reports whether it can serve, applies drains, and releases the
+//! permit for itself once it serves again. Serving requests does not wait for any of this.
 
-use super::link::CoordinationClient;
+use super::transport::CoordinationClient;
 use heronhoist_config::Fleet;
 use heronhoist_coordination::lease_holder::{LeaseHolder, MemberInfo};
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
@@ -22,37 +22,37 @@
 mod metrics;
 mod permits;
 
-/// The target of all events of this module. Filters of levels name it, so it does not follow the module's name.
+/// The target of all log events of this module. Operators' log filters name it, so it does not change with the module's name.
 const LOG_TARGET: &str = "heronhoist::fleet::member";
 /// How often the agent checks whether it can serve, in microseconds.
 const CHECK_INTERVAL: Time = 100_000;
-/// The shortest pause of a loop, in microseconds: timers are no finer, and other tasks get their turn.
-const MIN_PAUSE: Time = 1000;
-/// Leaving the fleet takes no longer, since the process is about to end.
+/// The minimum delay between two rounds of a loop, in microseconds: timers are no finer, and other tasks must be able to run.
+const MIN_DELAY: Time = 1000;
+/// How long leaving the fleet may take, since the process is about to exit.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often leaving tries each process of the service.
-const LEAVE_ROUNDS: usize = 2;
+/// The maximum number of calls to each process of the service in order to leave.
+const MAX_LEAVE_ROUNDS: usize = 2;
 
-/// What the agent does with drains that the fleet has agreed.
+/// How the agent applies the fleet's drains and observes servers.
 pub struct Drains {
-    /// Gets the names of the servers that drain.
+    /// Receives the names of the draining servers.
     pub drained: watch::Sender<BTreeSet<String>>,
-    /// Whether nothing is in flight to a server, and nothing will be sent to it while it drains.
+    /// Returns whether no request is in flight to a server, and none will be sent to it while it drains.
     pub has_stopped_sending: Box<dyn Fn(&str) -> bool>,
-    /// The fraction of its capacity that each server is missing, by name.
+    /// Returns the fraction of its capacity that each server is missing, by name.
     pub missing_capacity: Box<dyn Fn() -> BTreeMap<String, f64>>,
 }
 
-/// Numbers of drains for the operators' page.
+/// The numbers of drains on the operators' page.
 #[derive(Clone, Copy, Default)]
 struct DrainCounts {
-    /// The servers that the fleet has agreed to drain, as far as this agent knows.
+    /// The servers that drain according to the last response of the service.
     draining: usize,
-    /// Those that this agent has acknowledged.
+    /// The drains that this agent has acknowledged.
     acknowledged: usize,
 }
 
-/// The agent's part in its fleet.
+/// The agent's membership in its fleet.
 pub struct Member {
     fleet: Fleet,
     lease_holder: RefCell<LeaseHolder>,
@@ -65,7 +65,7 @@
 }
 
 impl Member {
-    /// Takes part in the fleet from now on. `is_ready` says whether the agent can serve, `ops` is its operators' address.
+    /// Starts the tasks of the member. `is_ready` returns whether the agent can serve; `ops` is its operators' address.
     pub fn start(
         fleet: &Fleet,
         ops: Option<SocketAddr>,
@@ -91,24 +91,24 @@
         });
         let is_ready = Rc::new(is_ready);
         let lease = spawn_local(Rc::clone(&member).maintain_lease(Rc::clone(&is_ready)));
-        let permits = spawn_local(Rc::clone(&member).return_permits(is_ready));
+        let permits = spawn_local(Rc::clone(&member).release_permits(is_ready));
         let drains = spawn_local(Rc::clone(&member).handle_drains(drains));
         let tasks = [lease, permits, drains].map(|task| task.abort_handle());
         member.tasks.borrow_mut().extend(tasks);
         member
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the start.
     fn now(&self) -> Time {
         self.started_at.elapsed().as_micros() as Time
     }
 
-    /// The incarnation under which the agent may act now, if it holds its lease.
+    /// Returns the incarnation under which the agent may act now, if it holds its lease.
     pub fn held_incarnation(&self) -> Option<Incarnation> {
         self.lease_holder.borrow().held_incarnation(self.now())
     }
 
-    /// The envelope of the member's requests.
+    /// Returns the envelope for the member's requests.
     fn envelope(&self) -> Envelope {
         Envelope {
             fleet: self.fleet.name.clone(),
@@ -119,20 +119,20 @@
         }
     }
 
-    /// Stops taking part, and leaves the fleet if the service can be reached quickly.
+    /// Stops the member's tasks, and leaves the fleet if the service responds within [`LEAVE_TIMEOUT`].
     pub async fn leave(&self) {
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
         let envelope = self.envelope();
         let Some(request) = self.lease_holder.borrow_mut().leave() else { return };
         let mut client = CoordinationClient::new(&self.fleet.coordinators);
         let attempts = async {
-            for _ in 0..LEAVE_ROUNDS * self.fleet.coordinators.len() {
+            for _ in 0..MAX_LEAVE_ROUNDS * self.fleet.coordinators.len() {
                 if client.call(&envelope, &request, CALL_TIMEOUT).await.is_ok() {
                     return;
                 }
             }
         };
-        // Without it the lease ends by itself, only later.
+        // If this fails, the lease ends later by expiring.
         let _ = timeout(LEAVE_TIMEOUT, attempts).await;
     }
 }
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Processes that agree: the council's process, the agent as a member, the operators' commands. Nothing of it is made unless
-//! a file asks for it; the platform's can't.
+//! The coordination service and its users: the coordinator process, the agent as a member, and the operators' commands. None of
+//! it runs unless a configuration file asks for it; the platform's file format can't.
 
 mod budgets;
 mod client;
@@ -8,8 +8,8 @@
 pub mod drain;
 pub mod fleet_command;
 pub mod hold;
-mod link;
 pub mod member;
 mod status;
 mod store;
 mod terminal;
+mod transport;
--- a/crates/agent/src/fleet/status.rs
+++ b/crates/agent/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! `heronhoist fleet status`: the coordination service's processes, the members and the permits.
+//! `heronhoist fleet status`: shows the coordination service's processes, the members and the permits.
 
 use super::client::{Client, ClientError, STATUS_RETRY_TIMEOUT};
 use heronhoist_coordination::node::NodeStatus;
@@ -11,30 +11,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long one process of the service may take to say its status.
-const PROCESS_TIMEOUT: Duration = Duration::from_secs(1);
-/// The keys of the permits' records begin so.
+/// How long one process of the service may take to return its status.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// The key prefix of the permits' records.
 const BUDGET_PREFIX: &str = "budget/";
 
-/// What the page shows.
+/// The data that the page shows.
 struct Status {
     fleet: String,
     processes: Vec<ProcessStatus>,
-    /// For how long the leader has not heard of each member, in microseconds.
+    /// The time since the leader last received a renewal from each member, in microseconds.
     silent_us: BTreeMap<String, u64>,
     view: View,
 }
 
-/// One process of the service, and its status or why there is none.
+/// One process of the service, with its status, or the reason why it is not available.
 struct ProcessStatus {
     address: SocketAddr,
     status: Result<NodeStatus, String>,
 }
 
-/// The page, as text or as JSON.
+/// Reads the status and returns the page, as text or as JSON.
 ///
 /// # Errors
-/// [`ClientError`], if no process of the service gives the members and the records, not even old ones.
+/// [`ClientError`], if no process of the service returns the members and the records, not even stale ones.
 pub async fn page(client: &mut Client, as_json: bool) -> Result<String, ClientError> {
     let status = read(client).await?;
     Ok(if as_json { status.to_json() } else { status.to_text() })
@@ -48,12 +48,13 @@
     Ok(Status { fleet: client.fleet.clone(), processes, silent_us, view })
 }
 
-/// Asks each process for its status; the leader's includes for how long it has not heard of each member.
+/// Asks each process for its status. The leader's response includes the time since each member's last renewal, which goes to
+/// `silent_us`.
 async fn read_processes(client: &mut Client, silent_us: &mut BTreeMap<String, u64>) -> Vec<ProcessStatus> {
     let envelope = client.envelope();
     let mut processes = Vec::new();
     for link in client.calls.links() {
-        let response = link.request(&envelope, &Request::Status, PROCESS_TIMEOUT).await;
+        let response = link.request(&envelope, &Request::Status, STATUS_TIMEOUT).await;
         let status = response.map_err(|error| error.to_string()).and_then(|response| match response {
             Response::Status(process, silent_members) => {
                 if is_leader(&process) {
@@ -69,15 +70,15 @@
     processes
 }
 
-/// Reads the members and the records. Without a majority, what one process has is better than nothing; the page says how old
-/// it may be.
+/// Reads the members and the records. Without a majority, it reads the possibly stale state of one process; the page shows how
+/// stale that may be.
 async fn read_view(client: &mut Client) -> Result<View, ClientError> {
     let error = match client.read("").await {
         Ok(view) => return Ok(view),
         Err(error) => error,
     };
     let stale = Request::Read { stale: true, prefix: String::new(), members: true };
-    match client.ask(&stale).await {
+    match client.call(&stale).await {
         Ok(Response::Read(view)) => Ok(view),
         _ => Err(error),
     }
@@ -88,8 +89,8 @@
 }
 
 impl Status {
-    fn process_name(&self, number: u64) -> &str {
-        self.view.peers.get(&number).map_or("-", |peer| peer.name.as_str())
+    fn process_name(&self, node_id: u64) -> &str {
+        self.view.peers.get(&node_id).map_or("-", |peer| peer.name.as_str())
     }
 
     fn to_json(&self) -> String {
@@ -105,7 +106,7 @@
                 let name = self.process_name(status.node_id);
                 json!({ "address": address, "name": name, "standpoint": status })
             }
-            Err(why) => json!({ "address": address, "unreachable": why }),
+            Err(error) => json!({ "address": address, "unreachable": error }),
         }
     }
 
@@ -141,7 +142,7 @@
             let address = address.to_string();
             match status {
                 Ok(status) => self.write_process(page, &address, status),
-                Err(why) => drop(writeln!(page, "{:<10} {address:<22} {why}", "?")),
+                Err(error) => drop(writeln!(page, "{:<10} {address:<22} {error}", "?")),
             }
         }
     }
@@ -163,14 +164,14 @@
             "member", "site", "version", "standing", "incarn.", "heard", "ready"
         );
         for (name, member) in &self.view.members {
-            let heard =
+            let silence =
                 self.silent_us.get(name).map_or("-".into(), |us| format!("{:.1} s", *us as f64 / 1e6));
             let ready = if member.ready { "yes" } else { "no" };
-            let standing = standing_name(member.status);
+            let status = member_status_name(member.status);
             let Member { site, version, incarnation, address, .. } = member;
             let _ = writeln!(
                 page,
-                "{name:<16} {site:<12} {version:<10} {standing:<12} {incarnation:>10} {heard:>8} {ready:<6} {address}"
+                "{name:<16} {site:<12} {version:<10} {status:<12} {incarnation:>10} {silence:>8} {ready:<6} {address}"
             );
         }
     }
@@ -186,8 +187,8 @@
     }
 }
 
-fn standing_name(standing: MemberStatus) -> &'static str {
-    match standing {
+fn member_status_name(status: MemberStatus) -> &'static str {
+    match status {
         MemberStatus::Living => "living",
         MemberStatus::Superseded => "superseded",
         MemberStatus::Left => "left",
@@ -201,13 +202,13 @@
         let Ok(budget) = serde_json::from_str::<permit::Budget>(&record.value) else { continue };
         let _ = writeln!(page, "\n{key}: {} of {} out", budget.permits.len(), budget.max);
         for (unit, permit) in &budget.permits {
-            let stage = permit_stage(permit);
-            let _ = writeln!(page, "  {unit} for {} ({stage}): {}", permit.taker.0, permit.reason);
+            let state = permit_state(permit);
+            let _ = writeln!(page, "  {unit} for {} ({state}): {}", permit.taker.0, permit.reason);
         }
     }
 }
 
-fn permit_stage(permit: &permit::Permit) -> &'static str {
+fn permit_state(permit: &permit::Permit) -> &'static str {
     match (permit.finished, permit.started.is_some()) {
         (true, _) => "done, waits until it is back",
         (false, true) => "out",
--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -1,5 +1,5 @@
-//! The disk of a process of the coordination service: one file of an embedded store, synced before anything that rests on it is
-//! sent. Each value has a checksum of its own, which is verified when the process starts.
+//! The persistent storage of a coordinator process: one file of an embedded database, which is synced before any message that
+//! depends on the written data is sent. Each value is stored with a checksum, which is verified when the process starts.
 
 use heronhoist_coordination::bootstrap::Identity;
 use heronhoist_coordination::log::{Disk, DiskError, DurableState, LogPosition, WriteBatch};
@@ -18,24 +18,25 @@
 
 /// The entries of the Raft log, by index.
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
-/// All else, by the keys below.
+/// All other values, by the keys below.
 const VALUES: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("parts");
 const FORMAT_KEY: &str = "form";
 const IDENTITY_KEY: &str = "identity";
 const HARD_STATE_KEY: &str = "hard";
 const SNAPSHOT_KEY: &str = "snapshot";
 const COMPACTED_KEY: &str = "cut";
-/// The format of the file; one of another format is refused.
+/// The format of the file; a file of another format is rejected.
 const FORMAT: &[u8] = b"heronhoist council 1";
-/// Memory for the store's pages, in bytes: the state is in memory anyway, and the file is read at the start only.
+/// The size of the database's page cache, in bytes. It is small because the state is kept in memory, and the file is read only at
+/// the start.
 const CACHE_BYTES: usize = 4 << 20;
-/// The bytes of a number.
+/// The size of an encoded number, in bytes.
 const NUMBER_BYTES: usize = size_of::<u64>();
 
 /// The open file.
 pub struct Store {
     database: Database,
-    /// The file had not been closed: the store checked all of it, and dropped a transaction that was not committed.
+    /// The file had not been closed: the database checked all of it, and dropped a transaction that was not committed.
     pub was_repaired: bool,
 }
 
@@ -47,13 +48,13 @@
     }
 }
 
-/// Errors of the system may pass, except those of permissions. What the store reports of the file, such as that it is cut short
-/// or is none of its own, does not pass.
+/// Classifies an I/O error. Errors of the operating system may be transient, except those of permissions. Errors that the
+/// database reports about the file, for example that it is truncated or not a database, are permanent.
 fn io_error(error: &io::Error) -> DiskError {
     let is_permanent = matches!(error.kind(), io::ErrorKind::PermissionDenied | io::ErrorKind::IsADirectory);
-    let is_of_system = error.raw_os_error().is_some();
-    let may_pass = (is_of_system && !is_permanent) || error.kind() == io::ErrorKind::WriteZero;
-    match may_pass {
+    let is_os_error = error.raw_os_error().is_some();
+    let is_transient = (is_os_error && !is_permanent) || error.kind() == io::ErrorKind::WriteZero;
+    match is_transient {
         true => DiskError::Failed(error.to_string()),
         false => DiskError::Unusable(error.to_string()),
     }
@@ -63,7 +64,7 @@
     DiskError::Unusable(error.to_string())
 }
 
-/// The same error, with the file and what was done with it.
+/// Adds the file and the action that failed to an error's text.
 fn with_context(path: &Path, action: &str, error: DiskError) -> DiskError {
     let with_path = |reason: String| format!("{}: {action}{reason}", path.display());
     match error {
@@ -72,18 +73,19 @@
     }
 }
 
-/// A value as it is stored, behind its checksum.
+/// Returns a value in its stored form: its checksum, then the value.
 fn with_checksum(value: &[u8]) -> Vec<u8> {
     let checksum = crc32fast::hash(value).to_le_bytes();
     [&checksum[..], value].concat()
 }
 
-/// The value behind a checksum. `name` is that of the value, for the error.
+/// Verifies a stored value's checksum and returns the value. `name` is the value's name in the error.
 fn verify_checksum<'b>(name: &str, stored: &'b [u8]) -> Result<&'b [u8], DiskError> {
-    let damaged = || DiskError::Unusable(format!("the checksum of {name} does not fit; the file is damaged"));
+    let damaged =
+        || DiskError::Unusable(format!("the checksum of {name} does not match; the file is damaged"));
     let (checksum, value) = stored.split_first_chunk::<4>().ok_or_else(damaged)?;
-    let is_sound = u32::from_le_bytes(*checksum) == crc32fast::hash(value);
-    is_sound.then_some(value).ok_or_else(damaged)
+    let is_valid = u32::from_le_bytes(*checksum) == crc32fast::hash(value);
+    is_valid.then_some(value).ok_or_else(damaged)
 }
 
 fn encode_position(position: LogPosition) -> Vec<u8> {
@@ -98,8 +100,9 @@
     LogPosition { index: number(0), term: number(NUMBER_BYTES) }
 }
 
-/// Opens the file. After a sync that failed, the system's cache may show as written what the disk does not hold, and a later sync
-/// does not write it. So what can still be written is, and the rest is read from the disk.
+/// Opens the file and drops its pages from the system's cache. After a failed sync, the cache may contain data that is not on the
+/// disk and that a later sync does not write. So pages that can still be written are synced first, and the rest is read from the
+/// disk again.
 fn open_uncached(path: &Path, create: bool) -> io::Result<File> {
     let file = OpenOptions::new().read(true).write(true).create(create).truncate(false).open(path)?;
     file.sync_all()?;
@@ -107,15 +110,15 @@
     Ok(file)
 }
 
-/// Opens the database, and says whether it was repaired. The store panics at some files that are cut short; that is an error
-/// here.
+/// Opens the database, and returns whether it was repaired. The database library panics on some truncated files; this function
+/// returns an error for them.
 fn open_database(backend: impl StorageBackend) -> Result<(Database, bool), OpenError> {
     let repaired = Arc::new(AtomicBool::new(false));
-    let repaired_by_store = Arc::clone(&repaired);
+    let repaired_in_callback = Arc::clone(&repaired);
     let open = move || {
         let mut builder = Builder::new();
         builder.set_cache_size(CACHE_BYTES);
-        builder.set_repair_callback(move |_| repaired_by_store.store(true, Ordering::Relaxed));
+        builder.set_repair_callback(move |_| repaired_in_callback.store(true, Ordering::Relaxed));
         builder.create_with_backend(backend)
     };
     let hook = std::panic::take_hook();
@@ -133,7 +136,7 @@
 }
 
 impl Store {
-    /// Opens the file, or creates it.
+    /// Opens the file; creates it if it does not exist.
     ///
     /// # Errors
     /// [`DiskError`], if the file is damaged, of another format or in use, or the disk fails.
@@ -141,7 +144,7 @@
         Store::open_file(path, true)
     }
 
-    /// Opens the file again after a failure. It is not created: a new one would hold nothing of what was acknowledged.
+    /// Opens the file again after a failure. A missing file is not created, because a new one would lack the acknowledged writes.
     ///
     /// # Errors
     /// [`DiskError`], as for [`Store::open`], and if the file can't be written yet.
@@ -158,10 +161,10 @@
         Store::from_backend(backend, path)
     }
 
-    /// A store on a backend, which holds the bytes; errors name `path`.
+    /// Opens a store on a storage backend; `path` is the file's name in errors.
     ///
     /// # Errors
-    /// [`DiskError`], if what the backend holds is damaged or of another format, or the backend fails.
+    /// [`DiskError`], if the backend's content is damaged or of another format, or the backend fails.
     pub fn from_backend(backend: impl StorageBackend, path: &Path) -> Result<Store, DiskError> {
         let (database, was_repaired) = open_database(backend).map_err(|error| match error {
             OpenError::Panicked => {
@@ -174,11 +177,11 @@
         Ok(store)
     }
 
-    /// Verifies the format, which a new file gets here.
+    /// Verifies the file's format; writes it to a new file.
     fn check_format(&self) -> Result<(), DiskError> {
         match self.read_value(FORMAT_KEY)? {
             Some(format) if format != FORMAT => {
-                Err(DiskError::Unusable("it is of another form; is it a later version's?".into()))
+                Err(DiskError::Unusable("unknown file format; it may be of a later version".into()))
             }
             Some(_) => Ok(()),
             None => self.write_values(&[(FORMAT_KEY, FORMAT)]),
@@ -209,24 +212,24 @@
             for (key, value) in values {
                 insert_value(&mut table, key, value)?;
             }
-            // Created with the first values, so that it can be read before there are entries.
+            // The table is created with the first values, so that it can be read before there are entries.
             transaction.open_table(ENTRIES).map_err(store_error)?;
         }
         transaction.commit().map_err(store_error)
     }
 
-    /// Writes what is there already: reading may work where there is no room to write.
+    /// Checks that the store can be written, by writing a value that it has already: on a full disk, reads may still succeed.
     ///
     /// # Errors
-    /// [`DiskError`], if that fails.
+    /// [`DiskError`], if the write fails.
     pub fn check_writable(&self) -> Result<(), DiskError> {
         self.write_values(&[(FORMAT_KEY, FORMAT)])
     }
 
-    /// The identity of the process that the disk belongs to; none if the disk is new.
+    /// Returns the identity of the process that the file belongs to, or `None` if the file is new.
     ///
     /// # Errors
-    /// [`DiskError`], if it can't be read.
+    /// [`DiskError`], if the identity can't be read.
     pub fn identity(&self) -> Result<Option<Identity>, DiskError> {
         let value = self.read_value(IDENTITY_KEY)?;
         value.map(|bytes| serde_json::from_slice(&bytes).map_err(json_error)).transpose()
@@ -235,7 +238,7 @@
     /// Stores the identity of the process, with the initial state of its cluster if there is one.
     ///
     /// # Errors
-    /// [`DiskError`], if the disk fails; nothing is stored then, or all of it.
+    /// [`DiskError`], if the disk fails. Either all values are stored or none.
     pub fn initialize(&self, identity: &Identity, initial: Option<&DurableState>) -> Result<(), DiskError> {
         let identity = serde_json::to_vec(identity).map_err(json_error)?;
         let compacted = initial.map(|state| encode_position(state.compacted));
@@ -248,10 +251,10 @@
         self.write_values(&values)
     }
 
-    /// Reads all that is stored.
+    /// Reads the whole stored state.
     ///
     /// # Errors
-    /// [`DiskError`], if the disk fails or a checksum does not fit.
+    /// [`DiskError`], if the disk fails or a checksum does not match.
     pub fn load(&self) -> Result<DurableState, DiskError> {
         let mut state = DurableState {
             hard_state: self.read_value(HARD_STATE_KEY)?,
@@ -293,7 +296,7 @@
     Ok(())
 }
 
-/// Writes the entries of a batch, in place of those from the first one's index on, and removes those that are compacted.
+/// Writes the entries of a batch. They replace all entries from the index of the first one on. Compacted entries are removed.
 fn save_entries(transaction: &WriteTransaction, batch: &WriteBatch) -> Result<(), DiskError> {
     let mut table = transaction.open_table(ENTRIES).map_err(store_error)?;
     if batch.replaces_log {
@@ -321,6 +324,6 @@
 }
 
 #[cfg(test)]
-pub(super) mod medium;
+pub(super) mod faulty_backend;
 #[cfg(test)]
 mod tests;
--- a/crates/agent/src/fleet/store/tests.rs
+++ b/crates/agent/src/fleet/store/tests.rs
@@ -1,20 +1,20 @@
-use super::medium::{Found, Medium, Place, IO_ERROR, NO_ROOM};
+use super::faulty_backend::{FailurePoint, FaultyBackend, Retained, EIO, ENOSPC};
 use super::*;
 
 mod golden;
 
-fn place(name: &str) -> std::path::PathBuf {
-    let place = std::env::temp_dir().join(format!("heronhoist-store-{}-{name}", std::process::id()));
-    let _ = std::fs::remove_file(&place);
-    place
+fn temporary_path(name: &str) -> std::path::PathBuf {
+    let path = std::env::temp_dir().join(format!("heronhoist-store-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_file(&path);
+    path
 }
 
 #[test]
-fn what_was_saved_is_there_again_and_is_the_same_as_in_memory() {
-    let path = place("again");
+fn saved_state_is_loaded_as_it_is_in_memory() {
+    let path = temporary_path("again");
     let mut memory = DurableState::default();
     let entry = |index: u64, text: &str| (index, text.as_bytes().to_vec());
-    let saves = [
+    let batches = [
         WriteBatch {
             hard_state: Some(b"h1".to_vec()),
             entries: vec![entry(1, "a"), entry(2, "b"), entry(3, "c")],
@@ -28,14 +28,17 @@
             ..WriteBatch::default()
         },
     ];
-    for save in &saves {
+    for batch in &batches {
         let mut store = Store::open(&path).expect("open");
-        store.save(save).expect("saved");
-        memory.apply(save);
+        store.save(batch).expect("saved");
+        memory.apply(batch);
         assert_eq!(store.load().expect("read"), memory);
     }
     let mut store = Store::open(&path).expect("open");
-    assert!(Store::open(&path).is_err_and(|e| e.to_string().contains("already open")), "one process a file");
+    assert!(
+        Store::open(&path).is_err_and(|error| error.to_string().contains("already open")),
+        "only one process may open a file"
+    );
     let other = WriteBatch {
         snapshot: Some(b"t".to_vec()),
         replaces_log: true,
@@ -49,38 +52,41 @@
 }
 
 #[test]
-fn a_damaged_file_is_a_fault_in_words_and_never_a_panic() {
-    let path = place("damaged");
-    let long = vec![7; 3000];
+fn a_damaged_file_gives_an_error_and_no_panic() {
+    let path = temporary_path("damaged");
+    let value = vec![7; 3000];
     {
         let mut store = Store::open(&path).expect("open");
-        let entries = (1..40).map(|n| (n, long.clone())).collect();
+        let entries = (1..40).map(|index| (index, value.clone())).collect();
         store.save(&WriteBatch { entries, ..WriteBatch::default() }).expect("saved");
     }
-    let whole = std::fs::read(&path).expect("read");
-    for length in [0, 1, 100, 4096, whole.len() / 2, whole.len() - 1] {
-        std::fs::write(&path, &whole[..length]).expect("written");
-        let image = Store::open(&path).and_then(|store| store.load());
-        let stays = image.as_ref().is_err_and(|fault| matches!(fault, DiskError::Unusable(_)));
-        assert!(image.is_ok() || stays, "{length}: tried again for ever: {image:?}");
-        assert!(length == 0 || image.is_err() || image.is_ok_and(|i| i.entries.len() == 39), "{length}");
+    let content = std::fs::read(&path).expect("read");
+    for length in [0, 1, 100, 4096, content.len() / 2, content.len() - 1] {
+        std::fs::write(&path, &content[..length]).expect("written");
+        let state = Store::open(&path).and_then(|store| store.load());
+        let is_unusable = state.as_ref().is_err_and(|error| matches!(error, DiskError::Unusable(_)));
+        assert!(state.is_ok() || is_unusable, "{length}: retried forever: {state:?}");
+        assert!(
+            length == 0 || state.is_err() || state.is_ok_and(|state| state.entries.len() == 39),
+            "{length}"
+        );
     }
     std::fs::write(&path, "another program's file".repeat(1000)).expect("written");
-    let fault = Store::open(&path).map(drop).expect_err("none of its own");
-    assert!(matches!(fault, DiskError::Unusable(_)), "tried again for ever: {fault:?}");
-    // A bit that has turned in the middle of an entry.
-    let at = whole.windows(64).position(|w| w == &long[..64]).expect("an entry") + 32;
-    let mut turned = whole.clone();
-    turned[at] ^= 1;
-    std::fs::write(&path, &turned).expect("written");
-    let fault = Store::open(&path).and_then(|store| store.load()).expect_err("a broken checksum");
-    assert!(fault.to_string().contains("checksum of entry"), "{fault}");
+    let error = Store::open(&path).map(drop).expect_err("not a store file");
+    assert!(matches!(error, DiskError::Unusable(_)), "retried forever: {error:?}");
+    // A flipped bit in the middle of an entry.
+    let offset = content.windows(64).position(|window| window == &value[..64]).expect("an entry") + 32;
+    let mut corrupted = content.clone();
+    corrupted[offset] ^= 1;
+    std::fs::write(&path, &corrupted).expect("written");
+    let error = Store::open(&path).and_then(|store| store.load()).expect_err("an invalid checksum");
+    assert!(error.to_string().contains("checksum of entry"), "{error}");
     let _ = std::fs::remove_file(&path);
 }
 
-fn saves() -> Vec<WriteBatch> {
+fn write_batches() -> Vec<WriteBatch> {
     let entry = |index: u64, fill: u8| (index, vec![fill; 700 * index as usize]);
-    let mut saves = vec![
+    let mut batches = vec![
         WriteBatch {
             hard_state: Some(b"h1".to_vec()),
             entries: vec![entry(1, 1), entry(2, 2)],
@@ -94,121 +100,123 @@
             ..WriteBatch::default()
         },
     ];
-    saves.extend((4..6).map(|index| WriteBatch { entries: vec![entry(index, 4)], ..WriteBatch::default() }));
-    saves.push(WriteBatch {
+    batches
+        .extend((4..6).map(|index| WriteBatch { entries: vec![entry(index, 4)], ..WriteBatch::default() }));
+    batches.push(WriteBatch {
         snapshot: Some(vec![8; 9000]),
         replaces_log: true,
         compacted: Some(LogPosition { index: 9, term: 2 }),
         ..WriteBatch::default()
     });
-    saves
+    batches
 }
 
-fn on(medium: &Medium) -> Result<Store, DiskError> {
-    Store::from_backend(medium.clone(), Path::new("medium"))
+fn store_on(backend: &FaultyBackend) -> Result<Store, DiskError> {
+    Store::from_backend(backend.clone(), Path::new("medium"))
 }
 
-/// The file that each run begins with.
-fn begun() -> Medium {
-    let (medium, identity) = (Medium::default(), Identity { node_id: 5, name: "c1".into(), cluster: None });
-    on(&medium).and_then(|store| store.initialize(&identity, None)).expect("a sound store");
-    medium
+/// Returns the backend with which each run starts.
+fn initialized_backend() -> FaultyBackend {
+    let (backend, identity) =
+        (FaultyBackend::default(), Identity { node_id: 5, name: "c1".into(), cluster: None });
+    store_on(&backend).and_then(|store| store.initialize(&identity, None)).expect("initialized");
+    backend
 }
 
-/// Each write, change of length and sync of a run fails in turn, before it is carried out, in its middle or after it, and so
-/// does closing and opening. What is read back is what was there before the step that failed, or what was there after it;
-/// what had been saved before is always there, and it goes on from there.
+/// Each write, change of length and sync of a run, those of opening and closing included, fails once: before it has an effect, in
+/// its middle or after it. The state that is loaded afterwards must be the one before or the one after the failed batch, with all
+/// earlier batches, and further batches can be saved.
 #[test]
-fn each_write_and_sync_may_fail_and_what_is_read_back_is_whole() {
-    const PLACES: [Place; 3] = [Place::Before, Place::Middle, Place::After];
-    const FINDS: [Found; 3] = [Found::All, Found::Synced, Found::Some];
-    let begun = begun();
-    let counted = begun.copy();
-    let mut store = on(&counted).expect("open");
-    saves().iter().for_each(|save| store.save(save).expect("saved"));
+fn after_any_failed_write_or_sync_the_loaded_state_is_consistent() {
+    const POINTS: [FailurePoint; 3] = [FailurePoint::Before, FailurePoint::Middle, FailurePoint::After];
+    const RETAINED: [Retained; 3] = [Retained::All, Retained::Synced, Retained::Some];
+    let initialized = initialized_backend();
+    let reference = initialized.copy();
+    let mut store = store_on(&reference).expect("open");
+    write_batches().iter().for_each(|batch| store.save(batch).expect("saved"));
     drop(store);
-    let (first, last) = (begun.operations(), counted.operations());
+    let (first, last) = (initialized.operations(), reference.operations());
     assert!(last > first + 40, "{first} to {last}");
-    let mut seen = [0, 0];
+    let mut counts = [0, 0];
     for operation in first..last {
-        // Each operation at one place and with one find; all nine in turn, the next run of them at the other places.
-        let turn = operation + (operation - first) / 9;
-        let (place, found) = (PLACES[turn % 3], FINDS[turn / 3 % 3]);
-        let case = format!("operation {operation}, {place:?}, found {found:?}");
-        let medium = begun.copy();
-        medium.fail_at(operation, place, if operation % 2 == 0 { NO_ROOM } else { IO_ERROR });
+        // Each operation fails at one point, with one choice of retained data. The nine combinations take turns, shifted by one
+        // after each nine operations.
+        let combination = operation + (operation - first) / 9;
+        let (point, retained) = (POINTS[combination % 3], RETAINED[combination / 3 % 3]);
+        let case = format!("operation {operation}, {point:?}, retained {retained:?}");
+        let backend = initialized.copy();
+        backend.fail_at(operation, point, if operation % 2 == 0 { ENOSPC } else { EIO });
         let mut before = DurableState::default();
         let mut after = before.clone();
-        let failed = on(&medium).and_then(|mut store| {
-            for save in saves() {
-                after.apply(&save);
-                store.save(&save)?;
+        let failed = store_on(&backend).and_then(|mut store| {
+            for batch in write_batches() {
+                after.apply(&batch);
+                store.save(&batch)?;
                 before.clone_from(&after);
             }
-            // Nothing tells that closing failed.
+            // A failure to close is not reported.
             Ok(())
         });
-        assert!(medium.has_failed(), "{case} was not reached");
-        if let Err(fault) = &failed {
-            assert!(matches!(fault, DiskError::Failed(_)), "{case}: {fault}");
+        assert!(backend.has_failed(), "{case}: not reached");
+        if let Err(error) = &failed {
+            assert!(matches!(error, DiskError::Failed(_)), "{case}: {error}");
         }
-        medium.found(found);
-        let mut store = on(&medium).unwrap_or_else(|fault| panic!("{case}: {fault}"));
+        backend.reopen(retained);
+        let mut store = store_on(&backend).unwrap_or_else(|error| panic!("{case}: {error}"));
         assert_eq!(store.identity().expect("read").map(|identity| identity.node_id), Some(5));
-        let mut image = store.load().unwrap_or_else(|fault| panic!("{case}: {fault}"));
-        assert!(image == before || image == after, "{case}: {failed:?}");
+        let mut state = store.load().unwrap_or_else(|error| panic!("{case}: {error}"));
+        assert!(state == before || state == after, "{case}: {failed:?}");
         if failed.is_err() && before != after {
-            seen[usize::from(image == after)] += 1;
+            counts[usize::from(state == after)] += 1;
         }
         let next = WriteBatch { entries: vec![(20, vec![9; 3000])], ..WriteBatch::default() };
-        store.save(&next).unwrap_or_else(|fault| panic!("{case}: {fault}"));
-        image.apply(&next);
-        assert_eq!(store.load().expect("read"), image, "{case}");
+        store.save(&next).unwrap_or_else(|error| panic!("{case}: {error}"));
+        state.apply(&next);
+        assert_eq!(store.load().expect("read"), state, "{case}");
     }
-    assert!(seen.iter().all(|count| *count > 0), "kept and not kept: {seen:?}");
+    assert!(counts.iter().all(|count| *count > 0), "batches lost and kept: {counts:?}");
 }
 
-/// A store that has failed says so until it is opened again, also where the medium works once more.
+/// A store that has failed rejects all batches until it is reopened, even if the backend works again.
 #[test]
-fn after_a_failure_nothing_is_saved_until_it_is_opened_again() {
-    let medium = begun();
-    let mut store = on(&medium).expect("open");
-    store.save(&saves()[0]).expect("saved");
-    medium.set_down(Some(NO_ROOM));
-    assert!(matches!(store.save(&saves()[1]), Err(DiskError::Failed(why)) if why.contains("No space left")));
-    medium.set_down(None);
-    assert!(matches!(store.save(&saves()[1]), Err(DiskError::Failed(_))));
+fn a_failed_store_saves_nothing_until_it_is_reopened() {
+    let backend = initialized_backend();
+    let mut store = store_on(&backend).expect("open");
+    store.save(&write_batches()[0]).expect("saved");
+    backend.set_down(Some(ENOSPC));
+    assert!(
+        matches!(store.save(&write_batches()[1]), Err(DiskError::Failed(reason)) if reason.contains("No space left"))
+    );
+    backend.set_down(None);
+    assert!(matches!(store.save(&write_batches()[1]), Err(DiskError::Failed(_))));
     drop(store);
-    medium.found(Found::Synced);
-    let mut store = on(&medium).expect("open");
-    store.check_writable().expect("it works again");
-    store.save(&saves()[1]).expect("saved");
+    backend.reopen(Retained::Synced);
+    let mut store = store_on(&backend).expect("open");
+    store.check_writable().expect("writable again");
+    store.save(&write_batches()[1]).expect("saved");
 }
 
-/// A file as the version before made it, by the path alone, opens and is read.
+/// A file that was created as by the previous version, directly by its path, can be opened and read.
 #[test]
-fn a_file_of_the_version_before_opens() {
-    let path = place("before");
+fn a_file_of_the_previous_version_opens() {
+    let path = temporary_path("before");
     {
         let mut builder = Builder::new();
         builder.set_cache_size(CACHE_BYTES);
-        let store = Store { database: builder.create(&path).expect("made"), was_repaired: false };
+        let store = Store { database: builder.create(&path).expect("created"), was_repaired: false };
         store.write_values(&[("form", FORMAT)]).expect("written");
         let identity = Identity { node_id: 7, name: "c1".into(), cluster: None };
-        store.initialize(&identity, None).expect("begun");
+        store.initialize(&identity, None).expect("initialized");
         let mut store = store;
-        store.save(&saves()[0]).expect("saved");
+        store.save(&write_batches()[0]).expect("saved");
     }
     let store = Store::reopen(&path).expect("opened");
     let mut memory = DurableState::default();
-    memory.apply(&saves()[0]);
+    memory.apply(&write_batches()[0]);
     assert_eq!(store.load().expect("read"), memory);
     assert_eq!(store.identity().expect("read").map(|identity| identity.node_id), Some(7));
     drop(store);
     std::fs::remove_file(&path).expect("removed");
-    assert!(
-        matches!(Store::reopen(&path), Err(DiskError::Failed(_))),
-        "a file that is away is not made anew"
-    );
+    assert!(matches!(Store::reopen(&path), Err(DiskError::Failed(_))), "a missing file must not be created");
     assert!(!path.exists());
 }
--- a/crates/agent/src/fleet/terminal.rs
+++ b/crates/agent/src/fleet/terminal.rs
@@ -1,14 +1,14 @@
-//! Pages that are shown again and again (`--watch`).
+//! Output of pages that are refreshed periodically (`--watch`).
 
 use std::io::{self, Write};
 use std::time::Duration;
 
-/// How often a page is shown.
+/// How often a page is refreshed.
 pub const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 /// Clears the terminal and moves the cursor to its first line.
 const CLEAR_SCREEN: &str = "\u{1b}[2J\u{1b}[H";
 
-/// Writes a page to standard output, in place of what the terminal shows if `clear` is set.
+/// Writes a page to standard output; with `clear`, the terminal is cleared first.
 ///
 /// # Errors
 /// Fails if standard output is closed.
--- a/crates/agent/src/fleet/link.rs
+++ b/crates/agent/src/fleet/transport.rs
@@ -1,5 +1,5 @@
-//! Calls between processes: one at a time on a connection that is kept, with a timeout on each, so that nothing piles up behind
-//! a slow response.
+//! HTTP calls between processes. A link makes one call at a time on a connection that it keeps open. Each call has a timeout, so
+//! that calls don't queue up behind a slow response.
 
 use crate::metered_stream::MeteredStream;
 use bytes::Bytes;
@@ -23,17 +23,17 @@
 pub const RAFT_PATH: &str = "/v1/raft";
 /// The largest response that is read, in bytes: a read may return the whole state.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
-/// Processes that a client calls, including those that it learned of by redirects.
+/// The maximum number of processes that a client calls, including those that it learned of by redirects.
 const MAX_TARGETS: usize = 16;
-/// A connection that is not established by then has failed, so that a call has time left for another process.
+/// How long a connection may take to be established. It is short, so that there is time left to call another process.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause of a client that has no process to call, in microseconds.
-const NO_TARGET_RETRY_INTERVAL: Time = 1_000_000;
+/// The delay before the next call of a client that has no process to call, in microseconds.
+const NO_TARGET_RETRY_DELAY: Time = 1_000_000;
 
-/// A client's request, as it is sent.
+/// A client's request in its serialized form.
 #[derive(Serialize, Deserialize)]
 pub struct ClientRequest {
-    /// Who sends it.
+    /// Names the fleet, the protocol and the sender.
     pub envelope: Envelope,
     /// The request.
     pub request: Request,
@@ -43,28 +43,28 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
     /// The connection was not established in time.
-    #[error("no connection in time")]
+    #[error("connection not established in time")]
     ConnectTimeout,
     /// The connection could not be established.
     #[error("{0}")]
     Connect(io::Error),
-    /// The connection failed, or the peer does not speak HTTP.
+    /// The connection failed, or the peer does not use HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The request can't be made.
+    /// The request can't be built.
     #[error(transparent)]
     InvalidRequest(#[from] hyper::http::Error),
     /// The request can't be serialized.
     #[error("{0}")]
     Serialize(serde_json::Error),
-    /// The response's body is too large, or was cut short.
+    /// The response's body is too large or incomplete.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The response did not come in time.
-    #[error("no answer within {0:?}")]
+    /// The response did not arrive in time.
+    #[error("no response within {0:?}")]
     Timeout(Duration),
-    /// The response has another status than 200.
-    #[error("answered {status}: {text}")]
+    /// The response's status is not 200.
+    #[error("response with status {status}: {text}")]
     Status {
         /// The status.
         status: StatusCode,
@@ -72,7 +72,7 @@
         text: String,
     },
     /// The response can't be parsed.
-    #[error("an answer that can't be read: {0}")]
+    #[error("cannot parse the response: {0}")]
     InvalidResponse(serde_json::Error),
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl PostResponse {
-    /// The body as text, without line feeds at its end.
+    /// Returns the body as text, without trailing white space.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).trim_end().to_string()
     }
@@ -104,7 +104,7 @@
         let (wire, _) = MeteredStream::new(stream, ());
         let (sender, connection) = http1::handshake(wire).await?;
         let task = tokio::task::spawn_local(async move {
-            // Its errors reach the call too.
+            // The call that uses the connection returns its errors too.
             let _ = connection.await;
         });
         Ok(Connection { sender, task: task.abort_handle() })
@@ -133,24 +133,24 @@
     }
 }
 
-/// Calls to one process.
+/// Calls one process, over a connection that is kept open between calls.
 pub struct Link {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
 impl Link {
-    /// A link to a process. The first call connects it.
+    /// Creates a link to a process. The first call opens the connection.
     pub fn new(address: SocketAddr) -> Link {
         Link { address, connection: None }
     }
 
-    /// The process's address.
+    /// Returns the process's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends one POST request. A connection over which a call has failed or was cancelled is not used again.
+    /// Sends one POST request. A connection is not reused after a call on it failed or was cancelled.
     ///
     /// # Errors
     /// [`LinkError`], if there is no response within `time_limit`.
@@ -160,9 +160,9 @@
         body: Vec<u8>,
         time_limit: Duration,
     ) -> Result<PostResponse, LinkError> {
-        let kept = self.connection.take().filter(|connection| connection.sender.is_ready());
+        let idle_connection = self.connection.take().filter(|connection| connection.sender.is_ready());
         let call = async {
-            let mut connection = match kept {
+            let mut connection = match idle_connection {
                 Some(connection) => connection,
                 None => Connection::open(self.address).await?,
             };
@@ -175,7 +175,7 @@
         Ok(response)
     }
 
-    /// Sends one request of a client.
+    /// Sends a client's request and parses the response.
     ///
     /// # Errors
     /// [`LinkError`], if there is no response with status 200 within `time_limit`.
@@ -195,24 +195,24 @@
     }
 }
 
-/// Why a call settles nothing.
+/// Why a call has no conclusive response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The client has no address to call.
-    #[error("no address of a council process")]
+    #[error("no address of a council process is known")]
     NoTarget,
     /// The process is not the leader.
     #[error(transparent)]
     Redirected(Refusal),
-    /// The process refused the request, which another one may accept.
+    /// The process refused the request; another process may accept it.
     #[error("{address}: {refusal}")]
     Refused {
         /// The process's address.
         address: SocketAddr,
-        /// Why it refused.
+        /// Why the process refused.
         refusal: Refusal,
     },
-    /// The process gave no response.
+    /// There is no valid response from the process.
     #[error("{address}: {error}")]
     NoResponse {
         /// The process's address.
@@ -222,38 +222,38 @@
     },
 }
 
-/// A call that settled nothing; the outcome of its request is unknown.
+/// A call without a conclusive response; the outcome of its request is unknown.
 #[derive(Debug)]
 pub struct Unsettled {
-    /// The pause before the next call, in microseconds.
-    pub pause: Time,
-    /// Why.
+    /// The delay before the next call, in microseconds.
+    pub retry_delay: Time,
+    /// Why there is none.
     pub error: CallError,
 }
 
-/// Calls the coordination service through whichever of its processes responds.
+/// Calls the coordination service through any of its processes that responds.
 pub struct CoordinationClient {
     links: Vec<Link>,
     schedule: RetrySchedule,
 }
 
 impl CoordinationClient {
-    /// A client of the service whose processes listen on these addresses.
+    /// Creates a client of the service whose processes listen on these addresses.
     pub fn new(addresses: &[SocketAddr]) -> CoordinationClient {
         let links: Vec<Link> = addresses.iter().map(|address| Link::new(*address)).collect();
         let schedule = RetrySchedule::new(links.len(), fastrand::u64(..));
         CoordinationClient { links, schedule }
     }
 
-    /// The links to the service's processes.
+    /// Returns the links to the service's processes.
     pub fn links(&mut self) -> &mut [Link] {
         &mut self.links
     }
 
-    /// One call, which takes `time_limit` microseconds at most.
+    /// Makes one call, which takes at most `time_limit` microseconds.
     ///
     /// # Errors
-    /// [`Unsettled`], if there is no response that settles the request; it may be sent again after the pause.
+    /// [`Unsettled`], if there is no conclusive response; the request may be sent again after the delay.
     pub async fn call(
         &mut self,
         envelope: &Envelope,
@@ -261,7 +261,7 @@
         time_limit: Time,
     ) -> Result<Response, Unsettled> {
         let Some(link) = self.links.get_mut(self.schedule.target()) else {
-            return Err(Unsettled { pause: NO_TARGET_RETRY_INTERVAL, error: CallError::NoTarget });
+            return Err(Unsettled { retry_delay: NO_TARGET_RETRY_DELAY, error: CallError::NoTarget });
         };
         let address = link.address();
         let result = link.request(envelope, request, Duration::from_micros(time_limit)).await;
@@ -270,7 +270,7 @@
             Ok(Response::Refused(refusal @ Refusal::NotLeader { .. })) => {
                 return Err(self.redirect(refusal, random));
             }
-            Ok(Response::Refused(refusal)) if is_of_this_process(&refusal) => {
+            Ok(Response::Refused(refusal)) if is_process_specific(&refusal) => {
                 CallError::Refused { address, refusal }
             }
             Ok(response) => {
@@ -279,21 +279,22 @@
             }
             Err(error) => CallError::NoResponse { address, error },
         };
-        Err(Unsettled { pause: self.schedule.record_failure(random), error })
+        Err(Unsettled { retry_delay: self.schedule.record_failure(random), error })
     }
 
-    /// The next call goes to the leader that a refusal names, if it names one.
+    /// Directs the next call to the leader that the refusal names, if it names one.
     fn redirect(&mut self, refusal: Refusal, random: f64) -> Unsettled {
         let leader = match &refusal {
             Refusal::NotLeader { leader: Some(peer) } => peer.address.parse().ok(),
             _ => None,
         };
         let target = leader.and_then(|address| self.target_index(address));
-        let pause = self.schedule.record_redirect(target, random);
-        Unsettled { pause, error: CallError::Redirected(refusal) }
+        let retry_delay = self.schedule.record_redirect(target, random);
+        Unsettled { retry_delay, error: CallError::Redirected(refusal) }
     }
 
-    /// The index of the process at an address, which may have been added after the configuration was written.
+    /// Returns the index of the link to an address, and adds a link where there is none: the process may have been added to the
+    /// service after the configuration was written.
     fn target_index(&mut self, address: SocketAddr) -> Option<usize> {
         let known = self.links.iter().position(|link| link.address() == address);
         if known.is_none() && self.links.len() < MAX_TARGETS {
@@ -304,8 +305,8 @@
     }
 }
 
-/// Whether a refusal is the process's own, so that the request may be sent again, also to another process.
-fn is_of_this_process(refusal: &Refusal) -> bool {
+/// Whether a refusal concerns only this process, so that the request may be sent again, also to another process.
+fn is_process_specific(refusal: &Refusal) -> bool {
     matches!(
         refusal,
         Refusal::Unknown
