--- a/crates/agent/tests/fleet/pages.rs
+++ b/crates/agent/tests/fleet/pages.rs
@@ -1,8 +1,8 @@
-//! What operators' scripts read of a fleet: the JSON and the pages of the tools, the records that the council keeps, and the figures
-//! of a member. Compared with committed files; what differs from run to run is masked.
+//! Compares the output that operators' scripts read with golden files: the JSON and the pages of the commands, the stored
+//! records, and the metrics of a member. Values that differ from run to run are masked.
 
 use crate::golden::assert_golden;
-use crate::processes::{lookup, wait, Fleet, Process, Server};
+use crate::processes::{lookup, wait_until, Fleet, Process, Server};
 use serde_json::Value;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -15,22 +15,23 @@
     [[server]]\nname = \"s2\"\nsite = \"west\"\nkind = \"small\"\ncell = \"b\"\n\
     [[server]]\nname = \"s3\"\nsite = \"east\"\nkind = \"small\"\ncell = \"a\"\n";
 
-/// How the sessions of wrappers that hold a permit for n2 are named.
+/// The prefix of the names of wrappers that hold a permit for n2.
 const WRAPPER: &str = "hold:n2:";
 
-/// Words that stay from run to run, and mean something to those who read them.
-fn is_steady(text: &str) -> bool {
+/// Whether a text is the same in every run.
+fn is_stable(text: &str) -> bool {
     !text.contains(|c: char| c.is_ascii_digit()) || (text.len() == 2 && text.starts_with(['c', 'n', 's']))
 }
 
-/// Each path to a value and the value, where it is a word, or its kind; a text that is JSON itself is opened.
+/// Writes each path in a JSON value, with the value if it is a stable text, or else its type. A text that is JSON itself is
+/// descended into.
 fn paths(at: &str, value: &Value, page: &mut String) {
     match value {
         Value::Object(fields) => {
             let _ = writeln!(page, "{at} object");
             for (key, value) in fields {
                 let key = if key.parse::<u64>().is_ok() { "NUMBER" } else { key };
-                // The session of a wrapper is named by its process and a random number.
+                // A wrapper's name contains its process id and a random number.
                 let key = if key.starts_with(WRAPPER) { "WRAPPER" } else { key };
                 paths(&format!("{at}.{key}"), value, page);
             }
@@ -43,7 +44,7 @@
             Ok(inner) if !inner.is_number() => paths(&format!("{at} as JSON"), &inner, page),
             _ => {
                 let is_user = at.ends_with("drain.by") || at.contains("drain/") && at.ends_with(".by");
-                let masked = is_user || at.ends_with(".version") || !is_steady(text);
+                let masked = is_user || at.ends_with(".version") || !is_stable(text);
                 let shown = if masked { "string".to_string() } else { format!("{text:?}") };
                 let _ = writeln!(page, "{at} {shown}");
             }
@@ -63,7 +64,7 @@
     page
 }
 
-/// Numbers masked and blanks taken together.
+/// Masks numbers and other variable words, and collapses white space.
 fn masked(text: &str) -> String {
     let mut page = String::new();
     for line in text.lines() {
@@ -84,75 +85,77 @@
     page
 }
 
-struct Play {
+struct TestFleet {
     fleet: Fleet,
     agents: Vec<(Process, SocketAddr)>,
     _servers: [Server; 2],
 }
 
-impl Play {
-    /// One council process, two agents, stated budgets and permits, and a drain for which both are quiet.
-    fn drained(name: &str) -> Play {
-        let fleet = Fleet::new(name).council(1);
+impl TestFleet {
+    /// Starts one coordinator process and two agents, sets budgets and permits, and drains a server until both agents have
+    /// acknowledged the drain.
+    fn drained(name: &str) -> TestFleet {
+        let fleet = Fleet::new(name).with_coordinators(1);
         let servers = [Server::start(), Server::start()];
-        let named = [("s1", servers[0].address), ("s2", servers[1].address)];
-        let agents: Vec<_> = ["n1", "n2"].map(|name| fleet.agent_of(name, "east", &named)).into();
+        let endpoints = [("s1", servers[0].address), ("s2", servers[1].address)];
+        let agents: Vec<_> =
+            ["n1", "n2"].map(|name| fleet.agent_with_servers(name, "east", &endpoints)).into();
         let mut client = fleet.client();
         for (agent, front) in &agents {
-            client.living(&agent.name);
+            client.wait_living(&agent.name);
             agent.wait_ready();
             assert_eq!(lookup(*front, 1), Some(200));
         }
-        let play = Play { fleet, agents, _servers: servers };
-        let file = play.fleet.folder.join("budgets.toml");
+        let test = TestFleet { fleet, agents, _servers: servers };
+        let file = test.fleet.directory.join("budgets.toml");
         std::fs::write(&file, BUDGETS).expect("written");
-        play.said(&["fleet", "budgets", &file.to_string_lossy()]);
-        play.said(&["fleet", "permits", "--site", "east", "--most", "2"]);
-        play.said(&["drain", "server", "s1", "--why", "disk", "--wait"]);
-        wait("both are quiet", || {
-            let status: Value = serde_json::from_str(&play.said(&["drain", "status", "--json"])).ok()?;
+        test.run(&["fleet", "budgets", &file.to_string_lossy()]);
+        test.run(&["fleet", "permits", "--site", "east", "--most", "2"]);
+        test.run(&["drain", "server", "s1", "--why", "disk", "--wait"]);
+        wait_until("both agents have acknowledged the drain", || {
+            let status: Value = serde_json::from_str(&test.run(&["drain", "status", "--json"])).ok()?;
             (status["drains"]["s1"]["quiet"].as_array()?.len() == 2).then_some(())
         });
-        play
+        test
     }
 
-    fn said(&self, words: &[&str]) -> String {
-        let (code, text) = self.fleet.tool(words);
-        assert_eq!(code, 0, "{words:?}: {text}");
+    fn run(&self, arguments: &[&str]) -> String {
+        let (code, text) = self.fleet.run(arguments);
+        assert_eq!(code, 0, "{arguments:?}: {text}");
         text
     }
 }
 
 #[test]
-fn the_json_and_the_pages_of_a_fleet_stay() {
-    let play = Play::drained("pages");
-    // A permit that stays out: its wrapper is killed while it runs the command.
+fn json_and_pages_of_a_fleet_match_the_golden_files() {
+    let test = TestFleet::drained("pages");
+    // A permit that remains outstanding, because its wrapper is killed while it runs the command.
     let _ =
-        play.fleet.tool(&["hold", "--for", "agent:n2", "--why", "kernel", "--", "sh", "-c", "kill -9 $PPID"]);
-    wait("the wrapper's lease is over, and both agents have told what they lack", || {
-        let status: Value = serde_json::from_str(&play.said(&["fleet", "status", "--json"])).ok()?;
+        test.fleet.run(&["hold", "--for", "agent:n2", "--why", "kernel", "--", "sh", "-c", "kill -9 $PPID"]);
+    wait_until("the wrapper's lease has expired, and both agents have recorded their observations", || {
+        let status: Value = serde_json::from_str(&test.run(&["fleet", "status", "--json"])).ok()?;
         let members = status["view"]["members"].as_object()?;
         let wrapper = members.iter().find(|(name, _)| name.starts_with(WRAPPER))?.1;
         let records = status["view"]["records"].as_object()?;
-        let told = ["site/seen/n1", "site/seen/n2"].iter().all(|key| records.contains_key(*key));
-        let heard_of = status["silent_us"].as_object()?.keys().any(|name| name.starts_with(WRAPPER));
-        (wrapper["standing"] != "living" && !heard_of && told).then_some(())
+        let observed = ["site/seen/n1", "site/seen/n2"].iter().all(|key| records.contains_key(*key));
+        let is_awaited = status["silent_us"].as_object()?.keys().any(|name| name.starts_with(WRAPPER));
+        (wrapper["standing"] != "living" && !is_awaited && observed).then_some(())
     });
-    let drains = play.said(&["drain", "status", "--json"]);
+    let drains = test.run(&["drain", "status", "--json"]);
     assert_golden("tests/golden/drain-status.paths", &paths_of(&drains));
-    let status = play.said(&["fleet", "status", "--json"]);
+    let status = test.run(&["fleet", "status", "--json"]);
     assert_golden("tests/golden/fleet-status.paths", &paths_of(&status));
-    for (name, words) in [
+    for (name, arguments) in [
         ("fleet-status", &["fleet", "status"][..]),
         ("fleet-budgets", &["fleet", "budgets"][..]),
         ("drain-status", &["drain", "status"][..]),
     ] {
         let user = std::env::var("USER").unwrap_or_else(|_| "operator".into());
-        let page = masked(&play.said(words)).replace(&format!("for {user}: "), "for USER: ");
+        let page = masked(&test.run(arguments)).replace(&format!("for {user}: "), "for USER: ");
         assert_golden(&format!("tests/golden/{name}.lines"), &page);
     }
-    // The figures that a member adds to the page, below those of all agents.
-    let figures = play.agents[0].0.figures();
-    let names: String = figures.lines().filter(|line| line.contains("app_fleet_")).map(masked).collect();
+    // The metrics that a member adds to the page.
+    let metrics = test.agents[0].0.metrics_page();
+    let names: String = metrics.lines().filter(|line| line.contains("app_fleet_")).map(masked).collect();
     assert_golden("tests/golden/metrics-member.txt", &names);
 }
--- a/crates/agent/tests/fleet/processes.rs
+++ b/crates/agent/tests/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! Council processes and agents of the program, started, stopped and asked as operators would.
+//! Starts, stops and calls coordinator processes and agents of the program, as operators do.
 
 use heronhoist_coordination::retry_schedule::CALL_TIMEOUT;
 use heronhoist_coordination::state::{Command, CommandRequest, CommandResult, MemberStatus};
@@ -13,25 +13,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Far beyond anything that a sound program needs.
-const BOUND: Duration = Duration::from_secs(60);
+/// How long a condition is waited for, far longer than a working program needs.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_heronhoist");
 
-/// Looks until there is something to see.
-pub fn wait<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Checks repeatedly until there is a result.
+pub fn wait_until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
     loop {
-        if let Some(seen) = look() {
-            return seen;
+        if let Some(result) = check() {
+            return result;
         }
-        assert!(begun.elapsed() < BOUND, "not seen: {what}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "not reached: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// An address that nobody listens on, and that no connection takes as its own end meanwhile: a host and a port of its own,
-/// outside of those that the system gives out.
-fn free() -> SocketAddr {
+/// Returns an address on which no process listens, and that the system does not assign to an outgoing connection: its host and
+/// its port are outside the ranges that the system uses.
+fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let (next, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -44,12 +44,12 @@
     }
 }
 
-/// An address at which nobody is.
-pub fn nobody() -> SocketAddr {
-    free()
+/// Returns an address on which no process listens.
+pub fn unused_address() -> SocketAddr {
+    free_address()
 }
 
-/// One call; status 0 if there was no answer.
+/// Sends a POST request; returns the response's status, 0 if there is none, and its body.
 pub fn post(address: SocketAddr, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
     call(address, "POST", path, body).unwrap_or((0, Vec::new()))
 }
@@ -63,19 +63,19 @@
     );
     stream.write_all(head.as_bytes()).ok()?;
     let _ = stream.write_all(body);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    let split = answer.windows(4).position(|w| w == b"\r\n\r\n")?;
-    let status = std::str::from_utf8(&answer[..split]).ok()?.split(' ').nth(1)?.parse().ok()?;
-    Some((status, answer[split + 4..].to_vec()))
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    let split = response.windows(4).position(|w| w == b"\r\n\r\n")?;
+    let status = std::str::from_utf8(&response[..split]).ok()?.split(' ').nth(1)?.parse().ok()?;
+    Some((status, response[split + 4..].to_vec()))
 }
 
 /// One process of the program.
 pub struct Process {
     pub name: String,
-    /// Where it listens, for a council process; where operators call, for an agent.
+    /// The listening address of a coordinator process, or the operators' address of an agent.
     pub address: SocketAddr,
-    /// The program that is started, the agent's unless a test says otherwise.
+    /// The program to start: the agent's unless a test sets another.
     program: &'static str,
     arguments: Vec<String>,
     variables: Vec<(String, String)>,
@@ -94,7 +94,7 @@
         self.start_with("exec");
     }
 
-    /// Started by a shell that does this first.
+    /// Starts the program from a shell that runs `before` first.
     pub fn start_with(&mut self, before: &str) {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log).expect("a log");
         let words = [self.program.to_string()].into_iter().chain(self.arguments.clone());
@@ -109,19 +109,19 @@
         *self.child.borrow_mut() = Some(child.expect("started"));
     }
 
-    /// Its files may have any length from now on.
-    pub fn unbound(&self) {
-        let unbound = Rlimit { current: None, maximum: None };
+    /// Removes the limit on the size of the process's files.
+    pub fn remove_file_size_limit(&self) {
+        let unlimited = Rlimit { current: None, maximum: None };
         let pid = Pid::from_raw(self.id() as i32);
-        prlimit(pid, Resource::Fsize, unbound).expect("its bound was a soft one");
+        prlimit(pid, Resource::Fsize, unlimited).expect("only the soft limit was set");
     }
 
     pub fn is_running(&self) -> bool {
         self.child.borrow_mut().as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// What it has said so far.
-    pub fn said(&self) -> String {
+    /// Returns the process's log so far.
+    pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
@@ -133,7 +133,7 @@
     }
 
     fn id(&self) -> u32 {
-        self.child.borrow().as_ref().expect("runs").id()
+        self.child.borrow().as_ref().expect("a running process").id()
     }
 
     pub fn signal(&self, signal: &str) {
@@ -142,36 +142,38 @@
         assert!(sent.expect("kill").success());
     }
 
-    /// The page of an agent's figures.
-    pub fn figures(&self) -> String {
-        let (status, page) = call(self.address, "GET", "/-/metrics", b"").expect("an answer");
+    /// Returns an agent's metrics page.
+    pub fn metrics_page(&self) -> String {
+        let (status, page) = call(self.address, "GET", "/-/metrics", b"").expect("a response");
         assert_eq!(status, 200);
         String::from_utf8(page).expect("UTF-8")
     }
 
-    /// The figures of an agent's lease: whether it holds one, and its incarnation.
+    /// Returns an agent's lease metrics: whether it holds a lease, and its incarnation.
     pub fn lease(&self) -> Option<(bool, u64)> {
         let (_, page) = call(self.address, "GET", "/-/metrics", b"")?;
         let page = String::from_utf8(page).ok()?;
-        let figure = |name: &str| {
+        let metric = |name: &str| {
             let line = page.lines().find(|line| line.split(' ').next() == Some(name))?;
             line.split(' ').nth(1)?.parse::<f64>().ok()
         };
-        Some((figure("app_fleet_lease_held")? > 0.0, figure("app_fleet_incarnation")? as u64))
+        Some((metric("app_fleet_lease_held")? > 0.0, metric("app_fleet_incarnation")? as u64))
     }
 
     pub fn wait_ready(&self) {
-        wait("ready", || call(self.address, "GET", "/-/ready", b"").filter(|(status, _)| *status == 200));
+        wait_until("ready", || {
+            call(self.address, "GET", "/-/ready", b"").filter(|(status, _)| *status == 200)
+        });
     }
 
     pub fn threads(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.id())).expect("a process").count()
     }
 
-    /// The kinds of what it has open, but for its standard streams.
+    /// Returns the kinds of the process's open file descriptors, except its standard streams.
     pub fn descriptors(&self) -> Vec<String> {
-        let folder = std::fs::read_dir(format!("/proc/{}/fd", self.id())).expect("a process");
-        let open = folder
+        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.id())).expect("a process");
+        let open = descriptors
             .flatten()
             .filter(|fd| fd.file_name().to_string_lossy().parse::<u32>().is_ok_and(|n| n > 2));
         let kind = |fd: std::fs::DirEntry| {
@@ -188,36 +190,36 @@
     }
 }
 
-/// A council, its folder, and whoever asks it.
+/// The coordinator processes of a fleet and the directory of its files.
 pub struct Fleet {
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     processes: Vec<Process>,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.processes.clear();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 impl Fleet {
     pub fn new(name: &str) -> Fleet {
-        let folder = std::env::temp_dir().join(format!("heronhoist-fleet-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        Fleet { folder, processes: Vec::new() }
+        let directory = std::env::temp_dir().join(format!("heronhoist-fleet-{}-{name}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&directory);
+        std::fs::create_dir_all(&directory).expect("a directory");
+        Fleet { directory, processes: Vec::new() }
     }
 
-    /// So many council processes, started, with leases of 1.5 s.
-    pub fn council(mut self, count: usize) -> Fleet {
-        self.write_council(count, 1500);
+    /// Configures and starts this number of coordinator processes, with leases of 1.5 s.
+    pub fn with_coordinators(mut self, count: usize) -> Fleet {
+        self.configure_coordinators(count, 1500);
         self.start_all();
         self
     }
 
-    pub fn write_council(&mut self, count: usize, lease_ms: u32) {
-        let addresses: Vec<SocketAddr> = (0..count).map(|_| free()).collect();
+    pub fn configure_coordinators(&mut self, count: usize, lease_ms: u32) {
+        let addresses: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
         for (n, address) in addresses.iter().enumerate() {
             let name = format!("c{}", n + 1);
             let mut text = format!(
@@ -227,29 +229,29 @@
             for (n, address) in addresses.iter().enumerate() {
                 text += &format!("[[council.peer]]\nname = \"c{}\"\naddress = \"{address}\"\n", n + 1);
             }
-            let file = self.folder.join(format!("{name}.toml"));
+            let file = self.directory.join(format!("{name}.toml"));
             std::fs::write(&file, text).expect("written");
             let arguments = vec!["council".into(), "--config".into(), file.to_string_lossy().into()];
-            self.processes.push(self.made(&name, *address, arguments, Vec::new()));
+            self.processes.push(self.new_process(&name, *address, arguments, Vec::new()));
         }
     }
 
-    /// Each process is started by this program, under a subcommand or none.
-    pub fn run_by(&mut self, program: &'static str, subcommand: Option<&str>) {
+    /// Sets the program by which each process is started, and the subcommand, if any.
+    pub fn set_program(&mut self, program: &'static str, subcommand: Option<&str>) {
         for process in &mut self.processes {
             process.program = program;
             process.arguments.splice(..1, subcommand.map(String::from));
         }
     }
 
-    fn made(
+    fn new_process(
         &self,
         name: &str,
         address: SocketAddr,
         arguments: Vec<String>,
         variables: Vec<(String, String)>,
     ) -> Process {
-        let log = self.folder.join(format!("{name}-{}.log", address.port()));
+        let log = self.directory.join(format!("{name}-{}.log", address.port()));
         Process {
             name: name.into(),
             address,
@@ -265,20 +267,20 @@
         self.processes.iter().find(|process| process.name == name).expect("one")
     }
 
-    fn its(&mut self, name: &str) -> &mut Process {
+    fn process_mut(&mut self, name: &str) -> &mut Process {
         self.processes.iter_mut().find(|process| process.name == name).expect("one")
     }
 
     pub fn start(&mut self, name: &str) {
-        self.its(name).start();
+        self.process_mut(name).start();
     }
 
     pub fn start_with(&mut self, name: &str, before: &str) {
-        self.its(name).start_with(before);
+        self.process_mut(name).start_with(before);
     }
 
     pub fn kill(&mut self, name: &str) {
-        self.its(name).kill();
+        self.process_mut(name).kill();
     }
 
     pub fn start_all(&mut self) {
@@ -289,14 +291,14 @@
         self.processes.iter_mut().for_each(|process| process.kill());
     }
 
-    pub fn empty_disk(&mut self, name: &str) {
-        std::fs::remove_file(self.folder.join(format!("{name}.redb"))).expect("a disk");
+    pub fn delete_store(&mut self, name: &str) {
+        std::fs::remove_file(self.directory.join(format!("{name}.redb"))).expect("a disk");
     }
 
-    /// How a process ended by itself, and what it had said.
-    pub fn ended(&mut self, name: &str) -> (Option<i32>, String) {
-        let process = self.its(name);
-        let code = wait("the end", || process.child.borrow_mut().as_mut()?.try_wait().ok()?).code();
+    /// Waits until a process exits by itself; returns its exit code and its log.
+    pub fn wait_exit(&mut self, name: &str) -> (Option<i32>, String) {
+        let process = self.process_mut(name);
+        let code = wait_until("the exit", || process.child.borrow_mut().as_mut()?.try_wait().ok()?).code();
         process.child.borrow_mut().take();
         (code, std::fs::read_to_string(&process.log).unwrap_or_default())
     }
@@ -307,71 +309,76 @@
     }
 
     pub fn leader(&self) -> &Process {
-        self.leader_but("")
+        self.leader_other_than("")
     }
 
-    /// The process that leads, and is not that one.
-    pub fn leader_but(&self, other: &str) -> &Process {
+    /// Waits until a process other than the named one is the leader, and returns it.
+    pub fn leader_other_than(&self, other: &str) -> &Process {
         let client = self.client();
-        wait("a leader", || {
+        wait_until("a leader", || {
             self.processes.iter().filter(|process| process.name != other).find(|process| {
-                matches!(client.only(process.address).once(&Request::Status),
-                    Some(Response::Status(stand, _)) if stand.leader == stand.node_id)
+                matches!(client.restricted_to(process.address).call_once(&Request::Status),
+                    Some(Response::Status(status, _)) if status.leader == status.node_id)
             })
         })
     }
 
-    fn council_list(&self) -> String {
+    fn coordinator_addresses(&self) -> String {
         let list: Vec<String> =
             self.processes.iter().map(|process| format!("\"{}\"", process.address)).collect();
         list.join(", ")
     }
 
-    /// An agent that takes part, started.
+    /// Starts an agent that is a member of the fleet.
     pub fn agent(&self, name: &str, site: &str) -> Process {
-        let council = self.council_list();
+        let council = self.coordinator_addresses();
         let part = format!(
             "[fleet]\nname = \"gulf\"\nmember = \"{name}\"\nsite = \"{site}\"\ncouncil = [{council}]\n"
         );
-        self.alone(name, &part)
+        self.standalone_agent(name, &part)
     }
 
-    /// An agent that takes part and sends to these servers, started; and where its clients call.
-    pub fn agent_of(&self, name: &str, site: &str, servers: &[(&str, SocketAddr)]) -> (Process, SocketAddr) {
-        let council = self.council_list();
+    /// Starts an agent that is a member of the fleet and sends to these servers; also returns the address of its front.
+    pub fn agent_with_servers(
+        &self,
+        name: &str,
+        site: &str,
+        servers: &[(&str, SocketAddr)],
+    ) -> (Process, SocketAddr) {
+        let council = self.coordinator_addresses();
         let part = format!(
             "[fleet]\nname = \"gulf\"\nmember = \"{name}\"\nsite = \"{site}\"\ncouncil = [{council}]\n"
         );
-        let front = free();
+        let front = free_address();
         let servers: Vec<String> =
             servers.iter().map(|(n, a)| format!("{{ name = \"{n}\", address = \"{a}\" }}")).collect();
-        (self.with(name, &part, front, &servers.join(", ")), front)
+        (self.start_agent(name, &part, front, &servers.join(", ")), front)
     }
 
-    /// An agent of this project's own file, started, with more in the file.
-    pub fn alone(&self, name: &str, more: &str) -> Process {
-        let server = format!("{{ name = \"s1\", address = \"{}\" }}", free());
-        self.with(name, more, free(), &server)
+    /// Starts an agent with a configuration file of this project's format, to which `more` is appended.
+    pub fn standalone_agent(&self, name: &str, more: &str) -> Process {
+        let server = format!("{{ name = \"s1\", address = \"{}\" }}", free_address());
+        self.start_agent(name, more, free_address(), &server)
     }
 
-    fn with(&self, name: &str, more: &str, front: SocketAddr, servers: &str) -> Process {
-        let ops = free();
+    fn start_agent(&self, name: &str, more: &str, front: SocketAddr, servers: &str) -> Process {
+        let ops = free_address();
         let text = format!(
             "[ops]\nlisten = \"{ops}\"\n[[class]]\nname = \"lookup\"\neffect = \"idempotent\"\naim_ms = 200\ndeadline_ms = 1000\n\
              [[pool]]\nname = \"records\"\nmembership = \"static\"\nserver = [{servers}]\n\
              [[front]]\nname = \"desk\"\nlisten = \"{front}\"\n{more}"
         );
-        let file = self.folder.join(format!("{name}-{}.toml", ops.port()));
+        let file = self.directory.join(format!("{name}-{}.toml", ops.port()));
         std::fs::write(&file, text).expect("written");
         let arguments = vec!["run".into(), "--config".into(), file.to_string_lossy().into()];
-        let mut process = self.made(name, ops, arguments, self.apart());
+        let mut process = self.new_process(name, ops, arguments, self.environment());
         process.start();
         process
     }
 
-    /// The platform's agent, with more in its file.
-    pub fn platform(&self, more: &str) -> Process {
-        let (front, ops) = (free(), free());
+    /// Starts an agent with a configuration file of the platform's format, which begins with `more`.
+    pub fn platform_agent(&self, more: &str) -> Process {
+        let (front, ops) = (free_address(), free_address());
         let text = format!(
             "{{{more}\"listen\":\"{front}\",\"ops\":\"{ops}\",\"discovery\":\"127.0.0.1:9\",\
              \"known\":{{\"rev\":1,\"all\":true,\"targets\":[{{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\
@@ -379,54 +386,54 @@
              \"settings\":{{\"zones\":[\"a\"],\"kinds\":[\"m\"],\"discovery\":\"on_request\",\"classes\":[\
              {{\"name\":\"read\",\"effect\":\"idempotent\",\"aimMs\":200,\"deadlineMs\":1000}}]}}}}"
         );
-        let file = self.folder.join(format!("platform-{}.json", ops.port()));
+        let file = self.directory.join(format!("platform-{}.json", ops.port()));
         std::fs::write(&file, text).expect("written");
-        let mut variables = self.apart();
+        let mut variables = self.environment();
         variables.push(("LB_CONFIG".into(), file.to_string_lossy().into()));
-        let mut process = self.made("platform", ops, Vec::new(), variables);
+        let mut process = self.new_process("platform", ops, Vec::new(), variables);
         process.start();
         process
     }
 
-    /// Where processes of one agent find each other is this fleet's own.
-    fn apart(&self) -> Vec<(String, String)> {
-        vec![("TMPDIR".into(), self.folder.to_string_lossy().into())]
+    /// Returns the environment variable by which the processes of an agent find each other only within this fleet.
+    fn environment(&self) -> Vec<(String, String)> {
+        vec![("TMPDIR".into(), self.directory.to_string_lossy().into())]
     }
 
-    /// An operator's command: its exit code, -1 if it was killed, and what it said.
-    pub fn tool(&self, words: &[&str]) -> (i32, String) {
+    /// Runs an operators' command; returns its exit code, or -1 if it was killed, and its output.
+    pub fn run(&self, arguments: &[&str]) -> (i32, String) {
         let list: Vec<String> = self.processes.iter().map(|process| process.address.to_string()).collect();
-        let depth = if words[0] == "hold" { 1 } else { 2 };
+        let depth = if arguments[0] == "hold" { 1 } else { 2 };
         let done = std::process::Command::new(PROGRAM)
-            .args(&words[..depth])
+            .args(&arguments[..depth])
             .args(["--council", &list.join(","), "--fleet", "gulf"])
-            .args(&words[depth..])
+            .args(&arguments[depth..])
             .stdin(Stdio::null())
             .output()
             .expect("run");
-        let said = [done.stdout, done.stderr].concat();
-        (done.status.code().unwrap_or(-1), String::from_utf8_lossy(&said).into())
+        let output = [done.stdout, done.stderr].concat();
+        (done.status.code().unwrap_or(-1), String::from_utf8_lossy(&output).into())
     }
 }
 
-/// Somebody who asks the council.
+/// A client of the coordination service.
 pub struct Client {
     pub fleet: String,
     addresses: Vec<SocketAddr>,
     at: usize,
     session: Option<u64>,
-    /// That of the last command.
+    /// The number of the last command.
     pub number: u64,
 }
 
 impl Client {
-    /// The same, who asks only there.
-    pub fn only(&self, address: SocketAddr) -> Client {
+    /// Returns a client of the same fleet that calls only the process at this address.
+    pub fn restricted_to(&self, address: SocketAddr) -> Client {
         Client { fleet: self.fleet.clone(), addresses: vec![address], at: 0, session: None, number: 0 }
     }
 
-    /// One call to the process whose turn it is.
-    pub fn once(&mut self, request: &Request) -> Option<Response> {
+    /// Calls the current process once.
+    pub fn call_once(&mut self, request: &Request) -> Option<Response> {
         let envelope = Envelope {
             fleet: self.fleet.clone(),
             protocol: PROTOCOL,
@@ -437,21 +444,21 @@
         let body = serde_json::json!({ "envelope": envelope, "request": request }).to_string();
         let address = self.addresses[self.at % self.addresses.len()];
         let (status, body) = post(address, "/v1/ask", body.as_bytes());
-        (status == 200).then(|| serde_json::from_slice(&body).expect("an answer"))
+        (status == 200).then(|| serde_json::from_slice(&body).expect("a response"))
     }
 
-    fn settles(response: &Response) -> bool {
+    fn is_conclusive(response: &Response) -> bool {
         !matches!(
             response,
             Response::Refused(Refusal::NotLeader { .. } | Refusal::Unknown | Refusal::NotFormed(_))
         )
     }
 
-    /// Up to so many calls, one process after the other; the first answer that settles it.
-    pub fn try_for(&mut self, calls: usize, request: &Request) -> Option<Response> {
+    /// Calls one process after the other, at most `calls` times; returns the first conclusive response.
+    pub fn try_calls(&mut self, calls: usize, request: &Request) -> Option<Response> {
         for _ in 0..calls {
-            match self.once(request) {
-                Some(response) if Client::settles(&response) => return Some(response),
+            match self.call_once(request) {
+                Some(response) if Client::is_conclusive(&response) => return Some(response),
                 _ => self.at += 1,
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -459,15 +466,15 @@
         None
     }
 
-    /// Asks until an answer settles it.
-    pub fn settled(&mut self, request: &Request) -> Response {
-        wait("an answer", || self.try_for(1, request))
+    /// Calls until there is a conclusive response.
+    pub fn call(&mut self, request: &Request) -> Response {
+        wait_until("a response", || self.try_calls(1, request))
     }
 
     pub fn session(&mut self) -> u64 {
         if self.session.is_none() {
             match self
-                .settled(&Request::Command(CommandRequest { session: None, command: Command::OpenSession }))
+                .call(&Request::Command(CommandRequest { session: None, command: Command::OpenSession }))
             {
                 Response::Reply(CommandResult::SessionOpened(session), _) => self.session = Some(session),
                 other => panic!("no session: {other:?}"),
@@ -476,64 +483,64 @@
         self.session.expect("one")
     }
 
-    /// A command is carried out, once.
-    pub fn done(&mut self, command: Command) {
+    /// Executes a command, exactly once.
+    pub fn execute(&mut self, command: Command) {
         self.number += 1;
         let session = Some((self.session(), self.number));
-        let reply = self.settled(&Request::Command(CommandRequest { session, command }));
+        let reply = self.call(&Request::Command(CommandRequest { session, command }));
         assert!(matches!(reply, Response::Reply(CommandResult::Done(_), _)), "{reply:?}");
     }
 
     pub fn read(&mut self, prefix: &str) -> View {
-        match self.settled(&Request::Read { stale: false, prefix: prefix.into(), members: true }) {
+        match self.call(&Request::Read { stale: false, prefix: prefix.into(), members: true }) {
             Response::Read(view) => view,
             other => panic!("{other:?}"),
         }
     }
 
-    /// The incarnation of a member, once it is living and ready.
-    pub fn living(&mut self, name: &str) -> u64 {
-        wait("a member", || {
+    /// Waits until a member is living and ready, and returns its incarnation.
+    pub fn wait_living(&mut self, name: &str) -> u64 {
+        wait_until("a member", || {
             let member = self.read("").members.get(name)?.clone();
             (member.status == MemberStatus::Living && member.ready).then_some(member.incarnation)
         })
     }
 }
 
-/// A record server: answers each request, and keeps when the last byte of each came.
+/// A record server, which responds to each request and records when each request's head arrived.
 pub struct Server {
     pub address: SocketAddr,
-    heard: Arc<Mutex<Vec<Instant>>>,
+    arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl Server {
     pub fn start() -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let (address, heard) = (listener.local_addr().expect("one"), Arc::new(Mutex::new(Vec::new())));
-        let notes = Arc::clone(&heard);
+        let (address, arrivals) = (listener.local_addr().expect("one"), Arc::new(Mutex::new(Vec::new())));
+        let shared_arrivals = Arc::clone(&arrivals);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let notes = Arc::clone(&notes);
-                std::thread::spawn(move || serve(stream, &notes));
+                let shared_arrivals = Arc::clone(&shared_arrivals);
+                std::thread::spawn(move || serve(stream, &shared_arrivals));
             }
         });
-        Server { address, heard }
+        Server { address, arrivals }
     }
 
-    /// Requests so far.
+    /// Returns the number of requests so far.
     pub fn count(&self) -> usize {
-        self.heard.lock().expect("whole").len()
+        self.arrivals.lock().expect("not poisoned").len()
     }
 }
 
-fn serve(mut stream: TcpStream, notes: &Mutex<Vec<Instant>>) {
+fn serve(mut stream: TcpStream, arrivals: &Mutex<Vec<Instant>>) {
     let mut head = Vec::new();
     let mut byte = [0];
     while matches!(stream.read(&mut byte), Ok(1)) {
         head.push(byte[0]);
         if head.ends_with(b"\r\n\r\n") {
             head.clear();
-            notes.lock().expect("whole").push(Instant::now());
+            arrivals.lock().expect("not poisoned").push(Instant::now());
             if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err() {
                 return;
             }
@@ -541,7 +548,7 @@
     }
 }
 
-/// One client's request of a lookup; the status of its answer.
+/// Sends a client's lookup request; returns the status of the response.
 pub fn lookup(front: SocketAddr, id: usize) -> Option<u16> {
     let mut stream = TcpStream::connect(front).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
@@ -550,7 +557,7 @@
          X-Caller: courts\r\nX-Budget-Ms: 1000\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).ok()?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).ok()?;
-    answer.split(' ').nth(1)?.parse().ok()
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    response.split(' ').nth(1)?.parse().ok()
 }
