--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -372,7 +372,7 @@
             "{}, {} mode: {} council processes, {} agents, {} s of faults",
             plan.name,
             if how.real { "real" } else { "virtual" },
-            plan.council,
+            plan.coordinators,
             plan.agents,
             plan.duration / 1_000_000
         ));
--- a/crates/lab/src/processes/cluster.rs
+++ b/crates/lab/src/processes/cluster.rs
@@ -306,7 +306,7 @@
         std::fs::create_dir_all(folder).map_err(fault)?;
         let links = Links::default();
         let (mut listens, mut proxies) = (Vec::new(), Vec::new());
-        for n in 0..plan.council {
+        for n in 0..plan.coordinators {
             let listen = free().await.map_err(fault)?;
             proxies.push(links.before(&format!("c{n}"), listen).await.map_err(fault)?);
             listens.push(listen);
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -17,7 +17,7 @@
     /// How long faults come; then all is healed, and everything must come right.
     pub duration: Micros,
     /// Council processes.
-    pub council: usize,
+    pub coordinators: usize,
     /// Of leases.
     pub terms: LeaseTerms,
     /// How often a council process is given a tick.
@@ -313,7 +313,7 @@
     Some(Plan {
         name: name?,
         duration: length?,
-        council: council?,
+        coordinators: council?,
         terms: LeaseTerms { duration: term?, max_clock_drift: drift? },
         tick: tick?.max(1000),
         log_entries: log_entries?,
--- a/crates/lab/src/processes/world/askers.rs
+++ b/crates/lab/src/processes/world/askers.rs
@@ -38,7 +38,7 @@
         let pause = match &response {
             Some(Response::Refused(Refusal::NotLeader { leader })) => {
                 let leader = leader.as_ref().and_then(|peer| peer.name.strip_prefix('c')?.parse().ok());
-                Some(asker.caller.record_redirect(leader.filter(|at| *at < plan.council), draw))
+                Some(asker.caller.record_redirect(leader.filter(|at| *at < plan.coordinators), draw))
             }
             None
             | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::LimitExceeded(_))) => {
--- a/crates/lab/src/processes/world/faults.rs
+++ b/crates/lab/src/processes/world/faults.rs
@@ -217,7 +217,7 @@
     pub(super) fn begin(&mut self, fault: &Listed) {
         self.outcome.faults += 1;
         let length = fault.length;
-        let council = self.plan.council;
+        let council = self.plan.coordinators;
         let up = |process: &Process| process.life == Life::Up;
         let named = fault.who.as_deref().and_then(|who| self.named(who));
         let is_council =
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/world/mod.rs
@@ -314,7 +314,7 @@
             out: BTreeMap::new(),
             outcome,
         };
-        let peers: BTreeMap<u64, Peer> = (0..plan.council)
+        let peers: BTreeMap<u64, Peer> = (0..plan.coordinators)
             .map(|n| {
                 (world.rng.random_range(1..u64::MAX), Peer { name: format!("c{n}"), address: String::new() })
             })
@@ -328,7 +328,7 @@
             let at = world.add(&peer.name, "", council, Life::Down);
             world.numbers.insert(number, at);
         }
-        for at in 0..plan.council {
+        for at in 0..plan.coordinators {
             world.start(at);
         }
         world.add("warden", "", Role::Warden { wanted: Vec::new() }, Life::Up);
@@ -402,7 +402,7 @@
             _ => 1.0 + drift * self.rng.random_range(-1.0..=1.0),
         };
         let clock = Clock { offset: self.rng.random_range(0..1_000_000_000_000), rate };
-        let council = self.plan.council;
+        let council = self.plan.coordinators;
         let mut asker =
             || Asker { caller: RetrySchedule::new(council, self.rng.random()), out: None, due: 0 };
         let askers = [(); ASKERS].map(|()| asker());
