--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -34,8 +34,8 @@
 pub enum Outcome {
     /// With a record server's answer.
     Served,
-    /// Told to come again.
-    Refused,
+    /// Rejected with the promise that it had no effect.
+    Rejected,
     /// In any other way.
     Failed,
 }
@@ -54,7 +54,7 @@
     pub fn record(&self, outcome: Outcome) {
         match outcome {
             Outcome::Served => self.served.increment(),
-            Outcome::Refused => self.refused.increment(),
+            Outcome::Rejected => self.refused.increment(),
             Outcome::Failed => self.failed.increment(),
         }
     }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -534,7 +534,7 @@
         if let Some(since) = since.get() {
             let outcome = match &response {
                 FinalResponse::Success(_) => Outcome::Served,
-                FinalResponse::Rejected(_) => Outcome::Refused,
+                FinalResponse::Rejected(_) => Outcome::Rejected,
                 FinalResponse::Failed
                 | FinalResponse::DeadlineExceeded
                 | FinalResponse::IncompleteRequest => Outcome::Failed,
@@ -700,7 +700,7 @@
 fn outcome_of(status: StatusCode) -> Outcome {
     match status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Refused,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Rejected,
         _ => Outcome::Failed,
     }
 }
