--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -12,7 +12,7 @@
 use heronhoist_decision::{DialectId, Outcome, ServerId};
 use heronhoist_engine::timing::{catch_up, sleep_until_caught_up, timeout, timeout_at};
 use heronhoist_engine::{Gate, Incarnation, QuotaShare, Reservation, StreamingBody, Upstream};
-use heronhoist_translate::wire::trouble::is_refusal;
+use heronhoist_translate::wire::error_response::is_rejection;
 use heronhoist_translate::Mapping;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -414,7 +414,7 @@
         let report = head.headers.get("x-load-report").and_then(|v| self.report(v.as_bytes()));
         let turned_away = match dialect {
             OLD if head.status != StatusCode::OK => {
-                ended && is_refusal(head.status.as_u16(), &concat_chunks(begun.iter().cloned(), held))
+                ended && is_rejection(head.status.as_u16(), &concat_chunks(begun.iter().cloned(), held))
             }
             _ => head.headers.get("x-rejected").is_some_and(|v| v == "1"),
         };
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -11,7 +11,7 @@
 use heronhoist_engine::NewRequest;
 use heronhoist_translate::mapping::Form;
 use heronhoist_translate::mixed::{self, Plan};
-use heronhoist_translate::wire::trouble::{Told, Trouble};
+use heronhoist_translate::wire::error_response::{ErrorResponse, RequestFailure};
 use heronhoist_translate::{Limits, Mapping, Mappings, Notice, Part};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
@@ -53,12 +53,12 @@
 }
 
 /// An error as a response in the client's form.
-pub fn error_response(mapping: &Mapping, error: &Trouble) -> Told {
-    error.tell(mapping.old.answers)
+pub fn error_response(mapping: &Mapping, error: &RequestFailure) -> ErrorResponse {
+    error.to_response(mapping.old.answers)
 }
 
-fn bad_request(reason: impl Into<String>) -> Trouble {
-    Trouble::Wrong(reason.into())
+fn bad_request(reason: impl Into<String>) -> RequestFailure {
+    RequestFailure::BadRequest(reason.into())
 }
 
 /// Validates the head of a request, and finds its mapping.
@@ -67,12 +67,15 @@
     catalogue: &Catalogue,
     connection: &ClientConnection,
     request: Request<Incoming>,
-) -> Result<ReceivedRequest, Told> {
+) -> Result<ReceivedRequest, ErrorResponse> {
     let (head, body) = request.into_parts();
     let framing = connection.framing();
     let found = mappings.find(head.method.as_str(), head.uri.path()).map(Rc::clone);
     let checked = match (found, framing) {
-        (None, _) => Err(Told { status: 404, ..bad_request("No such request is known.").tell(Form::Form) }),
+        (None, _) => Err(ErrorResponse {
+            status: 404,
+            ..bad_request("No such request is known.").to_response(Form::Form)
+        }),
         (Some(mapping), Some(framing)) if framing.is_clear() => match check_headers(&mapping, &head) {
             Ok(()) => Ok(mapping),
             Err(error) => Err(error_response(&mapping, &error)),
@@ -87,7 +90,7 @@
             Err(match other {
                 Err(response) => response,
                 Ok((_, mapping)) => {
-                    error_response(&mapping, &Trouble::Failed("Its class is not served.".into()))
+                    error_response(&mapping, &RequestFailure::Failed("Its class is not served.".into()))
                 }
             })
         }
@@ -95,7 +98,7 @@
 }
 
 /// Fails unless the media type and the character set are those of the mapping. A legacy client may omit both.
-fn check_headers(mapping: &Mapping, head: &Parts) -> Result<(), Trouble> {
+fn check_headers(mapping: &Mapping, head: &Parts) -> Result<(), RequestFailure> {
     let old = &mapping.old;
     let header = |name: &str| head.headers.get(name).map(|value| value.to_str().unwrap_or("?"));
     if let Some(content_type) = header("content-type").filter(|_| head.method != Method::GET) {
@@ -128,15 +131,16 @@
     connection: &ClientConnection,
     pool: &HttpPool,
     request: ReceivedRequest,
-) -> Result<Translated, Trouble> {
+) -> Result<Translated, RequestFailure> {
     let ReceivedRequest { mapping, class, head, body } = request;
-    let too_large = || Trouble::TooLarge(format!("{MAX_BUFFERED_BYTES} bytes at most are translated."));
+    let too_large =
+        || RequestFailure::TooLarge(format!("{MAX_BUFFERED_BYTES} bytes at most are translated."));
     let stated = body.size_hint().exact();
     if stated.is_some_and(|bytes| bytes > MAX_BUFFERED_BYTES as u64) {
         discard_body(body);
         return Err(too_large());
     }
-    let no_memory = || Trouble::Refused(pool.body_retry_after().map(Into::into));
+    let no_memory = || RequestFailure::Rejected(pool.body_retry_after().map(Into::into));
     let Some(reservation) =
         pool.bodies.try_reserve(stated.map_or(MAX_BUFFERED_BYTES, |bytes| bytes as usize))
     else {
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -21,7 +21,7 @@
 use heronhoist_engine::timing::{catch_up, heartbeat, timeout, HEARTBEAT_INTERVAL};
 use heronhoist_engine::{FinalResponse, NewRequest, Rejection, Reservation};
 use heronhoist_routing::{Attributes, Table};
-use heronhoist_translate::wire::trouble::{Told, Trouble};
+use heronhoist_translate::wire::error_response::{ErrorResponse, RequestFailure};
 use heronhoist_translate::{Mapping, Mappings, Notice, Side};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -420,17 +420,18 @@
             Err(error) => return with_close(legacy_response(error)),
         };
         let mapping = Rc::clone(&received.mapping);
-        let error_response = |error: &Trouble| legacy_response(legacy::error_response(&mapping, error));
+        let error_response =
+            |error: &RequestFailure| legacy_response(legacy::error_response(&mapping, error));
         let received_class = Rc::clone(&received.class);
         let Some(pool) = plan.legacy_pool(front, &received) else {
             received.discard();
             received_class.counters.record(Outcome::Failed);
-            return with_close(error_response(&Trouble::Failed("No route leads from here.".into())));
+            return with_close(error_response(&RequestFailure::Failed("No route leads from here.".into())));
         };
         let translated = match legacy::translate(&plan.catalogue, connection, &pool, received).await {
             Ok(translated) => translated,
             Err(error) => {
-                if !matches!(error, Trouble::Refused(_)) {
+                if !matches!(error, RequestFailure::Rejected(_)) {
                     self.metrics.record_untranslated(&mapping.name);
                 }
                 let response = error_response(&error);
@@ -442,20 +443,20 @@
         let latency = pool.latency(&self.metrics, &class.name);
         let submitted = self.submit(connection, &pool, (&class.name, &latency), new_request).await;
         let result = match submitted {
-            Err(rejection) => Err(Trouble::Refused(pool.retry_after(rejection).map(Into::into))),
+            Err(rejection) => Err(RequestFailure::Rejected(pool.retry_after(rejection).map(Into::into))),
             // A server of the old dialect responds in the client's own form.
             Ok((FinalResponse::Success(response), in_flight)) if response.dialect == OLD => {
                 Ok((forwarded_response(connection, response, in_flight), Vec::new()))
             }
             Ok((FinalResponse::Success(response), _)) => {
-                self.translate_response(&mapping, Side::New, response).map_err(Trouble::Failed)
+                self.translate_response(&mapping, Side::New, response).map_err(RequestFailure::Failed)
             }
             Ok((FinalResponse::Rejected(retry_after), _)) => {
-                Err(Trouble::Refused(retry_after.map(Into::into)))
+                Err(RequestFailure::Rejected(retry_after.map(Into::into)))
             }
-            Ok((FinalResponse::DeadlineExceeded, _)) => Err(Trouble::Failed("Its time is up.".into())),
+            Ok((FinalResponse::DeadlineExceeded, _)) => Err(RequestFailure::Failed("Its time is up.".into())),
             Ok((FinalResponse::Failed | FinalResponse::IncompleteRequest, _)) => {
-                Err(Trouble::Failed(String::new()))
+                Err(RequestFailure::Failed(String::new()))
             }
         };
         let mut response = match result {
@@ -722,7 +723,7 @@
 }
 
 /// An error response in a legacy client's form.
-fn legacy_response(error: Told) -> Response<ClientBody> {
+fn legacy_response(error: ErrorResponse) -> Response<ClientBody> {
     let mut response = Response::new(ClientBody::Buffered(Full::new(error.body.into()), None));
     *response.status_mut() = StatusCode::from_u16(error.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(error.content_type));
--- a/crates/translate/src/wire/trouble.rs
+++ b/crates/translate/src/wire/error_response.rs
@@ -8,20 +8,20 @@
 
 /// Why a request gets no answer of a server's.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Trouble {
+pub enum RequestFailure {
     /// The client sent what can't be read or translated; the same again will not be either.
-    Wrong(String),
+    BadRequest(String),
     /// More than is taken.
     TooLarge(String),
     /// It did not run and may be sent again, after this long where that is known.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// It may have run.
     Failed(String),
 }
 
 /// An answer over HTTP.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct ErrorResponse {
     /// The status code.
     pub status: u16,
     /// The `Content-Type`.
@@ -32,13 +32,17 @@
     pub body: Vec<u8>,
 }
 
-impl Trouble {
+impl RequestFailure {
     fn parts(&self) -> (u16, &'static str, String) {
         match self {
-            Trouble::Wrong(why) => (400, "Request not understood", why.clone()),
-            Trouble::TooLarge(why) => (413, "Request too large", why.clone()),
-            Trouble::Refused(_) => (503, "Refused", "It did not run; trying again is harmless.".into()),
-            Trouble::Failed(why) => (502, "Failed", format!("It may have run. {why}").trim_end().to_owned()),
+            RequestFailure::BadRequest(why) => (400, "Request not understood", why.clone()),
+            RequestFailure::TooLarge(why) => (413, "Request too large", why.clone()),
+            RequestFailure::Rejected(_) => {
+                (503, "Refused", "It did not run; trying again is harmless.".into())
+            }
+            RequestFailure::Failed(why) => {
+                (502, "Failed", format!("It may have run. {why}").trim_end().to_owned())
+            }
         }
     }
 
@@ -46,10 +50,12 @@
     ///
     /// SOAP 1.1 (6.2) asks for status 500 with the Fault of a request that was processed; one that was refused or too
     /// large was not, and keeps its own status so that the client may tell.
-    pub fn tell(&self, form: Form) -> Told {
+    pub fn to_response(&self, form: Form) -> ErrorResponse {
         let (status, title, detail) = self.parts();
         let retry_after = match self {
-            Trouble::Refused(Some(after)) => Some(after.as_secs() + u64::from(after.subsec_nanos() > 0)),
+            RequestFailure::Rejected(Some(after)) => {
+                Some(after.as_secs() + u64::from(after.subsec_nanos() > 0))
+            }
             _ => None,
         };
         let (status, content_type, body) = match form {
@@ -65,13 +71,13 @@
             }
             Form::Soap => {
                 let code = match self {
-                    Trouble::Wrong(_) | Trouble::TooLarge(_) => "Client",
-                    Trouble::Refused(_) => "Server.Busy",
-                    Trouble::Failed(_) => "Server",
+                    RequestFailure::BadRequest(_) | RequestFailure::TooLarge(_) => "Client",
+                    RequestFailure::Rejected(_) => "Server.Busy",
+                    RequestFailure::Failed(_) => "Server",
                 };
                 let status = match self {
-                    Trouble::Wrong(_) | Trouble::Failed(_) => 500,
-                    Trouble::TooLarge(_) | Trouble::Refused(_) => status,
+                    RequestFailure::BadRequest(_) | RequestFailure::Failed(_) => 500,
+                    RequestFailure::TooLarge(_) | RequestFailure::Rejected(_) => status,
                 };
                 let after = retry_after.map(|s| ("retryAfterSeconds", s.to_string()));
                 (status, "text/xml; charset=utf-8", soap::fault(code, &format!("{title}: {detail}"), after))
@@ -82,13 +88,13 @@
                 (status, "text/plain; charset=us-ascii", format!("{word}\r\n{}\r\n{more}", ascii(&detail)))
             }
         };
-        Told { status, content_type, retry_after, body: body.into_bytes() }
+        ErrorResponse { status, content_type, retry_after, body: body.into_bytes() }
     }
 }
 
 /// Whether an old server's answer says that it turned the request away unseen: status 503 with the first line of a refusal
 /// in text, or with the fault code of one in SOAP. Anything else may have run.
-pub fn is_refusal(status: u16, body: &[u8]) -> bool {
+pub fn is_rejection(status: u16, body: &[u8]) -> bool {
     if status != 503 {
         return false;
     }
