--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -12,7 +12,7 @@
 use heronhoist_decision::{DialectId, Outcome, ServerId};
 use heronhoist_engine::timing::{catch_up, sleep_until_caught_up, timeout, timeout_at};
 use heronhoist_engine::{Gate, Incarnation, QuotaShare, Reservation, StreamingBody, Upstream};
-use heronhoist_translate::wire::trouble::is_refusal;
+use heronhoist_translate::wire::error_response::is_rejection;
 use heronhoist_translate::Mapping;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -427,7 +427,7 @@
         let is_rejection = match dialect {
             OLD if head.status != StatusCode::OK => {
                 is_complete
-                    && is_refusal(
+                    && is_rejection(
                         head.status.as_u16(),
                         &concat_chunks(chunks.iter().cloned(), buffered_bytes),
                     )
