--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -378,7 +378,7 @@
             "{}, {} mode: {} council processes, {} agents, {} s of faults",
             plan.name,
             if arguments.real { "real" } else { "virtual" },
-            plan.council,
+            plan.coordinators,
             plan.agents,
             plan.duration / 1_000_000
         ));
