--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -12,7 +12,7 @@
 use heronhoist_translate::mapping::Form;
 use heronhoist_translate::mixed::{self, Plan};
 use heronhoist_translate::wire::error_response::{ErrorResponse, RequestFailure};
-use heronhoist_translate::{Limits, Mapping, Mappings, Notice, Part};
+use heronhoist_translate::{Limits, Mapping, Mappings, MessageKind, Notice};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
 use hyper::http::request::Parts;
@@ -164,7 +164,8 @@
         return Err(bad_request("a query has no body"));
     }
     let encoded = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
-    let message = mapping.old.decode(Part::Request, encoded, Limits::default()).map_err(bad_request)?;
+    let message =
+        mapping.old.decode(MessageKind::Request, encoded, Limits::default()).map_err(bad_request)?;
     let Plan { sides, other, notices, key } =
         mixed::from_old(&mapping, &message, dialect::sides(pool.engine_pool.serving_dialects()))
             .map_err(bad_request)?;
--- a/crates/agent/src/translate.rs
+++ b/crates/agent/src/translate.rs
@@ -1,7 +1,7 @@
 //! `heronhoist translate`: mapping files by hand.
 
 use clap::{Subcommand, ValueEnum};
-use heronhoist_translate::{explain, mapping, Mapping, Part, Side};
+use heronhoist_translate::{explain, mapping, Mapping, MessageKind, Side};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
@@ -63,17 +63,17 @@
         Command::Try { map, input, from, answer } => {
             let mapping = read(&map)?;
             let message = message(&input)?;
-            let part = if answer { Part::Answer } else { Part::Request };
+            let message_kind = if answer { MessageKind::Response } else { MessageKind::Request };
             let from = match from {
                 From::Old => Side::Old,
                 From::New => Side::New,
             };
             // An editor ends the last line; a query has none.
-            let message = match mapping.dialect(from).form(part) {
+            let message = match mapping.dialect(from).form(message_kind) {
                 mapping::Form::Form => message.trim_ascii_end(),
                 _ => &message,
             };
-            explain::trial(&mapping, part, from, message)
+            explain::trial(&mapping, message_kind, from, message)
                 .map_err(|why| TranslateError::Invalid(why.trim_end().to_owned()))
         }
     }
@@ -154,7 +154,13 @@
         }
         told += &format!("{}: sound, {name}, class {}\n", path.display(), mapping.class);
         for note in &mapping.notes {
-            told += &format!("  {} {} {}: {}\n", note.part.name(), note.from.name(), note.field, note.text);
+            told += &format!(
+                "  {} {} {}: {}\n",
+                note.message_kind.name(),
+                note.from.name(),
+                note.field,
+                note.text
+            );
         }
         names.push((name, path));
     }
--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -2,7 +2,7 @@
 //! to the byte with what reaches the other end. The translator under test is asked for nothing here but its keys.
 
 use heronhoist_translate::mixed::{self, Plan, Sides};
-use heronhoist_translate::{mapping, Limits, Mapping, Part, Side};
+use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
 use std::rc::Rc;
 
 /// The worked mappings of the classes, by which agents translate.
@@ -249,7 +249,7 @@
         let own = ExpectedExchange { number: call as u64 }.request(*kind, side).into_bytes();
         let plan = match side {
             Side::Old => {
-                let message = mapping.old.decode(Part::Request, &own, Limits::default()).ok()?;
+                let message = mapping.old.decode(MessageKind::Request, &own, Limits::default()).ok()?;
                 mixed::from_old(mapping, &message, serving).ok()?
             }
             Side::New => {
@@ -267,7 +267,7 @@
     fn key_of_old(&self, class: usize, call: usize) -> Option<String> {
         let (kind, mapping) = &self.classes[class];
         let old = ExpectedExchange { number: call as u64 }.request(*kind, Side::Old);
-        mapping.key(&mapping.old.decode(Part::Request, old.as_bytes(), Limits::default()).ok()?)
+        mapping.key(&mapping.old.decode(MessageKind::Request, old.as_bytes(), Limits::default()).ok()?)
     }
 
     /// What a server that speaks `side` tells repeats of this request by, whoever sent it; it reads old ones itself.
@@ -275,7 +275,9 @@
         let mapping = &self.classes[class].1;
         match side {
             Side::New => key.map(str::to_owned),
-            Side::Old => mapping.key(&mapping.old.decode(Part::Request, said, Limits::default()).ok()?),
+            Side::Old => {
+                mapping.key(&mapping.old.decode(MessageKind::Request, said, Limits::default()).ok()?)
+            }
         }
     }
 
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -5,7 +5,7 @@
 use crate::convert::{Cast, Condition, Rule};
 use crate::field::{Clock, ClockForm, Field, Fold, Grain, Kind, Value};
 use crate::file::{self, line_of, Cut, File, Function, Policy, Replace};
-use crate::mapping::{Dialect, Fault, Form, Key, Mapping, Note, Part, Side};
+use crate::mapping::{Dialect, Fault, Form, Key, Mapping, MessageKind, Note, Side};
 use crate::units::{self, Rounding};
 use crate::wire::table::Shape;
 use jiff::tz::TimeZone;
@@ -29,13 +29,19 @@
         compiler.fault(&file.name, "name", NAME);
     }
     let charsets = (old.charset, new.charset);
-    let mut rules = |part: Part, rules: &[file::Rule]| {
-        let sides = Sides { part, old: old.fields(part), new: new.fields(part), charsets, above: ["", ""] };
+    let mut rules = |message_kind: MessageKind, rules: &[file::Rule]| {
+        let sides = Sides {
+            message_kind,
+            old: old.fields(message_kind),
+            new: new.fields(message_kind),
+            charsets,
+            above: ["", ""],
+        };
         let extensions = (old.extension.is_some(), new.extension.is_some());
         compiler.rules(&sides, rules, Some(extensions), &file.name)
     };
-    let request = rules(Part::Request, &file.request);
-    let answer = rules(Part::Answer, &file.answer);
+    let request = rules(MessageKind::Request, &file.request);
+    let answer = rules(MessageKind::Response, &file.answer);
     let key = file.key.as_ref().map(|key| {
         let places = key.old.iter().filter_map(|name| {
             let place = old.request.iter().position(|field| field.path == *name.get_ref());
@@ -74,7 +80,7 @@
 
 /// The fields that rules speak of.
 struct Sides<'a> {
-    part: Part,
+    message_kind: MessageKind,
     old: &'a [Field],
     new: &'a [Field],
     charsets: (Charset, Charset),
@@ -104,7 +110,7 @@
     }
 
     fn key(&self, side: Side, name: &str) -> String {
-        format!("{}.{}.{}{name}", self.part.name(), side.name(), self.above(side))
+        format!("{}.{}.{}{name}", self.message_kind.name(), side.name(), self.above(side))
     }
 }
 
@@ -136,7 +142,7 @@
 
     fn note(&mut self, sides: &Sides<'_>, from: Side, name: &str, text: impl Into<String>) {
         let field = format!("{}{name}", sides.above(from));
-        self.notes.push(Note { part: sides.part, field, from, text: text.into() });
+        self.notes.push(Note { message_kind: sides.message_kind, field, from, text: text.into() });
     }
 
     // ---- sides --------------------------------------------------------------------------------------------------
@@ -427,7 +433,7 @@
             let (Some(old), Some(new)) = (old, new) else { continue };
             let named = file.old.as_ref().or(file.new.as_ref()).and_then(|names| names.list().first());
             let Some(named) = named else {
-                self.fault(at, sides.part.name(), "a rule names an old field, a new one or both");
+                self.fault(at, sides.message_kind.name(), "a rule names an old field, a new one or both");
                 continue;
             };
             let rule = match (old.as_slice(), new.as_slice(), file.function) {
@@ -441,7 +447,7 @@
                 }
                 _ => {
                     let what = "one old field and one new one, or several old ones, one new one and function = \"join\"";
-                    self.fault(named, sides.part.name(), what);
+                    self.fault(named, sides.message_kind.name(), what);
                     None
                 }
             };
--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -3,7 +3,7 @@
 use crate::charset::Charset;
 use crate::field::{stray, Field, Kind, Value};
 use crate::file::{Cut, Function, Policy, Replace};
-use crate::mapping::{Mapping, Part, Side};
+use crate::mapping::{Mapping, MessageKind, Side};
 use crate::node::Node;
 use crate::units::{convert, Ratio, Rounding};
 use rust_decimal::Decimal;
@@ -113,21 +113,26 @@
 }
 
 impl Mapping {
-    pub(crate) fn rules(&self, part: Part) -> &[Rule] {
-        match part {
-            Part::Request => &self.request,
-            Part::Answer => &self.answer,
+    pub(crate) fn rules(&self, message_kind: MessageKind) -> &[Rule] {
+        match message_kind {
+            MessageKind::Request => &self.request,
+            MessageKind::Response => &self.answer,
         }
     }
 
     /// Turns a message of `from` into the other side's, whole or not at all.
-    pub fn convert(&self, part: Part, from: Side, message: &Node) -> Result<Converted, Refused> {
+    pub fn convert(
+        &self,
+        message_kind: MessageKind,
+        from: Side,
+        message: &Node,
+    ) -> Result<Converted, Refused> {
         let (source, target) = (self.dialect(from), self.dialect(from.other()));
-        let (had, wanted) = (source.fields(part), target.fields(part));
+        let (had, wanted) = (source.fields(message_kind), target.fields(message_kind));
         if let Some(name) = stray(message, had, source.extension.as_deref()) {
             return Err(Refused::new(from, name, "no such field"));
         }
-        let typing = source.form(part).typing();
+        let typing = source.form(message_kind).typing();
         let read =
             |field: &Field| field.read(message, typing).map_err(|why| Refused::new(from, &field.path, why));
         let values = had.iter().map(read).collect::<Result<Vec<_>, _>>()?;
@@ -140,7 +145,7 @@
             extension: source.extension.as_deref().and_then(|path| message.at(path)),
             restored: 0,
         };
-        let out = work.apply(self.rules(part), had, &values, wanted, "")?;
+        let out = work.apply(self.rules(message_kind), had, &values, wanted, "")?;
         let brought = match work.extension {
             Some(Node::Record(members)) => members.len(),
             None | Some(Node::Null) => 0,
@@ -151,7 +156,7 @@
             return Err(Refused::new(from, path, "it carries something that nothing stands for"));
         }
         let mut told = Node::record();
-        let typing = target.form(part).typing();
+        let typing = target.form(message_kind).typing();
         for (field, value) in wanted.iter().zip(&out) {
             match value {
                 Some(Value::Group(items)) if items.is_empty() && field.optional => {}
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -3,7 +3,7 @@
 use crate::convert::{Cast, Rule};
 use crate::field::{ClockForm, Field, Fold, Kind};
 use crate::file::{Cut, Function, Policy, Replace};
-use crate::mapping::{Dialect, Form, Mapping, Part, Side};
+use crate::mapping::{Dialect, Form, Mapping, MessageKind, Side};
 use crate::node::{Limits, Node};
 use std::fmt::Write;
 
@@ -30,15 +30,15 @@
             let _ = writeln!(out, "A request that lacks one of them is of class `{class}`.");
         }
     }
-    for part in [Part::Request, Part::Answer] {
-        let _ = writeln!(out, "\n## The {}\n\n| old | new | how |\n| --- | --- | --- |", part.name());
-        let (old, new) = (mapping.old.fields(part), mapping.new.fields(part));
-        rows(mapping.rules(part), old, new, "", &mut out);
+    for message_kind in [MessageKind::Request, MessageKind::Response] {
+        let _ = writeln!(out, "\n## The {}\n\n| old | new | how |\n| --- | --- | --- |", message_kind.name());
+        let (old, new) = (mapping.old.fields(message_kind), mapping.new.fields(message_kind));
+        rows(mapping.rules(message_kind), old, new, "", &mut out);
     }
     let _ = writeln!(out, "\n## What does not come back as it went\n");
     for note in &mapping.notes {
-        let (part, side) = (note.part.name(), note.from.name());
-        let _ = writeln!(out, "- {part}, {side} `{}`: {}", note.field, cell(&note.text));
+        let (message_kind, side) = (note.message_kind.name(), note.from.name());
+        let _ = writeln!(out, "- {message_kind}, {side} `{}`: {}", note.field, cell(&note.text));
     }
     if mapping.notes.is_empty() {
         out.push_str("Nothing.\n");
@@ -158,14 +158,19 @@
 }
 
 /// One message by hand: what becomes of each field, and the other side's message.
-pub fn trial(mapping: &Mapping, part: Part, from: Side, bytes: &[u8]) -> Result<String, String> {
+pub fn trial(
+    mapping: &Mapping,
+    message_kind: MessageKind,
+    from: Side,
+    bytes: &[u8],
+) -> Result<String, String> {
     let (source, target) = (mapping.dialect(from), mapping.dialect(from.other()));
-    let message = source.decode(part, bytes, Limits::default())?;
+    let message = source.decode(message_kind, bytes, Limits::default())?;
     let mut told = String::new();
-    let done = mapping.convert(part, from, &message);
+    let done = mapping.convert(message_kind, from, &message);
     let result = done.as_ref().ok().map(|done| &done.message);
     let mut lines: Vec<[String; 3]> = Vec::new();
-    for rule in mapping.rules(part) {
+    for rule in mapping.rules(message_kind) {
         let (olds, new) = match rule {
             Rule::Pair { old, new, .. } => (vec![*old], Some(*new)),
             Rule::Join { old, new, .. } => (old.clone(), Some(*new)),
@@ -174,7 +179,7 @@
         };
         let side = |side: Side, places: &[usize]| -> String {
             let shown = |&at: &usize| {
-                let field = &mapping.dialect(side).fields(part)[at];
+                let field = &mapping.dialect(side).fields(message_kind)[at];
                 let node = if side == from {
                     message.at(&field.path)
                 } else {
@@ -203,12 +208,12 @@
             for notice in &done.notices {
                 let _ = writeln!(told, "notice: {notice}");
             }
-            if let (Part::Request, Side::Old) = (part, from) {
+            if let (MessageKind::Request, Side::Old) = (message_kind, from) {
                 if let Some(key) = mapping.key(&message) {
                     let _ = writeln!(told, "Idempotency-Key: {key}");
                 }
             }
-            let bytes = target.encode(part, &done.message)?;
+            let bytes = target.encode(message_kind, &done.message)?;
             let text = target.charset.decode(&bytes)?;
             let _ = writeln!(told, "\n{}", text.trim_end());
             Ok(told)
--- a/crates/translate/src/lib.rs
+++ b/crates/translate/src/lib.rs
@@ -20,5 +20,5 @@
 mod file;
 
 pub use convert::{Converted, Notice, Refused};
-pub use mapping::{Mapping, Mappings, Part, Side};
+pub use mapping::{Mapping, Mappings, MessageKind, Side};
 pub use node::{Limits, Node};
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -37,19 +37,19 @@
 
 /// One of the two messages of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Part {
+pub enum MessageKind {
     /// From a client.
     Request,
     /// From a server.
-    Answer,
+    Response,
 }
 
-impl Part {
+impl MessageKind {
     /// Its name, as files have it.
     pub fn name(self) -> &'static str {
         match self {
-            Part::Request => "request",
-            Part::Answer => "answer",
+            MessageKind::Request => "request",
+            MessageKind::Response => "answer",
         }
     }
 }
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
     /// Of which message.
-    pub part: Part,
+    pub message_kind: MessageKind,
     /// Of which field.
     pub field: String,
     /// The side that they come from.
@@ -155,39 +155,41 @@
 
 impl Dialect {
     /// The fields of a message.
-    pub fn fields(&self, part: Part) -> &[Field] {
-        match part {
-            Part::Request => &self.request,
-            Part::Answer => &self.answer,
+    pub fn fields(&self, message_kind: MessageKind) -> &[Field] {
+        match message_kind {
+            MessageKind::Request => &self.request,
+            MessageKind::Response => &self.answer,
         }
     }
 
     /// The form of a message.
-    pub fn form(&self, part: Part) -> Form {
-        match part {
-            Part::Request => self.form,
-            Part::Answer => self.answers,
+    pub fn form(&self, message_kind: MessageKind) -> Form {
+        match message_kind {
+            MessageKind::Request => self.form,
+            MessageKind::Response => self.answers,
         }
     }
 
-    fn element(&self, part: Part) -> String {
-        match part {
-            Part::Request => self.operation.clone(),
-            Part::Answer => format!("{}Response", self.operation),
+    fn element(&self, message_kind: MessageKind) -> String {
+        match message_kind {
+            MessageKind::Request => self.operation.clone(),
+            MessageKind::Response => format!("{}Response", self.operation),
         }
     }
 
     /// Reads a message of this side.
-    pub fn decode(&self, part: Part, bytes: &[u8], limits: Limits) -> Result<Node, String> {
-        match self.form(part) {
+    pub fn decode(&self, message_kind: MessageKind, bytes: &[u8], limits: Limits) -> Result<Node, String> {
+        match self.form(message_kind) {
             Form::Form => form::decode(bytes, self.charset, limits),
             Form::Json => json::decode(bytes, limits),
             Form::Table => table::decode(bytes, self.charset, self.delimiter, &self.shape, limits),
             Form::Soap => match soap::decode(bytes, self.charset, limits)? {
                 soap::Body::Call { namespace, name, fields } => {
-                    match namespace == self.namespace && name == self.element(part) {
+                    match namespace == self.namespace && name == self.element(message_kind) {
                         true => Ok(fields),
-                        false => Err(format!("{name:?} of {namespace:?} is not {:?}", self.element(part))),
+                        false => {
+                            Err(format!("{name:?} of {namespace:?} is not {:?}", self.element(message_kind)))
+                        }
                     }
                 }
                 soap::Body::Fault { code, text } => Err(format!("a Fault, {code}: {text}")),
@@ -196,12 +198,12 @@
     }
 
     /// Writes a message of this side.
-    pub fn encode(&self, part: Part, message: &Node) -> Result<Vec<u8>, String> {
-        match self.form(part) {
+    pub fn encode(&self, message_kind: MessageKind, message: &Node) -> Result<Vec<u8>, String> {
+        match self.form(message_kind) {
             Form::Form => form::encode(message, self.charset),
             Form::Json => Ok(json::encode(message)),
             Form::Table => table::encode(message, self.charset, self.delimiter, &self.shape),
-            Form::Soap => soap::encode(&self.namespace, &self.element(part), message, self.charset),
+            Form::Soap => soap::encode(&self.namespace, &self.element(message_kind), message, self.charset),
         }
     }
 }
--- a/crates/translate/src/mixed.rs
+++ b/crates/translate/src/mixed.rs
@@ -1,7 +1,7 @@
 //! Fleets of which some servers speak the old dialect and some the new: which of the two a request may be said in, and both of
 //! its forms, settled before a server is chosen.
 
-use crate::mapping::{Mapping, Part, Side};
+use crate::mapping::{Mapping, MessageKind, Side};
 use crate::node::{Limits, Node};
 use crate::Notice;
 
@@ -33,8 +33,9 @@
 /// notices, or the reason why it can't be sent.
 pub fn from_old(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
     let key = mapping.key(message);
-    let said = mapping.convert(Part::Request, Side::Old, message).map_err(|why| why.to_string());
-    let said = said.and_then(|done| Ok((mapping.new.encode(Part::Request, &done.message)?, done.notices)));
+    let said = mapping.convert(MessageKind::Request, Side::Old, message).map_err(|why| why.to_string());
+    let said =
+        said.and_then(|done| Ok((mapping.new.encode(MessageKind::Request, &done.message)?, done.notices)));
     let (old, new) = match &said {
         Ok((_, notices)) => (serving.old, notices.is_empty() || !serving.old),
         Err(why) if !serving.old => return Err(why.clone()),
@@ -54,13 +55,13 @@
         key: key.map(str::to_owned),
     };
     let said = || {
-        let message = mapping.new.decode(Part::Request, bytes, Limits::default()).ok()?;
-        let done = mapping.convert(Part::Request, Side::New, &message).ok()?;
+        let message = mapping.new.decode(MessageKind::Request, bytes, Limits::default()).ok()?;
+        let done = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
         // Old servers tell repeats by the fields that the key is made of. Where the client has made its own key the two need
         // not agree, and a repeat could run at a server of each kind.
         let same = mapping.key(&done.message).as_deref() == key;
         let faithful = done.notices.is_empty() && same;
-        faithful.then(|| mapping.old.encode(Part::Request, &done.message).ok())?
+        faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
     };
     match serving.old.then(said).flatten() {
         Some(bytes) => Plan { sides: Sides { old: true, new: true }, other: Some(bytes), ..only_new() },
@@ -71,9 +72,9 @@
 /// A server's answer in the dialect of the other side, and what is lost. One that can't be said there may have run: it is a
 /// failure, and never passed on in part.
 pub fn answer(mapping: &Mapping, from: Side, bytes: &[u8]) -> Result<(Vec<u8>, Vec<Notice>), String> {
-    let message = mapping.dialect(from).decode(Part::Answer, bytes, Limits::default())?;
-    let done = mapping.convert(Part::Answer, from, &message).map_err(|why| why.to_string())?;
-    Ok((mapping.dialect(from.other()).encode(Part::Answer, &done.message)?, done.notices))
+    let message = mapping.dialect(from).decode(MessageKind::Response, bytes, Limits::default())?;
+    let done = mapping.convert(MessageKind::Response, from, &message).map_err(|why| why.to_string())?;
+    Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &done.message)?, done.notices))
 }
 
 #[cfg(test)]
--- a/crates/translate/src/mixed/tests.rs
+++ b/crates/translate/src/mixed/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn old(mapping: &Mapping, text: &str, serving: Sides) -> Result<Plan, String> {
-    let message = mapping.old.decode(Part::Request, text.as_bytes(), Limits::default()).unwrap();
+    let message = mapping.old.decode(MessageKind::Request, text.as_bytes(), Limits::default()).unwrap();
     from_old(mapping, &message, serving)
 }
 
--- a/crates/translate/tests/golden.rs
+++ b/crates/translate/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Messages written out by hand from the grammars of the forms, and what each has to become.
 mod worked;
-use heronhoist_translate::{mapping, Limits, Mapping, Part, Side};
+use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
 use worked::WORKED;
 
 fn worked(name: &str) -> Mapping {
@@ -9,24 +9,29 @@
 }
 
 /// The other side's bytes and the notices, or why there are none.
-fn translate(name: &str, part: Part, from: Side, bytes: &[u8]) -> Result<(String, Vec<String>), String> {
+fn translate(
+    name: &str,
+    message_kind: MessageKind,
+    from: Side,
+    bytes: &[u8],
+) -> Result<(String, Vec<String>), String> {
     let mapping = worked(name);
-    let message = mapping.dialect(from).decode(part, bytes, Limits::default())?;
-    let done = mapping.convert(part, from, &message).map_err(|why| why.to_string())?;
-    let bytes = mapping.dialect(from.other()).encode(part, &done.message)?;
+    let message = mapping.dialect(from).decode(message_kind, bytes, Limits::default())?;
+    let done = mapping.convert(message_kind, from, &message).map_err(|why| why.to_string())?;
+    let bytes = mapping.dialect(from.other()).encode(message_kind, &done.message)?;
     let text = mapping.dialect(from.other()).charset.decode(&bytes)?;
     Ok((text, done.notices.iter().map(ToString::to_string).collect()))
 }
 
-fn golden(name: &str, part: Part, from: Side, bytes: &[u8], to: &str, notices: &[&str]) {
-    let (text, told) = translate(name, part, from, bytes).unwrap();
+fn golden(name: &str, message_kind: MessageKind, from: Side, bytes: &[u8], to: &str, notices: &[&str]) {
+    let (text, told) = translate(name, message_kind, from, bytes).unwrap();
     assert_eq!(text, to);
     assert_eq!(told, notices);
 }
 
 /// Why a message is refused.
-fn refusal(name: &str, part: Part, from: Side, bytes: &str) -> String {
-    translate(name, part, from, bytes.as_bytes()).expect_err(bytes)
+fn refusal(name: &str, message_kind: MessageKind, from: Side, bytes: &str) -> String {
+    translate(name, message_kind, from, bytes.as_bytes()).expect_err(bytes)
 }
 
 #[test]
@@ -34,7 +39,7 @@
     // EST until 2 o'clock on the eighth of March 2026, EDT after it.
     golden(
         "lookup",
-        Part::Request,
+        MessageKind::Request,
         Side::Old,
         b"STN=KMIA&BEG=03%2F08%2F2026+01%3A59&END=03%2F08%2F2026+03%3A00&WHAT=W&CLERK=Mu%F1oz",
         "station=KMIA&from=2026-03-08T01%3A59%3A00-05%3A00&to=2026-03-08T03%3A00%3A00-04%3A00&kind=wind&x_old.CLERK=Mu%C3%B1oz",
@@ -42,7 +47,7 @@
     );
     golden(
         "lookup",
-        Part::Request,
+        MessageKind::Request,
         Side::New,
         b"station=KMIA&from=2026-06-01T04:00:00Z&to=2026-06-01T10:00:00%2B05:30&kind=all&trace=t1&x_old.CLERK=B%C3%A9",
         "STN=KMIA&BEG=06%2F01%2F2026+00%3A00&END=06%2F01%2F2026+00%3A30&WHAT=A&CLERK=B%E9",
@@ -51,7 +56,7 @@
     // 77 degF = 25 degC; 9 kn = 4.63 m/s; 10 kn = 5.1444.. m/s; 0.01 in = 0.254 mm; 7 ft = 2.1336 m.
     golden(
         "lookup",
-        Part::Answer,
+        MessageKind::Response,
         Side::Old,
         b"H|KMIA|\"Miami \"\"Int'l\"\" | FL\"|7\r\nOBS|06/01/2026 00:30:15|77|9|0.01|G|\r\nOBS|06/01/2026 01:30:15||10||S|caf\xe9 \x80\r\nT|3\r\n",
         "{\"station\":{\"id\":\"KMIA\",\"name\":\"Miami \\\"Int'l\\\" | FL\",\"elevation_m\":2.1},\"observations\":[\
@@ -61,7 +66,7 @@
     );
     golden(
         "lookup",
-        Part::Answer,
+        MessageKind::Response,
         Side::New,
         "{\"station\":{\"id\":\"KMIA\",\"name\":\"Łódź\"},\"observations\":[{\"at\":\"2026-11-01T05:30:00.25Z\",\
          \"temperature_c\":-40,\"rain_mm\":25.4e0,\"quality\":\"bad\",\"note\":null}]}"
@@ -76,7 +81,7 @@
     let old = b"DESK=0042&NUM=1000000000000000000&STN=KTPA&OBSDT=202612010805&WHAT=R&RAIN=1.50&URGENT=Y&CLERK=Ann&WHY=";
     golden(
         "correction",
-        Part::Request,
+        MessageKind::Request,
         Side::Old,
         old,
         "{\"reference\":\"0042-1000000000000000000\",\"station\":\"KTPA\",\"observed_at\":\"2026-12-01T08:05:00-05:00\",\
@@ -85,7 +90,7 @@
     );
     let mapping = worked("correction");
     let key = |text: &str| {
-        let request = mapping.old.decode(Part::Request, text.as_bytes(), Limits::default()).unwrap();
+        let request = mapping.old.decode(MessageKind::Request, text.as_bytes(), Limits::default()).unwrap();
         mapping.key(&request)
     };
     let first = key(std::str::from_utf8(old).unwrap()).unwrap();
@@ -95,7 +100,7 @@
     assert_eq!(key("DESK=0042"), None, "without a running number it is at most once");
     golden(
         "correction",
-        Part::Answer,
+        MessageKind::Response,
         Side::New,
         b"{\"status\":\"repeated\",\"revision\":7,\"applied_at\":\"2026-12-01T13:05:09Z\",\"links\":{\"self\":\"/r/7\"}}",
         "H|DUP|7|20261201080509\r\nT|1\r\n",
@@ -118,12 +123,12 @@
         \"copies\":3,\"sealed\":true,\"fee_limit\":120.50,\"court\":{\"name\":\"Third Court\"},\
         \"parties\":[{\"name\":\"Ann <A>\",\"role\":\"plaintiff\"}],\"language\":\"en\",\"x_old\":{\"Printer\":\"P9\"}}";
     let old = around(&format!("<m:OrderCopies xmlns:m=\"urn:desk:copies:1\">{fields}</m:OrderCopies>"));
-    golden("certified-copy", Part::Request, Side::Old, old.as_bytes(), new, &[]);
-    golden("certified-copy", Part::Request, Side::New, new.as_bytes(), &old, &[]);
+    golden("certified-copy", MessageKind::Request, Side::Old, old.as_bytes(), new, &[]);
+    golden("certified-copy", MessageKind::Request, Side::New, new.as_bytes(), &old, &[]);
     let seal = "0".repeat(64);
     golden(
         "certified-copy",
-        Part::Answer,
+        MessageKind::Response,
         Side::New,
         format!("{{\"order\":9,\"pages\":12,\"fee\":{{\"amount\":36.00,\"currency\":\"USD\"}},\"ready_on\":\"2026-12-04\",\"sha256\":\"{seal}\"}}")
             .as_bytes(),
@@ -147,64 +152,64 @@
     let answer =
         |name: &str| format!("{{\"station\":{{\"id\":\"{name}\",\"name\":\"n\"}},\"observations\":[]}}");
     let at = |time: &str| format!("station=K&from={time}&to=2026-06-01T04:00:00Z&kind=all");
-    for (name, part, from, bytes, why) in [
+    for (name, message_kind, from, bytes, why) in [
         // A field, a word, a flag that the other side does not have.
         (
             "certified-copy",
-            Part::Request,
+            MessageKind::Request,
             Side::New,
             order("\"language\":\"es\""),
             "\"language\": the other side has nothing",
         ),
         (
             "certified-copy",
-            Part::Request,
+            MessageKind::Request,
             Side::New,
             order("\"language\":\"en\",\"rush\":1"),
             "\"rush\": no such field",
         ),
         (
             "certified-copy",
-            Part::Request,
+            MessageKind::Request,
             Side::New,
             order("\"language\":\"en\",\"x_old\":{\"Fax\":\"1\"}"),
             "carries something",
         ),
         (
             "certified-copy",
-            Part::Request,
+            MessageKind::Request,
             Side::New,
             order("\"language\":1"),
             "a number where choice should be",
         ),
         // A time that no clock showed, one shown twice that can't be told apart, a leap second, seconds and offsets.
-        ("lookup", Part::Request, Side::Old, query("03/08/2026+02:30"), "set forward"),
-        ("lookup", Part::Request, Side::Old, query("3/8/2026+01:30"), "not a time as"),
-        ("lookup", Part::Request, Side::New, at("2026-11-01T06:30:00Z"), "another moment"),
-        ("lookup", Part::Request, Side::New, at("2016-12-31T23:59:60Z"), "leap second"),
-        ("lookup", Part::Request, Side::New, at("2026-06-01T04:00:01Z"), "more finely"),
-        ("lookup", Part::Request, Side::New, at("2026-06-01T04:00:00"), "RFC 3339"),
-        ("lookup", Part::Request, Side::New, at("2026-06-31T04:00:00Z"), "RFC 3339"),
+        ("lookup", MessageKind::Request, Side::Old, query("03/08/2026+02:30"), "set forward"),
+        ("lookup", MessageKind::Request, Side::Old, query("3/8/2026+01:30"), "not a time as"),
+        ("lookup", MessageKind::Request, Side::New, at("2026-11-01T06:30:00Z"), "another moment"),
+        ("lookup", MessageKind::Request, Side::New, at("2016-12-31T23:59:60Z"), "leap second"),
+        ("lookup", MessageKind::Request, Side::New, at("2026-06-01T04:00:01Z"), "more finely"),
+        ("lookup", MessageKind::Request, Side::New, at("2026-06-01T04:00:00"), "RFC 3339"),
+        ("lookup", MessageKind::Request, Side::New, at("2026-06-31T04:00:00Z"), "RFC 3339"),
         // Characters, words, absent fields.
-        ("lookup", Part::Answer, Side::New, answer("e\u{301}"), "no character '\\u{301}'"),
-        ("lookup", Part::Answer, Side::New, answer("123456789"), "9 characters"),
-        ("lookup", Part::Request, Side::New, "station=K".into(), "\"from\": missing"),
+        ("lookup", MessageKind::Response, Side::New, answer("e\u{301}"), "no character '\\u{301}'"),
+        ("lookup", MessageKind::Response, Side::New, answer("123456789"), "9 characters"),
+        ("lookup", MessageKind::Request, Side::New, "station=K".into(), "\"from\": missing"),
         (
             "correction",
-            Part::Request,
+            MessageKind::Request,
             Side::Old,
             "DESK=1&NUM=2&STN=K&OBSDT=202606010000&WHAT=T&RAIN=1&URGENT=N&CLERK=a".into(),
             "\"RAIN\": it may not be given",
         ),
         (
             "correction",
-            Part::Request,
+            MessageKind::Request,
             Side::Old,
             "DESK=-0x1&NUM=2&STN=K&OBSDT=202606010000&WHAT=T&URGENT=N&CLERK=a".into(),
             "whole number",
         ),
     ] {
-        let told = refusal(name, part, from, &bytes);
+        let told = refusal(name, message_kind, from, &bytes);
         assert!(told.contains(why), "{bytes}: {told}");
     }
 }
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -1,7 +1,7 @@
 //! Every field of every worked message, there and back, on generated values with their edges; and bytes that are wrong.
 mod worked;
 use heronhoist_translate::field::{Clock, ClockForm, Field, Kind, Moment, Value};
-use heronhoist_translate::{mapping, Limits, Mapping, Node, Part, Side};
+use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Node, Side};
 use jiff::civil::date;
 use jiff::tz::Offset;
 use jiff::Timestamp;
@@ -13,11 +13,11 @@
 use std::cell::Cell;
 use worked::WORKED;
 
-const WAYS: [(Part, Side); 4] = [
-    (Part::Request, Side::Old),
-    (Part::Request, Side::New),
-    (Part::Answer, Side::Old),
-    (Part::Answer, Side::New),
+const WAYS: [(MessageKind, Side); 4] = [
+    (MessageKind::Request, Side::Old),
+    (MessageKind::Request, Side::New),
+    (MessageKind::Response, Side::Old),
+    (MessageKind::Response, Side::New),
 ];
 
 /// The same cases every time; so many times more for a long run, which goes on where the short one ends.
@@ -104,9 +104,9 @@
 }
 
 /// The correction's own condition: of the three quantities the one that is named.
-fn abide(mapping: &Mapping, part: Part, from: Side, values: &mut [Option<Value>]) {
-    let fields = mapping.dialect(from).fields(part);
-    if mapping.name != "correction" || part != Part::Request {
+fn abide(mapping: &Mapping, message_kind: MessageKind, from: Side, values: &mut [Option<Value>]) {
+    let fields = mapping.dialect(from).fields(message_kind);
+    if mapping.name != "correction" || message_kind != MessageKind::Request {
         return;
     }
     let at = |name: &str| fields.iter().position(|f| f.path == name);
@@ -129,54 +129,62 @@
 }
 
 /// What is given comes back with the field's own name; none in a group may be told by an absent group.
-fn read(mapping: &Mapping, part: Part, side: Side, message: &Node) -> Vec<Option<Value>> {
+fn read(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Vec<Option<Value>> {
     let dialect = mapping.dialect(side);
-    let typing = dialect.form(part).typing();
+    let typing = dialect.form(message_kind).typing();
     let read =
         |field: &Field| field.read(message, typing).unwrap_or_else(|why| panic!("{}: {why}", field.path));
-    dialect.fields(part).iter().map(read).collect()
+    dialect.fields(message_kind).iter().map(read).collect()
 }
 
-fn write(mapping: &Mapping, part: Part, side: Side, values: &[Option<Value>]) -> Option<Node> {
+fn write(mapping: &Mapping, message_kind: MessageKind, side: Side, values: &[Option<Value>]) -> Option<Node> {
     let dialect = mapping.dialect(side);
     let mut message = Node::record();
-    for (field, value) in dialect.fields(part).iter().zip(values) {
+    for (field, value) in dialect.fields(message_kind).iter().zip(values) {
         if let Some(value) = value {
-            message.put(&field.path, field.write(value, dialect.form(part).typing()).ok()?);
+            message.put(&field.path, field.write(value, dialect.form(message_kind).typing()).ok()?);
         }
     }
     Some(message)
 }
 
 /// Through the wire of a side; None if its characters can't say it.
-fn wire(mapping: &Mapping, part: Part, side: Side, message: &Node) -> Option<Node> {
+fn wire(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Option<Node> {
     let dialect = mapping.dialect(side);
-    let bytes = dialect.encode(part, message).ok()?;
-    Some(dialect.decode(part, &bytes, Limits::default()).unwrap_or_else(|why| panic!("own message: {why}")))
+    let bytes = dialect.encode(message_kind, message).ok()?;
+    Some(
+        dialect
+            .decode(message_kind, &bytes, Limits::default())
+            .unwrap_or_else(|why| panic!("own message: {why}")),
+    )
 }
 
 /// All that differs after a way there over `mapping` and back over `again`, but for what notices and notes tell of.
 fn differences(
     mapping: &Mapping,
     again: &Mapping,
-    (part, from): (Part, Side),
+    (message_kind, from): (MessageKind, Side),
     given: &[Option<Value>],
 ) -> Option<Vec<String>> {
-    let message = wire(mapping, part, from, &write(mapping, part, from, given)?)?;
-    assert_eq!(read(mapping, part, from, &message), given, "over the wire of its own side");
-    let there = mapping.convert(part, from, &message).ok()?;
-    let sent = wire(mapping, part, from.other(), &there.message).expect("what was converted can be written");
-    assert_eq!(read(mapping, part, from.other(), &sent), read(mapping, part, from.other(), &there.message));
+    let message = wire(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
+    assert_eq!(read(mapping, message_kind, from, &message), given, "over the wire of its own side");
+    let there = mapping.convert(message_kind, from, &message).ok()?;
+    let sent =
+        wire(mapping, message_kind, from.other(), &there.message).expect("what was converted can be written");
+    assert_eq!(
+        read(mapping, message_kind, from.other(), &sent),
+        read(mapping, message_kind, from.other(), &there.message)
+    );
     let mut told: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
-    let back = match again.convert(part, from.other(), &sent) {
+    let back = match again.convert(message_kind, from.other(), &sent) {
         Ok(back) => back,
         // A rounded value may lie just outside of the bounds that it came from.
         Err(_) if !told.is_empty() => return None,
         Err(why) => return Some(vec![why.to_string()]),
     };
-    let fields = mapping.dialect(from).fields(part);
+    let fields = mapping.dialect(from).fields(message_kind);
     told.extend(back.notices.iter().map(|notice| notice.field.clone()));
-    let back = read(mapping, part, from, &back.message);
+    let back = read(mapping, message_kind, from, &back.message);
     let mut differences = Vec::new();
     for ((field, a), b) in fields.iter().zip(given).zip(&back) {
         compare(field, a, b, "", &told, &mut differences);
@@ -216,14 +224,18 @@
 fn every_field_of_every_message_comes_back_or_is_told_of() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
-        for (part, from) in WAYS {
+        for (message_kind, from) in WAYS {
             let (tried, whole) = (Cell::new(0), Cell::new(0));
-            let fields = mapping.dialect(from).fields(part).to_vec();
+            let fields = mapping.dialect(from).fields(message_kind).to_vec();
             let run = runner(400).run(&values(&fields), |mut given| {
-                abide(&mapping, part, from, &mut given);
+                abide(&mapping, message_kind, from, &mut given);
                 tried.set(tried.get() + 1);
-                if let Some(found) = differences(&mapping, &mapping, (part, from), &given) {
-                    prop_assert!(found.is_empty(), "{} {part:?} from {from:?}: {found:?}", mapping.name);
+                if let Some(found) = differences(&mapping, &mapping, (message_kind, from), &given) {
+                    prop_assert!(
+                        found.is_empty(),
+                        "{} {message_kind:?} from {from:?}: {found:?}",
+                        mapping.name
+                    );
                     whole.set(whole.get() + 1);
                 }
                 Ok(())
@@ -231,7 +243,7 @@
             run.unwrap_or_else(|e| panic!("{e}"));
             assert!(
                 whole.get() * 20 >= tried.get(),
-                "{} {part:?} {from:?}: {} whole",
+                "{} {message_kind:?} {from:?}: {} whole",
                 mapping.name,
                 whole.get()
             );
@@ -264,10 +276,10 @@
         };
         let (mapping, wrong) = (mapping::read(text).unwrap(), mapping::read(&wrong).unwrap());
         let found = Cell::new(0);
-        let fields = mapping.dialect(Side::Old).fields(Part::Request).to_vec();
+        let fields = mapping.dialect(Side::Old).fields(MessageKind::Request).to_vec();
         let _ = runner(200).run(&values(&fields), |mut given| {
-            abide(&mapping, Part::Request, Side::Old, &mut given);
-            let differences = differences(&mapping, &wrong, (Part::Request, Side::Old), &given);
+            abide(&mapping, MessageKind::Request, Side::Old, &mut given);
+            let differences = differences(&mapping, &wrong, (MessageKind::Request, Side::Old), &given);
             found.set(found.get() + usize::from(differences.is_some_and(|d| !d.is_empty())));
             Ok(())
         });
@@ -280,13 +292,13 @@
 fn wrong_bytes_are_refused_without_a_panic() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
-        for (part, from) in WAYS {
+        for (message_kind, from) in WAYS {
             let dialect = mapping.dialect(from);
-            let fields = dialect.fields(part).to_vec();
+            let fields = dialect.fields(message_kind).to_vec();
             let spoil = vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6);
             let run = runner(300).run(&(values(&fields), spoil), |(given, spoil)| {
-                let message = write(&mapping, part, from, &given);
-                let Some(mut bytes) = message.and_then(|m| dialect.encode(part, &m).ok()) else {
+                let message = write(&mapping, message_kind, from, &given);
+                let Some(mut bytes) = message.and_then(|m| dialect.encode(message_kind, &m).ok()) else {
                     return Ok(());
                 };
                 for (index, byte, how) in spoil {
@@ -299,9 +311,9 @@
                         _ => bytes.extend_from_within(at..),
                     }
                 }
-                if let Ok(message) = dialect.decode(part, &bytes, Limits::default()) {
-                    if let Ok(done) = mapping.convert(part, from, &message) {
-                        let _ = mapping.dialect(from.other()).encode(part, &done.message);
+                if let Ok(message) = dialect.decode(message_kind, &bytes, Limits::default()) {
+                    if let Ok(done) = mapping.convert(message_kind, from, &message) {
+                        let _ = mapping.dialect(from.other()).encode(message_kind, &done.message);
                     }
                 }
                 Ok(())
