--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -1,5 +1,5 @@
 //! The dialects of the servers in a mixed fleet, and the translation of requests and responses between them. Before the
-//! decision module selects a server, `heronhoist_translate::mixed` determines which dialects a request may be sent in.
+//! decision module selects a server, `heronhoist_translate::mixed_fleet` determines which dialects a request may be sent in.
 //! An attempt uses the dialect that its server had when the attempt began.
 
 use crate::backend::{LegacyRequest, ResponseBody, UpstreamRequest, UpstreamResponse};
@@ -9,7 +9,7 @@
 use heronhoist_decision::{DialectId, Dialects};
 use heronhoist_engine::{NewRequest, Reservation};
 use heronhoist_translate::mapping::{Dialect, Form};
-use heronhoist_translate::mixed::{self, Sides};
+use heronhoist_translate::mixed_fleet::{self, Sides};
 use heronhoist_translate::{Mapping, Mappings, Notice, Side};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
 use hyper::{Method, Uri};
@@ -48,14 +48,15 @@
         return;
     }
     let request = &new_request.request;
-    let legacy = mappings.of_new(request.method.as_str(), request.uri.path()).find_map(|mapping| {
-        let RequestBody::Buffered(body) = &request.body else { return None };
-        let is_query = request.method == Method::GET;
-        let bytes = if is_query { request.uri.query().unwrap_or_default().as_bytes() } else { body };
-        let key = request.headers.get(IDEMPOTENCY_KEY).map(|key| key.to_str().unwrap_or_default());
-        let plan = mixed::from_new(mapping, bytes, key, sides(serving));
-        legacy_request(mapping, &request.headers, plan.other?)
-    });
+    let legacy =
+        mappings.find_by_new_request(request.method.as_str(), request.uri.path()).find_map(|mapping| {
+            let RequestBody::Buffered(body) = &request.body else { return None };
+            let is_query = request.method == Method::GET;
+            let bytes = if is_query { request.uri.query().unwrap_or_default().as_bytes() } else { body };
+            let key = request.headers.get(IDEMPOTENCY_KEY).map(|key| key.to_str().unwrap_or_default());
+            let plan = mixed_fleet::plan_new_request(mapping, bytes, key, sides(serving));
+            legacy_request(mapping, &request.headers, plan.translated?)
+        });
     if let Some(legacy) = legacy {
         new_request.request.legacy = Some(Box::new(legacy));
         new_request.dialects = new_request.dialects.with(OLD);
@@ -109,6 +110,6 @@
     let ResponseBody::Buffered(bytes, reservation) = response.body else {
         return Err(format!("the response is longer than {MAX_BUFFERED_BYTES} bytes"));
     };
-    let (body, notices) = mixed::answer(mapping, from, &bytes)?;
+    let (body, notices) = mixed_fleet::translate_response(mapping, from, &bytes)?;
     Ok((body.into(), reservation, notices))
 }
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -10,7 +10,7 @@
 use heronhoist_decision::Effect;
 use heronhoist_engine::NewRequest;
 use heronhoist_translate::mapping::Form;
-use heronhoist_translate::mixed::{self, Plan};
+use heronhoist_translate::mixed_fleet::{self, Plan};
 use heronhoist_translate::wire::error_response::{ErrorResponse, RequestFailure};
 use heronhoist_translate::{Limits, Mapping, Mappings, MessageKind, Notice};
 use hyper::body::{Body, Incoming};
@@ -166,11 +166,14 @@
     let encoded = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
     let message =
         mapping.old.decode(MessageKind::Request, encoded, Limits::default()).map_err(bad_request)?;
-    let Plan { sides, other, notices, key } =
-        mixed::from_old(&mapping, &message, dialect::sides(pool.engine_pool.serving_dialects()))
-            .map_err(bad_request)?;
+    let Plan { sides, translated, notices, key } = mixed_fleet::plan_old_request(
+        &mapping,
+        &message,
+        dialect::sides(pool.engine_pool.serving_dialects()),
+    )
+    .map_err(bad_request)?;
     // Without a translation the request goes to servers of the old dialect only, unchanged.
-    let translated = other.unwrap_or_default();
+    let translated = translated.unwrap_or_default();
     drop(reservation);
 
     let class = match mapping.class_without_key() {
--- a/crates/agent/src/translate.rs
+++ b/crates/agent/src/translate.rs
@@ -73,7 +73,7 @@
                 mapping::Form::Form => message.trim_ascii_end(),
                 _ => &message,
             };
-            explain::trial(&mapping, message_kind, from, message)
+            explain::explain_message(&mapping, message_kind, from, message)
                 .map_err(|why| TranslateError::Invalid(why.trim_end().to_owned()))
         }
     }
--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -1,7 +1,7 @@
 //! What clients and servers of the old and the new dialect say, written out by hand from the truth of each call, and compared
 //! to the byte with what reaches the other end. The translator under test is asked for nothing here but its keys.
 
-use heronhoist_translate::mixed::{self, Plan, Sides};
+use heronhoist_translate::mixed_fleet::{self, Plan, Sides};
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
 use std::rc::Rc;
 
@@ -200,7 +200,7 @@
         if side == self.side {
             return Some(&self.own);
         }
-        self.plan.other.as_deref()
+        self.plan.translated.as_deref()
     }
 
     /// Plants a fault: new servers are told another key than the old fields make.
@@ -210,7 +210,7 @@
 
     /// Plants a fault: the last digit that was translated is another.
     pub fn corrupt_field(&mut self) {
-        let digits = self.plan.other.iter_mut().flatten().rev();
+        let digits = self.plan.translated.iter_mut().flatten().rev();
         if let Some(digit) = digits.into_iter().find(|byte| byte.is_ascii_digit()) {
             *digit = b'0' + (*digit - b'0' + 1) % 10;
         }
@@ -250,7 +250,7 @@
         let plan = match side {
             Side::Old => {
                 let message = mapping.old.decode(MessageKind::Request, &own, Limits::default()).ok()?;
-                mixed::from_old(mapping, &message, serving).ok()?
+                mixed_fleet::plan_old_request(mapping, &message, serving).ok()?
             }
             Side::New => {
                 let key = match (mapping.has_keys(), own_key) {
@@ -258,7 +258,7 @@
                     (true, true) => Some(format!("own-{call}")),
                     (true, false) => self.key_of_old(class, call),
                 };
-                mixed::from_new(mapping, &own, key.as_deref(), serving)
+                mixed_fleet::plan_new_request(mapping, &own, key.as_deref(), serving)
             }
         };
         Some(EncodedRequest { side, own, plan })
@@ -293,7 +293,7 @@
 
     /// An answer as the agent hands it to a client of the other side; `None` if it can't be said there.
     pub fn translate_response(&self, class: usize, from: Side, answer: &[u8]) -> Option<Vec<u8>> {
-        mixed::answer(&self.classes[class].1, from, answer).ok().map(|(bytes, _)| bytes)
+        mixed_fleet::translate_response(&self.classes[class].1, from, answer).ok().map(|(bytes, _)| bytes)
     }
 
     /// Whether a client got the truth, to the byte.
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -14,7 +14,7 @@
 use crate::signal::Signal;
 use heronhoist_decision::{ClassId, DialectId, Dialects, KeyId, Outcome, ServerId, Span, TenantId, Time};
 use heronhoist_engine::*;
-use heronhoist_translate::mixed::Sides;
+use heronhoist_translate::mixed_fleet::Sides;
 use heronhoist_translate::Side;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -158,7 +158,7 @@
 }
 
 /// One message by hand: what becomes of each field, and the other side's message.
-pub fn trial(
+pub fn explain_message(
     mapping: &Mapping,
     message_kind: MessageKind,
     from: Side,
--- a/crates/translate/src/lib.rs
+++ b/crates/translate/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod field;
 pub mod key;
 pub mod mapping;
-pub mod mixed;
+pub mod mixed_fleet;
 pub mod node;
 pub mod units;
 pub mod wire;
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -261,7 +261,11 @@
     }
 
     /// Those whose new requests have this method and path: several old ones may become the same.
-    pub fn of_new<'a>(&'a self, method: &'a str, path: &'a str) -> impl Iterator<Item = &'a Rc<Mapping>> {
+    pub fn find_by_new_request<'a>(
+        &'a self,
+        method: &'a str,
+        path: &'a str,
+    ) -> impl Iterator<Item = &'a Rc<Mapping>> {
         self.0.iter().filter(move |mapping| mapping.new.method == method && mapping.new.path == path)
     }
 
--- a/crates/translate/src/mixed.rs
+++ b/crates/translate/src/mixed_fleet.rs
@@ -20,7 +20,7 @@
     /// The dialects that it may be sent in.
     pub sides: Sides,
     /// The request in the dialect that its client does not speak, if it may be sent in that.
-    pub other: Option<Vec<u8>>,
+    pub translated: Option<Vec<u8>>,
     /// What is lost in that, as far as its client has to be told.
     pub notices: Vec<Notice>,
     /// What tells its repeats from other requests, if its class has keys and it one.
@@ -31,7 +31,7 @@
 ///
 /// Loses something in the new dialect, or can't be said in it: old servers only, if one serves; if none does, new ones with
 /// notices, or the reason why it can't be sent.
-pub fn from_old(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
+pub fn plan_old_request(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
     let key = mapping.key(message);
     let said = mapping.convert(MessageKind::Request, Side::Old, message).map_err(|why| why.to_string());
     let said =
@@ -41,16 +41,16 @@
         Err(why) if !serving.old => return Err(why.clone()),
         Err(_) => (true, false),
     };
-    let (other, notices) = said.ok().filter(|_| new).map_or((None, Vec::new()), |(b, n)| (Some(b), n));
-    Ok(Plan { sides: Sides { old, new }, other, notices, key })
+    let (translated, notices) = said.ok().filter(|_| new).map_or((None, Vec::new()), |(b, n)| (Some(b), n));
+    Ok(Plan { sides: Sides { old, new }, translated, notices, key })
 }
 
 /// Where a new request may go: to old servers too if it can be said to them without loss, and its own `key` is the one by
 /// which they know its repeats.
-pub fn from_new(mapping: &Mapping, bytes: &[u8], key: Option<&str>, serving: Sides) -> Plan {
+pub fn plan_new_request(mapping: &Mapping, bytes: &[u8], key: Option<&str>, serving: Sides) -> Plan {
     let only_new = || Plan {
         sides: Sides { old: false, new: true },
-        other: None,
+        translated: None,
         notices: Vec::new(),
         key: key.map(str::to_owned),
     };
@@ -64,14 +64,18 @@
         faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
     };
     match serving.old.then(said).flatten() {
-        Some(bytes) => Plan { sides: Sides { old: true, new: true }, other: Some(bytes), ..only_new() },
+        Some(bytes) => Plan { sides: Sides { old: true, new: true }, translated: Some(bytes), ..only_new() },
         None => only_new(),
     }
 }
 
 /// A server's answer in the dialect of the other side, and what is lost. One that can't be said there may have run: it is a
 /// failure, and never passed on in part.
-pub fn answer(mapping: &Mapping, from: Side, bytes: &[u8]) -> Result<(Vec<u8>, Vec<Notice>), String> {
+pub fn translate_response(
+    mapping: &Mapping,
+    from: Side,
+    bytes: &[u8],
+) -> Result<(Vec<u8>, Vec<Notice>), String> {
     let message = mapping.dialect(from).decode(MessageKind::Response, bytes, Limits::default())?;
     let done = mapping.convert(MessageKind::Response, from, &message).map_err(|why| why.to_string())?;
     Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &done.message)?, done.notices))
--- a/crates/translate/src/mixed/tests.rs
+++ b/crates/translate/src/mixed_fleet/tests.rs
@@ -11,7 +11,7 @@
 
 fn old(mapping: &Mapping, text: &str, serving: Sides) -> Result<Plan, String> {
     let message = mapping.old.decode(MessageKind::Request, text.as_bytes(), Limits::default()).unwrap();
-    from_old(mapping, &message, serving)
+    plan_old_request(mapping, &message, serving)
 }
 
 const RAIN: &str = "DESK=0042&NUM=1&STN=KTPA&OBSDT=202612010805&WHAT=R&RAIN=1.51&URGENT=Y&CLERK=Ann";
@@ -39,12 +39,12 @@
 fn a_new_request_goes_to_old_servers_only_with_the_key_that_they_know() {
     let correction = mapping("correction");
     let plan = old(&correction, RAIN, BOTH).unwrap();
-    let (bytes, key) = (plan.other.unwrap(), plan.key.unwrap());
-    let back = from_new(&correction, &bytes, Some(&key), BOTH);
-    assert_eq!((back.sides, back.other.as_deref()), (BOTH, Some(RAIN.as_bytes())));
+    let (bytes, key) = (plan.translated.unwrap(), plan.key.unwrap());
+    let back = plan_new_request(&correction, &bytes, Some(&key), BOTH);
+    assert_eq!((back.sides, back.translated.as_deref()), (BOTH, Some(RAIN.as_bytes())));
     for key in [None, Some("own")] {
-        assert_eq!(from_new(&correction, &bytes, key, BOTH).sides, NEW);
+        assert_eq!(plan_new_request(&correction, &bytes, key, BOTH).sides, NEW);
     }
-    assert_eq!(from_new(&correction, &bytes, Some(&key), NEW).other, None, "nobody needs it");
-    assert_eq!(from_new(&correction, b"{", Some(&key), BOTH).sides, NEW, "theirs to refuse");
+    assert_eq!(plan_new_request(&correction, &bytes, Some(&key), NEW).translated, None, "nobody needs it");
+    assert_eq!(plan_new_request(&correction, b"{", Some(&key), BOTH).sides, NEW, "theirs to refuse");
 }
