--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -71,7 +71,7 @@
 ) -> Option<LegacyRequest> {
     let old = &mapping.old;
     let (method, uri, mut headers, body) = to_http_parts(old, client_headers, bytes)?;
-    if old.form == Form::Soap && method != Method::GET {
+    if old.request_form == Form::Soap && method != Method::GET {
         let action = format!("\"{}#{}\"", old.namespace, old.operation);
         headers.insert(SOAP_ACTION, HeaderValue::try_from(action).ok()?);
     }
@@ -93,7 +93,7 @@
     let (uri, body) = if method == Method::GET {
         (format!("{}?{}", to.path, String::from_utf8(bytes).ok()?), Bytes::new())
     } else {
-        headers.insert(CONTENT_TYPE, HeaderValue::try_from(to.form.content_type(to.charset)).ok()?);
+        headers.insert(CONTENT_TYPE, HeaderValue::try_from(to.request_form.content_type(to.charset)).ok()?);
         (to.path.clone(), bytes.into())
     };
     Some((method, uri.parse().ok()?, headers, body))
--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -54,7 +54,7 @@
 
 /// An error as a response in the client's form.
 pub fn error_response(mapping: &Mapping, error: &RequestFailure) -> ErrorResponse {
-    error.to_response(mapping.old.answers)
+    error.to_response(mapping.old.response_form)
 }
 
 fn bad_request(reason: impl Into<String>) -> RequestFailure {
@@ -103,7 +103,7 @@
     let header = |name: &str| head.headers.get(name).map(|value| value.to_str().unwrap_or("?"));
     if let Some(content_type) = header("content-type").filter(|_| head.method != Method::GET) {
         let mut parts = content_type.split(';').map(str::trim);
-        let expected = old.form.media_type();
+        let expected = old.request_form.media_type();
         if !parts.next().is_some_and(|media_type| media_type.eq_ignore_ascii_case(expected)) {
             return Err(bad_request(format!("its Content-Type is not {expected}")));
         }
@@ -114,7 +114,7 @@
         }
     }
     // SOAP 1.1, 6.1.1: a client must state its intent; an empty string leaves it to the path.
-    if old.form == Form::Soap {
+    if old.request_form == Form::Soap {
         let action = header("soapaction").ok_or_else(|| bad_request("SOAPAction is missing"))?;
         let action = action.trim().trim_matches('"');
         let names_operation = action.rsplit(['/', '#', ':']).next() == Some(&old.operation);
@@ -159,7 +159,7 @@
     }
     check_end(connection).map_err(|(_, reason)| bad_request(reason))?;
     let bytes = concat_chunks(chunks, buffered);
-    let is_query = head.method == Method::GET && mapping.old.form == Form::Form;
+    let is_query = head.method == Method::GET && mapping.old.request_form == Form::Form;
     if is_query && buffered > 0 {
         return Err(bad_request("a query has no body"));
     }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -487,7 +487,7 @@
             translated.map_err(|reason| format!("Its answer has no counterpart: {reason}"))?;
         let mut response = Response::new(ClientBody::Buffered(Full::new(body), Some(reservation)));
         let to = mapping.dialect(from.other());
-        let content_type = HeaderValue::try_from(to.answers.content_type(to.charset));
+        let content_type = HeaderValue::try_from(to.response_form.content_type(to.charset));
         response.headers_mut().extend(content_type.ok().map(|value| (CONTENT_TYPE, value)));
         Ok((response, notices))
     }
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -7,7 +7,7 @@
 use crate::file::{self, line_of, Cut, File, Function, Policy, Replace};
 use crate::mapping::{Dialect, Fault, Form, Key, Mapping, MessageKind, Note, Side};
 use crate::units::{self, Rounding};
-use crate::wire::table::Shape;
+use crate::wire::table::Layout;
 use jiff::tz::TimeZone;
 use rust_decimal::Decimal;
 use std::fmt::Display;
@@ -40,12 +40,12 @@
         let extensions = (old.extension.is_some(), new.extension.is_some());
         compiler.rules(&sides, rules, Some(extensions), &file.name)
     };
-    let request = rules(MessageKind::Request, &file.request);
-    let answer = rules(MessageKind::Response, &file.answer);
+    let request_rules = rules(MessageKind::Request, &file.request);
+    let response_rules = rules(MessageKind::Response, &file.response);
     let key = file.key.as_ref().map(|key| {
         let places = key.old.iter().filter_map(|name| {
-            let place = old.request.iter().position(|field| field.path == *name.get_ref());
-            match place.filter(|&at| !matches!(old.request[at].kind, Kind::Group(..))) {
+            let place = old.request_fields.iter().position(|field| field.path == *name.get_ref());
+            match place.filter(|&at| !matches!(old.request_fields[at].kind, Kind::Group(..))) {
                 Some(at) => Some(at),
                 None => {
                     compiler.fault(name, "key.old", "no such field of the old request");
@@ -67,8 +67,8 @@
             old,
             new,
             notes,
-            request,
-            answer,
+            request_rules,
+            response_rules,
             key,
         }),
         false => {
@@ -149,23 +149,23 @@
 
     fn dialect(&mut self, side: Side, file: &file::Side) -> Dialect {
         let zone = self.zone(file.zone.as_ref(), &TimeZone::UTC);
-        let form = *file.form.get_ref();
-        let answers = file.answer_form.as_ref().map_or(form, |form| *form.get_ref());
+        let request_form = *file.form.get_ref();
+        let response_form = file.response_form.as_ref().map_or(request_form, |form| *form.get_ref());
         let here = side.name();
-        if form == Form::Table {
+        if request_form == Form::Table {
             self.fault(
                 &file.form,
                 format!("{here}.form"),
                 "a request is a form, SOAP or JSON; tables are answers",
             );
         }
-        if let Some(bad) = file.answer_form.as_ref().filter(|form| *form.get_ref() == Form::Form) {
+        if let Some(bad) = file.response_form.as_ref().filter(|form| *form.get_ref() == Form::Form) {
             self.fault(bad, format!("{here}.answers"), "an answer is a table, SOAP or JSON");
         }
-        if (form == Form::Json || answers == Form::Json) && file.charset != Charset::Utf8 {
+        if (request_form == Form::Json || response_form == Form::Json) && file.charset != Charset::Utf8 {
             self.fault(&file.form, format!("{here}.charset"), "JSON is UTF-8 (RFC 8259, 8.1)");
         }
-        let soap = form == Form::Soap || answers == Form::Soap;
+        let soap = request_form == Form::Soap || response_form == Form::Soap;
         let operation = file.operation.clone().unwrap_or_default();
         if soap && (!is_name(&operation) || file.namespace.as_deref().unwrap_or_default().is_empty()) {
             self.fault(&file.form, here, "SOAP needs an operation, which is a name, and a namespace");
@@ -185,30 +185,30 @@
         if let Some(bad) = file.extension.as_ref().filter(|name| !is_name(name.get_ref())) {
             self.fault(bad, format!("{here}.extension"), NAME);
         }
-        let request = self.fields(&format!("{here}.request"), &file.request, &zone);
-        let answer = self.fields(&format!("{here}.answer"), &file.answer, &zone);
+        let request_fields = self.fields(&format!("{here}.request"), &file.request, &zone);
+        let response_fields = self.fields(&format!("{here}.answer"), &file.response, &zone);
         if let Some(extension) = &file.extension {
-            if request.iter().chain(&answer).any(|field| field.path == *extension.get_ref()) {
+            if request_fields.iter().chain(&response_fields).any(|field| field.path == *extension.get_ref()) {
                 self.fault(extension, format!("{here}.extension"), "a field has this name");
             }
         }
-        if answers == Form::Table {
-            self.check_table(here, &file.answer, &answer);
+        if response_form == Form::Table {
+            self.check_table(here, &file.response, &response_fields);
         }
         let extension = file.extension.as_ref().map(|name| name.get_ref().clone());
         Dialect {
-            form,
-            answers,
+            request_form,
+            response_form,
             method: file.method.clone(),
             path: file.path.get_ref().clone(),
             charset: file.charset,
             delimiter,
-            shape: Shape::of(&answer, extension.clone()),
+            table_layout: Layout::of(&response_fields, extension.clone()),
             extension,
             operation,
             namespace: file.namespace.clone().unwrap_or_default(),
-            request,
-            answer,
+            request_fields,
+            response_fields,
         }
     }
 
--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -115,8 +115,8 @@
 impl Mapping {
     pub(crate) fn rules(&self, message_kind: MessageKind) -> &[Rule] {
         match message_kind {
-            MessageKind::Request => &self.request,
-            MessageKind::Response => &self.answer,
+            MessageKind::Request => &self.request_rules,
+            MessageKind::Response => &self.response_rules,
         }
     }
 
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -13,13 +13,18 @@
     let _ = writeln!(out, "\n| side | request | answer |\n| --- | --- | --- |");
     for side in [Side::Old, Side::New] {
         let dialect = mapping.dialect(side);
-        let (asks, answers) = (form(dialect.form, dialect), form(dialect.answers, dialect));
-        let _ =
-            writeln!(out, "| {} | `{} {}`, {asks} | {answers} |", side.name(), dialect.method, dialect.path);
+        let (request, response) = (form(dialect.request_form, dialect), form(dialect.response_form, dialect));
+        let _ = writeln!(
+            out,
+            "| {} | `{} {}`, {request} | {response} |",
+            side.name(),
+            dialect.method,
+            dialect.path
+        );
     }
     if let Some(key) = &mapping.key {
         let names: Vec<_> =
-            key.fields.iter().map(|&at| format!("`{}`", mapping.old.request[at].path)).collect();
+            key.fields.iter().map(|&at| format!("`{}`", mapping.old.request_fields[at].path)).collect();
         let names = names.join(", ");
         let _ = writeln!(
             out,
--- a/crates/translate/src/file.rs
+++ b/crates/translate/src/file.rs
@@ -17,8 +17,8 @@
     pub new: Side,
     #[serde(default)]
     pub request: Vec<Rule>,
-    #[serde(default)]
-    pub answer: Vec<Rule>,
+    #[serde(default, rename = "answer")]
+    pub response: Vec<Rule>,
     pub key: Option<Key>,
 }
 
@@ -28,7 +28,7 @@
     pub form: Spanned<Form>,
     /// That of its answers, if it is another.
     #[serde(rename = "answers")]
-    pub answer_form: Option<Spanned<Form>>,
+    pub response_form: Option<Spanned<Form>>,
     pub method: String,
     pub path: Spanned<String>,
     #[serde(default)]
@@ -40,8 +40,8 @@
     pub namespace: Option<String>,
     #[serde(default)]
     pub request: Vec<Field>,
-    #[serde(default)]
-    pub answer: Vec<Field>,
+    #[serde(default, rename = "answer")]
+    pub response: Vec<Field>,
 }
 
 #[derive(Debug, Deserialize)]
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -130,9 +130,9 @@
 #[derive(Debug, Clone)]
 pub struct Dialect {
     /// The form of its requests.
-    pub form: Form,
+    pub request_form: Form,
     /// That of its answers.
-    pub answers: Form,
+    pub response_form: Form,
     /// The method of its requests.
     pub method: String,
     /// Their path.
@@ -147,26 +147,26 @@
     pub operation: String,
     /// The namespace of both.
     pub namespace: String,
-    pub(crate) request: Vec<Field>,
-    pub(crate) answer: Vec<Field>,
+    pub(crate) request_fields: Vec<Field>,
+    pub(crate) response_fields: Vec<Field>,
     /// The rows of an answer, which is the only message that can be a table.
-    pub(crate) shape: table::Shape,
+    pub(crate) table_layout: table::Layout,
 }
 
 impl Dialect {
     /// The fields of a message.
     pub fn fields(&self, message_kind: MessageKind) -> &[Field] {
         match message_kind {
-            MessageKind::Request => &self.request,
-            MessageKind::Response => &self.answer,
+            MessageKind::Request => &self.request_fields,
+            MessageKind::Response => &self.response_fields,
         }
     }
 
     /// The form of a message.
     pub fn form(&self, message_kind: MessageKind) -> Form {
         match message_kind {
-            MessageKind::Request => self.form,
-            MessageKind::Response => self.answers,
+            MessageKind::Request => self.request_form,
+            MessageKind::Response => self.response_form,
         }
     }
 
@@ -182,7 +182,7 @@
         match self.form(message_kind) {
             Form::Form => form::decode(bytes, self.charset, limits),
             Form::Json => json::decode(bytes, limits),
-            Form::Table => table::decode(bytes, self.charset, self.delimiter, &self.shape, limits),
+            Form::Table => table::decode(bytes, self.charset, self.delimiter, &self.table_layout, limits),
             Form::Soap => match soap::decode(bytes, self.charset, limits)? {
                 soap::Body::Call { namespace, name, fields } => {
                     match namespace == self.namespace && name == self.element(message_kind) {
@@ -202,7 +202,7 @@
         match self.form(message_kind) {
             Form::Form => form::encode(message, self.charset),
             Form::Json => Ok(json::encode(message)),
-            Form::Table => table::encode(message, self.charset, self.delimiter, &self.shape),
+            Form::Table => table::encode(message, self.charset, self.delimiter, &self.table_layout),
             Form::Soap => soap::encode(&self.namespace, &self.element(message_kind), message, self.charset),
         }
     }
@@ -223,8 +223,8 @@
     pub new: Dialect,
     /// Where messages are not the same after a way there and back.
     pub notes: Vec<Note>,
-    pub(crate) request: Vec<crate::convert::Rule>,
-    pub(crate) answer: Vec<crate::convert::Rule>,
+    pub(crate) request_rules: Vec<crate::convert::Rule>,
+    pub(crate) response_rules: Vec<crate::convert::Rule>,
     pub(crate) key: Option<Key>,
 }
 
@@ -299,8 +299,8 @@
     pub fn key(&self, request: &Node) -> Option<String> {
         let key = self.key.as_ref()?;
         let part = |&at: &usize| {
-            let field = &self.old.request[at];
-            let value = field.read(request, self.old.form.typing()).ok()??;
+            let field = &self.old.request_fields[at];
+            let value = field.read(request, self.old.request_form.typing()).ok()??;
             field.kind.format(&value).ok().filter(|text| !text.is_empty())
         };
         let parts: Option<Vec<String>> = key.fields.iter().map(part).collect();
--- a/crates/translate/src/wire/table.rs
+++ b/crates/translate/src/wire/table.rs
@@ -15,7 +15,7 @@
 
 /// What a message holds, in its order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Shape {
+pub struct Layout {
     /// Paths of its own fields.
     pub fields: Vec<String>,
     /// Names of its groups and of their fields.
@@ -24,18 +24,18 @@
     pub extension: Option<String>,
 }
 
-impl Shape {
-    pub(crate) fn of(fields: &[Field], extension: Option<String>) -> Shape {
-        let mut shape = Shape { extension, ..Shape::default() };
+impl Layout {
+    pub(crate) fn of(fields: &[Field], extension: Option<String>) -> Layout {
+        let mut layout = Layout { extension, ..Layout::default() };
         for field in fields {
             match &field.kind {
                 Kind::Group(_, within) => {
-                    shape.groups.push((field.path.clone(), within.iter().map(|f| f.path.clone()).collect()));
+                    layout.groups.push((field.path.clone(), within.iter().map(|f| f.path.clone()).collect()));
                 }
-                _ => shape.fields.push(field.path.clone()),
+                _ => layout.fields.push(field.path.clone()),
             }
         }
-        shape
+        layout
     }
 }
 
@@ -44,7 +44,7 @@
     bytes: &[u8],
     charset: Charset,
     delimiter: u8,
-    shape: &Shape,
+    layout: &Layout,
     limits: Limits,
 ) -> Result<Node, String> {
     let mut count = Count::new(limits, bytes.len())?;
@@ -55,7 +55,7 @@
         .flexible(true)
         .from_reader(text.as_bytes());
     let (mut message, mut rows, mut whole) = (Node::record(), 0_usize, false);
-    let mut groups: Vec<Vec<Node>> = vec![Vec::new(); shape.groups.len()];
+    let mut groups: Vec<Vec<Node>> = vec![Vec::new(); layout.groups.len()];
     for row in reader.records() {
         let row = row.map_err(|e| format!("row {}: {e}", rows + 1))?;
         if whole {
@@ -77,7 +77,7 @@
             Ok(record)
         };
         match tag {
-            "H" if rows == 0 => message = columns(&shape.fields, &mut count)?,
+            "H" if rows == 0 => message = columns(&layout.fields, &mut count)?,
             _ if rows == 0 => return Err("the first row is no H".into()),
             "T" => {
                 whole = row.len() == 2 && row.get(1) == Some(rows.to_string().as_str());
@@ -85,7 +85,7 @@
                     return Err(format!("the last row does not say that {rows} came before it"));
                 }
             }
-            "X" => match (&shape.extension, row.get(1), row.get(2)) {
+            "X" => match (&layout.extension, row.get(1), row.get(2)) {
                 (Some(extension), Some(name), Some(value)) if row.len() == 3 => {
                     count.value(2)?;
                     let path = format!("{extension}.{name}");
@@ -96,10 +96,10 @@
                 }
                 _ => return Err(format!("row {}: nothing is carried like this", rows + 1)),
             },
-            _ => match shape.groups.iter().position(|(name, _)| name == tag) {
+            _ => match layout.groups.iter().position(|(name, _)| name == tag) {
                 Some(at) => {
                     count.value(1)?;
-                    let item = columns(&shape.groups[at].1, &mut count)?;
+                    let item = columns(&layout.groups[at].1, &mut count)?;
                     groups[at].push(item);
                 }
                 None => return Err(format!("row {}: no rows are called {tag:?}", rows + 1)),
@@ -110,14 +110,14 @@
     if !whole {
         return Err("cut off: the last row is missing".into());
     }
-    for ((name, _), items) in shape.groups.iter().zip(groups).filter(|(_, items)| !items.is_empty()) {
+    for ((name, _), items) in layout.groups.iter().zip(groups).filter(|(_, items)| !items.is_empty()) {
         message.put(name, Node::List(items));
     }
     Ok(message)
 }
 
 /// Writes a message. The error names what can't be written.
-pub fn encode(message: &Node, charset: Charset, delimiter: u8, shape: &Shape) -> Result<Vec<u8>, String> {
+pub fn encode(message: &Node, charset: Charset, delimiter: u8, layout: &Layout) -> Result<Vec<u8>, String> {
     let mut writer = csv::WriterBuilder::new()
         .delimiter(delimiter)
         .flexible(true)
@@ -126,13 +126,13 @@
     let columns = |tag: &'_ str, record: &'_ Node, fields: &'_ [String]| -> Vec<String> {
         std::iter::once(tag.to_owned()).chain(fields.iter().map(|path| text(record.at(path)))).collect()
     };
-    let mut all = vec![columns("H", message, &shape.fields)];
-    for (name, fields) in &shape.groups {
+    let mut all = vec![columns("H", message, &layout.fields)];
+    for (name, fields) in &layout.groups {
         if let Some(Node::List(items)) = message.at(name) {
             all.extend(items.iter().map(|item| columns(name, item, fields)));
         }
     }
-    if let Some(Node::Record(carried)) = shape.extension.as_ref().and_then(|path| message.at(path)) {
+    if let Some(Node::Record(carried)) = layout.extension.as_ref().and_then(|path| message.at(path)) {
         all.extend(carried.iter().map(|(name, value)| vec!["X".into(), name.clone(), text(Some(value))]));
     }
     all.push(vec!["T".into(), all.len().to_string()]);
--- a/crates/translate/src/wire/table/tests.rs
+++ b/crates/translate/src/wire/table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn shape() -> Shape {
-    Shape {
+fn layout() -> Layout {
+    Layout {
         fields: vec!["ID".into(), "S.NAME".into()],
         groups: vec![("LINE".into(), vec!["AT".into(), "MM".into()])],
         extension: Some("EXT".into()),
@@ -9,7 +9,7 @@
 }
 
 fn read(text: &str) -> Result<Node, String> {
-    decode(text.as_bytes(), Charset::Utf8, b'|', &shape(), Limits::default())
+    decode(text.as_bytes(), Charset::Utf8, b'|', &layout(), Limits::default())
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let message = read(text).unwrap();
     assert_eq!(message.at("S.NAME"), Some(&Node::Text("a \"b\" | c\r\nd".into())));
     assert_eq!(message.at("EXT.seen"), Some(&Node::Text("yes".into())));
-    assert_eq!(encode(&message, Charset::Utf8, b'|', &shape()).unwrap(), text.as_bytes());
+    assert_eq!(encode(&message, Charset::Utf8, b'|', &layout()).unwrap(), text.as_bytes());
 }
 
 #[test]
