--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -2,8 +2,8 @@
 //! the translator from the content of each call, and compared byte by byte with what arrives; only idempotency keys come from the
 //! translator under test.
 
-use heronhoist_translate::mixed::{self, Plan, Sides};
-use heronhoist_translate::{mapping, Limits, Mapping, Part, Side};
+use heronhoist_translate::mixed_fleet::{self, Plan, Sides};
+use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
 use std::rc::Rc;
 
 /// The example mappings of the classes, with which agents translate.
@@ -201,7 +201,7 @@
         if side == self.side {
             return Some(&self.original);
         }
-        self.plan.other.as_deref()
+        self.plan.translated.as_deref()
     }
 
     /// Injects a bug: new servers get a key that differs from the one derived from the old fields.
@@ -211,7 +211,7 @@
 
     /// Injects a bug: the last digit of the translated request is changed.
     pub fn corrupt_field(&mut self) {
-        let digits = self.plan.other.iter_mut().flatten().rev();
+        let digits = self.plan.translated.iter_mut().flatten().rev();
         if let Some(digit) = digits.into_iter().find(|byte| byte.is_ascii_digit()) {
             *digit = b'0' + (*digit - b'0' + 1) % 10;
         }
@@ -250,8 +250,8 @@
         let original = ExpectedExchange { number: call as u64 }.request(*kind, side).into_bytes();
         let plan = match side {
             Side::Old => {
-                let message = mapping.old.decode(Part::Request, &original, Limits::default()).ok()?;
-                mixed::from_old(mapping, &message, serving).ok()?
+                let message = mapping.old.decode(MessageKind::Request, &original, Limits::default()).ok()?;
+                mixed_fleet::plan_old_request(mapping, &message, serving).ok()?
             }
             Side::New => {
                 let key = match (mapping.has_keys(), own_key) {
@@ -259,7 +259,7 @@
                     (true, true) => Some(format!("own-{call}")),
                     (true, false) => self.key_of_old(class, call),
                 };
-                mixed::from_new(mapping, &original, key.as_deref(), serving)
+                mixed_fleet::plan_new_request(mapping, &original, key.as_deref(), serving)
             }
         };
         Some(EncodedRequest { side, original, plan })
@@ -268,7 +268,7 @@
     fn key_of_old(&self, class: usize, call: usize) -> Option<String> {
         let (kind, mapping) = &self.classes[class];
         let old = ExpectedExchange { number: call as u64 }.request(*kind, Side::Old);
-        mapping.key(&mapping.old.decode(Part::Request, old.as_bytes(), Limits::default()).ok()?)
+        mapping.key(&mapping.old.decode(MessageKind::Request, old.as_bytes(), Limits::default()).ok()?)
     }
 
     /// Returns the key by which a server with dialect `side` recognizes repeats of a request. Old servers derive it from the fields.
@@ -282,7 +282,9 @@
         let mapping = &self.classes[class].1;
         match side {
             Side::New => key.map(str::to_owned),
-            Side::Old => mapping.key(&mapping.old.decode(Part::Request, request, Limits::default()).ok()?),
+            Side::Old => {
+                mapping.key(&mapping.old.decode(MessageKind::Request, request, Limits::default()).ok()?)
+            }
         }
     }
 
@@ -298,7 +300,7 @@
 
     /// Translates a response for a client of the other dialect as the agent does; `None` if it cannot be expressed there.
     pub fn translate_response(&self, class: usize, from: Side, response: &[u8]) -> Option<Vec<u8>> {
-        mixed::answer(&self.classes[class].1, from, response).ok().map(|(bytes, _)| bytes)
+        mixed_fleet::translate_response(&self.classes[class].1, from, response).ok().map(|(bytes, _)| bytes)
     }
 
     /// Returns whether the response that a client received is the expected one, byte by byte.
