--- a/crates/agent/src/bin/heronhoist-coordinator.rs
+++ b/crates/agent/src/bin/heronhoist-coordinator.rs
@@ -1,5 +1,5 @@
-//! The program of a coordination process, which `heronhoist council` becomes. It stands by itself so that an agent does not
-//! carry the consensus library and the store in its memory.
+//! The coordinator process, which `heronhoist council` executes. It is a program of its own so that an agent does not load the
+//! consensus library and the store into its memory.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/bin/heronhoist-council.rs
+++ b/crates/agent/src/bin/heronhoist-council.rs
@@ -1,4 +1,4 @@
-//! The earlier name of `heronhoist-coordinator`, under which existing installations start the same program.
+//! The former name of `heronhoist-coordinator`, kept for existing installations; both run the same code.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The agent: the decisions of `heronhoist-decision` on real sockets. See `heronhoist --help`; with
-//! `LB_CONFIG` and no arguments it is the platform's agent.
+//! The agent process: carries out the decisions of `heronhoist-decision` on real sockets. See `heronhoist --help`; without
+//! arguments it runs as the platform's agent with the file that `LB_CONFIG` names.
 
 mod accept;
 mod backend;
@@ -53,57 +53,58 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// After SIGTERM new connections go on coming for a while, and are served.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-/// Once nothing is owed, connections that have not been used yet are given this long.
-const LINGER: Duration = Duration::from_millis(400);
-/// Whoever stops a process kills it after the longest deadline, of which no more than this counts,
-const KILL_AFTER: Duration = Duration::from_secs(3);
-/// and this. Until then clients go on sending on connections that are open.
+/// How long new connections are still accepted after SIGTERM: clients take a while to notice the shutdown.
+const SHUTDOWN_ACCEPT_DURATION: Duration = Duration::from_millis(500);
+/// How long after that an idle process still waits for a first request on connections that have not been used yet.
+const UNUSED_CONNECTION_GRACE: Duration = Duration::from_millis(400);
+/// The process is killed once the longest request deadline, of which at most this counts, and [`KILL_SLACK`] have passed since
+/// SIGTERM. Until then clients keep sending requests on open connections.
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// The time between the longest deadline and the kill.
 const KILL_SLACK: Duration = Duration::from_millis(700);
-/// All that has been read is answered this long before, and nothing more is read.
-const KILL_RESERVE: Duration = Duration::from_millis(200);
-/// The end of a process of which something still does not end, over all the time that its requests have.
-const STOP_SLACK: Duration = Duration::from_secs(1);
+/// How long before the kill every request that has been read is answered; nothing is read after that.
+const KILL_MARGIN: Duration = Duration::from_millis(200);
+/// How long after the longest deadline of its last requests the process exits, even if connections are still open.
+const SHUTDOWN_SLACK: Duration = Duration::from_secs(1);
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// A process that takes over waits this long for discovery; then what it knows must do.
-const LIST_WAIT: Duration = Duration::from_millis(2500);
+/// The number of connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// How long a successor process waits for endpoint lists before it serves with those that it knows.
+const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The agent's program: does what the command line says.
+/// The entry point of `heronhoist`: runs the command that the command line gives.
 pub fn main() -> ExitCode {
     cli::main()
 }
 
-/// The program of a coordination process, under the name that its usage text shows: does what the command line says.
+/// The entry point of a coordinator process; `program` is the name that its usage text shows.
 pub fn coordinator_main(program: &'static str) -> ExitCode {
     cli::coordinator_main(program)
 }
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until SIGTERM.
 fn run_agent(config: Config) -> Result<(), String> {
     run_local(run(config))?
 }
 
-/// Runs something to its end, with all that it spawns, on this thread.
-fn run_local<T>(what: impl std::future::Future<Output = T>) -> Result<T, String> {
+/// Runs a future and the tasks that it spawns on this thread, and returns the future's output.
+fn run_local<T>(future: impl std::future::Future<Output = T>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
-    Ok(LocalSet::new().block_on(&runtime, what))
+    Ok(LocalSet::new().block_on(&runtime, future))
 }
 
-/// Listens so that another process of this agent may do so too, should it find no way to take over this socket.
+/// Listens on an address with `SO_REUSEPORT`, so that a successor that cannot take over this socket can bind its own.
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 async fn run(mut config: Config) -> Result<(), String> {
-    // First of all: a signal that nobody waits for ends the program.
+    // The handlers are installed first: a signal without a handler ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("cannot wait for SIGHUP: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot wait for SIGTERM: {e}"))?;
     let metrics = Rc::new(Metrics::default());
@@ -118,37 +119,40 @@
             takeover = handover::take_over(path, &peers).await;
         }
     }
-    // Only a file with [fleet] makes a member; without one nothing of it is there.
+    // The agent is a fleet member only if its file has [fleet].
     let drained = config.fleet.as_ref().map(|_| watch::channel(BTreeSet::new()));
-    // What it holds at first is as if it were not alone.
-    let budget = config.limits().for_processes(2);
-    // A client's connection carries one request at a time, and there may be so many once this process is alone.
+    // Until the number of processes is known, this one limits itself as if there were two.
+    let process_limits = config.limits().for_processes(2);
+    // Each client connection carries one request at a time, and this process may hold that many once it runs alone.
     let requests = config.limits().for_processes(1).clients.max_open;
-    let pools = Pools::new(budget.upstream, requests, config.seed);
-    // The list in the file may be old. Where a process has served up to now, that one knows better: this one serves
-    // once it has been told all.
+    let pools = Pools::new(process_limits.upstream, requests, config.seed);
+    // The list in the file may be out of date. If a predecessor has served until now, its list is newer, so this process
+    // fetches the complete list before it serves.
     if let Some((_, drained)) = &drained {
         pools.follow_drains(drained.clone());
     }
     let is_version_valid = takeover.is_none();
     let known = config.known.take().map(|list| KnownEndpoints { list, is_version_valid });
     let serving = apply_plan(&config.plan, &mut classes, &pools, known);
-    let server = Server::new(serving, Rc::clone(&pools), Rc::clone(&metrics), budget.clients);
+    let server = Server::new(serving, Rc::clone(&pools), Rc::clone(&metrics), process_limits.clients);
     spawn_local(Rc::clone(&server).sweep());
     let member = config.fleet.as_ref().zip(drained).map(|(fleet, (drained, _))| {
-        let (server, quiet, seen) = (Rc::clone(&server), Rc::clone(&pools), Rc::clone(&pools));
-        let (has_stopped_sending, missing_capacity) =
-            (Box::new(move |name: &str| quiet.is_drained(name)), Box::new(move || seen.missing_capacity()));
+        let (server, drain_pools, capacity_pools) =
+            (Rc::clone(&server), Rc::clone(&pools), Rc::clone(&pools));
+        let (has_stopped_sending, missing_capacity) = (
+            Box::new(move |name: &str| drain_pools.is_drained(name)),
+            Box::new(move || capacity_pools.missing_capacity()),
+        );
         let drains = Drains { drained, has_stopped_sending, missing_capacity };
         Member::start(fleet, config.ops, move || server.is_ready(), drains)
     });
     if let Some(ops) = config.ops {
         let listener =
             TcpListener::bind(ops).await.map_err(|e| format!("cannot listen for operators on {ops}: {e}"))?;
-        let place = listener.local_addr().map_err(|e| e.to_string())?;
-        let page = Page { server: Rc::clone(&server), member: member.clone() };
+        let address = listener.local_addr().map_err(|e| e.to_string())?;
+        let page = StatusPage { server: Rc::clone(&server), member: member.clone() };
         spawn_local(ops::run(listener, Rc::new(page)));
-        tracing::info!("operators may call at {place}");
+        tracing::info!("operators may call at {address}");
     }
     let (mut inherited, predecessor) = match takeover {
         Some(Takeover { listeners, predecessor }) => (listeners, Some(predecessor)),
@@ -156,7 +160,7 @@
     };
     let mut listeners = Vec::new();
     for front in &fronts {
-        // What the process before this one does not listen on is a front that has been added.
+        // A front that the predecessor does not listen on is a new one.
         let listener = match handover::take_listener(&mut inherited, front.listen) {
             Some(listener) => TcpListener::from_std(listener),
             None => bind(front.listen),
@@ -165,27 +169,27 @@
         listeners.push(Rc::new(listener));
     }
     drop(inherited);
-    let allot = {
+    let apply_limits = {
         let (limits, server, pools) = (config.limits(), Rc::clone(&server), Rc::clone(&pools));
         move |processes| {
-            let budget = limits.for_processes(processes);
-            server.set_limits(budget.clients);
-            pools.set_limits(budget.upstream);
+            let process_limits = limits.for_processes(processes);
+            server.set_limits(process_limits.clients);
+            pools.set_limits(process_limits.upstream);
         }
     };
-    peers.on_change(allot);
-    let served = pools.all();
+    peers.on_change(apply_limits);
+    let all_pools = pools.all();
     let reloader = Reloader { config, classes, metrics, server: Rc::clone(&server), pools };
     spawn_local(reloader.run(hangup));
     if predecessor.is_some() {
-        let heard = async {
-            for pool in served {
+        let lists_published = async {
+            for pool in all_pools {
                 pool.engine_pool.endpoints_published().await;
             }
         };
-        let _ = timeout(LIST_WAIT, heard).await;
+        let _ = timeout(ENDPOINT_LIST_TIMEOUT, lists_published).await;
     }
-    // From here on a successor finds the way to this process.
+    // From here on a successor can connect to this process.
     let successor_tasks: Vec<_> = socket_paths
         .iter()
         .filter_map(|path| handover::listen_for_successors(path))
@@ -197,53 +201,53 @@
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         tracing::info!(front = &*front.name, "listening on {address}");
         let (server, front) = (Rc::clone(&server), Rc::new(front.clone()));
-        let closing = Rc::new(Notify::new());
-        let closed = Rc::clone(&closing);
+        let stop_accepting = Rc::new(Notify::new());
+        let stop_requested = Rc::clone(&stop_accepting);
         let accept = async move {
             tokio::select! {
-                // Whoever has come by then is let in: a listener that closes resets what waits at it.
+                // Queued connections are accepted before the listener closes: closing it resets those that still wait.
                 biased;
                 () = server.accept(&front, &*listener) => {}
-                () = closed.notified() => {}
+                () = stop_requested.notified() => {}
             }
         };
-        accepting.push((closing, spawn_local(accept)));
+        accepting.push((stop_accepting, spawn_local(accept)));
     }
     if let Some(predecessor) = predecessor {
         spawn_local(predecessor.complete_takeover());
     }
     term.recv().await;
 
-    // Clients go on coming until they have noticed; what they send is served to the end.
-    let stop = Instant::now();
-    let longest = server.longest_deadline();
-    let answer_by = stop + longest.min(KILL_AFTER) + KILL_SLACK - KILL_RESERVE;
-    server.begin_shutdown(answer_by);
-    end(successor_tasks).await;
+    // Clients keep connecting until they notice the shutdown, and each request that they send until then is served.
+    let stopped_at = Instant::now();
+    let longest_deadline = server.longest_deadline();
+    let respond_by = stopped_at + longest_deadline.min(MAX_DEADLINE_BEFORE_KILL) + KILL_SLACK - KILL_MARGIN;
+    server.begin_shutdown(respond_by);
+    abort_and_wait(successor_tasks).await;
     if peers.has_ready_successor() {
-        // New connections are the successor's from now on; those that are open may still be used for a while.
-        end(accepting.into_iter().map(|(_, task)| task).collect()).await;
-        sleep_until_caught_up(stop + ACCEPT_ON).await;
+        // The successor accepts all new connections from now on; open ones may still be used for a while.
+        abort_and_wait(accepting.into_iter().map(|(_, task)| task).collect()).await;
+        sleep_until_caught_up(stopped_at + SHUTDOWN_ACCEPT_DURATION).await;
     } else {
-        // Whoever has come by then is let in, also if this process was held up meanwhile.
-        sleep_until_caught_up(stop + ACCEPT_ON).await;
-        for (closing, task) in accepting {
-            closing.notify_one();
+        // Connections that arrive by then are accepted, even if this process was not scheduled for a while.
+        sleep_until_caught_up(stopped_at + SHUTDOWN_ACCEPT_DURATION).await;
+        for (stop_accepting, task) in accepting {
+            stop_accepting.notify_one();
             let _ = task.await;
         }
     }
     server.close_all();
-    let quiet_from = stop + ACCEPT_ON + LINGER;
-    // Long answers may be under way for longer.
-    let last = stop + ACCEPT_ON + longest + STOP_SLACK;
-    let mut finished = false;
-    while server.open_connections() > 0 && Instant::now() < last {
-        let (now, quiet) = (Instant::now(), server.pending_requests() == 0);
-        if finished && quiet {
+    let finish_idle_from = stopped_at + SHUTDOWN_ACCEPT_DURATION + UNUSED_CONNECTION_GRACE;
+    // Long responses may still be in transit after the deadline.
+    let exit_by = stopped_at + SHUTDOWN_ACCEPT_DURATION + longest_deadline + SHUTDOWN_SLACK;
+    let mut is_finishing = false;
+    while server.open_connections() > 0 && Instant::now() < exit_by {
+        let (now, is_idle) = (Instant::now(), server.pending_requests() == 0);
+        if is_finishing && is_idle {
             break;
         }
-        if !finished && (quiet && now >= quiet_from || now >= answer_by) {
-            finished = true;
+        if !is_finishing && (is_idle && now >= finish_idle_from || now >= respond_by) {
+            is_finishing = true;
             server.finish_pending();
         }
         sleep(Duration::from_millis(5)).await;
@@ -254,25 +258,25 @@
     Ok(())
 }
 
-/// What operators are shown.
-struct Page {
+/// The readiness and metrics that the operators' address shows.
+struct StatusPage {
     server: Rc<Server>,
     member: Option<Rc<Member>>,
 }
 
-impl StatusSource for Page {
+impl StatusSource for StatusPage {
     fn is_ready(&self) -> bool {
         self.server.is_ready()
     }
 
     fn metrics_page(&self) -> String {
-        let figures = self.server.metrics_page();
-        self.member.as_ref().map_or(figures.clone(), |member| figures + &member.metrics_page())
+        let page = self.server.metrics_page();
+        self.member.as_ref().map_or(page.clone(), |member| page + &member.metrics_page())
     }
 }
 
-/// Ends tasks, and comes back once what they held is free.
-async fn end(tasks: Vec<JoinHandle<()>>) {
+/// Aborts tasks, and returns once they have released what they held.
+async fn abort_and_wait(tasks: Vec<JoinHandle<()>>) {
     for task in tasks {
         task.abort();
         let _ = task.await;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent's program; see `heronhoist --help`.
+//! The agent; see `heronhoist --help`.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -1,4 +1,4 @@
-//! What the agent serves: the part of a configuration that a reload can change, whichever form of file describes it.
+//! The part of a configuration that a reload can change: pools, routes, classes and mappings, whichever file format defines them.
 
 use crate::backend::HttpSettings;
 use heronhoist_decision::Settings;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The pools, and which requests go to each of them.
+/// The pools and routes, with the request classes, tenants and mappings that they use.
 #[derive(Debug, Clone)]
 pub struct ServingPlan {
     /// The names of the request classes, in the order of each pool's [`Settings::classes`].
@@ -17,9 +17,9 @@
     pub tenants: Vec<String>,
     /// The pools; at least one.
     pub pools: Vec<PoolPlan>,
-    /// Which pool a request goes to, by its position in `pools`.
+    /// The routes; they name each pool by its index in `pools`.
     pub routes: Table,
-    /// How requests of clients that speak an old dialect are translated.
+    /// The mappings by which requests of legacy clients are translated.
     pub mappings: Rc<Mappings>,
 }
 
@@ -32,15 +32,15 @@
     pub settings: Settings,
     /// The names of the zones and machine types, which the decision module knows by number.
     pub names: ServerNames,
-    /// How its servers speak HTTP.
+    /// The HTTP settings of its servers.
     pub http: HttpSettings,
-    /// Where its endpoints come from.
+    /// The source of its endpoints.
     pub endpoints: PoolEndpoints,
     /// The machine types whose servers speak the old dialect; only discovery reports machine types.
     pub legacy_machine_types: Vec<String>,
 }
 
-/// Where the endpoints of a pool come from.
+/// The source of a pool's endpoints.
 ///
 /// | source | endpoints change |
 /// | --- | --- |
@@ -54,11 +54,11 @@
     Static(Vec<EndpointInfo<SocketAddr>>),
 }
 
-/// The endpoints of a pool as they are known at the start of the agent, before its source has reported any.
+/// The endpoints of a pool that are known when the agent starts, before the pool's source has reported any.
 #[derive(Debug, Clone)]
 pub struct KnownEndpoints {
     /// The endpoints.
     pub list: EndpointList<SocketAddr>,
-    /// Whether the versions of the source continue from the list's version. If not, the complete list is fetched first.
+    /// Whether the source's versions continue from the version of this list. If not, the complete list is fetched first.
     pub is_version_valid: bool,
 }
