--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -13,70 +13,70 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Carries an application's requests to a fleet of record servers, giving each exactly one final answer.
+/// Carries an application's requests to a fleet of record servers and gives each exactly one final response.
 #[derive(Parser)]
 #[command(
     name = "heronhoist",
     version,
-    after_help = "Without a command it is the platform's agent: LB_CONFIG names its file, and LB_LISTEN, LB_DISCOVERY and LB_OPS\noverrule the addresses in it; LB_LOG sets the levels of its log, and LB_LOG_PER_SECOND the lines a second.\n\nExit codes: 0 all is well; 1 a file has a fault, or the agent could not start; 2 the command line is wrong, or a file\ncan't be read."
+    after_help = "Without a command, this program runs as the platform's agent: LB_CONFIG names its configuration file, and LB_LISTEN,\nLB_DISCOVERY and LB_OPS override the addresses in it; LB_LOG sets the log levels, and LB_LOG_PER_SECOND the maximum\nnumber of log lines per second.\n\nExit codes: 0 success; 1 a file is invalid, or the agent could not start; 2 the command line is invalid, or a file\ncannot be read."
 )]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-/// Runs a process of the fleet's council until SIGTERM.
+/// Runs a coordinator process of the fleet until SIGTERM.
 #[derive(Parser)]
 #[command(version)]
-struct Council {
-    /// Its file, as deploy/council.toml.
+struct CoordinatorOptions {
+    /// Its configuration file; deploy/council.toml is an example.
     #[arg(short, long, value_name = "FILE")]
     config: PathBuf,
-    /// Begin anew, alone, with a copy that `heronhoist fleet copy` wrote; only on a new disk.
+    /// Start alone, with the state from a copy that `heronhoist fleet copy` wrote; requires a new disk.
     #[arg(long, value_name = "COPY")]
     restore: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the agent until SIGTERM; SIGHUP reads the file again, and takes all of it or nothing.
+    /// Run the agent until SIGTERM; SIGHUP reloads the file, and an invalid file changes nothing.
     Run {
-        /// The file, as deploy/heronhoist.toml; without it the platform's, which LB_CONFIG names.
+        /// The configuration file, such as deploy/heronhoist.toml; by default the platform's, which LB_CONFIG names.
         #[arg(short, long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Check files as `run` would, and show what would be served. Nothing is started.
+    /// Check configuration files as `run` would, and show what would be served. Nothing is started.
     Check {
-        /// The files; one that ends in .json is of the platform's form.
+        /// The configuration files; a .json file has the platform's format.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Show each value in force and where it comes from.
+    /// Show each effective value and its source.
     Config {
-        /// The file; without it the platform's, which LB_CONFIG names.
+        /// The configuration file; by default the platform's, which LB_CONFIG names.
         #[arg(short, long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Check, try and explain the files by which messages are translated.
+    /// Check, try out and explain mapping files, by which messages are translated.
     Translate {
         #[command(subcommand)]
         command: translate::Command,
     },
-    /// Run a process of the fleet's council until SIGTERM.
+    /// Run a coordinator process of the fleet until SIGTERM.
     #[command(alias = "coordinator")]
-    Council(Council),
-    /// Ask the fleet's council, and tell it what operators want.
+    Council(CoordinatorOptions),
+    /// Query and administer the fleet's coordination service.
     Fleet {
         #[command(subcommand)]
         tool: fleet_command::FleetCommand,
     },
     Hold(hold::Hold),
-    /// Take record servers out of all agents together.
+    /// Drain record servers: all agents stop sending to them.
     Drain {
         #[command(subcommand)]
         tool: drain::DrainCommand,
     },
-    /// Let agents send to record servers again.
+    /// Undo a drain: agents send to the record servers again.
     Undrain {
         #[command(subcommand)]
         tool: drain::UndrainCommand,
@@ -88,47 +88,48 @@
     },
 }
 
-/// The program of a coordination process, and its earlier name.
-const COORDINATOR: &str = "heronhoist-coordinator";
-const COORDINATOR_EARLIER: &str = "heronhoist-council";
+/// The program of a coordinator process.
+const COORDINATOR_PROGRAM: &str = "heronhoist-coordinator";
+/// The former name of [`COORDINATOR_PROGRAM`].
+const FORMER_COORDINATOR_PROGRAM: &str = "heronhoist-council";
 
-/// The exit code for a file that can't be read; clap uses the same for what it can't understand.
-const UNREAD: u8 = 2;
+/// The exit code for a file that cannot be read; clap uses the same code for an invalid command line.
+const EXIT_UNREADABLE: u8 = 2;
 
-/// Does what the command line says.
+/// Runs the command that the command line gives.
 pub fn main() -> ExitCode {
-    // The platform's agent has no command line to read, and holds nothing that reading one takes.
+    // The platform's agent has no arguments; it skips the argument parser and the memory that it takes.
     if std::env::args_os().len() <= 1 {
         return run(Config::from_env());
     }
     match Arguments::parse().command {
         None => run(Config::from_env()),
-        Some(Command::Run { config }) => run(load(config)),
+        Some(Command::Run { config }) => run(load_config(config)),
         Some(Command::Check { files }) => check(&files),
-        Some(Command::Config { config }) => match load(config) {
-            Ok(config) => print(&entries(&config)),
-            Err(fault) => fail(&fault.to_string(), code_of(&fault)),
+        Some(Command::Config { config }) => match load_config(config) {
+            Ok(config) => print(&format_entries(&config)),
+            Err(fault) => fail(&fault.to_string(), exit_code_of(&fault)),
         },
         Some(Command::Translate { command }) => match translate::main(command) {
             Ok(text) => print(&text),
-            Err(translate::TranslateError::Unreadable(fault)) => fail(&fault, UNREAD),
+            Err(translate::TranslateError::Unreadable(fault)) => fail(&fault, EXIT_UNREADABLE),
             Err(translate::TranslateError::Invalid(faults)) => {
                 let _ = writeln!(io::stderr(), "{faults}");
                 ExitCode::from(1)
             }
         },
-        Some(Command::Council(what)) => fail(&become_coordinator(&what), 1),
+        Some(Command::Council(options)) => fail(&exec_coordinator(&options), 1),
         Some(Command::Fleet { tool }) => match crate::run_local(fleet_command::run(tool)) {
             Ok(Ok(text)) => print(&text),
             Ok(Err(error)) => fail(&error.to_string(), 1),
             Err(fault) => fail(&fault, 1),
         },
-        Some(Command::Hold(what)) => match crate::run_local(hold::run(what)) {
+        Some(Command::Hold(options)) => match crate::run_local(hold::run(options)) {
             Ok(code) => ExitCode::from(code),
             Err(fault) => fail(&fault, 1),
         },
-        Some(Command::Drain { tool }) => shown(crate::run_local(drain::run(tool))),
-        Some(Command::Undrain { tool }) => shown(crate::run_local(drain::run_undrain(tool))),
+        Some(Command::Drain { tool }) => print_result(crate::run_local(drain::run(tool))),
+        Some(Command::Undrain { tool }) => print_result(crate::run_local(drain::run_undrain(tool))),
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Arguments::command(), "heronhoist", &mut io::stdout());
             ExitCode::SUCCESS
@@ -136,33 +137,33 @@
     }
 }
 
-/// Prints what a command on drains returns, or ends with its exit code.
-fn shown(done: Result<Result<String, CommandError>, String>) -> ExitCode {
-    match done {
+/// Prints the output of a drain command, or its error; returns the matching exit code.
+fn print_result(result: Result<Result<String, CommandError>, String>) -> ExitCode {
+    match result {
         Ok(Ok(text)) => print(&text),
         Ok(Err(error)) => fail(&error.to_string(), error.exit_code()),
-        Err(why) => fail(&why, 1),
+        Err(reason) => fail(&reason, 1),
     }
 }
 
-/// The program of a coordination process stands beside this one, and takes this one's place. Only why it did not comes back.
-fn become_coordinator(options: &Council) -> String {
+/// Replaces this process by the coordinator program in the same directory; returns only if that fails, with the reason.
+fn exec_coordinator(options: &CoordinatorOptions) -> String {
     let program = match std::env::current_exe() {
-        Ok(this) => this.with_file_name(COORDINATOR),
-        Err(e) => return format!("where is this program? {e}"),
+        Ok(this) => this.with_file_name(COORDINATOR_PROGRAM),
+        Err(e) => return format!("cannot determine the path of this program: {e}"),
     };
     let fault = exec(&program, options);
     if fault.kind() != io::ErrorKind::NotFound {
         return format!("cannot run {}: {fault}", program.display());
     }
-    // An installation that copies programs by name has the one of the earlier name.
-    let earlier = program.with_file_name(COORDINATOR_EARLIER);
-    let fault = exec(&earlier, options);
-    format!("cannot run {}: {fault}", earlier.display())
+    // An installation that copies programs by name may have only the program under its former name.
+    let former = program.with_file_name(FORMER_COORDINATOR_PROGRAM);
+    let fault = exec(&former, options);
+    format!("cannot run {}: {fault}", former.display())
 }
 
-/// Replaces this process by the program; returns only why that failed.
-fn exec(program: &Path, options: &Council) -> io::Error {
+/// Replaces this process by a program; returns only if that fails, with the error.
+fn exec(program: &Path, options: &CoordinatorOptions) -> io::Error {
     let mut command = std::process::Command::new(program);
     command.arg("--config").arg(&options.config);
     if let Some(copy) = &options.restore {
@@ -171,20 +172,21 @@
     std::os::unix::process::CommandExt::exec(&mut command)
 }
 
-/// The program of a coordination process, under the name that its usage text shows.
+/// The entry point of a coordinator process; `program` is the name that its usage text shows.
 pub fn coordinator_main(program: &'static str) -> ExitCode {
-    let mut matches = Council::command().name(program).get_matches();
-    let Council { config, restore } = match Council::from_arg_matches_mut(&mut matches) {
+    let mut matches = CoordinatorOptions::command().name(program).get_matches();
+    let CoordinatorOptions { config, restore } = match CoordinatorOptions::from_arg_matches_mut(&mut matches)
+    {
         Ok(options) => options,
         Err(fault) => fault.exit(),
     };
-    council(&config, restore.as_deref())
+    run_coordinator(&config, restore.as_deref())
 }
 
-fn council(path: &Path, restore: Option<&Path>) -> ExitCode {
+fn run_coordinator(path: &Path, restore: Option<&Path>) -> ExitCode {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) => return fail(&format!("cannot read {}: {e}", path.display()), UNREAD),
+        Err(e) => return fail(&format!("cannot read {}: {e}", path.display()), EXIT_UNREADABLE),
     };
     let variable = |name: &str| std::env::var(name).ok();
     let config = match heronhoist_config::parse_coordinator_config(&text, &variable) {
@@ -202,14 +204,14 @@
     }
 }
 
-fn load(file: Option<PathBuf>) -> Result<Config, ConfigError> {
+fn load_config(file: Option<PathBuf>) -> Result<Config, ConfigError> {
     file.map_or_else(Config::from_env, |file| Config::from_file(&file))
 }
 
 fn run(config: Result<Config, ConfigError>) -> ExitCode {
     let config = match config {
         Ok(config) => config,
-        Err(fault) => return fail(&fault.to_string(), code_of(&fault)),
+        Err(fault) => return fail(&fault.to_string(), exit_code_of(&fault)),
     };
     let log::LogOptions { format, levels, lines_per_second } = &config.log;
     match levels.parse() {
@@ -222,20 +224,20 @@
     }
 }
 
-fn code_of(fault: &ConfigError) -> u8 {
+fn exit_code_of(fault: &ConfigError) -> u8 {
     match fault {
-        ConfigError::Unreadable(_) => UNREAD,
+        ConfigError::Unreadable(_) => EXIT_UNREADABLE,
         ConfigError::Invalid(_) | ConfigError::InvalidEntries(..) => 1,
     }
 }
 
-/// One plain line, and the end.
+/// Prints an error as one line and returns the exit code.
 fn fail(fault: &str, code: u8) -> ExitCode {
     let _ = writeln!(io::stderr(), "heronhoist: {fault}");
     ExitCode::from(code)
 }
 
-/// A reader that has gone, as `head` does, is no fault.
+/// Prints text to standard output. A reader that closes the pipe early, as `head` does, is no error.
 fn print(text: &str) -> ExitCode {
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
@@ -246,10 +248,10 @@
     for path in files {
         match Config::from_file(path) {
             Ok(config) => {
-                print(&format!("{}: sound\n\n{}", path.display(), served(&config)));
+                print(&format!("{}: sound\n\n{}", path.display(), describe_plan(&config)));
             }
             Err(fault) => {
-                worst = worst.max(code_of(&fault));
+                worst = worst.max(exit_code_of(&fault));
                 match &fault {
                     ConfigError::InvalidEntries(path, faults) => {
                         for fault in faults {
@@ -264,11 +266,11 @@
     ExitCode::from(worst)
 }
 
-/// What would be served.
-fn served(config: &Config) -> String {
+/// Describes what a configuration serves, as tables.
+fn describe_plan(config: &Config) -> String {
     let ServingPlan { classes, pools, routes, .. } = &config.plan;
-    let name = |place: Option<usize>| {
-        place.and_then(|p| pools.get(p)).map_or("none: 404".to_string(), |pool| pool.name.clone())
+    let pool_name = |index: Option<usize>| {
+        index.and_then(|index| pools.get(index)).map_or("none: 404".to_string(), |pool| pool.name.clone())
     };
     let mut text = String::new();
     let fronts = config
@@ -290,7 +292,7 @@
     if let Some(ops) = config.ops {
         let _ = writeln!(text, "operators call at {ops}\n");
     }
-    let terms = pools.first().map_or(&[][..], |pool| &pool.settings.classes);
+    let class_settings = pools.first().map_or(&[][..], |pool| &pool.settings.classes);
     let effect = |effect: &Effect| match effect {
         Effect::Idempotent => "idempotent".to_string(),
         Effect::AtMostOnce => "at most once".to_string(),
@@ -298,7 +300,7 @@
             format!("deduplicated by {} for {} ms", format!("{group:?}").to_lowercase(), window.as_ms())
         }
     };
-    let rows = classes.iter().zip(terms).map(|(name, class)| {
+    let rows = classes.iter().zip(class_settings).map(|(name, class)| {
         [
             name.clone(),
             effect(&class.effect),
@@ -325,28 +327,29 @@
     });
     text += &table(["pool", "rules", "servers"], rows);
     let rows = routes.rules().iter().map(|rule| {
-        let asks = &rule.conditions;
+        let conditions = &rule.conditions;
         let lists = [
-            ("front", &asks.fronts),
-            ("class", &asks.classes),
-            ("tenant", &asks.tenants),
-            ("path", &asks.paths),
+            ("front", &conditions.fronts),
+            ("class", &conditions.classes),
+            ("tenant", &conditions.tenants),
+            ("path", &conditions.paths),
         ];
-        let lists = lists.into_iter().chain(asks.labels.iter().map(|(name, values)| (name.as_str(), values)));
-        let asks: Vec<String> = lists
+        let lists =
+            lists.into_iter().chain(conditions.labels.iter().map(|(name, values)| (name.as_str(), values)));
+        let conditions: Vec<String> = lists
             .filter(|(_, list)| !list.is_empty())
             .map(|(name, list)| format!("{name} {}", list.join(" or ")))
             .collect();
-        [rule.name.clone(), asks.join(", "), name(Some(rule.pool))]
+        [rule.name.clone(), conditions.join(", "), pool_name(Some(rule.pool))]
     });
-    let last = [["any other".to_string(), String::new(), name(routes.default_pool())]];
-    text += &table(["route", "asks for", "pool"], rows.chain(last));
+    let default_route = [["any other".to_string(), String::new(), pool_name(routes.default_pool())]];
+    text += &table(["route", "asks for", "pool"], rows.chain(default_route));
     text
 }
 
-/// Columns as wide as what stands in them.
-fn table(head: [&str; 3], rows: impl IntoIterator<Item = [String; 3]>) -> String {
-    let mut lines = vec![head.map(String::from)];
+/// Formats a table whose columns are as wide as their widest cell.
+fn table(header: [&str; 3], rows: impl IntoIterator<Item = [String; 3]>) -> String {
+    let mut lines = vec![header.map(String::from)];
     lines.extend(rows);
     let width = |column: usize| lines.iter().map(|line| line[column].chars().count()).max().unwrap_or(0);
     let (first, second) = (width(0), width(1));
@@ -358,7 +361,8 @@
     text + "\n"
 }
 
-fn entries(config: &Config) -> String {
+/// Lists each effective value with its source, one per line.
+fn format_entries(config: &Config) -> String {
     let mut text = String::new();
     for (key, value, source) in config.entries() {
         let _ = writeln!(text, "{key} = {value}  # {source}");
--- a/crates/agent/src/translate.rs
+++ b/crates/agent/src/translate.rs
@@ -1,4 +1,4 @@
-//! `heronhoist translate`: mapping files by hand.
+//! The command `heronhoist translate`: checks, tries out and explains mapping files.
 
 use clap::{Subcommand, ValueEnum};
 use heronhoist_translate::{explain, mapping, Mapping, Part, Side};
@@ -7,24 +7,24 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Check mapping files, and show what does not come back as it went.
+    /// Check mapping files, and show which values do not survive a round trip.
     Check {
-        /// Files, or directories of which every .toml file is checked.
+        /// Mapping files, or directories; of a directory every .toml file is checked.
         #[arg(required = true, value_name = "DIR")]
         paths: Vec<PathBuf>,
     },
-    /// Translate one message and show what becomes of each field.
+    /// Translate one message and show the result of each field.
     Try {
         /// The mapping file.
         #[arg(long, value_name = "FILE")]
         map: PathBuf,
-        /// The message as on the wire, without its HTTP head; - is standard input.
+        /// The message body as sent on the wire; - is standard input.
         #[arg(long = "in", value_name = "FILE")]
         input: PathBuf,
-        /// The side that it comes from.
+        /// The side that sends the message.
         #[arg(long, value_enum, default_value = "old")]
         from: From,
-        /// It is an answer.
+        /// The message is a response.
         #[arg(long)]
         answer: bool,
     },
@@ -38,76 +38,76 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 pub enum From {
-    /// The old one.
+    /// The old dialect.
     Old,
-    /// The new one.
+    /// The new dialect.
     New,
 }
 
-/// What to print, or what is wrong; each line of it stands for itself.
-type Told = Result<String, TranslateError>;
+/// The text to print, or the errors.
+type CommandResult = Result<String, TranslateError>;
 
-/// What is wrong.
+/// Why a command failed.
 pub enum TranslateError {
-    /// Files or a message have faults, told in these lines.
+    /// Files or a message are invalid; each line describes one error on its own.
     Invalid(String),
-    /// Something can't be read.
+    /// A file or standard input cannot be read.
     Unreadable(String),
 }
 
-/// Does what the command line says.
-pub fn main(command: Command) -> Told {
+/// Runs a command.
+pub fn main(command: Command) -> CommandResult {
     match command {
         Command::Check { paths } => check(&paths),
-        Command::Explain { map } => read(&map).map(|mapping| explain::explain(&mapping)),
+        Command::Explain { map } => read_mapping(&map).map(|mapping| explain::explain(&mapping)),
         Command::Try { map, input, from, answer } => {
-            let mapping = read(&map)?;
-            let message = message(&input)?;
+            let mapping = read_mapping(&map)?;
+            let message = read_message(&input)?;
             let part = if answer { Part::Answer } else { Part::Request };
             let from = match from {
                 From::Old => Side::Old,
                 From::New => Side::New,
             };
-            // An editor ends the last line; a query has none.
+            // Editors end the last line with a newline, which a form-encoded message does not have.
             let message = match mapping.dialect(from).form(part) {
                 mapping::Form::Form => message.trim_ascii_end(),
                 _ => &message,
             };
             explain::trial(&mapping, part, from, message)
-                .map_err(|why| TranslateError::Invalid(why.trim_end().to_owned()))
+                .map_err(|reason| TranslateError::Invalid(reason.trim_end().to_owned()))
         }
     }
 }
 
-fn unread(path: &Path, fault: &io::Error) -> TranslateError {
-    TranslateError::Unreadable(format!("{}: {fault}", path.display()))
+fn unreadable(path: &Path, error: &io::Error) -> TranslateError {
+    TranslateError::Unreadable(format!("{}: {error}", path.display()))
 }
 
-fn message(path: &Path) -> Result<Vec<u8>, TranslateError> {
+fn read_message(path: &Path) -> Result<Vec<u8>, TranslateError> {
     let mut message = Vec::new();
     let read = match path.as_os_str() == "-" {
         true => io::stdin().read_to_end(&mut message).map(drop),
         false => std::fs::read(path).map(|bytes| message = bytes),
     };
-    read.map_err(|e| unread(path, &e))?;
+    read.map_err(|e| unreadable(path, &e))?;
     Ok(message)
 }
 
-fn read(path: &Path) -> Result<Mapping, TranslateError> {
-    let text = std::fs::read_to_string(path).map_err(|e| unread(path, &e))?;
+fn read_mapping(path: &Path) -> Result<Mapping, TranslateError> {
+    let text = std::fs::read_to_string(path).map_err(|e| unreadable(path, &e))?;
     mapping::read(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", path.display()));
         TranslateError::Invalid(lines.collect::<Vec<_>>().join("\n"))
     })
 }
 
-fn files(path: &Path) -> Result<Vec<PathBuf>, TranslateError> {
+fn mapping_files(path: &Path) -> Result<Vec<PathBuf>, TranslateError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
     let entries = std::fs::read_dir(path).and_then(Iterator::collect::<io::Result<Vec<_>>>);
     let mut files: Vec<PathBuf> = entries
-        .map_err(|e| unread(path, &e))?
+        .map_err(|e| unreadable(path, &e))?
         .into_iter()
         .map(|entry| entry.path())
         .filter(|path| path.extension().is_some_and(|extension| extension == "toml"))
@@ -119,50 +119,58 @@
     }
 }
 
-/// Mappings with their files, and the faults of those that have some.
-type Sorted = (Vec<(PathBuf, Mapping)>, Vec<String>);
+/// The valid mappings with their files, and the errors of the invalid ones.
+type ReadMappings = (Vec<(PathBuf, Mapping)>, Vec<String>);
 
-fn read_each(paths: Vec<PathBuf>) -> Result<Sorted, TranslateError> {
-    let (mut sound, mut faults) = (Vec::new(), Vec::new());
+fn read_each(paths: Vec<PathBuf>) -> Result<ReadMappings, TranslateError> {
+    let (mut valid, mut faults) = (Vec::new(), Vec::new());
     for path in paths {
-        match read(&path) {
-            Ok(mapping) => sound.push((path, mapping)),
+        match read_mapping(&path) {
+            Ok(mapping) => valid.push((path, mapping)),
             Err(TranslateError::Invalid(lines)) => faults.push(lines),
-            Err(unread) => return Err(unread),
+            Err(unreadable) => return Err(unreadable),
         }
     }
-    Ok((sound, faults))
+    Ok((valid, faults))
 }
 
-/// All mapping files of a directory, or each fault in a line of its own.
+/// Reads all mapping files of a directory.
+///
+/// # Errors
+///
+/// A file cannot be read, or files are invalid; then each error is on a line of its own.
 pub fn read_all(directory: &Path) -> Result<Vec<Mapping>, TranslateError> {
-    let (sound, faults) = read_each(files(directory)?)?;
+    let (valid, faults) = read_each(mapping_files(directory)?)?;
     match faults.is_empty() {
-        true => Ok(sound.into_iter().map(|(_, mapping)| mapping).collect()),
+        true => Ok(valid.into_iter().map(|(_, mapping)| mapping).collect()),
         false => Err(TranslateError::Invalid(faults.join("\n"))),
     }
 }
 
-fn check(paths: &[PathBuf]) -> Told {
-    let paths = paths.iter().map(|path| files(path)).collect::<Result<Vec<_>, _>>()?.concat();
-    let (sound, mut faults) = read_each(paths)?;
-    let (mut told, mut names) = (String::new(), Vec::<(String, &Path)>::new());
-    for (path, mapping) in &sound {
+fn check(paths: &[PathBuf]) -> CommandResult {
+    let paths = paths.iter().map(|path| mapping_files(path)).collect::<Result<Vec<_>, _>>()?.concat();
+    let (valid, mut faults) = read_each(paths)?;
+    let (mut report, mut names) = (String::new(), Vec::<(String, &Path)>::new());
+    for (path, mapping) in &valid {
         let name = format!("{} {}", mapping.name, mapping.version);
         if let Some((_, other)) = names.iter().find(|(known, _)| *known == name) {
-            faults.push(format!("{}: name: {name} is in {} already", path.display(), other.display()));
+            faults.push(format!(
+                "{}: name: {name} is already defined in {}",
+                path.display(),
+                other.display()
+            ));
         }
-        told += &format!("{}: sound, {name}, class {}\n", path.display(), mapping.class);
+        report += &format!("{}: sound, {name}, class {}\n", path.display(), mapping.class);
         for note in &mapping.notes {
-            told += &format!("  {} {} {}: {}\n", note.part.name(), note.from.name(), note.field, note.text);
+            report += &format!("  {} {} {}: {}\n", note.part.name(), note.from.name(), note.field, note.text);
         }
         names.push((name, path));
     }
     match faults.is_empty() {
-        true => Ok(told),
+        true => Ok(report),
         false => {
-            // What is sound is told all the same.
-            let _ = io::stdout().write_all(told.as_bytes());
+            // The valid files are listed all the same.
+            let _ = io::stdout().write_all(report.as_bytes());
             Err(TranslateError::Invalid(faults.join("\n")))
         }
     }
