--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -1,5 +1,5 @@
-//! Events for people on call and for machines, through `tracing`: as text or JSON on standard error, with a level for
-//! each target, and bounded: a flood of bad peers must not become a flood of lines.
+//! The log: `tracing` events as text or JSON on standard error, with a level for each target. The rate of lines is limited, so
+//! that many faulty peers cannot flood the log.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,29 +10,29 @@
 use tracing_subscriber::layer::{Context, Filter, SubscriberExt};
 use tracing_subscriber::{Layer, Registry};
 
-/// Lines that may come at once, as so many seconds' worth.
+/// The size of a burst that is written completely: as many lines as the limit allows in this many seconds.
 const BURST_S: f64 = 10.0;
-/// Lines a second, if nothing else is said.
+/// The default limit, in lines per second.
 pub const DEFAULT_LINES_PER_SECOND: f64 = 10.0;
 
-/// How lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is asked of the log.
+/// The settings of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogOptions {
-    /// How lines look.
+    /// The format of log lines.
     pub format: Format,
-    /// Targets and levels, as `info` or `info,heronhoist::attempt=debug`.
+    /// The levels for each target, such as `info` or `info,heronhoist::attempt=debug`.
     pub levels: String,
-    /// Lines a second.
+    /// The maximum number of lines per second.
     pub lines_per_second: f64,
 }
 
@@ -42,52 +42,53 @@
     }
 }
 
-struct Allowance {
+/// A token bucket that limits the rate of lines.
+struct TokenBucket {
     lines_per_second: f64,
-    left: f64,
-    counted_at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
     dropped: u64,
-    /// How many were left out before the line that is being written.
-    before: u64,
+    /// The number of lines that were dropped before the line that is being written.
+    dropped_before: u64,
 }
 
-impl Allowance {
+impl TokenBucket {
     fn new(now: Instant, lines_per_second: f64) -> Self {
-        Allowance {
+        TokenBucket {
             lines_per_second,
-            left: BURST_S * lines_per_second,
-            counted_at: now,
+            tokens: BURST_S * lines_per_second,
+            refilled_at: now,
             dropped: 0,
-            before: 0,
+            dropped_before: 0,
         }
     }
 
-    /// False if the line is over.
+    /// Takes a token for a line; false if there is none and the line is dropped.
     fn take(&mut self, now: Instant) -> bool {
-        let earned = now.saturating_duration_since(self.counted_at).as_secs_f64() * self.lines_per_second;
-        self.counted_at = now;
-        self.left = (self.left + earned).min(BURST_S * self.lines_per_second);
-        if self.left < 1.0 {
+        let earned = now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.lines_per_second;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + earned).min(BURST_S * self.lines_per_second);
+        if self.tokens < 1.0 {
             self.dropped += 1;
             return false;
         }
-        self.left -= 1.0;
-        self.before += std::mem::take(&mut self.dropped);
+        self.tokens -= 1.0;
+        self.dropped_before += std::mem::take(&mut self.dropped);
         true
     }
 }
 
-/// Lets so many events through and counts the others.
+/// Limits the rate of events, and counts those that it drops.
 #[derive(Clone)]
-struct Bound(Arc<Mutex<Allowance>>);
+struct RateLimit(Arc<Mutex<TokenBucket>>);
 
-impl<S: Subscriber> Filter<S> for Bound {
+impl<S: Subscriber> Filter<S> for RateLimit {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
-        // It knows no levels; said, so that those of the other filter cost nothing where they are off.
+        // This filter ignores levels. Without the hint, `tracing` could not skip the levels that the other filter disables.
         Some(LevelFilter::TRACE)
     }
 
@@ -96,35 +97,38 @@
     }
 }
 
-/// Writes lines, and before the first after a flood how many were left out; an agent whose log has been closed goes on
-/// without one.
-struct Lines<W> {
-    bound: Bound,
+/// Writes lines, and after a flood first the number of dropped lines. Write errors are ignored, so that an agent whose log has
+/// been closed keeps running.
+struct LogWriter<W> {
+    rate_limit: RateLimit,
     format: Format,
-    to: W,
+    output: W,
 }
 
-impl<'a, W: MakeWriter<'a>> MakeWriter<'a> for Lines<W> {
-    type Writer = Line<W::Writer>;
+impl<'a, W: MakeWriter<'a>> MakeWriter<'a> for LogWriter<W> {
+    type Writer = LineWriter<W::Writer>;
 
     fn make_writer(&'a self) -> Self::Writer {
-        let mut to = self.to.make_writer();
-        let before = std::mem::take(&mut self.bound.0.lock().unwrap_or_else(PoisonError::into_inner).before);
-        let _ = match (before, self.format) {
+        let mut output = self.output.make_writer();
+        let dropped = std::mem::take(
+            &mut self.rate_limit.0.lock().unwrap_or_else(PoisonError::into_inner).dropped_before,
+        );
+        let _ = match (dropped, self.format) {
             (0, _) => Ok(()),
-            (n, Format::Text) => writeln!(to, "heronhoist: {n} lines left out"),
+            (n, Format::Text) => writeln!(output, "heronhoist: {n} lines left out"),
             (n, Format::Json) => writeln!(
-                to,
+                output,
                 r#"{{"level":"WARN","target":"heronhoist::log","fields":{{"message":"lines left out","lines":{n}}}}}"#
             ),
         };
-        Line(to)
+        LineWriter(output)
     }
 }
 
-struct Line<W>(W);
+/// Writes one line and ignores errors.
+struct LineWriter<W>(W);
 
-impl<W: Write> Write for Line<W> {
+impl<W: Write> Write for LineWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.write_all(bytes);
         Ok(bytes.len())
@@ -140,25 +144,25 @@
     format: Format,
     levels: Targets,
     lines_per_second: f64,
-    to: W,
+    output: W,
 ) -> Box<dyn Subscriber + Send + Sync>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
-    let bound = Bound(Arc::new(Mutex::new(Allowance::new(Instant::now(), lines_per_second))));
-    let lines = Lines { bound: bound.clone(), format, to };
-    let filter = levels.and(bound);
+    let rate_limit = RateLimit(Arc::new(Mutex::new(TokenBucket::new(Instant::now(), lines_per_second))));
+    let writer = LogWriter { rate_limit: rate_limit.clone(), format, output };
+    let filter = levels.and(rate_limit);
     let layer =
-        tracing_subscriber::fmt::layer().with_writer(lines).with_ansi(false).log_internal_errors(false);
+        tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false).log_internal_errors(false);
     match format {
         Format::Text => Box::new(Registry::default().with(layer.with_filter(filter))),
         Format::Json => Box::new(Registry::default().with(layer.json().with_filter(filter))),
     }
 }
 
-/// From here on events are written to standard error.
+/// Installs the log: from now on events are written to standard error.
 pub fn init(format: Format, levels: Targets, lines_per_second: f64) {
-    // It fails only if a subscriber was set before, which then stands.
+    // This fails only if a subscriber is already installed, which then stays.
     let _ = tracing::subscriber::set_global_default(subscriber(format, levels, lines_per_second, io::stderr));
 }
 
--- a/crates/agent/src/metrics/tests.rs
+++ b/crates/agent/src/metrics/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-const NONE: PoolStats = PoolStats { listed: 0, excluded: 0, open_requests: 0 };
+const NO_SERVERS: PoolStats = PoolStats { listed: 0, excluded: 0, open_requests: 0 };
 
 #[test]
-fn what_was_counted_stands_on_the_page() {
+fn the_page_shows_all_metrics() {
     let metrics = Metrics::default();
     let lookup = metrics.class_counters("lookup");
     (0..3).for_each(|_| lookup.record(Outcome::Served));
     lookup.attempts.increment();
     metrics.reloads_failed.increment();
     metrics.latency("main", "lookup").record(Outcome::Served, Duration::from_millis(7));
-    let ticket = metrics.track_request();
+    let request_guard = metrics.track_request();
     let page = metrics.render(&PoolStats { listed: 12, excluded: 2, open_requests: 0 });
     for line in [
         "# TYPE app_served_total counter",
@@ -28,31 +28,32 @@
         "app_request_seconds_bucket{class=\"lookup\",outcome=\"served\",pool=\"main\",le=\"0.01\"} 1",
         "app_request_seconds_count{class=\"lookup\",outcome=\"served\",pool=\"main\"} 1",
     ] {
-        assert!(page.lines().any(|l| l == line), "{line} is not in\n{page}");
+        assert!(page.lines().any(|shown| shown == line), "{line} is not in\n{page}");
     }
-    drop(ticket);
-    assert!(metrics.render(&NONE).contains("app_in_flight 0\n"));
+    drop(request_guard);
+    assert!(metrics.render(&NO_SERVERS).contains("app_in_flight 0\n"));
 }
 
-/// A class that vanishes and comes back goes on counting, and any name is a legal label.
+/// A class that is removed and configured again must continue with its counters, and any name must be a valid label.
 #[test]
 fn counters_outlive_their_class_and_labels_are_escaped() {
     let metrics = Metrics::default();
     metrics.class_counters("a\"b\\c\nd").record(Outcome::Served);
     metrics.class_counters("a\"b\\c\nd").record(Outcome::Served);
-    assert!(metrics.render(&NONE).contains("app_served_total{class=\"a\\\"b\\\\c\\nd\"} 2\n"));
+    assert!(metrics.render(&NO_SERVERS).contains("app_served_total{class=\"a\\\"b\\\\c\\nd\"} 2\n"));
 }
 
+/// Reloads with ever new class and pool names must not make the metrics grow without bound.
 #[test]
-fn names_without_end_do_not_fill_the_memory() {
+fn the_number_of_named_metrics_is_bounded() {
     let metrics = Metrics::default();
-    (0..3 * CLASSES_MOST).for_each(|n| {
+    (0..3 * MAX_NAMED_CLASSES).for_each(|n| {
         metrics.class_counters(&format!("c{n}")).record(Outcome::Served);
         metrics.latency(&format!("p{n}"), "c").record(Outcome::Served, Duration::ZERO);
     });
-    assert_eq!(metrics.classes.borrow().len(), CLASSES_MOST + 1);
-    assert_eq!(metrics.timed.borrow().len(), TIMED_MOST + 1);
+    assert_eq!(metrics.classes.borrow().len(), MAX_NAMED_CLASSES + 1);
+    assert_eq!(metrics.histograms.borrow().len(), MAX_NAMED_HISTOGRAMS + 1);
     assert!(metrics
-        .render(&NONE)
-        .contains(&format!("app_served_total{{class=\"other\"}} {}\n", 2 * CLASSES_MOST)));
+        .render(&NO_SERVERS)
+        .contains(&format!("app_served_total{{class=\"other\"}} {}\n", 2 * MAX_NAMED_CLASSES)));
 }
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -1,4 +1,4 @@
-//! The operators' address: whether this process can serve, and what it has counted. One call a connection.
+//! The operators' address: shows whether this process can serve, and its metrics. Each connection carries one request.
 
 use crate::accept::{accept, Listener};
 use crate::gauge::Gauge;
@@ -17,77 +17,77 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Callers that are heard at once; beyond so many the one that has stalled longest makes room. Part of what the
-/// configuration keeps back from requests.
-const CALLERS_MOST: usize = 16;
-/// A caller has this long for its call and for reading the answer.
-const CALL_WAIT: Duration = Duration::from_secs(2);
-/// The largest head of a call.
-const HEAD_MOST: usize = 8 * 1024;
+/// The maximum number of open connections; beyond it the oldest is closed. They are part of the descriptors that the
+/// configuration reserves.
+const MAX_CONNECTIONS: usize = 16;
+/// How long a connection may take to send its request and read the response.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// What the address shows; asked anew for each call.
+/// The source of what the address shows; it is queried for each request.
 pub trait StatusSource {
-    /// Listening, with settings, and with servers to send to.
+    /// Whether the process can serve: it listens and has settings and servers to send to.
     fn is_ready(&self) -> bool;
-    /// Why it is not, where there is more to say.
+    /// Why the process is not ready; empty if there is no further detail.
     fn not_ready_reason(&self) -> String {
         String::new()
     }
-    /// The page of figures.
+    /// The metrics page.
     fn metrics_page(&self) -> String;
 }
 
-/// Answers operators for as long as the agent lives.
-pub async fn run(listener: impl Listener<Stream = TcpStream>, shown: Rc<impl StatusSource + 'static>) {
+/// Serves operators for as long as the process runs.
+pub async fn run(listener: impl Listener<Stream = TcpStream>, source: Rc<impl StatusSource + 'static>) {
     let open = Gauge::default();
-    let mut callers: VecDeque<AbortHandle> = VecDeque::new();
+    let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         let stream = accept(&listener, |_, _| {}).await;
-        callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= CALLERS_MOST {
-            if let Some(oldest) = callers.pop_front() {
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= MAX_CONNECTIONS {
+            if let Some(oldest) = connections.pop_front() {
                 oldest.abort();
             }
         }
         let (wire, _) = MeteredStream::new(stream, open.increment());
-        let shown = Rc::clone(&shown);
-        let call = async move {
+        let source = Rc::clone(&source);
+        let connection = async move {
             let service = service_fn(|request| {
-                let answer = answer(&*shown, &request);
-                async { Ok::<_, Infallible>(answer) }
+                let response = respond(&*source, &request);
+                async { Ok::<_, Infallible>(response) }
             });
             let mut builder = hyper::server::conn::http1::Builder::new();
-            builder.keep_alive(false).header_read_timeout(None).max_buf_size(HEAD_MOST);
-            let _ = timeout(CALL_WAIT, builder.serve_connection(wire, service)).await;
+            builder.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
+            let _ = timeout(CONNECTION_TIMEOUT, builder.serve_connection(wire, service)).await;
         };
-        callers.push_back(tokio::task::spawn_local(call).abort_handle());
+        connections.push_back(tokio::task::spawn_local(connection).abort_handle());
     }
 }
 
-fn answer(shown: &impl StatusSource, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(source: &impl StatusSource, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let page = match request.uri().path() {
         "/-/ready" | "/-/metrics" if request.method() != Method::GET => {
-            let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "only GET\n".into());
-            answer.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
-            return answer;
+            let mut response = plain_text(StatusCode::METHOD_NOT_ALLOWED, "only GET\n".into());
+            response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
+            return response;
         }
-        "/-/ready" if shown.is_ready() => return plain(StatusCode::OK, "ready\n".into()),
+        "/-/ready" if source.is_ready() => return plain_text(StatusCode::OK, "ready\n".into()),
         "/-/ready" => {
-            let reason = shown.not_ready_reason();
+            let reason = source.not_ready_reason();
             let line = if reason.is_empty() { reason } else { reason + "\n" };
-            return plain(StatusCode::SERVICE_UNAVAILABLE, format!("not ready\n{line}"));
+            return plain_text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready\n{line}"));
         }
-        "/-/metrics" => shown.metrics_page(),
-        _ => return plain(StatusCode::NOT_FOUND, "there are /-/ready and /-/metrics\n".into()),
+        "/-/metrics" => source.metrics_page(),
+        _ => return plain_text(StatusCode::NOT_FOUND, "there are /-/ready and /-/metrics\n".into()),
     };
-    let mut answer = plain(StatusCode::OK, page);
-    let kind = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-    answer.headers_mut().insert(CONTENT_TYPE, kind);
-    answer
+    let mut response = plain_text(StatusCode::OK, page);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
 
-fn plain(status: StatusCode, text: String) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(Bytes::from(text)));
-    *answer.status_mut() = status;
-    answer
+fn plain_text(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(text)));
+    *response.status_mut() = status;
+    response
 }
