--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,4 +1,5 @@
-//! What the agent is told at its start, by the environment and the file that it names.
+//! The agent's configuration, read from a file and the environment. There are two file formats: the platform's (JSON), and the
+//! native one of this project (TOML).
 
 use crate::backend::HttpSettings;
 use crate::dialect::{NEW, OLD};
@@ -23,22 +24,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Descriptors kept back for the listener, discovery, the runtime and accepted connections on their way out.
-const RESERVE: usize = 48;
-/// What a deployment that states no limit is taken to allow.
-const SOCKETS_DEFAULT: usize = 1024;
-const SOCKETS_LEAST: usize = 64;
-/// However little there is, so many descriptors are for requests.
-const USABLE_LEAST: usize = 8;
-/// What a deployment that states no memory is taken to allow, and the least that is reckoned with, in MB.
-const MEMORY_DEFAULT: f64 = 64.0;
-const MEMORY_LEAST: f64 = 16.0;
-/// The shares of the memory that bodies and clients' connections may hold, and what one of those holds at most:
-/// hyper's two buffers, and the tasks and records round them.
-const BODIES_SHARE: f64 = 0.25;
-const CLIENTS_SHARE: f64 = 0.25;
-const CLIENT_BYTES: f64 = 28.0 * 1024.0;
-
+/// Descriptors reserved for listeners, discovery, the runtime, operators and accepted connections that are being closed.
+const RESERVED_DESCRIPTORS: usize = 48;
+/// The descriptor limit of a deployment that configures none.
+const DEFAULT_SOCKETS: usize = 1024;
+/// The lowest descriptor limit that is accepted.
+const MIN_SOCKETS: usize = 64;
+/// The number of descriptors that are available for requests even if the reserve leaves fewer.
+const MIN_REQUEST_DESCRIPTORS: usize = 8;
+/// The memory limit of a deployment that configures none, in MB.
+const DEFAULT_MEMORY_MB: f64 = 64.0;
+/// The lowest memory limit that is applied, in MB; a lower one is raised to it.
+const MIN_MEMORY_MB: f64 = 16.0;
+/// The fraction of the memory that bodies may hold.
+const BODY_MEMORY_FRACTION: f64 = 0.25;
+/// The fraction of the memory that client connections may hold.
+const CLIENT_MEMORY_FRACTION: f64 = 0.25;
+/// The most memory that one client connection holds, in bytes: hyper's two buffers, and the tasks and structures around them.
+const MAX_CLIENT_BYTES: f64 = 28.0 * 1024.0;
+
+/// The platform's configuration file.
 #[derive(Deserialize)]
 struct File {
     #[serde(default)]
@@ -56,7 +61,7 @@
     settings: SettingsFile,
 }
 
-/// What the processes of an agent may hold together.
+/// The limits that all processes of this agent share.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default)]
 pub struct Limits {
@@ -65,18 +70,18 @@
 }
 
 impl Limits {
-    /// What one process may hold while so many share these: descriptors and memory are counted together.
+    /// Returns the limits of one process while `processes` of them share these.
     pub fn for_processes(&self, processes: usize) -> ProcessLimits {
-        // What the file promises is no help where the process may not hold as many.
-        let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let allowed = allowed.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
-        let sockets = self.sockets.unwrap_or(SOCKETS_DEFAULT).min(allowed) / processes;
-        let memory = self.memory_mb.unwrap_or(MEMORY_DEFAULT).max(MEMORY_LEAST) * 1024.0 * 1024.0;
+        // The operating system may allow fewer descriptors than the file states.
+        let os_limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+        let os_limit = os_limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
+        let sockets = self.sockets.unwrap_or(DEFAULT_SOCKETS).min(os_limit) / processes;
+        let memory = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).max(MIN_MEMORY_MB) * 1024.0 * 1024.0;
         let memory = memory / processes as f64;
-        let usable = sockets.saturating_sub(RESERVE).max(USABLE_LEAST);
-        let clients = (memory * CLIENTS_SHARE / CLIENT_BYTES) as usize;
-        // Clients may hold a third of the descriptors for requests; those that keep what they don't use must leave
-        // room for the others long before that.
+        let usable = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_REQUEST_DESCRIPTORS);
+        let clients = (memory * CLIENT_MEMORY_FRACTION / MAX_CLIENT_BYTES) as usize;
+        // Clients may hold half of the descriptors for requests; idle connections must be closed well before that limit, so that
+        // other clients can connect.
         let (idle_close_threshold, keep_alive_threshold) = (sockets / 6, sockets / 4);
         ProcessLimits {
             clients: server::ClientLimits {
@@ -86,69 +91,69 @@
             },
             upstream: UpstreamLimits {
                 connections: usable - usable / 2,
-                body_bytes: (memory * BODIES_SHARE) as usize,
+                body_bytes: (memory * BODY_MEMORY_FRACTION) as usize,
             },
         }
     }
 }
 
-/// All that the agent is told.
+/// The agent's complete configuration.
 pub struct Config {
-    /// Where clients connect.
+    /// The fronts, to which clients connect.
     pub fronts: Vec<Front>,
-    /// Where operators call, if anywhere.
+    /// The operators' address, if any.
     pub ops: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// The seed for random numbers; it changes with each start.
     pub seed: u64,
-    /// How it takes part in a fleet; the platform's never does.
+    /// Its fleet membership, if any; the platform's format has none.
     pub fleet: Option<heronhoist_config::Fleet>,
-    /// What its processes may hold together.
+    /// The limits that all processes of this agent share.
     limits: Limits,
-    /// The list as this agent last had it.
+    /// The endpoint list that this agent last knew.
     pub known: Option<EndpointList<SocketAddr>>,
-    /// What it serves.
+    /// The pools, routes and classes that it serves.
     pub plan: ServingPlan,
-    /// How its log looks, and what is in it.
+    /// The settings of the log.
     pub log: log::LogOptions,
     path: PathBuf,
     origin: Origin,
 }
 
-/// Where clients connect.
+/// An address to which clients connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Front {
-    /// Its name, which routes can ask for.
+    /// Its name, which routes can match.
     pub name: Rc<str>,
-    /// Its address.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// What its clients speak.
+    /// The protocol of its clients.
     pub protocol: Protocol,
 }
 
-/// The form of the file, and what a later one is compared with.
+/// The format of the file, and its contents, with which a reloaded file is compared.
 enum Origin {
-    /// The platform's, as it was read.
+    /// The platform's format, as parsed JSON.
     Platform(Value),
-    /// This project's own.
-    Own(Box<heronhoist_config::AgentConfig>),
+    /// The native format.
+    Native(Box<heronhoist_config::AgentConfig>),
 }
 
-/// Why there is no configuration.
+/// Why a configuration could not be read.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     Unreadable(String),
-    /// It has a fault, in words.
+    /// The file is invalid, with a description.
     Invalid(String),
-    /// Each fault with its place.
+    /// The file is invalid, with each fault and its position.
     InvalidEntries(PathBuf, Vec<Fault>),
 }
 
-/// One line, whatever is wrong.
+/// Always a single line; of several faults it shows the first and the number of the others.
 impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ConfigError::Unreadable(why) | ConfigError::Invalid(why) => f.write_str(why),
+            ConfigError::Unreadable(reason) | ConfigError::Invalid(reason) => f.write_str(reason),
             ConfigError::InvalidEntries(path, faults) => {
                 if let Some(first) = faults.first() {
                     write!(f, "{}:{first}", path.display())?;
@@ -162,31 +167,32 @@
     }
 }
 
-/// What one process may hold.
+/// The limits of one process.
 pub struct ProcessLimits {
-    /// Connections of clients.
+    /// The limits on client connections.
     pub clients: server::ClientLimits,
-    /// What the pools may hold.
+    /// The limits on connections to servers and on bodies.
     pub upstream: UpstreamLimits,
 }
 
-/// What a file that was read again changes.
+/// The part of a configuration that a reload replaces.
 pub struct ReloadedConfig {
-    /// What is served from now on.
+    /// The pools, routes and classes to serve.
     pub plan: ServingPlan,
     origin: Origin,
 }
 
-/// The platform's one pool and one front.
-const MAIN: &str = "main";
-const FRONT: &str = "http";
+/// The name of the only pool of the platform's format.
+const PLATFORM_POOL: &str = "main";
+/// The name of the only front of the platform's format.
+const PLATFORM_FRONT: &str = "http";
 
-/// The platform's settings as a plan.
+/// Converts the platform's settings to a plan.
 pub fn platform_plan(file: &SettingsFile, discovery: SocketAddr) -> ServingPlan {
     let settings = file.settings();
-    let duration = |span: Option<Span>, other_ms| Duration::from(span.unwrap_or(Span::from_ms(other_ms)));
+    let duration = |span: Option<Span>, default_ms| Duration::from(span.unwrap_or(Span::from_ms(default_ms)));
     let pool = PoolPlan {
-        name: MAIN.into(),
+        name: PLATFORM_POOL.into(),
         names: ServerNames {
             zones: file.zone_names().to_vec(),
             machine_types: file.machine_type_names().to_vec(),
@@ -206,49 +212,50 @@
     ServingPlan { classes, tenants, pools: vec![pool], routes, mappings: Rc::default() }
 }
 
-/// Keys that a file may do without though the one before it had them: the list and the seed serve a start only, and the
-/// settings' own page lets the others be absent.
-const SPARED: [&str; 5] = ["known", "seed", "aimStretch", "passesDeadline", "warmKeys"];
-/// What every class must say. At a start an absent key takes a safe default; in a file that replaces one in service it
-/// is rather a file that has lost a line.
-const CLASS_KEYS: [&str; 4] = ["name", "effect", "aimMs", "deadlineMs"];
+/// Keys that a reloaded file may omit even if the file in effect has them: the list and the seed are used only at a start, and
+/// the specification of the settings makes the others optional.
+const OPTIONAL_ON_RELOAD: [&str; 5] = ["known", "seed", "aimStretch", "passesDeadline", "warmKeys"];
+/// Keys that every class of a reloaded file must have. At a start an absent key takes a safe default, but in a reloaded file it
+/// indicates that a line was lost.
+const REQUIRED_CLASS_KEYS: [&str; 4] = ["name", "effect", "aimMs", "deadlineMs"];
 
-fn read(text: &[u8]) -> Result<Value, String> {
+fn parse_json(text: &[u8]) -> Result<Value, String> {
     if text.trim_ascii().is_empty() {
         return Err("the file is empty".into());
     }
     serde_json::from_slice(text).map_err(|e| format!("not a configuration: {e}"))
 }
 
-/// The first key that the old file holds and the new one lacks, or that a class lacks.
-fn missing(old: &Value, new: &Value, path: &str) -> Option<String> {
+/// Returns the first key that the old file has and the new one lacks, or that a class of the new one lacks.
+fn missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     let Value::Object(old) = old else { return None };
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-    let mut kept = old.iter().filter(|(key, value)| !value.is_null() && !SPARED.contains(&key.as_str()));
-    kept.find_map(|(key, value)| {
-        let Some(other) = new.get(key).filter(|v| !v.is_null()) else { return Some(below(key)) };
+    let child_path = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+    let mut required =
+        old.iter().filter(|(key, value)| !value.is_null() && !OPTIONAL_ON_RELOAD.contains(&key.as_str()));
+    required.find_map(|(key, value)| {
+        let Some(other) = new.get(key).filter(|v| !v.is_null()) else { return Some(child_path(key)) };
         if path == "settings" && key == "classes" {
             let mut classes = other.as_array().into_iter().flatten();
             return classes.find_map(|class| {
-                let key = CLASS_KEYS.iter().find(|key| class.get(**key).is_none())?;
+                let key = REQUIRED_CLASS_KEYS.iter().find(|key| class.get(**key).is_none())?;
                 Some(format!("{key} of a class"))
             });
         }
-        missing(value, other, &below(key))
+        missing_key(value, other, &child_path(key))
     })
 }
 
-/// Addresses that the environment gives; they overrule those of the file.
+/// Addresses from the environment, which override those of the file.
 #[derive(Default)]
-struct Places {
+struct AddressOverrides {
     listen: Option<String>,
     discovery: Option<String>,
     ops: Option<String>,
 }
 
-/// A pool of this project's own file.
-fn own_pool(pool: &heronhoist_config::Pool) -> PoolPlan {
-    let member = |server: &heronhoist_config::Server| EndpointInfo {
+/// Converts a pool of the native format to a plan.
+fn native_pool(pool: &heronhoist_config::Pool) -> PoolPlan {
+    let endpoint = |server: &heronhoist_config::Server| EndpointInfo {
         zone: server.zone.clone(),
         cell: server.cell,
         dialect: if server.is_legacy { OLD } else { NEW },
@@ -271,7 +278,7 @@
         },
         endpoints: match pool.membership {
             heronhoist_config::Membership::Static => {
-                PoolEndpoints::Static(pool.servers.iter().map(member).collect())
+                PoolEndpoints::Static(pool.servers.iter().map(endpoint).collect())
             }
             heronhoist_config::Membership::Platform(address) => PoolEndpoints::Discovery(address),
         },
@@ -279,28 +286,28 @@
     }
 }
 
-/// `path` is the file's own; directories that it names are beside it.
-fn own_plan(path: &Path, file: &heronhoist_config::AgentConfig) -> Result<ServingPlan, ConfigError> {
+/// Converts a native file to a plan. Directories that it names are relative to the directory of the file at `path`.
+fn native_plan(path: &Path, file: &heronhoist_config::AgentConfig) -> Result<ServingPlan, ConfigError> {
     let mappings = match &file.mappings_directory {
-        Some(directory) => mappings(&path.parent().unwrap_or(Path::new("")).join(directory), file)?,
+        Some(directory) => load_mappings(&path.parent().unwrap_or(Path::new("")).join(directory), file)?,
         None => Mappings::default(),
     };
     Ok(ServingPlan {
         classes: file.classes.clone(),
         tenants: file.tenants.clone(),
-        pools: file.pools.iter().map(own_pool).collect(),
+        pools: file.pools.iter().map(native_pool).collect(),
         routes: file.routes.clone(),
         mappings: Rc::new(mappings),
     })
 }
 
-/// The mapping files of a directory, which have to fit the classes.
-fn mappings(directory: &Path, file: &heronhoist_config::AgentConfig) -> Result<Mappings, ConfigError> {
+/// Reads the mapping files of a directory and checks that they fit the classes.
+fn load_mappings(directory: &Path, file: &heronhoist_config::AgentConfig) -> Result<Mappings, ConfigError> {
     let read = translate::read_all(directory).map_err(|fault| match fault {
-        translate::TranslateError::Unreadable(why) => ConfigError::Unreadable(why),
+        translate::TranslateError::Unreadable(reason) => ConfigError::Unreadable(reason),
         translate::TranslateError::Invalid(lines) => {
-            let (first, more) = (lines.lines().next().unwrap_or_default(), lines.lines().count());
-            match more {
+            let (first, count) = (lines.lines().next().unwrap_or_default(), lines.lines().count());
+            match count {
                 0 | 1 => ConfigError::Invalid(first.into()),
                 n => ConfigError::Invalid(format!(
                     "{first} ({} more; `heronhoist translate check` names all)",
@@ -309,31 +316,33 @@
             }
         }
     })?;
-    let at = |why: String| ConfigError::Invalid(format!("{}: {why}", directory.display()));
-    let mappings = Mappings::new(read).map_err(at)?;
-    let terms = file.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
-    let classes = file.classes.iter().map(String::as_str).zip(terms.iter().map(|class| class.effect));
+    let invalid = |reason: String| ConfigError::Invalid(format!("{}: {reason}", directory.display()));
+    let mappings = Mappings::new(read).map_err(invalid)?;
+    let class_settings = file.pools.first().map_or(&[][..], |pool| &pool.settings.classes);
+    let classes =
+        file.classes.iter().map(String::as_str).zip(class_settings.iter().map(|class| class.effect));
     match legacy::find_mapping_error(&mappings, classes) {
-        Some(why) => Err(at(why)),
+        Some(reason) => Err(invalid(reason)),
         None => Ok(mappings),
     }
 }
 
-/// What this project's own file says that a process can't change while it runs, and whether the other says the same.
-fn fixed_fault(
+/// Returns the first changed key of the native format that requires a restart, because a running process cannot apply it.
+fn changed_fixed_key(
     old: &heronhoist_config::AgentConfig,
     new: &heronhoist_config::AgentConfig,
 ) -> Option<&'static str> {
-    let parts = [
+    let fixed_keys = [
         ("front", old.fronts == new.fronts),
         ("ops.listen", old.ops_address == new.ops_address),
         ("limits", (old.max_descriptors, old.max_memory_mb) == (new.max_descriptors, new.max_memory_mb)),
         ("fleet", old.fleet == new.fleet),
         ("log", (old.log_format, &old.log_level) == (new.log_format, &new.log_level)),
     ];
-    parts.into_iter().find(|(_, same)| !same).map(|(key, _)| key)
+    fixed_keys.into_iter().find(|(_, is_unchanged)| !is_unchanged).map(|(key, _)| key)
 }
 
+/// Returns an environment variable, unless it is unset or empty.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
@@ -343,23 +352,22 @@
 }
 
 impl Config {
-    /// Reads the platform's file, which `LB_CONFIG` names; `LB_LISTEN`, `LB_DISCOVERY` and `LB_OPS` overrule what it
-    /// says.
+    /// Reads the platform's file, which `LB_CONFIG` names; `LB_LISTEN`, `LB_DISCOVERY` and `LB_OPS` override its addresses.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = variable("LB_CONFIG").ok_or_else(|| {
             ConfigError::Unreadable(
-                "nothing to run: give --config FILE, or name the platform's file in LB_CONFIG".into(),
+                "no configuration: pass --config FILE, or set LB_CONFIG to the platform's file".into(),
             )
         })?;
-        Config::of_platform(Path::new(&path))
+        Config::from_platform_file(Path::new(&path))
     }
 
-    /// Reads a file of either form: the platform's is JSON.
+    /// Reads a file of either format: `.json` files have the platform's format.
     pub fn from_file(path: &Path) -> Result<Config, ConfigError> {
         if path.extension().is_some_and(|extension| extension == "json") {
-            return Config::of_platform(path);
+            return Config::from_platform_file(path);
         }
-        let file = Config::own(path)?;
+        let file = Config::read_native(path)?;
         let format = match file.log_format {
             heronhoist_config::LogFormat::Text => log::Format::Text,
             heronhoist_config::LogFormat::Json => log::Format::Json,
@@ -376,67 +384,70 @@
             seed: std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), std::process::id()),
             limits: Limits { sockets: Some(file.max_descriptors), memory_mb: Some(file.max_memory_mb) },
             known: None,
-            plan: own_plan(path, &file)?,
+            plan: native_plan(path, &file)?,
             log: log::LogOptions {
                 format,
                 levels: file.log_level.clone(),
                 lines_per_second: log::DEFAULT_LINES_PER_SECOND,
             },
             path: path.into(),
-            origin: Origin::Own(Box::new(file)),
+            origin: Origin::Native(Box::new(file)),
         })
     }
 
-    fn of_platform(path: &Path) -> Result<Config, ConfigError> {
+    fn from_platform_file(path: &Path) -> Result<Config, ConfigError> {
         let text = read_file(path)?;
-        let places = Places {
+        let overrides = AddressOverrides {
             listen: variable("LB_LISTEN"),
             discovery: variable("LB_DISCOVERY"),
             ops: variable("LB_OPS"),
         };
-        let config = Config::parse(&text, places);
+        let config = Config::parse(&text, overrides);
         let config = config.map_err(|e| ConfigError::Invalid(format!("{}: {e}", path.display())))?;
-        // The platform's file has no word for the log; whoever counts over a fleet sets these.
-        let usual = log::LogOptions::default();
+        // The platform's format has no keys for the log. Deployments that count events over a fleet raise these limits.
+        let defaults = log::LogOptions::default();
         let lines_per_second = match variable("LB_LOG_PER_SECOND") {
-            None => usual.lines_per_second,
+            None => defaults.lines_per_second,
             Some(text) => match text.parse::<f64>() {
                 Ok(lines) if lines.is_finite() && lines > 0.0 => lines,
                 _ => {
                     return Err(ConfigError::Invalid(format!(
-                        "LB_LOG_PER_SECOND: {text:?} is no number of lines"
+                        "LB_LOG_PER_SECOND: {text:?} is not a positive number of lines"
                     )))
                 }
             },
         };
-        let log =
-            log::LogOptions { levels: variable("LB_LOG").unwrap_or(usual.levels), lines_per_second, ..usual };
+        let log = log::LogOptions {
+            levels: variable("LB_LOG").unwrap_or(defaults.levels),
+            lines_per_second,
+            ..defaults
+        };
         Ok(Config { path: path.into(), log, ..config })
     }
 
-    fn own(path: &Path) -> Result<heronhoist_config::AgentConfig, ConfigError> {
+    fn read_native(path: &Path) -> Result<heronhoist_config::AgentConfig, ConfigError> {
         let text = String::from_utf8(read_file(path)?)
             .map_err(|e| ConfigError::Invalid(format!("{}: not UTF-8: {e}", path.display())))?;
         heronhoist_config::parse(&text, &variable)
             .map_err(|faults| ConfigError::InvalidEntries(path.into(), faults))
     }
 
-    /// What the processes of this agent may hold together.
+    /// Returns the limits that all processes of this agent share.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Each value in force and who said so, as far as the form of the file tells.
+    /// Returns each effective value as key, value and source, as far as the file format records sources.
     pub fn entries(&self) -> Vec<(String, String, String)> {
         match &self.origin {
-            Origin::Own(file) => file
+            Origin::Native(file) => file
                 .effective_values
                 .iter()
                 .map(|entry| (entry.key.clone(), entry.value.clone(), entry.source.to_string()))
                 .collect(),
-            Origin::Platform(shape) => {
+            Origin::Platform(json) => {
                 let mut entries = Vec::new();
-                flatten(shape, "", &mut entries);
+                flatten(json, "", &mut entries);
                 for (key, name) in [("listen", "LB_LISTEN"), ("discovery", "LB_DISCOVERY"), ("ops", "LB_OPS")]
                 {
                     if let Some(value) = variable(name) {
@@ -449,49 +460,49 @@
         }
     }
 
-    /// Reads the file once more, at the operators' signal. The environment is as old as the process; in the platform's
-    /// form it has no say here. Addresses and limits of this process do not change without a restart.
+    /// Reads the file again, for a reload. With the platform's format, the environment is ignored: it is as old as the process.
+    /// Addresses and limits of this process do not change without a restart.
     pub fn reread(&self) -> Result<ReloadedConfig, String> {
         match &self.origin {
-            Origin::Platform(shape) => {
+            Origin::Platform(old) => {
                 let text = read_file(&self.path).map_err(|e| e.to_string())?;
-                Config::check(shape, &text).map_err(|e| format!("{}: {e}", self.path.display()))
+                Config::check_reload(old, &text).map_err(|e| format!("{}: {e}", self.path.display()))
             }
-            Origin::Own(old) => {
-                let file = Config::own(&self.path).map_err(|e| e.to_string())?;
-                if let Some(key) = fixed_fault(old, &file) {
+            Origin::Native(old) => {
+                let file = Config::read_native(&self.path).map_err(|e| e.to_string())?;
+                if let Some(key) = changed_fixed_key(old, &file) {
                     return Err(format!(
-                        "{}: {key} has changed; that needs a new process",
+                        "{}: {key} has changed, which requires a restart",
                         self.path.display()
                     ));
                 }
-                let plan = own_plan(&self.path, &file).map_err(|e| e.to_string())?;
-                Ok(ReloadedConfig { plan, origin: Origin::Own(Box::new(file)) })
+                let plan = native_plan(&self.path, &file).map_err(|e| e.to_string())?;
+                Ok(ReloadedConfig { plan, origin: Origin::Native(Box::new(file)) })
             }
         }
     }
 
-    /// Takes a file only if it is whole: it must hold what the one in force holds, and be usable itself.
-    fn check(old: &Value, text: &[u8]) -> Result<ReloadedConfig, String> {
-        let shape = read(text)?;
-        if let Some(key) = missing(old, &shape, "") {
+    /// Accepts a reloaded file only if it is complete: it must have the keys of the file in effect, and be valid by itself.
+    fn check_reload(old: &Value, text: &[u8]) -> Result<ReloadedConfig, String> {
+        let json = parse_json(text)?;
+        if let Some(key) = missing_key(old, &json, "") {
             return Err(format!("{key} is missing"));
         }
-        let Config { plan, origin, .. } = Config::parse(text, Places::default())?;
+        let Config { plan, origin, .. } = Config::parse(text, AddressOverrides::default())?;
         Ok(ReloadedConfig { plan, origin })
     }
 
-    /// What has been taken is in force from now on.
-    pub fn replace(&mut self, revised: ReloadedConfig) {
-        (self.plan, self.origin) = (revised.plan, revised.origin);
+    /// Puts a reloaded configuration into effect.
+    pub fn replace(&mut self, reloaded: ReloadedConfig) {
+        (self.plan, self.origin) = (reloaded.plan, reloaded.origin);
     }
 
-    fn parse(text: &[u8], places: Places) -> Result<Config, String> {
+    fn parse(text: &[u8], overrides: AddressOverrides) -> Result<Config, String> {
         let file: File = serde_json::from_slice(text).map_err(|e| format!("not a configuration: {e}"))?;
-        let shape = read(text)?;
-        let address = |what: &str, text: Option<String>| {
-            let text = text.ok_or_else(|| format!("no {what} address is given"))?;
-            text.parse::<SocketAddr>().map_err(|e| format!("{what} address {text:?}: {e}"))
+        let json = parse_json(text)?;
+        let address = |purpose: &str, text: Option<String>| {
+            let text = text.ok_or_else(|| format!("no {purpose} address is given"))?;
+            text.parse::<SocketAddr>().map_err(|e| format!("{purpose} address {text:?}: {e}"))
         };
         file.settings.settings().validate().map_err(|e| e.to_string())?;
         let mut names = file.settings.class_names();
@@ -499,33 +510,36 @@
             return Err("a request class has no name".into());
         }
         names.sort();
-        if let Some([twice, ..]) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(format!("two request classes are named {twice:?}"));
+        if let Some([duplicate, ..]) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+            return Err(format!("two request classes are named {duplicate:?}"));
         }
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS_DEFAULT);
-        if sockets < SOCKETS_LEAST {
-            return Err(format!("limits.sockets is {sockets}; at least {SOCKETS_LEAST} are needed"));
+        let sockets = file.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
+        if sockets < MIN_SOCKETS {
+            return Err(format!("limits.sockets is {sockets}; at least {MIN_SOCKETS} are needed"));
         }
         Ok(Config {
             fronts: vec![Front {
-                name: FRONT.into(),
-                listen: address("listen", places.listen.or(file.listen))?,
+                name: PLATFORM_FRONT.into(),
+                listen: address("listen", overrides.listen.or(file.listen))?,
                 protocol: Protocol::Http,
             }],
             fleet: None,
-            ops: places.ops.or(file.ops).map(|text| address("ops", Some(text))).transpose()?,
+            ops: overrides.ops.or(file.ops).map(|text| address("ops", Some(text))).transpose()?,
             seed: file.seed.map_or(0, |seed| seed_number(&seed)),
             limits: Limits { sockets: Some(sockets), ..file.limits },
             known: file.known.map(EndpointList::from),
-            plan: platform_plan(&file.settings, address("discovery", places.discovery.or(file.discovery))?),
+            plan: platform_plan(
+                &file.settings,
+                address("discovery", overrides.discovery.or(file.discovery))?,
+            ),
             log: log::LogOptions::default(),
             path: PathBuf::new(),
-            origin: Origin::Platform(shape),
+            origin: Origin::Platform(json),
         })
     }
 }
 
-/// The values of a JSON text under the names of their keys.
+/// Lists the values of a JSON document under their dotted paths.
 fn flatten(value: &Value, path: &str, entries: &mut Vec<(String, String, String)>) {
     match value {
         Value::Object(fields) => {
@@ -535,15 +549,15 @@
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            for (n, value) in items.iter().enumerate() {
-                flatten(value, &format!("{path}[{n}]"), entries);
+            for (index, value) in items.iter().enumerate() {
+                flatten(value, &format!("{path}[{index}]"), entries);
             }
         }
         value => entries.push((path.into(), value.to_string(), "file".into())),
     }
 }
 
-/// The seed is hexadecimal text; whatever else stands there still gives some number.
+/// Converts the seed, which is hexadecimal text, to a number; any other value is hashed to one.
 fn seed_number(seed: &Value) -> u64 {
     let hex = seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
     hex.unwrap_or_else(|| {
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -16,15 +16,15 @@
 
 /// Reloads the configuration, and holds all that it changes.
 pub struct Reloader {
-    /// The configuration in force.
+    /// The configuration in effect.
     pub config: Config,
     /// Its request classes.
     pub classes: ClassRegistry,
     /// Counts successful and failed reloads.
     pub metrics: Rc<Metrics>,
-    /// The side of the clients.
+    /// Serves the clients.
     pub server: Rc<Server>,
-    /// The side of the record servers.
+    /// The pools of record servers.
     pub pools: Rc<Pools>,
 }
 
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Reads the file and applies it; a faulty file changes nothing and is logged.
+    /// Reads the file and applies it; an invalid file changes nothing and is logged.
     fn reload(&mut self) {
         match self.config.reread() {
-            Ok(revised) => {
-                self.apply(&revised.plan);
-                self.config.replace(revised);
+            Ok(reloaded) => {
+                self.apply(&reloaded.plan);
+                self.config.replace(reloaded);
                 self.metrics.reloads_ok.increment();
             }
             Err(fault) => {
@@ -51,18 +51,18 @@
         }
     }
 
-    /// Applies a plan to clients and pools. There is no await in between, so that no request sees one without the other.
+    /// Applies a plan to clients and pools. There is no await in between, so no request sees only half of the change.
     fn apply(&mut self, plan: &ServingPlan) {
         let serving = apply_plan(plan, &mut self.classes, &self.pools, None);
         self.server.replace_plan(serving);
         let pools: Vec<String> = plan.pools.iter().map(describe).collect();
-        tracing::info!(pools = pools.join(", "), "new settings taken");
+        tracing::info!(pools = pools.join(", "), "configuration reloaded");
     }
 }
 
-/// Updates classes and pools to a plan, and returns what the server of the clients needs of it.
+/// Updates classes and pools to a plan, and returns the part that the server of the clients needs.
 ///
-/// It neither fails nor waits. `known` is the list of the first pool as it was last known, at a start.
+/// It never fails or waits. At a start, `known` is the last known endpoint list of the first pool.
 pub fn apply_plan(
     plan: &ServingPlan,
     classes: &mut ClassRegistry,
@@ -80,7 +80,7 @@
     }
 }
 
-/// A pool and where its endpoints come from, for the log.
+/// Describes a pool and the source of its endpoints, for the log.
 fn describe(pool: &PoolPlan) -> String {
     match &pool.endpoints {
         PoolEndpoints::Discovery(address) => format!("{} by discovery at {address}", pool.name),
--- a/crates/agent/src/reload/tests.rs
+++ b/crates/agent/src/reload/tests.rs
@@ -1,4 +1,4 @@
-//! The numbers of request classes over several reloads.
+//! The numbers of request classes across reloads.
 
 use super::*;
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
     crate::config::platform_plan(&file, discovery)
 }
 
-/// A number must never be given to another class: a request in flight would be treated by its terms.
+/// A number must never be reused for another class: a request in flight would be treated by the settings of that class.
 #[test]
-fn a_number_is_given_to_one_class_only() {
+fn a_number_is_used_for_one_class_only() {
     let metrics = Rc::new(Metrics::default());
     let mut registry = ClassRegistry::new(Rc::clone(&metrics));
     let mut numbers_after = |classes: &[(&str, u32)]| {
@@ -26,9 +26,16 @@
         classes.iter().map(|class| class.id.0).collect::<Vec<_>>()
     };
     assert_eq!(numbers_after(&[("a", 100), ("b", 100)]), [0, 1]);
-    assert_eq!(numbers_after(&[("b", 100), ("a", 200)]), [1, 2], "b is unchanged, a has new terms");
+    assert_eq!(numbers_after(&[("b", 100), ("a", 200)]), [1, 2], "b is unchanged, a has new settings");
     assert_eq!(numbers_after(&[("b", 100)]), [1]);
-    assert_eq!(numbers_after(&[("a", 100), ("b", 100)]), [3, 1], "a is back and its old number is not");
+    assert_eq!(
+        numbers_after(&[("a", 100), ("b", 100)]),
+        [3, 1],
+        "a is configured again and gets a new number"
+    );
     let counters = &registry.current[0].counters;
-    assert!(Rc::ptr_eq(&metrics.class_counters("a"), counters), "a class of the same name goes on counting");
+    assert!(
+        Rc::ptr_eq(&metrics.class_counters("a"), counters),
+        "a class of the same name keeps its counters"
+    );
 }
