--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -7,7 +7,7 @@
 //!    from the same kernel queues, so no queued connection is reset when the old process closes its descriptors.
 //! 3. The new process reports that it is ready ([`complete_takeover`](predecessor::Predecessor::complete_takeover)).
 //! 4. The connection stays open until one of the processes exits. While it is open, each process counts the other as a
-//!    peer and keeps to its share of the limits ([`ProcessPeers`]).
+//!    peer and uses only its share of the limits ([`ProcessPeers`]).
 
 mod listeners;
 mod peers;
--- a/crates/agent/src/handover/listeners.rs
+++ b/crates/agent/src/handover/listeners.rs
@@ -1,4 +1,4 @@
-//! Listening TCP sockets as file descriptors in one message on a Unix socket (`SCM_RIGHTS`).
+//! Passes listening TCP sockets between processes: as file descriptors in one message on a Unix socket (`SCM_RIGHTS`).
 
 use super::protocol::LISTENERS_MESSAGE;
 use rustix::cmsg_space;
@@ -14,17 +14,17 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// The most listeners that one message holds; a configuration has no more fronts.
+/// The maximum number of listeners in one message; a configuration has no more fronts.
 const MAX_LISTENERS: usize = 16;
 
-/// Why no listeners are received.
+/// Why no listeners were received.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
-    /// The connection fails.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The message, or the end of the stream, carries no file descriptor.
-    #[error("no socket came")]
+    /// The message carries no file descriptor, or the other process closed the connection.
+    #[error("no listening socket was received")]
     NoListeners,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads one message and takes the file descriptors out of it; there may be none.
+/// Reads one message and returns its file descriptors; there may be none.
 fn receive_descriptors(stream: &UnixStream) -> io::Result<Vec<OwnedFd>> {
     let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -83,9 +83,9 @@
     Ok(())
 }
 
-/// Takes the listener of `address` out of the inherited ones.
+/// Removes the listener of `address` from the inherited ones and returns it.
 ///
-/// If `address` asks for any port (port 0) and none is bound to exactly that, a listener on the same IP address matches.
+/// If `address` has port 0 (any port), a listener on the same IP address matches.
 pub fn take_listener(inherited: &mut Vec<TcpListener>, address: SocketAddr) -> Option<TcpListener> {
     let is_exact = |bound: SocketAddr| bound == address;
     let is_on_any_port = |bound: SocketAddr| address.port() == 0 && bound.ip() == address.ip();
--- a/crates/agent/src/handover/peers.rs
+++ b/crates/agent/src/handover/peers.rs
@@ -1,4 +1,4 @@
-//! The other processes of this agent that run during an upgrade, and that share its limits.
+//! The other processes of this agent during an upgrade, which share its limits.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 /// Called with the number of processes, this one included.
 type ChangeHandler = Box<dyn Fn(usize)>;
 
-/// Counts the processes that share the limits, as far as this process is connected to them.
+/// Counts the processes that share the limits; a process counts while this one is connected to it.
 #[derive(Default)]
 pub struct ProcessPeers {
     /// The number of connected processes, this one excluded.
@@ -17,14 +17,14 @@
 }
 
 impl ProcessPeers {
-    /// Calls `handler` with the number of processes, this one included: now, and at each change.
+    /// Calls `handler` with the number of processes, this one included, now and at each change.
     pub fn on_change(&self, handler: impl Fn(usize) + 'static) {
         self.change_handler.set(Some(Box::new(handler)));
         self.notify();
     }
 
     fn notify(&self) {
-        // Taken out for the call, so that the handler may use the peers itself.
+        // The handler is taken out for the call, so that it may use the peers itself.
         if let Some(handler) = self.change_handler.take() {
             handler(self.peers.get() + 1);
             self.change_handler.set(Some(handler));
@@ -49,7 +49,7 @@
     }
 }
 
-/// What is known of a connected process.
+/// The state of a connected process.
 ///
 /// | state | entered when | left when |
 /// | --- | --- | --- |
--- a/crates/agent/src/handover/predecessor.rs
+++ b/crates/agent/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The side of the new process: takes the listeners over from the process that serves.
+//! The new process's side of a handover: takes over the listeners of the running process.
 
 use super::listeners::{receive_listeners, ReceiveError};
 use super::peers::{PeerRegistration, ProcessPeers};
@@ -12,44 +12,44 @@
 use std::time::Duration;
 use tokio::net::UnixStream;
 
-/// How long a predecessor may take to send its listeners; one that takes longer hangs or is about to exit.
+/// How long a predecessor may take to send its listeners. One that takes longer hangs or is about to exit.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a new process takes over from the one that has served so far.
+/// What a new process takes over from its predecessor.
 pub struct Takeover {
     /// The listening sockets, in the order of the predecessor's fronts.
     pub listeners: Vec<TcpListener>,
-    /// The process that has served so far.
+    /// The connection to the predecessor.
     pub predecessor: Predecessor,
 }
 
-/// Why nothing is taken over.
+/// Why nothing was taken over.
 #[derive(Debug, thiserror::Error)]
 enum TakeoverError {
-    /// Nothing accepts connections at the path: no process serves, or a killed one has left its file.
-    #[error("no process serves")]
+    /// Nothing accepts connections at the path: no process is running, or a killed one has left its file.
+    #[error("no running process")]
     NoPredecessor(#[source] io::Error),
-    /// The connection fails, or carries no listener.
+    /// The connection failed, or carried no listener.
     #[error(transparent)]
     Receive(#[from] ReceiveError),
-    /// No message arrives within [`RECEIVE_TIMEOUT`].
+    /// No message arrived within [`RECEIVE_TIMEOUT`].
     #[error("no message within {} ms", RECEIVE_TIMEOUT.as_millis())]
     TimedOut,
 }
 
-/// Takes over the listeners of the process that serves at `path`.
+/// Takes over the listeners of the running process whose Unix socket is at `path`.
 ///
-/// `None` if there is none, or if it fails to send them, which is logged: this process then binds sockets of its own.
+/// `None` if there is none, or if it does not send them, which is logged. This process then binds its own sockets.
 pub async fn take_over(path: &Path, peers: &Rc<ProcessPeers>) -> Option<Takeover> {
     match request_listeners(path, peers).await {
         Ok(takeover) => return Some(takeover),
-        // A first start, which is nothing to log.
+        // This is a first start; there is nothing to log.
         Err(TakeoverError::NoPredecessor(_)) => {}
         Err(TakeoverError::Receive(error)) => {
-            tracing::warn!(target: LOG_TARGET, %error, "the process that serves has not passed its socket");
+            tracing::warn!(target: LOG_TARGET, %error, "the running process has not sent its listening sockets");
         }
         Err(TakeoverError::TimedOut) => {
-            tracing::warn!(target: LOG_TARGET, "the process that serves has not passed its socket in time");
+            tracing::warn!(target: LOG_TARGET, "the running process has not sent its listening sockets in time");
         }
     }
     None
@@ -63,7 +63,7 @@
     Ok(Takeover { listeners, predecessor })
 }
 
-/// The process that has served so far, which counts as a peer until this is dropped.
+/// A connection to the predecessor, which counts as a peer until this is dropped.
 pub struct Predecessor {
     stream: UnixStream,
     _registration: PeerRegistration,
--- a/crates/agent/src/handover/protocol.rs
+++ b/crates/agent/src/handover/protocol.rs
@@ -1,4 +1,4 @@
-//! What the two processes of a handover send over their Unix connection.
+//! The messages that the two processes of a handover exchange over their Unix connection.
 //!
 //! | sender | message | meaning |
 //! | --- | --- | --- |
@@ -10,16 +10,16 @@
 use std::io;
 use tokio::net::UnixStream;
 
-/// The payload that accompanies the file descriptors; a message without payload cannot carry any.
+/// The payload that accompanies the file descriptors; a message without payload cannot carry descriptors.
 pub const LISTENERS_MESSAGE: [u8; 1] = *b"L";
-/// What a successor sends once it can serve.
+/// The message that a successor sends once it can serve.
 pub const READY: u8 = b'R';
 /// The size of a read in bytes; all messages are shorter.
 const READ_BYTES: usize = 16;
 
 /// Reads the next bytes that the other process sends.
 ///
-/// `None` once it has closed its end, which it does by exiting, or the connection has failed.
+/// `None` once the other process has exited, which closes its end, or the connection has failed.
 pub async fn read_message(stream: &UnixStream) -> Option<Vec<u8>> {
     let mut buffer = [0; READ_BYTES];
     loop {
--- a/crates/agent/src/handover/socket.rs
+++ b/crates/agent/src/handover/socket.rs
@@ -17,7 +17,7 @@
 
 /// Starts to listen for successors at `path`.
 ///
-/// `None` if that fails: the process then serves without offering a handover, and the failure is logged.
+/// `None` if that fails, which is logged. The process then serves without offering a handover.
 pub fn listen_for_successors(path: &Path) -> Option<UnixListener> {
     match bind_and_replace(path) {
         Ok(listener) => Some(listener),
@@ -37,7 +37,7 @@
 /// The socket cannot be bound beside `path` or cannot be renamed; no temporary file is left behind after a failed rename.
 fn bind_and_replace(path: &Path) -> io::Result<UnixListener> {
     let temporary = path.with_extension(std::process::id().to_string());
-    // A file that a killed process with the same id has left would make the bind fail.
+    // A leftover file of a killed process with the same id would make the bind fail.
     let _ = std::fs::remove_file(&temporary);
     let listener = UnixListener::bind(&temporary)?;
     if let Err(error) = std::fs::rename(&temporary, path) {
--- a/crates/agent/src/handover/successor.rs
+++ b/crates/agent/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The side of the running process: sends its listeners to each successor and follows it until it exits.
+//! The running process's side of a handover: sends its listeners to each successor and tracks it until it exits.
 
 use super::listeners::send_listeners;
 use super::peers::{PeerRegistration, ProcessPeers};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 
-/// The most processes that share the limits beside this one, so that each of them keeps a usable share.
+/// The maximum number of other processes that share the limits, so that the share of each remains usable.
 const MAX_PEERS: usize = 3;
 
 /// Accepts successors and sends each of them the listeners, until dropped.
@@ -27,17 +27,17 @@
         match send_listeners(&stream, &listeners).await {
             Ok(()) => {
                 let registration = peers.register();
-                tokio::task::spawn_local(follow_successor(stream, registration));
+                tokio::task::spawn_local(track_successor(stream, registration));
             }
             Err(error) => {
-                tracing::warn!(target: LOG_TARGET, %error, "cannot pass the listening socket");
+                tracing::warn!(target: LOG_TARGET, %error, "cannot send the listening sockets");
             }
         }
     }
 }
 
-/// Follows a successor until it exits, and keeps it registered for that long.
-async fn follow_successor(stream: UnixStream, mut registration: PeerRegistration) {
+/// Tracks a successor until it exits; it counts as a peer until then.
+async fn track_successor(stream: UnixStream, mut registration: PeerRegistration) {
     tracing::info!(target: LOG_TARGET, "another process has taken the listening socket");
     while let Some(message) = read_message(&stream).await {
         if message.contains(&READY) && !registration.is_ready() {
