--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,12 +1,12 @@
 //! The platform's service discovery as a source of endpoints.
 //!
-//! Discovery is asked over HTTP in two ways, side by side:
+//! Discovery is queried over HTTP in two ways, side by side:
 //!
-//! * The [watch] is a sequence of long polls, each for what is newer than the version that is known.
+//! * The [watch] is a sequence of long polls, each for changes since the known version.
 //! * The [poll] fetches the complete list whenever the decision module asks for it.
 //!
-//! A reload can change discovery's address. Everything that runs against the old address ends then, and the new one is
-//! asked for its complete list first, since its versions have nothing to do with those of the old one.
+//! A reload can change discovery's address. All calls to the old address are then dropped, and the complete list is fetched from
+//! the new one first, since the versions of the two are unrelated.
 
 mod client;
 mod connection;
@@ -28,7 +28,7 @@
 
 /// The platform's service discovery.
 pub struct Discovery {
-    /// Where it listens; may change.
+    /// Its address, which a reload can change.
     pub address: Receiver<SocketAddr>,
     /// Whether the watch runs at all times, and not only while the decision module subscribes.
     pub is_pushed: bool,
@@ -43,7 +43,7 @@
 }
 
 impl Discovery {
-    /// Feeds the pool from discovery, over connections that `connector` makes, until the owner of the address is dropped.
+    /// Publishes discovery's lists to the pool, over connections that `connector` makes, until the sender of the address is dropped.
     async fn run_with(mut self, connector: impl Connector + 'static, sink: EndpointSink<SocketAddr>) {
         let connector = Rc::new(connector);
         if self.is_pushed {
@@ -60,7 +60,7 @@
             tokio::select! {
                 () = session.watch() => return,
                 () = session.poll() => return,
-                // The calls in flight are dropped here: a late response of the old address must not overwrite the list of
+                // The calls in flight are dropped here: a late response from the old address must not overwrite the list of
                 // the new one.
                 changed = self.address.changed() => if changed.is_err() { return },
             }
--- a/crates/agent/src/discovery/client.rs
+++ b/crates/agent/src/discovery/client.rs
@@ -14,57 +14,57 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The path of the complete list; with a version it is a watch on what is newer.
+/// The path of the complete list; with a version as parameter it is a watch for changes since that version.
 pub const LIST_PATH: &str = "/registry/instances";
 /// How long discovery holds a watch that has nothing new to report.
 ///
-/// The decision module assumes 6 s after a watch has fallen silent that the endpoints know what the watch misses. This
-/// time, [`HEAD_TIMEOUT`] and a new call have to fit into those 6 s.
+/// A watch that has become silent must be replaced within 6 s: after that time the decision module assumes that the endpoint
+/// list includes all changes. This time, [`HEAD_TIMEOUT`] and a new call have to fit into those 6 s.
 pub const HOLD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long the head of a response may take beyond [`HOLD_TIMEOUT`]; a call without one by then has failed.
+/// How long the head of a response may take beyond [`HOLD_TIMEOUT`] before the call fails.
 pub const HEAD_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a response body may bring nothing. A list that arrives slowly is not broken as long as it goes on arriving.
+/// How long a response body may stall. A list that arrives slowly is accepted as long as data keeps arriving.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a complete response body may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// What is reckoned for each endpoint of a list, in bytes.
+/// The size that is allowed for each endpoint of a list, in bytes.
 const ENDPOINT_BYTES: usize = 512;
 /// The largest response body that is read, in bytes. Parsing takes about four times as much memory.
 const MAX_BODY_BYTES: usize = MAX_SERVERS * ENDPOINT_BYTES;
 
-/// Why a call brings no list.
+/// Why a call returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// There is no connection.
+    /// The connection could not be opened.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// The path or the address makes no valid request.
+    /// The path or the address is not valid in a request.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The head of the response does not arrive in time.
+    /// The head of the response did not arrive in time.
     #[error("no response within {} ms", (HOLD_TIMEOUT + HEAD_TIMEOUT).as_millis())]
     HeadTimedOut,
-    /// The connection fails before the head of the response.
+    /// The connection failed before the head of the response arrived.
     #[error("no response: {0}")]
     NoResponse(#[source] hyper::Error),
     /// The status is not 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The body is not complete within [`BODY_TIMEOUT`].
+    /// The body was not complete within [`BODY_TIMEOUT`].
     #[error("no complete body within {} s", BODY_TIMEOUT.as_secs())]
     BodyTimedOut,
-    /// The body brings nothing for [`BODY_IDLE_TIMEOUT`].
-    #[error("nothing of the body within {} s", BODY_IDLE_TIMEOUT.as_secs())]
+    /// No data of the body arrived for [`BODY_IDLE_TIMEOUT`].
+    #[error("no data of the body within {} s", BODY_IDLE_TIMEOUT.as_secs())]
     BodyStalled,
-    /// The body breaks off, or is larger than [`MAX_BODY_BYTES`].
+    /// The body was truncated, or is larger than [`MAX_BODY_BYTES`].
     #[error("incomplete body: {0}")]
     IncompleteBody(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The body is no list.
+    /// The body is not a valid list.
     #[error("invalid list: {0}")]
     InvalidList(#[from] serde_json::Error),
 }
 
-/// Calls discovery at one address, over a connection that is kept between calls.
+/// A client of one discovery address, which reuses its connection between calls.
 pub struct Client<C> {
     connector: Rc<C>,
     address: SocketAddr,
@@ -72,7 +72,7 @@
 }
 
 impl<C: Connector> Client<C> {
-    /// A client without a connection.
+    /// Creates a client without a connection.
     pub fn new(connector: Rc<C>, address: SocketAddr) -> Self {
         Client { connector, address, connection: None }
     }
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Discovery cannot be reached, the response does not arrive in time, or is no list.
+    /// Discovery cannot be reached, the response does not arrive in time, or it is not a valid list.
     pub async fn get_list(&mut self, path: &str) -> Result<EndpointListReply, CallError> {
         let mut connection = self.take_connection().await?;
         let request = Request::get(path).header(HOST, self.address.to_string()).body(Empty::<Bytes>::new())?;
@@ -99,7 +99,7 @@
         Ok(reply)
     }
 
-    /// The connection of the previous call, or a new one if discovery has closed that meanwhile, which is no failure.
+    /// Returns the connection of the previous call, or a new one if discovery has closed that one, which is not a failure.
     async fn take_connection(&mut self) -> Result<Connection, OpenError> {
         match self.connection.take().filter(Connection::is_ready) {
             Some(connection) => Ok(connection),
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// The body stalls, breaks off or is too large.
+/// The body stalls, is truncated or is too large.
 async fn read_body(body: Incoming) -> Result<Vec<u8>, CallError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut read = Vec::new();
--- a/crates/agent/src/discovery/reply.rs
+++ b/crates/agent/src/discovery/reply.rs
@@ -1,6 +1,6 @@
-//! The wire form of discovery's replies, which is also the form of the list in the platform's file.
+//! The wire format of discovery's replies, which is also the format of the list in the platform's file.
 //!
-//! Fields keep discovery's keys through serde `rename`.
+//! Serde `rename` attributes keep discovery's keys.
 
 use crate::dialect::NEW;
 use heronhoist_decision::Time;
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
-/// The complete list of endpoints, or what has changed of it.
+/// The complete list of endpoints, or the changes since a version.
 #[derive(Debug, Clone, Deserialize)]
-// Users see this in the message on a malformed list in the platform's file, where it stays as it was.
+// This name appears in the error message for a malformed list in the platform's file; it is kept for compatibility.
 #[serde(expecting = "struct ListReply")]
 pub struct EndpointListReply {
     /// The version of the list; it grows with each change.
@@ -20,12 +20,12 @@
     /// Whether this is the complete list: an endpoint that it omits has been removed.
     #[serde(rename = "all", default)]
     pub is_complete: bool,
-    /// The endpoints that can be parsed.
+    /// The endpoints; malformed elements are omitted.
     #[serde(rename = "targets", deserialize_with = "parsable_endpoints")]
     pub endpoints: Vec<ReplyEndpoint>,
 }
 
-/// Reads an array of endpoints and leaves out those that cannot be parsed: one malformed element must not hide all others.
+/// Reads an array of endpoints and skips malformed elements, so that one of them does not hide all others.
 fn parsable_endpoints<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<ReplyEndpoint>, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -47,7 +47,7 @@
     /// The server's name, the same for all agents.
     #[serde(rename = "uid")]
     pub name: String,
-    /// Where this agent reaches it.
+    /// The address at which this agent reaches it.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
     /// The name of its zone.
@@ -59,12 +59,12 @@
     /// The group of servers that deduplicate each other's retries.
     #[serde(rename = "pod_group", default)]
     pub deduplication_group: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
     /// Its capacity relative to the others.
     #[serde(rename = "capacity_hint", default)]
     pub weight: Option<f64>,
-    /// When it last started, in Unix milliseconds; 0 if that is long ago.
+    /// When it last started, in Unix milliseconds; 0 if that was long ago.
     #[serde(rename = "boot_ms", default)]
     pub started_at_ms: f64,
 }
@@ -73,18 +73,18 @@
 ///
 /// | state | on the wire | meaning |
 /// | --- | --- | --- |
-/// | `Serving` | `SERVING` | takes requests |
-/// | `Draining` | `DRAINING` | finishes its requests and takes no new ones |
-/// | `Removed` | `DELETED` | exists no more |
+/// | `Serving` | `SERVING` | accepts requests |
+/// | `Draining` | `DRAINING` | completes its requests and accepts no new ones |
+/// | `Removed` | `DELETED` | no longer exists |
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     #[serde(rename = "SERVING")]
     Serving,
-    /// Finishes its requests and takes no new ones.
+    /// Completes its requests and accepts no new ones.
     #[serde(rename = "DRAINING")]
     Draining,
-    /// Exists no more.
+    /// No longer exists.
     #[serde(rename = "DELETED")]
     Removed,
 }
--- a/crates/agent/src/discovery/session.rs
+++ b/crates/agent/src/discovery/session.rs
@@ -1,4 +1,4 @@
-//! What the watch and the poll of one discovery address have in common.
+//! The state that the watch and the poll of one discovery address share.
 
 use super::client::Client;
 use super::reply::EndpointListReply;
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Feeds a pool from one discovery address.
+/// Publishes the lists of one discovery address to a pool.
 pub struct Session<'a, C> {
     /// Makes the connections.
     pub connector: Rc<C>,
-    /// Where the lists go.
+    /// Receives the lists.
     pub sink: &'a EndpointSink<SocketAddr>,
     /// Discovery's address.
     pub address: SocketAddr,
@@ -23,12 +23,12 @@
 }
 
 impl<C: Connector> Session<'_, C> {
-    /// A client of its own connection.
+    /// Creates a client with a connection of its own.
     pub fn new_client(&self) -> Client<C> {
         Client::new(Rc::clone(&self.connector), self.address)
     }
 
-    /// Delivers a list to the pool; false if it is older than the current one and was left out.
+    /// Delivers a list to the pool; false if the list is older than the current one and was ignored.
     pub fn deliver(&self, reply: EndpointListReply) -> bool {
         let mut list = EndpointList::from(reply);
         for endpoint in &mut list.endpoints {
--- a/crates/agent/src/discovery/tests/local_errors.rs
+++ b/crates/agent/src/discovery/tests/local_errors.rs
@@ -1,4 +1,4 @@
-//! Connections that this machine cannot begin.
+//! Connection attempts that fail on this machine.
 
 use super::super::watch::RETRY_INTERVAL;
 use super::super::Discovery;
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Errors that no discovery can have caused.
+/// Errors that discovery cannot have caused.
 const LOCAL_ERRORS: [Errno; 7] = [
     Errno::MFILE,
     Errno::NFILE,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Discovery over the connections of such a connector.
+/// Discovery with a connector that fails at first.
 struct FailingDiscovery(Discovery, FailingConnector);
 
 impl EndpointSource<SocketAddr> for FailingDiscovery {
@@ -55,10 +55,10 @@
     }
 }
 
-/// However long this machine has had no descriptor, port or route, discovery is called right after: it has not been down, and
-/// nothing backs off as from a discovery that is.
+/// However long this machine has lacked a descriptor, port or route, discovery must be called soon after: it was never
+/// unavailable, so the agent must not back off.
 #[test]
-fn a_connection_that_this_machine_cannot_begin_is_retried_soon() {
+fn a_connection_that_fails_on_this_machine_is_retried_soon() {
     for (mode, errno) in BOTH_MODES.iter().flat_map(|mode| LOCAL_ERRORS.map(|errno| (*mode, errno))) {
         let attempts = Attempts::default();
         let connector = FailingConnector { errno, failures: 40, attempts: Rc::clone(&attempts) };
--- a/crates/agent/src/discovery/tests/scripted.rs
+++ b/crates/agent/src/discovery/tests/scripted.rs
@@ -1,6 +1,6 @@
-//! A discovery that is scripted call by call, and a pool that learns from it that its only server is draining.
+//! A discovery that is scripted call by call, and a pool that is notified by it that its only server is draining.
 //!
-//! Time is the runtime's own and moves only when nothing else can happen.
+//! The runtime's clock is paused: it advances only when all tasks wait.
 
 use super::super::Discovery;
 use heronhoist_decision::{Discovery as DiscoveryMode, Outcome, ServerId, Settings};
@@ -18,12 +18,12 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// Both ways in which lists come.
+/// Both ways in which lists are delivered.
 pub const BOTH_MODES: [DiscoveryMode; 2] = [DiscoveryMode::Pushed, DiscoveryMode::OnRequest];
 /// Longer than any run, by the runtime's clock.
 const MAX_RUN_TIME: Duration = Duration::from_secs(3600);
 
-/// An upstream to which nothing is sent.
+/// An upstream to which no request is sent.
 struct UnusedUpstream;
 struct UnusedRequest;
 impl RequestPayload for UnusedRequest {}
@@ -47,7 +47,7 @@
     fn close_stale(&self, _: &dyn Fn(ServerId, Incarnation) -> bool) {}
 }
 
-/// How discovery answers a call.
+/// How discovery responds to a call.
 ///
 /// | step | head | body | connection |
 /// | --- | --- | --- | --- |
@@ -72,7 +72,7 @@
     Late(u64),
     /// The list is sent.
     List,
-    /// What a watch gets that has nothing to report: an empty reply once its hold time has passed.
+    /// An empty reply is sent once the hold time of the watch has passed.
     NothingNew,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Call {
-    /// How long a watch asks to be held.
+    /// The hold time that a watch requests.
     fn hold_time(&self) -> Duration {
         let parameter = self.request_line.split("hold_ms=").nth(1);
         let milliseconds = parameter.and_then(|text| text.split(' ').next()?.parse().ok());
@@ -94,7 +94,7 @@
     }
 }
 
-/// The next step for each call, whichever connection it comes on, and the calls so far.
+/// The next step for each call, on whichever connection, and the calls so far.
 struct Script {
     steps: &'static [Step],
     next: Cell<usize>,
@@ -102,7 +102,7 @@
 }
 
 impl Script {
-    /// The step that answers the next call; the last one answers all that follow.
+    /// Returns the step for the next call; the last step applies to all further calls.
     fn next_step(&self) -> Step {
         let step = self.steps[self.next.get().min(self.steps.len() - 1)];
         self.next.set(self.next.get() + 1);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Serves all connections by the script.
+/// Serves all connections according to the script.
 async fn serve(listener: TcpListener, script: Rc<Script>) {
     while let Ok((stream, _)) = listener.accept().await {
         spawn_local(serve_connection(stream, Rc::clone(&script)));
@@ -141,7 +141,7 @@
     Some(request.lines().next().unwrap_or_default().to_string())
 }
 
-/// Answers a call; an error ends the connection.
+/// Responds to a call; an error closes the connection.
 async fn answer(stream: &mut TcpStream, step: Step, hold_time: Duration) -> std::io::Result<()> {
     let body = match step {
         Step::NothingNew => r#"{"rev":1,"all":false,"targets":[]}"#.to_string(),
@@ -181,7 +181,7 @@
     format!(r#"{{"rev":7,"all":true,"targets":[{endpoint}]}}"#)
 }
 
-/// What comes of a script.
+/// The result of a script.
 pub struct Run {
     /// How long it takes from the start until the pool knows that its server is draining.
     pub elapsed: Duration,
@@ -189,12 +189,12 @@
     pub calls: Vec<Call>,
 }
 
-/// Where the list that the pool knows at the start comes from.
+/// The source of the list that the pool knows at the start.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum KnownList {
-    /// From this discovery.
+    /// This discovery.
     SameSource,
-    /// From another one, so that nothing is known of this one's versions.
+    /// Another one, so that the known version is meaningless for this one.
     OtherSource,
 }
 
@@ -227,7 +227,7 @@
     spawn_local(serve(listener, Rc::clone(&script)));
     spawn_local(pool.clone().run(wrap(discovery)));
     while pool.has_serving_server() {
-        assert!(started.elapsed() < MAX_RUN_TIME, "the drain is never heard of");
+        assert!(started.elapsed() < MAX_RUN_TIME, "the pool was not notified of the drain");
         sleep(Duration::from_millis(50)).await;
     }
     let calls = script.calls.borrow().clone();
--- a/crates/agent/src/discovery/tests/wire_form.rs
+++ b/crates/agent/src/discovery/tests/wire_form.rs
@@ -1,4 +1,4 @@
-//! Each key and word of discovery's replies, which is also the form of the list in the platform's file.
+//! Every key and state of discovery's replies, which have the same format as the list in the platform's file.
 
 use super::super::reply::{EndpointListReply, EndpointState, ReplyEndpoint};
 use crate::dialect::NEW;
@@ -17,9 +17,13 @@
 }
 
 #[test]
-fn a_reply_is_parsed_by_its_keys_and_words() {
+fn all_keys_and_states_of_a_reply_are_parsed() {
     let EndpointListReply { version, is_complete, endpoints } = parse(REPLY);
-    assert_eq!((version, is_complete, endpoints.len()), (41, true, 3), "the word serving is none");
+    assert_eq!(
+        (version, is_complete, endpoints.len()),
+        (41, true, 3),
+        "the lower-case state is unknown, so its endpoint is skipped"
+    );
     let ReplyEndpoint {
         name,
         address,
@@ -35,11 +39,14 @@
     assert_eq!((*weight, *started_at_ms), (Some(2.5), 1500.0));
     assert_eq!(*state, EndpointState::Serving);
     assert_eq!((endpoints[1].state, endpoints[2].state), (EndpointState::Draining, EndpointState::Removed));
-    assert!(!parse(r#"{"rev":42,"targets":[]}"#).is_complete, "a change of the list before");
+    assert!(
+        !parse(r#"{"rev":42,"targets":[]}"#).is_complete,
+        "a reply without the key all lists changes only"
+    );
 }
 
 #[test]
-fn a_reply_becomes_the_list_of_the_engine() {
+fn a_reply_is_converted_to_an_engine_list() {
     let list: EndpointList<SocketAddr> = parse(REPLY).into();
     assert_eq!((list.version, list.is_complete), (41, true));
     let first = &list.endpoints[0];
--- a/crates/agent/src/discovery/watch.rs
+++ b/crates/agent/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: a sequence of long polls, each for what is newer than the version that is known.
+//! The watch: a sequence of long polls, each for changes since the known version.
 
 use super::client::{CallError, Client, HOLD_TIMEOUT, LIST_PATH};
 use super::reply::EndpointListReply;
@@ -9,27 +9,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// How long a call for the initial list of a new address may stay unanswered until a further one is started beside it. The
-/// initial list must be known within 4 s.
+/// How long a call for the initial list of a new address may take before another call is started beside it. The initial list
+/// must be known within 4 s.
 const INITIAL_CALL_INTERVAL: Duration = Duration::from_millis(1200);
-/// The most calls for the initial list in flight. None is given up for a newer one: a slow discovery, which many agents ask at
-/// once, would never get to answer.
+/// The maximum number of calls for the initial list in flight. No call is cancelled for a newer one: a slow discovery, which many
+/// agents call at once, would otherwise never complete a response.
 pub const MAX_INITIAL_CALLS: usize = 3;
-/// The pause after a reply that came at once and brought nothing new, or was left out, so that a discovery which does not
-/// hold its watches is not flooded. It is well within the 200 ms that may lie between two watches.
+/// The delay after a reply that was empty and immediate, or was ignored, so that a discovery which does not hold its watches is
+/// not flooded. It is well below the 200 ms that may pass between two watches.
 const EMPTY_REPLY_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after a failed call where the decision module does not back off by itself: lists are pushed, or the address is
-/// new. Discovery runs on the same machine, and what it reports at its return counts at once.
+/// The delay after a failed call where the decision module does not back off by itself: lists are pushed, or the address is new.
+/// It is short because discovery runs on the same machine, and changes must be known as soon as it is available again.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A call for the initial list, with the client whose connection the watch goes on with.
+/// The result of a call for the initial list, with the client whose connection the watch then uses.
 type InitialCall<C> = Result<(EndpointListReply, Client<C>), CallError>;
 
 impl<C: Connector + 'static> Session<'_, C> {
     /// Watches for as long as the decision module subscribes, until dropped.
     ///
-    /// Where lists are pushed, the subscription never ends, and failures are not reported: the decision module has asked
-    /// for nothing.
+    /// Where lists are pushed, the subscription never ends, and failures are not reported, since the decision module has not
+    /// requested anything.
     pub async fn watch(&self) {
         let mut client = match self.sink.version() {
             Some(_) => self.new_client(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Delivers a reply that took `elapsed`, and pauses if it was of no use.
+    /// Delivers a reply that took `elapsed`; waits if it was ignored, or empty and immediate.
     async fn deliver_update(&self, reply: EndpointListReply, elapsed: Duration) {
         let is_known = Some(reply.version) == self.sink.version();
         let is_immediate = elapsed < EMPTY_REPLY_INTERVAL;
@@ -61,10 +61,10 @@
         }
     }
 
-    /// Asks a new address for its complete list until it answers, whatever the decision module waits for.
+    /// Fetches the complete list of a new address, and retries until that succeeds, even if the decision module has not
+    /// subscribed.
     ///
-    /// The version that is known comes from another address and means nothing to this one. The list that is known stays in
-    /// use until the new one arrives.
+    /// The known version is from another address and is meaningless here. The known list stays in use until the new one arrives.
     async fn fetch_initial_list(&self) -> Client<C> {
         let mut calls = JoinSet::new();
         loop {
@@ -77,14 +77,14 @@
                     return client;
                 }
                 Ok(None) => sleep(RETRY_INTERVAL).await,
-                // The calls in flight go on.
+                // The calls in flight continue.
                 Err(_) => {}
             }
         }
     }
 }
 
-/// The path of a watch on what is newer than `version`.
+/// Returns the path of a watch for changes since `version`.
 fn watch_path(version: Option<i64>) -> String {
     format!("{LIST_PATH}?from={}&hold_ms={}", version.unwrap_or_default(), HOLD_TIMEOUT.as_millis())
 }
@@ -94,7 +94,7 @@
     Ok((reply, client))
 }
 
-/// Waits for the next call that ends; `None` if it has failed.
+/// Waits until a call completes; `None` if it has failed.
 async fn next_success<C: 'static>(
     calls: &mut JoinSet<InitialCall<C>>,
 ) -> Option<(EndpointListReply, Client<C>)> {
