--- a/crates/agent/benches/council.rs
+++ b/crates/agent/benches/council.rs
@@ -1,5 +1,7 @@
-//! What agreement costs: commands a second and their latency, with one council process and with three, by callers at once,
-//! on the disk of the folder for temporary files. `cargo bench -p heronhoist --bench council`, or with `-- --folder DIR`.
+//! Throughput and latency of the coordination service, with one coordinator process and with three, and with 1 and 32 concurrent
+//! callers. The processes store their data in the temporary directory, or in DIR:
+//!
+//!     cargo bench -p heronhoist --bench council -- --folder DIR
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,32 +9,34 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const LENGTH: Duration = Duration::from_secs(3);
+/// How long each measurement takes.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(3);
 
-struct Council {
+/// The coordinator processes of a fleet, which are killed and their files removed when this is dropped.
+struct Coordinators {
     children: Vec<Child>,
     addresses: Vec<SocketAddr>,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
-impl Drop for Council {
+impl Drop for Coordinators {
     fn drop(&mut self) {
         for child in &mut self.children {
             let _ = child.kill();
             let _ = child.wait();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
+fn free_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("an address")
 }
 
-fn start(count: usize, folder: &Path) -> Council {
-    let folder = folder.join(format!("heronhoist-bench-{}-{count}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let addresses: Vec<SocketAddr> = (0..count).map(|_| free()).collect();
+fn start(count: usize, parent_directory: &Path) -> Coordinators {
+    let directory = parent_directory.join(format!("heronhoist-bench-{}-{count}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("cannot create the directory");
+    let addresses: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
     let mut children = Vec::new();
     for (n, address) in addresses.iter().enumerate() {
         let mut text = format!(
@@ -41,20 +45,21 @@
         for (n, address) in addresses.iter().enumerate() {
             text += &format!("[[council.peer]]\nname = \"c{n}\"\naddress = \"{address}\"\n");
         }
-        let file = folder.join(format!("c{n}.toml"));
-        std::fs::write(&file, text).expect("written");
+        let file = directory.join(format!("c{n}.toml"));
+        std::fs::write(&file, text).expect("cannot write the configuration");
         let mut command = Command::new(env!("CARGO_BIN_EXE_heronhoist-council"));
         let child = command.arg("--config").arg(&file).stderr(Stdio::null()).spawn();
-        children.push(child.expect("started"));
+        children.push(child.expect("cannot start the coordinator"));
     }
-    Council { children, addresses, folder }
+    Coordinators { children, addresses, directory }
 }
 
-/// A connection that is kept.
-struct Line(BufReader<TcpStream>);
+/// A connection that is kept between requests.
+struct Connection(BufReader<TcpStream>);
 
-impl Line {
-    fn ask(&mut self, request: &str) -> Option<String> {
+impl Connection {
+    /// Sends a request and returns the response body; `None` if the connection fails.
+    fn send(&mut self, request: &str) -> Option<String> {
         let body = format!("{{\"envelope\":{{\"fleet\":\"b\",\"protocol\":1,\"from\":\"x\",\"incarnation\":0,\"term\":0}},\"request\":{request}}}");
         let head =
             format!("POST /v1/ask HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -77,18 +82,19 @@
     }
 }
 
-fn connect(address: SocketAddr) -> Option<Line> {
+fn connect(address: SocketAddr) -> Option<Connection> {
     let stream = TcpStream::connect(address).ok()?;
     stream.set_nodelay(true).ok()?;
-    Some(Line(BufReader::new(stream)))
+    Some(Connection(BufReader::new(stream)))
 }
 
-fn leader(council: &Council) -> SocketAddr {
+/// Waits until a process accepts a write, and returns its address.
+fn leader(coordinators: &Coordinators) -> SocketAddr {
     loop {
-        for address in &council.addresses {
+        for address in &coordinators.addresses {
             let put = r#"{"command":{"session":null,"command":{"write":{"checks":[],"writes":[{"put":["note/a","1"]}]}}}}"#;
-            let answer = connect(*address).and_then(|mut line| line.ask(put));
-            if answer.is_some_and(|answer| answer.contains("done")) {
+            let response = connect(*address).and_then(|mut connection| connection.send(put));
+            if response.is_some_and(|response| response.contains("done")) {
                 return *address;
             }
         }
@@ -96,31 +102,32 @@
     }
 }
 
-fn measure(council: &Council, callers: usize, request: &'static str) -> (f64, Vec<Duration>) {
-    let address = leader(council);
+/// Sends a request repeatedly from several callers; returns the requests per second and the sorted latencies.
+fn measure(coordinators: &Coordinators, callers: usize, request: &'static str) -> (f64, Vec<Duration>) {
+    let address = leader(coordinators);
     let threads: Vec<_> = (0..callers)
         .map(|_| {
             std::thread::spawn(move || {
-                let mut line = connect(address).expect("a connection");
-                let (begun, mut took) = (Instant::now(), Vec::new());
-                while begun.elapsed() < LENGTH {
-                    let at = Instant::now();
-                    line.ask(request).expect("an answer");
-                    took.push(at.elapsed());
+                let mut connection = connect(address).expect("cannot connect");
+                let (start, mut latencies) = (Instant::now(), Vec::new());
+                while start.elapsed() < MEASUREMENT_TIME {
+                    let sent_at = Instant::now();
+                    connection.send(request).expect("no response");
+                    latencies.push(sent_at.elapsed());
                 }
-                took
+                latencies
             })
         })
         .collect();
-    let mut took: Vec<Duration> =
-        threads.into_iter().flat_map(|thread| thread.join().expect("a caller")).collect();
-    took.sort();
-    (took.len() as f64 / LENGTH.as_secs_f64(), took)
+    let mut latencies: Vec<Duration> =
+        threads.into_iter().flat_map(|thread| thread.join().expect("a caller has panicked")).collect();
+    latencies.sort();
+    (latencies.len() as f64 / MEASUREMENT_TIME.as_secs_f64(), latencies)
 }
 
 fn main() {
     let mut arguments = std::env::args().skip_while(|argument| argument != "--folder").skip(1);
-    let folder = arguments.next().map_or_else(std::env::temp_dir, PathBuf::from);
+    let directory = arguments.next().map_or_else(std::env::temp_dir, PathBuf::from);
     let write =
         r#"{"command":{"session":null,"command":{"write":{"checks":[],"writes":[{"put":["note/a","1"]}]}}}}"#;
     let read = r#"{"read":{"stale":false,"prefix":"note/a","members":false}}"#;
@@ -129,15 +136,17 @@
         "processes", "callers", "what", "a second", "p50 ms", "p99 ms"
     );
     for count in [1, 3] {
-        let council = start(count, &folder);
+        let coordinators = start(count, &directory);
         for callers in [1, 32] {
-            for (what, request) in [("write", write), ("read", read)] {
-                let (rate, took) = measure(&council, callers, request);
-                let part = |share: f64| took[(took.len() as f64 * share) as usize].as_secs_f64() * 1e3;
+            for (operation, request) in [("write", write), ("read", read)] {
+                let (rate, latencies) = measure(&coordinators, callers, request);
+                let percentile_ms = |fraction: f64| {
+                    latencies[(latencies.len() as f64 * fraction) as usize].as_secs_f64() * 1e3
+                };
                 println!(
-                    "{count:<10} {callers:>7} {what:<12} {rate:>9.0} {:>9.2} {:>9.2}",
-                    part(0.5),
-                    part(0.99)
+                    "{count:<10} {callers:>7} {operation:<12} {rate:>9.0} {:>9.2} {:>9.2}",
+                    percentile_ms(0.5),
+                    percentile_ms(0.99)
                 );
             }
         }
--- a/crates/agent/benches/overhead.rs
+++ b/crates/agent/benches/overhead.rs
@@ -1,9 +1,10 @@
-//! What the agent costs a request: CPU time and latency, in a closed loop of 16 connections with answers of 512 bytes from
-//! 12 stand-ins, beside the same loop without an agent. Another binary can be paired with this one in turns:
+//! The overhead of the agent per request: CPU time and latency in a closed loop of 16 connections, with responses of 512 bytes
+//! from 12 emulated record servers, compared with the same loop without an agent. Another binary can be measured in alternation
+//! with this one:
 //!
 //!     cargo bench -p heronhoist --bench overhead -- --against OTHER --rounds 9 --requests 20000
 //!
-//! Absolute times of a machine say little; quote the ratios, taken in one run.
+//! Absolute times depend on the machine; quote the ratios of a single run.
 
 #[path = "support/agent.rs"]
 mod agent;
@@ -18,27 +19,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
 
-const STAND_INS: usize = 12;
+const SERVERS: usize = 12;
 const CONNECTIONS: usize = 16;
-const ANSWER_BYTES: usize = 512;
+const RESPONSE_BYTES: usize = 512;
 const SETTINGS: &str = r#"{"zones":["a"],"kinds":["m"],"discovery":"on_request","classes":[
  {"name":"read","effect":"idempotent","aimMs":500,"deadlineMs":2000,"points":1}],
  "limits":{"cancel":true,"retryAfter":true,"connectTimeoutMs":250,"keepaliveMs":60000,"maxAttempts":3},
  "rules":{"stopSendingWithinMs":500}}"#;
 
-/// Connections that the stand-ins have accepted.
-static OPENED: AtomicUsize = AtomicUsize::new(0);
+/// The number of connections that the emulated servers have accepted.
+static ACCEPTED: AtomicUsize = AtomicUsize::new(0);
 
-fn on_a_thread<T>(work: impl std::future::Future<Output = T>) -> T {
+/// Runs a future and the tasks that it spawns on this thread.
+fn run_local<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, work)
+    LocalSet::new().block_on(&runtime, future)
 }
 
-/// Reads one head; false at the end of the stream.
-async fn head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
+/// Reads one head and removes it from the buffer; false at the end of the stream.
+async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     loop {
-        if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
-            buffer.drain(..at + 4);
+        if let Some(position) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
+            buffer.drain(..position + 4);
             return true;
         }
         if !matches!(stream.read_buf(buffer).await, Ok(n) if n > 0) {
@@ -47,24 +49,25 @@
     }
 }
 
-fn stand_ins() -> Vec<SocketAddr> {
-    let (tell, told) = std::sync::mpsc::channel();
+/// Emulates record servers on one thread, and returns their addresses.
+fn start_record_servers() -> Vec<SocketAddr> {
+    let (address_sender, addresses) = std::sync::mpsc::channel();
     thread::spawn(move || {
-        on_a_thread(async move {
-            for _ in 0..STAND_INS {
+        run_local(async move {
+            for _ in 0..SERVERS {
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
-                tell.send(listener.local_addr().expect("an address")).expect("heard");
+                address_sender.send(listener.local_addr().expect("an address")).expect("a receiver");
                 spawn_local(async move {
                     while let Ok((mut stream, _)) = listener.accept().await {
-                        OPENED.fetch_add(1, Ordering::Relaxed);
+                        ACCEPTED.fetch_add(1, Ordering::Relaxed);
                         let _ = stream.set_nodelay(true);
                         spawn_local(async move {
-                            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {ANSWER_BYTES}\r\n\r\n")
+                            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {RESPONSE_BYTES}\r\n\r\n")
                                 .into_bytes();
-                            let answer = [answer, vec![b'x'; ANSWER_BYTES]].concat();
+                            let response = [head, vec![b'x'; RESPONSE_BYTES]].concat();
                             let mut buffer = Vec::new();
-                            while head(&mut stream, &mut buffer).await {
-                                if stream.write_all(&answer).await.is_err() {
+                            while read_head(&mut stream, &mut buffer).await {
+                                if stream.write_all(&response).await.is_err() {
                                     return;
                                 }
                             }
@@ -75,42 +78,42 @@
             std::future::pending::<()>().await;
         });
     });
-    (0..STAND_INS).map(|_| told.recv().expect("an address")).collect()
+    (0..SERVERS).map(|_| addresses.recv().expect("an address")).collect()
 }
 
-/// Latencies in microseconds, sorted, and requests a second.
+/// Sends requests to the targets; returns the sorted latencies in microseconds, and the requests per second.
 fn load(targets: &[SocketAddr], requests: usize) -> (Vec<u64>, f64) {
     let start = Instant::now();
-    let mut all: Vec<u64> = on_a_thread(async {
+    let mut latencies: Vec<u64> = run_local(async {
         let loops = (0..CONNECTIONS).map(|n| {
             let target = targets[n % targets.len()];
             spawn_local(async move {
-                let mut stream = TcpStream::connect(target).await.expect("connects");
+                let mut stream = TcpStream::connect(target).await.expect("cannot connect");
                 let _ = stream.set_nodelay(true);
-                let (mut buffer, mut times) = (Vec::new(), Vec::new());
+                let (mut buffer, mut latencies) = (Vec::new(), Vec::new());
                 for i in 0..requests / CONNECTIONS {
                     let request = format!("GET /read?i={i} HTTP/1.1\r\nHost: o\r\nX-Call-Id: c{n}-{i}\r\nX-Call-Class: read\r\nX-Budget-Ms: 2000\r\n\r\n");
-                    let sent = Instant::now();
-                    stream.write_all(request.as_bytes()).await.expect("written");
-                    assert!(head(&mut stream, &mut buffer).await, "the connection has ended");
-                    while buffer.len() < ANSWER_BYTES {
+                    let sent_at = Instant::now();
+                    stream.write_all(request.as_bytes()).await.expect("cannot write a request");
+                    assert!(read_head(&mut stream, &mut buffer).await, "the connection was closed");
+                    while buffer.len() < RESPONSE_BYTES {
                         assert!(stream.read_buf(&mut buffer).await.expect("read") > 0);
                     }
-                    buffer.drain(..ANSWER_BYTES);
-                    times.push(sent.elapsed().as_micros() as u64);
+                    buffer.drain(..RESPONSE_BYTES);
+                    latencies.push(sent_at.elapsed().as_micros() as u64);
                 }
-                times
+                latencies
             })
         });
-        let mut times = Vec::new();
-        for one in loops.collect::<Vec<_>>() {
-            times.extend(one.await.expect("served"));
+        let mut latencies = Vec::new();
+        for connection_loop in loops.collect::<Vec<_>>() {
+            latencies.extend(connection_loop.await.expect("a connection loop has panicked"));
         }
-        times
+        latencies
     });
-    let rate = all.len() as f64 / start.elapsed().as_secs_f64();
-    all.sort_unstable();
-    (all, rate)
+    let rate = latencies.len() as f64 / start.elapsed().as_secs_f64();
+    latencies.sort_unstable();
+    (latencies, rate)
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -121,15 +124,16 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
     let value = |name: &str| {
-        let at = arguments.iter().position(|a| a == name)?;
-        arguments.get(at + 1).cloned()
+        let position = arguments.iter().position(|argument| argument == name)?;
+        arguments.get(position + 1).cloned()
     };
-    let number = |name: &str, other: usize| value(name).and_then(|v| v.parse().ok()).unwrap_or(other);
+    let number =
+        |name: &str, default: usize| value(name).and_then(|text| text.parse().ok()).unwrap_or(default);
     let (rounds, requests) = (number("--rounds", 5), number("--requests", 20_000));
     let mut binaries = vec![PathBuf::from(env!("CARGO_BIN_EXE_heronhoist"))];
     binaries.extend(value("--against").map(PathBuf::from));
 
-    let servers = stand_ins();
+    let servers = start_record_servers();
     let targets: Vec<String> = servers
         .iter()
         .enumerate()
@@ -141,64 +145,66 @@
         targets.join(",")
     );
     let path = std::env::temp_dir().join(format!("heronhoist-overhead-{}.json", std::process::id()));
-    std::fs::write(&path, config).expect("a file");
+    std::fs::write(&path, config).expect("cannot write the configuration");
 
-    // Per binary: CPU microseconds a request, median and 99th percentile latency, requests a second, peak KiB, connections
-    // opened to the stand-ins per thousand requests, those ahead of the measurement included.
-    let mut seen: Vec<Vec<[f64; 6]>> = vec![Vec::new(); binaries.len()];
+    // For each binary: CPU microseconds per request, median and 99th percentile latency, requests per second, peak KiB, and
+    // connections opened to the servers per thousand requests, including those of the warm-up.
+    let mut results: Vec<Vec<[f64; 6]>> = vec![Vec::new(); binaries.len()];
     let mut direct = Vec::new();
     for round in 0..rounds {
         direct.push(load(&servers, requests).1);
-        // All live at once and are asked in turns of a tenth of the requests, so that what the machine does meanwhile
-        // falls on each alike.
+        // All agents run at once and are loaded in turns of a tenth of the requests, so that other activity of the machine
+        // affects them equally.
         let agents: Vec<Agent> = binaries.iter().map(|binary| Agent::start(binary, &path)).collect();
-        let loaded = |agent: &Agent, requests: usize| {
-            let before = OPENED.load(Ordering::Relaxed);
-            let seen = load(&[agent.1], requests);
-            (seen, OPENED.load(Ordering::Relaxed) - before)
+        let load_agent = |agent: &Agent, requests: usize| {
+            let accepted_before = ACCEPTED.load(Ordering::Relaxed);
+            let measured = load(&[agent.1], requests);
+            (measured, ACCEPTED.load(Ordering::Relaxed) - accepted_before)
         };
-        let mut opened: Vec<usize> = agents.iter().map(|agent| loaded(agent, requests / 10).1).collect();
-        let before: Vec<Duration> = agents.iter().map(Agent::cpu).collect();
-        let (mut times, mut took) = (vec![Vec::new(); agents.len()], vec![0.0; agents.len()]);
+        let mut opened: Vec<usize> = agents.iter().map(|agent| load_agent(agent, requests / 10).1).collect();
+        let cpu_before: Vec<Duration> = agents.iter().map(Agent::cpu).collect();
+        let (mut latencies, mut elapsed_s) = (vec![Vec::new(); agents.len()], vec![0.0; agents.len()]);
         for turn in 0..10 * agents.len() {
-            let at = (turn + turn / agents.len() + round) % agents.len();
-            let ((seen, rate), more) = loaded(&agents[at], requests / 10);
-            opened[at] += more;
-            took[at] += seen.len() as f64 / rate;
-            times[at].extend(seen);
+            let index = (turn + turn / agents.len() + round) % agents.len();
+            let ((measured, rate), more) = load_agent(&agents[index], requests / 10);
+            opened[index] += more;
+            elapsed_s[index] += measured.len() as f64 / rate;
+            latencies[index].extend(measured);
         }
-        for (at, agent) in agents.iter().enumerate() {
-            times[at].sort_unstable();
-            let count = times[at].len() as f64;
-            let cpu = (agent.cpu() - before[at]).as_secs_f64() * 1e6 / count;
-            let at_share = |share: f64| times[at][((count - 1.0) * share) as usize] as f64;
-            let opened = opened[at] as f64 * 1e3 / (count + (requests / 10) as f64);
-            seen[at].push([
+        for (index, agent) in agents.iter().enumerate() {
+            latencies[index].sort_unstable();
+            let count = latencies[index].len() as f64;
+            let cpu = (agent.cpu() - cpu_before[index]).as_secs_f64() * 1e6 / count;
+            let percentile = |fraction: f64| latencies[index][((count - 1.0) * fraction) as usize] as f64;
+            let opened = opened[index] as f64 * 1e3 / (count + (requests / 10) as f64);
+            results[index].push([
                 cpu,
-                at_share(0.5),
-                at_share(0.99),
-                count / took[at],
-                agent.peak() as f64,
+                percentile(0.5),
+                percentile(0.99),
+                count / elapsed_s[index],
+                agent.peak_kib() as f64,
                 opened,
             ]);
         }
     }
     let _ = std::fs::remove_file(&path);
     let names = ["CPU us a request", "median us", "99th pct us", "requests/s", "peak KiB", "opened per 1000"];
-    println!("{rounds} rounds of {requests} requests, {CONNECTIONS} connections, {ANSWER_BYTES} bytes, {STAND_INS} stand-ins");
+    println!("{rounds} rounds of {requests} requests, {CONNECTIONS} connections, {RESPONSE_BYTES} bytes, {SERVERS} servers");
     println!("direct: {:.0} requests/s", median(direct.clone()));
-    for (binary, rows) in binaries.iter().zip(&seen) {
-        let told = (0..names.len())
-            .map(|i| format!("{} {:.1}", names[i], median(rows.iter().map(|r| r[i]).collect())));
-        println!("{}: {}", binary.display(), told.collect::<Vec<_>>().join(", "));
-        let share = rows.iter().zip(&direct).map(|(row, direct)| row[3] / direct).collect();
-        println!("  proxied/direct {:.3}", median(share));
+    for (binary, rows) in binaries.iter().zip(&results) {
+        let medians = (0..names.len())
+            .map(|i| format!("{} {:.1}", names[i], median(rows.iter().map(|row| row[i]).collect())));
+        println!("{}: {}", binary.display(), medians.collect::<Vec<_>>().join(", "));
+        let ratios = rows.iter().zip(&direct).map(|(row, direct)| row[3] / direct).collect();
+        println!("  proxied/direct {:.3}", median(ratios));
     }
-    if let [this, other] = &seen[..] {
+    if let [this, other] = &results[..] {
         for (i, name) in names.iter().enumerate() {
             let ratios: Vec<f64> = this.iter().zip(other).map(|(a, b)| a[i] / b[i]).collect();
-            let (least, most) = ratios.iter().fold((f64::MAX, 0.0_f64), |(l, m), r| (l.min(*r), m.max(*r)));
-            println!("this/other {name}: {:.3} ({least:.3} to {most:.3})", median(ratios));
+            let (min, max) = ratios
+                .iter()
+                .fold((f64::MAX, 0.0_f64), |(min, max), ratio| (min.min(*ratio), max.max(*ratio)));
+            println!("this/other {name}: {:.3} ({min:.3} to {max:.3})", median(ratios));
         }
     }
 }
