--- a/crates/agent/tests/command_line.rs
+++ b/crates/agent/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The commands and flags of the agent's programs, as operators' scripts use them.
+//! The commands and flags of the agent's programs must stay compatible with the scripts of operators.
 
 #[path = "support/command_line.rs"]
 mod command_line;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn flags_of_the_council_process_stay() {
+fn flags_of_the_coordinator_process_stay() {
     let page = command_line::of(env!("CARGO_BIN_EXE_heronhoist-council"), &[]);
     golden::assert_golden("tests/golden/heronhoist-council.flags", &page);
 }
--- a/crates/agent/tests/support/command_line.rs
+++ b/crates/agent/tests/support/command_line.rs
@@ -1,44 +1,48 @@
-//! What a program's command line takes, read from the short help of each of its commands, without the prose.
+//! The command line that a program accepts, read from the short help of each of its commands, without the descriptions.
 
 use std::process::Command;
 
-/// The name, value, default and possible values of an option or argument, without its description.
-fn form(line: &str) -> String {
+/// Returns the name, value, default and possible values of an option or argument, without its description.
+fn signature(line: &str) -> String {
     let line = line.trim();
     let name = line.split("  ").next().unwrap_or_default();
-    let bracketed = |what: &str| {
-        let from = line.find(&format!("[{what}: "))?;
-        let text = &line[from..];
+    let bracketed = |label: &str| {
+        let start = line.find(&format!("[{label}: "))?;
+        let text = &line[start..];
         Some(&text[..=text.find(']')?])
     };
-    let more: Vec<&str> = ["default", "possible values"].into_iter().filter_map(bracketed).collect();
-    [&[name], &more[..]].concat().join(" ")
+    let values: Vec<&str> = ["default", "possible values"].into_iter().filter_map(bracketed).collect();
+    [&[name], &values[..]].concat().join(" ")
 }
 
-/// One line for the usage, each argument, each option and each command, and the same of each command below.
+/// Returns one line for the usage and for each argument, option and command, and then the same for each subcommand.
 pub fn of(program: &str, commands: &[&str]) -> String {
-    // Lines of a terminal's width would break descriptions, and with them what stands in brackets at their ends.
-    let help =
-        Command::new(program).args(commands).arg("-h").env("COLUMNS", "1000").output().expect("it starts");
+    // The width is large so that descriptions, and the brackets at their ends, are not wrapped.
+    let help = Command::new(program)
+        .args(commands)
+        .arg("-h")
+        .env("COLUMNS", "1000")
+        .output()
+        .expect("cannot start the program");
     assert_eq!(help.status.code(), Some(0), "{commands:?}");
     let help = String::from_utf8(help.stdout).expect("UTF-8");
     let mut page = String::new();
     let mut section = "";
-    let mut below = Vec::new();
+    let mut subcommands = Vec::new();
     for line in help.lines() {
         let heading = ["Arguments:", "Options:", "Commands:"].into_iter().find(|heading| *heading == line);
         section = heading.unwrap_or(if line.is_empty() { "" } else { section });
         if line.starts_with("Usage: ") {
             page += &format!("{line}\n");
         } else if heading.is_none() && !section.is_empty() {
-            page += &format!("  {} {}\n", section.to_lowercase(), form(line));
+            page += &format!("  {} {}\n", section.to_lowercase(), signature(line));
             let command = line.split_whitespace().next().unwrap_or_default();
             if section == "Commands:" && command != "help" {
-                below.push(command);
+                subcommands.push(command);
             }
         }
     }
-    for command in below {
+    for command in subcommands {
         page += &of(program, &[commands, &[command]].concat());
     }
     page
--- a/crates/agent/tests/support/golden.rs
+++ b/crates/agent/tests/support/golden.rs
@@ -1,9 +1,9 @@
-//! Text that is compared with a committed file.
+//! Comparison of text with a committed file.
 
 use std::path::Path;
 
-/// Fails at the first line that differs from the committed file of this package; the whole text is left beside the build, from
-/// where it can be copied once a change is meant.
+/// Panics with the first line that differs from the committed file of this package. The actual text is written to the build
+/// directory, from where it can be copied if the change is intended.
 #[track_caller]
 pub fn assert_golden(committed: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(committed);
@@ -11,16 +11,16 @@
     if expected == actual {
         return;
     }
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(committed.replace('/', "-"));
-    std::fs::write(&left, actual).expect("the folder of the tests can be written");
+    let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(committed.replace('/', "-"));
+    std::fs::write(&actual_path, actual).expect("cannot write to the directory for test files");
     let differs = |(expected, actual): &(&str, &str)| expected != actual;
     let line = expected.lines().zip(actual.lines()).position(|pair| differs(&pair));
     let line = line.unwrap_or_else(|| expected.lines().count().min(actual.lines().count()));
     panic!(
-        "{committed}:{}: committed {:?}, now {:?}; all of it is in {}",
+        "{committed}:{}: committed {:?}, now {:?}; the actual text is in {}",
         line + 1,
         expected.lines().nth(line),
         actual.lines().nth(line),
-        left.display()
+        actual_path.display()
     );
 }
