--- a/crates/agent/tests/command_line.rs
+++ b/crates/agent/tests/command_line.rs
@@ -7,12 +7,12 @@
 
 #[test]
 fn commands_and_flags_of_the_agent_stay() {
-    let page = command_line::of(env!("CARGO_BIN_EXE_heronhoist"), &[]);
+    let page = command_line::describe(env!("CARGO_BIN_EXE_heronhoist"), &[]);
     golden::assert_golden("tests/golden/heronhoist.flags", &page);
 }
 
 #[test]
 fn flags_of_the_coordinator_process_stay() {
-    let page = command_line::of(env!("CARGO_BIN_EXE_heronhoist-council"), &[]);
+    let page = command_line::describe(env!("CARGO_BIN_EXE_heronhoist-council"), &[]);
     golden::assert_golden("tests/golden/heronhoist-council.flags", &page);
 }
--- a/crates/agent/tests/support/command_line.rs
+++ b/crates/agent/tests/support/command_line.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns one line for the usage and for each argument, option and command, and then the same for each subcommand.
-pub fn of(program: &str, commands: &[&str]) -> String {
+pub fn describe(program: &str, commands: &[&str]) -> String {
     // The width is large so that descriptions, and the brackets at their ends, are not wrapped.
     let help = Command::new(program)
         .args(commands)
@@ -43,7 +43,7 @@
         }
     }
     for command in subcommands {
-        page += &of(program, &[commands, &[command]].concat());
+        page += &describe(program, &[commands, &[command]].concat());
     }
     page
 }
--- a/crates/lab/tests/golden.rs
+++ b/crates/lab/tests/golden.rs
@@ -70,7 +70,7 @@
 
 #[test]
 fn commands_and_flags_stay() {
-    assert_golden("tests/golden/heronhoist-lab.flags", &command_line::of(PROGRAM, &[]));
+    assert_golden("tests/golden/heronhoist-lab.flags", &command_line::describe(PROGRAM, &[]));
 }
 
 /// A run that holds and one that breaks a rule; their keys, the kinds of their values, and the lines that are printed.
