--- a/crates/lab/tests/golden.rs
+++ b/crates/lab/tests/golden.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn commands_and_flags_are_stable() {
-    assert_golden("tests/golden/heronhoist-lab.flags", &command_line::of(PROGRAM, &[]));
+    assert_golden("tests/golden/heronhoist-lab.flags", &command_line::describe(PROGRAM, &[]));
 }
 
 /// Compares keys, value types and printed lines of a run that passes and of one that breaks a rule.
