--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -23,7 +23,7 @@
     /// The address to send requests to.
     #[arg(long)]
     to: SocketAddr,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
     /// The duration in seconds.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -69,7 +69,7 @@
     /// Override a key of the scenario, for example agents.count=200.
     #[arg(long, value_name = "PATH=VALUE")]
     set: Vec<String>,
-    /// The real agent's program.
+    /// The path of the agent program.
     #[arg(long)]
     agent: Option<PathBuf>,
     /// Check only the rules that do not depend on the speed of the machine: responses, effects, translation and agent crashes.
@@ -165,7 +165,7 @@
     Fleet {
         /// The scenario; its faults and clients are ignored.
         file: PathBuf,
-        /// The real agent's program.
+        /// The path of the agent program.
         #[arg(long)]
         agent: Option<PathBuf>,
         /// Exit after this many seconds.
