--- a/crates/agent/src/translate.rs
+++ b/crates/agent/src/translate.rs
@@ -162,7 +162,13 @@
         }
         report += &format!("{}: sound, {name}, class {}\n", path.display(), mapping.class);
         for note in &mapping.notes {
-            report += &format!("  {} {} {}: {}\n", note.part.name(), note.from.name(), note.field, note.text);
+            report += &format!(
+                "  {} {} {}: {}\n",
+                note.message_kind.name(),
+                note.from.name(),
+                note.field,
+                note.text
+            );
         }
         names.push((name, path));
     }
