--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -29,7 +29,7 @@
 #[derive(Parser)]
 #[command(version)]
 struct CoordinatorOptions {
-    /// Its configuration file; deploy/council.toml is an example.
+    /// The configuration file; deploy/council.toml is an example.
     #[arg(short, long, value_name = "FILE")]
     config: PathBuf,
     /// Start alone, with the state from a copy that `heronhoist fleet copy` wrote; requires a new disk.
@@ -108,11 +108,11 @@
         Some(Command::Check { files }) => check(&files),
         Some(Command::Config { config }) => match load_config(config) {
             Ok(config) => print(&format_entries(&config)),
-            Err(fault) => fail(&fault.to_string(), exit_code_of(&fault)),
+            Err(error) => fail(&error.to_string(), error_exit_code(&error)),
         },
         Some(Command::Translate { command }) => match translate::main(command) {
             Ok(text) => print(&text),
-            Err(translate::TranslateError::Unreadable(fault)) => fail(&fault, EXIT_UNREADABLE),
+            Err(translate::TranslateError::Unreadable(error)) => fail(&error, EXIT_UNREADABLE),
             Err(translate::TranslateError::Invalid(faults)) => {
                 let _ = writeln!(io::stderr(), "{faults}");
                 ExitCode::from(1)
@@ -122,11 +122,11 @@
         Some(Command::Fleet { tool }) => match crate::run_local(fleet_command::run(tool)) {
             Ok(Ok(text)) => print(&text),
             Ok(Err(error)) => fail(&error.to_string(), 1),
-            Err(fault) => fail(&fault, 1),
+            Err(error) => fail(&error, 1),
         },
         Some(Command::Hold(options)) => match crate::run_local(hold::run(options)) {
             Ok(code) => ExitCode::from(code),
-            Err(fault) => fail(&fault, 1),
+            Err(error) => fail(&error, 1),
         },
         Some(Command::Drain { tool }) => print_result(crate::run_local(drain::run(tool))),
         Some(Command::Undrain { tool }) => print_result(crate::run_local(drain::run_undrain(tool))),
@@ -152,14 +152,14 @@
         Ok(this) => this.with_file_name(COORDINATOR_PROGRAM),
         Err(e) => return format!("cannot determine the path of this program: {e}"),
     };
-    let fault = exec(&program, options);
-    if fault.kind() != io::ErrorKind::NotFound {
-        return format!("cannot run {}: {fault}", program.display());
+    let error = exec(&program, options);
+    if error.kind() != io::ErrorKind::NotFound {
+        return format!("cannot run {}: {error}", program.display());
     }
     // An installation that copies programs by name may have only the program under its former name.
     let former = program.with_file_name(FORMER_COORDINATOR_PROGRAM);
-    let fault = exec(&former, options);
-    format!("cannot run {}: {fault}", former.display())
+    let error = exec(&former, options);
+    format!("cannot run {}: {error}", former.display())
 }
 
 /// Replaces this process by a program; returns only if that fails, with the error.
@@ -178,7 +178,7 @@
     let CoordinatorOptions { config, restore } = match CoordinatorOptions::from_arg_matches_mut(&mut matches)
     {
         Ok(options) => options,
-        Err(fault) => fault.exit(),
+        Err(error) => error.exit(),
     };
     run_coordinator(&config, restore.as_deref())
 }
@@ -211,7 +211,7 @@
 fn run(config: Result<Config, ConfigError>) -> ExitCode {
     let config = match config {
         Ok(config) => config,
-        Err(fault) => return fail(&fault.to_string(), exit_code_of(&fault)),
+        Err(error) => return fail(&error.to_string(), error_exit_code(&error)),
     };
     let log::LogOptions { format, levels, lines_per_second } = &config.log;
     match levels.parse() {
@@ -220,20 +220,20 @@
     }
     match crate::run_agent(config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => fail(&fault, 1),
+        Err(error) => fail(&error, 1),
     }
 }
 
-fn exit_code_of(fault: &ConfigError) -> u8 {
-    match fault {
+fn error_exit_code(error: &ConfigError) -> u8 {
+    match error {
         ConfigError::Unreadable(_) => EXIT_UNREADABLE,
         ConfigError::Invalid(_) | ConfigError::InvalidEntries(..) => 1,
     }
 }
 
 /// Prints an error as one line and returns the exit code.
-fn fail(fault: &str, code: u8) -> ExitCode {
-    let _ = writeln!(io::stderr(), "heronhoist: {fault}");
+fn fail(message: &str, code: u8) -> ExitCode {
+    let _ = writeln!(io::stderr(), "heronhoist: {message}");
     ExitCode::from(code)
 }
 
@@ -244,15 +244,15 @@
 }
 
 fn check(files: &[PathBuf]) -> ExitCode {
-    let mut worst = 0;
+    let mut exit_code = 0;
     for path in files {
         match Config::from_file(path) {
             Ok(config) => {
                 print(&format!("{}: sound\n\n{}", path.display(), describe_plan(&config)));
             }
-            Err(fault) => {
-                worst = worst.max(exit_code_of(&fault));
-                match &fault {
+            Err(error) => {
+                exit_code = exit_code.max(error_exit_code(&error));
+                match &error {
                     ConfigError::InvalidEntries(path, faults) => {
                         for fault in faults {
                             let _ = writeln!(io::stderr(), "{}:{fault}", path.display());
@@ -263,7 +263,7 @@
             }
         }
     }
-    ExitCode::from(worst)
+    ExitCode::from(exit_code)
 }
 
 /// Describes what a configuration serves, as tables.
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -78,19 +78,19 @@
         let sockets = self.sockets.unwrap_or(DEFAULT_SOCKETS).min(os_limit) / processes;
         let memory = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).max(MIN_MEMORY_MB) * 1024.0 * 1024.0;
         let memory = memory / processes as f64;
-        let usable = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_REQUEST_DESCRIPTORS);
+        let request_descriptors = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_REQUEST_DESCRIPTORS);
         let clients = (memory * CLIENT_MEMORY_FRACTION / MAX_CLIENT_BYTES) as usize;
         // Clients may hold half of the descriptors for requests; idle connections must be closed well before that limit, so that
         // other clients can connect.
         let (idle_close_threshold, keep_alive_threshold) = (sockets / 6, sockets / 4);
         ProcessLimits {
             clients: server::ClientLimits {
-                max_open: clients.min(usable / 2),
+                max_open: clients.min(request_descriptors / 2),
                 idle_close_threshold,
                 keep_alive_threshold,
             },
             upstream: UpstreamLimits {
-                connections: usable - usable / 2,
+                connections: request_descriptors - request_descriptors / 2,
                 body_bytes: (memory * BODY_MEMORY_FRACTION) as usize,
             },
         }
--- a/crates/agent/src/discovery/tests/scripted.rs
+++ b/crates/agent/src/discovery/tests/scripted.rs
@@ -122,7 +122,7 @@
         let call = Call { at: Instant::now(), request_line };
         let hold_time = call.hold_time();
         script.calls.borrow_mut().push(call);
-        if answer(&mut stream, script.next_step(), hold_time).await.is_err() {
+        if respond(&mut stream, script.next_step(), hold_time).await.is_err() {
             return;
         }
     }
@@ -142,7 +142,7 @@
 }
 
 /// Responds to a call; an error closes the connection.
-async fn answer(stream: &mut TcpStream, step: Step, hold_time: Duration) -> std::io::Result<()> {
+async fn respond(stream: &mut TcpStream, step: Step, hold_time: Duration) -> std::io::Result<()> {
     let body = match step {
         Step::NothingNew => r#"{"rev":1,"all":false,"targets":[]}"#.to_string(),
         _ => draining_list(),
@@ -248,7 +248,7 @@
         upstream: UnusedUpstream,
         request_quota: Quota::single_share(9),
     });
-    pool.expect("usable settings")
+    pool.expect("valid settings")
 }
 
 /// Runs a script in both modes, with a list from the same source, and checks each run.
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -1,6 +1,6 @@
 //! Hot restart: a running process hands its listening sockets to the process that replaces it.
 //!
-//! Both processes run side by side during an upgrade and talk over a Unix socket in `$TMPDIR`:
+//! Both processes run side by side during an upgrade and communicate over a Unix socket in `$TMPDIR`:
 //!
 //! 1. The running process listens on the Unix socket ([`listen_for_successors`], [`serve_successors`]).
 //! 2. The new process connects ([`take_over`]) and receives all TCP listeners in one message. Both processes then accept
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -57,10 +57,10 @@
 const SHUTDOWN_ACCEPT_DURATION: Duration = Duration::from_millis(500);
 /// How long after that an idle process still waits for a first request on connections that have not been used yet.
 const UNUSED_CONNECTION_GRACE: Duration = Duration::from_millis(400);
-/// The process is killed once the longest request deadline, of which at most this counts, and [`KILL_SLACK`] have passed since
-/// SIGTERM. Until then clients keep sending requests on open connections.
+/// The platform kills the process some time after SIGTERM: after the longest request deadline, but at most this long, plus
+/// [`KILL_SLACK`]. Until then clients keep sending requests on open connections.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
-/// The time between the longest deadline and the kill.
+/// The time that the platform adds to the longest deadline before the kill.
 const KILL_SLACK: Duration = Duration::from_millis(700);
 /// How long before the kill every request that has been read is answered; nothing is read after that.
 const KILL_MARGIN: Duration = Duration::from_millis(200);
@@ -121,7 +121,7 @@
     }
     // The agent is a fleet member only if its file has [fleet].
     let drained = config.fleet.as_ref().map(|_| watch::channel(BTreeSet::new()));
-    // Until the number of processes is known, this one limits itself as if there were two.
+    // Until the number of processes is known, this one limits itself as if there were two of them.
     let process_limits = config.limits().for_processes(2);
     // Each client connection carries one request at a time, and this process may hold that many once it runs alone.
     let requests = config.limits().for_processes(1).clients.max_open;
