--- a/crates/agent/src/legacy.rs
+++ b/crates/agent/src/legacy.rs
@@ -10,9 +10,9 @@
 use heronhoist_decision::Effect;
 use heronhoist_engine::NewRequest;
 use heronhoist_translate::mapping::Form;
-use heronhoist_translate::mixed::{self, Plan};
-use heronhoist_translate::wire::trouble::{Told, Trouble};
-use heronhoist_translate::{Limits, Mapping, Mappings, Notice, Part};
+use heronhoist_translate::mixed_fleet::{self, Plan};
+use heronhoist_translate::wire::error_response::{ErrorResponse, RequestFailure};
+use heronhoist_translate::{Limits, Mapping, Mappings, MessageKind, Notice};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
 use hyper::http::request::Parts;
@@ -53,12 +53,12 @@
 }
 
 /// An error as a response in the client's form.
-pub fn error_response(mapping: &Mapping, error: &Trouble) -> Told {
-    error.tell(mapping.old.answers)
+pub fn error_response(mapping: &Mapping, error: &RequestFailure) -> ErrorResponse {
+    error.to_response(mapping.old.response_form)
 }
 
-fn bad_request(reason: impl Into<String>) -> Trouble {
-    Trouble::Wrong(reason.into())
+fn bad_request(reason: impl Into<String>) -> RequestFailure {
+    RequestFailure::BadRequest(reason.into())
 }
 
 /// Validates the head of a request, and finds its mapping.
@@ -67,12 +67,15 @@
     catalogue: &Catalogue,
     connection: &ClientConnection,
     request: Request<Incoming>,
-) -> Result<ReceivedRequest, Told> {
+) -> Result<ReceivedRequest, ErrorResponse> {
     let (head, body) = request.into_parts();
     let framing = connection.framing();
     let found = mappings.find(head.method.as_str(), head.uri.path()).map(Rc::clone);
     let checked = match (found, framing) {
-        (None, _) => Err(Told { status: 404, ..bad_request("No such request is known.").tell(Form::Form) }),
+        (None, _) => Err(ErrorResponse {
+            status: 404,
+            ..bad_request("No such request is known.").to_response(Form::Form)
+        }),
         (Some(mapping), Some(framing)) if framing.is_clear() => match check_headers(&mapping, &head) {
             Ok(()) => Ok(mapping),
             Err(error) => Err(error_response(&mapping, &error)),
@@ -87,7 +90,7 @@
             Err(match other {
                 Err(response) => response,
                 Ok((_, mapping)) => {
-                    error_response(&mapping, &Trouble::Failed("Its class is not served.".into()))
+                    error_response(&mapping, &RequestFailure::Failed("Its class is not served.".into()))
                 }
             })
         }
@@ -95,12 +98,12 @@
 }
 
 /// Fails unless the media type and the character set are those of the mapping. A legacy client may omit both.
-fn check_headers(mapping: &Mapping, head: &Parts) -> Result<(), Trouble> {
+fn check_headers(mapping: &Mapping, head: &Parts) -> Result<(), RequestFailure> {
     let old = &mapping.old;
     let header = |name: &str| head.headers.get(name).map(|value| value.to_str().unwrap_or("?"));
     if let Some(content_type) = header("content-type").filter(|_| head.method != Method::GET) {
         let mut parts = content_type.split(';').map(str::trim);
-        let expected = old.form.media_type();
+        let expected = old.request_form.media_type();
         if !parts.next().is_some_and(|media_type| media_type.eq_ignore_ascii_case(expected)) {
             return Err(bad_request(format!("its Content-Type is not {expected}")));
         }
@@ -111,7 +114,7 @@
         }
     }
     // SOAP 1.1, 6.1.1: a client must state its intent; an empty string leaves it to the path.
-    if old.form == Form::Soap {
+    if old.request_form == Form::Soap {
         let action = header("soapaction").ok_or_else(|| bad_request("SOAPAction is missing"))?;
         let action = action.trim().trim_matches('"');
         let names_operation = action.rsplit(['/', '#', ':']).next() == Some(&old.operation);
@@ -128,15 +131,16 @@
     connection: &ClientConnection,
     pool: &HttpPool,
     request: ReceivedRequest,
-) -> Result<Translated, Trouble> {
+) -> Result<Translated, RequestFailure> {
     let ReceivedRequest { mapping, class, head, body } = request;
-    let too_large = || Trouble::TooLarge(format!("{MAX_BUFFERED_BYTES} bytes at most are translated."));
+    let too_large =
+        || RequestFailure::TooLarge(format!("{MAX_BUFFERED_BYTES} bytes at most are translated."));
     let stated = body.size_hint().exact();
     if stated.is_some_and(|bytes| bytes > MAX_BUFFERED_BYTES as u64) {
         discard_body(body);
         return Err(too_large());
     }
-    let no_memory = || Trouble::Refused(pool.body_retry_after().map(Into::into));
+    let no_memory = || RequestFailure::Rejected(pool.body_retry_after().map(Into::into));
     let Some(reservation) =
         pool.bodies.try_reserve(stated.map_or(MAX_BUFFERED_BYTES, |bytes| bytes as usize))
     else {
@@ -155,17 +159,21 @@
     }
     check_end(connection).map_err(|(_, reason)| bad_request(reason))?;
     let bytes = concat_chunks(chunks, buffered);
-    let is_query = head.method == Method::GET && mapping.old.form == Form::Form;
+    let is_query = head.method == Method::GET && mapping.old.request_form == Form::Form;
     if is_query && buffered > 0 {
         return Err(bad_request("a query has no body"));
     }
     let encoded = if is_query { head.uri.query().unwrap_or_default().as_bytes() } else { &bytes };
-    let message = mapping.old.decode(Part::Request, encoded, Limits::default()).map_err(bad_request)?;
-    let Plan { sides, other, notices, key } =
-        mixed::from_old(&mapping, &message, dialect::sides(pool.engine_pool.serving_dialects()))
-            .map_err(bad_request)?;
+    let message =
+        mapping.old.decode(MessageKind::Request, encoded, Limits::default()).map_err(bad_request)?;
+    let Plan { sides, translated, notices, key } = mixed_fleet::plan_old_request(
+        &mapping,
+        &message,
+        dialect::sides(pool.engine_pool.serving_dialects()),
+    )
+    .map_err(bad_request)?;
     // Without a translation the request goes to servers of the old dialect only, unchanged.
-    let translated = other.unwrap_or_default();
+    let translated = translated.unwrap_or_default();
     drop(reservation);
 
     let class = match mapping.class_without_key() {
--- a/crates/agent/src/translate.rs
+++ b/crates/agent/src/translate.rs
@@ -1,7 +1,7 @@
 //! The command `heronhoist translate`: checks, tries out and explains mapping files.
 
 use clap::{Subcommand, ValueEnum};
-use heronhoist_translate::{explain, mapping, Mapping, Part, Side};
+use heronhoist_translate::{explain, mapping, Mapping, MessageKind, Side};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
@@ -63,17 +63,17 @@
         Command::Try { map, input, from, answer } => {
             let mapping = read_mapping(&map)?;
             let message = read_message(&input)?;
-            let part = if answer { Part::Answer } else { Part::Request };
+            let message_kind = if answer { MessageKind::Response } else { MessageKind::Request };
             let from = match from {
                 From::Old => Side::Old,
                 From::New => Side::New,
             };
             // Editors end the last line with a newline, which a form-encoded message does not have.
-            let message = match mapping.dialect(from).form(part) {
+            let message = match mapping.dialect(from).form(message_kind) {
                 mapping::Form::Form => message.trim_ascii_end(),
                 _ => &message,
             };
-            explain::trial(&mapping, part, from, message)
+            explain::explain_message(&mapping, message_kind, from, message)
                 .map_err(|reason| TranslateError::Invalid(reason.trim_end().to_owned()))
         }
     }
@@ -162,7 +162,13 @@
         }
         report += &format!("{}: sound, {name}, class {}\n", path.display(), mapping.class);
         for note in &mapping.notes {
-            report += &format!("  {} {} {}: {}\n", note.part.name(), note.from.name(), note.field, note.text);
+            report += &format!(
+                "  {} {} {}: {}\n",
+                note.message_kind.name(),
+                note.from.name(),
+                note.field,
+                note.text
+            );
         }
         names.push((name, path));
     }
