--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -404,7 +404,7 @@
         };
         let config = Config::parse(&text, overrides);
         let config = config.map_err(|e| ConfigError::Invalid(format!("{}: {e}", path.display())))?;
-        // The platform's format has no keys for the log. Deployments that count events over a fleet raise these limits.
+        // The platform's format has no keys for the log. Deployments that count log events over a fleet set these variables.
         let defaults = log::LogOptions::default();
         let lines_per_second = match variable("LB_LOG_PER_SECOND") {
             None => defaults.lines_per_second,
