--- a/check.sh
+++ b/check.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Everything that main must pass; `.ci/run` calls it too. No step hangs on the clock or the machine.
+# Runs every check that main must pass; `.ci/run` calls it too. No step depends on the clock or on the speed of the machine.
 set -eux
 cd "$(dirname "$0")"
-# Its last step is one long thread; the others go on beside it, in a folder of their own.
+# The last step of this build uses one thread for a long time, so the others run in parallel, in a target directory of their own.
 cargo build --release --locked &
 release=$!
 cargo fmt --all --check
@@ -10,12 +10,12 @@
 RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 cargo test --workspace --locked
 
-# The lab plays scenarios with fixed seeds; each line is the exit code that is wanted, and what is played. 1 is wanted where a fault
-# is planted that must be found (2 would be that it could not be played). Plays go on side by side: their verdicts don't hang on that.
+# The lab runs scenarios with fixed seeds. Each line holds the expected exit code and the arguments of the run. The code is 1 where
+# an injected bug must be found (2 means that the run was impossible). Runs are parallel, which does not affect their results.
 cargo build --locked -p heronhoist-lab
 target/debug/heronhoist-lab check scenarios/*.toml scenarios/council/*.toml scenarios/found/*.toml
 plays() {
-    # The fleet as clients see it; agents that take themselves for one of three among a hundred.
+    # The service that clients get; injected bug: each of 100 agents assumes that there are only three.
     for scenario in herd zone-cut rolling-release; do
         echo "0 scenarios/$scenario.toml --seeds 1..2"
     done
@@ -23,27 +23,27 @@
         echo "0 scenarios/fleet-$scenario.toml --seeds 1"
     done
     echo "1 scenarios/fleet-burst.toml --seeds 1 --set agents.balancers=3"
-    # What all agents together send to cold servers, however many they are; agents that each act as if alone.
+    # The combined load of all agents on cold servers, for any number of agents; injected bug: each acts as if alone.
     for agents in 5 20 30 100 300; do
         echo "0 scenarios/cold-ramp.toml --seeds 1 --set agents.count=$agents"
     done
     echo "1 scenarios/cold-ramp.toml --seeds 1 --set agents.count=100 --set agents.balancers=1"
-    # The same by the budget and its chance alone.
+    # The same, checked only by the budget and its allowance for random variation.
     echo "0 scenarios/cold-ramp.toml --seeds 2 --set agents.count=300 --set fleet.bears_chance=true"
     echo "1 scenarios/cold-ramp.toml --seeds 1 --set agents.count=300 --set agents.balancers=1 --set fleet.bears_chance=true"
-    # The same formula where one is cold beside crowded ones, a building is back at once, and servers come back twice.
+    # The same formula where one server is cold beside overloaded ones, a building recovers at once, and servers restart twice.
     for world in one site twice; do
         echo "0 scenarios/cold-$world.toml --seeds 1 --set agents.count=10"
     done
     echo "1 scenarios/cold-twice.toml --seeds 1 --set agents.count=300 --set agents.balancers=1"
-    # Memory stays flat while servers come and go; agents that keep a little of each attempt.
+    # Memory does not grow while servers are replaced; injected bug: agents leak a few bytes for each attempt.
     echo "0 scenarios/soak.toml --seeds 1 --set length_ms=240000"
     echo "1 scenarios/soak.toml --seeds 1 --set length_ms=240000 --set agents.leak_bytes=200"
-    # A fleet that turns from the old dialect to the new under load; translations that are wrong.
+    # A fleet that changes from the old dialect to the new one under load; injected bug: wrong translations.
     echo "0 scenarios/mixed-rolling.toml --seeds 1"
     echo "1 scenarios/mixed-rolling.toml --seeds 1 --set 'dialects.planted=\"keys\"'"
     echo "1 scenarios/mixed-rolling.toml --seeds 1 --set 'dialects.planted=\"fields\"'"
-    # Several processes agree while links, processes and disks fail. Who is taken in catches up.
+    # Coordinator processes stay consistent while links, processes and disks fail, and a process that is added catches up.
     echo "0 scenarios/council-faults.toml --seeds 1..12"
     echo "0 scenarios/council-faults.toml --seeds 1..4 --set council.log_entries=4096"
     echo "0 scenarios/council-permits.toml --seeds 1..12"
@@ -55,17 +55,17 @@
     for scenario in scenarios/council/*.toml; do
         echo "0 $scenario --seeds 1..4"
     done
-    # Budgets that count the dead, and drains that all agents keep.
+    # Disruption budgets that count servers that are down, and drains that all agents obey.
     echo "0 scenarios/release-servers.toml --seeds 1..8"
     echo "1 scenarios/release-servers.toml --seeds 5 --set 'planted=\"counted-before\"'"
     echo "1 scenarios/release-servers.toml --seeds 18 --set 'planted=\"barrier-forgets\"'"
-    # The same with processes of the program behind faulty links, for a few seconds.
+    # The same for a few seconds, with real processes that communicate over faulty links.
     echo "0 scenarios/council-faults.toml --seeds 1 --real --set length_ms=6000"
     echo "0 scenarios/council-permits.toml --seeds 1 --real --set length_ms=6000 --set agents.count=6"
     echo "0 scenarios/council/cut-disk.toml --seeds 1 --real"
     echo "0 scenarios/council/old-disk.toml --seeds 1 --real"
     echo "0 scenarios/release-servers.toml --seeds 1 --real --set length_ms=6000 --set agents.count=6"
-    # What hunt has found stays mended.
+    # Regression tests: scenarios that `hunt` found.
     echo "0 scenarios/found/all-cold.toml --seeds 27387..27392"
     echo "0 scenarios/found/cold-and-full.toml --seeds 1064"
     echo "0 scenarios/found/cold-and-late.toml --seeds 20061..20066"
@@ -74,7 +74,7 @@
     echo "0 scenarios/found/short-deadline.toml --seeds 24194..24196"
     echo "0 scenarios/found/tight-aim.toml --seeds 5159"
     echo "0 scenarios/found/dead-but-listed.toml --seeds 9353..9355"
-    # The real agent on sockets: what does not hang on how fast the machine is.
+    # The real agent on sockets: the checks that do not depend on the speed of the machine.
     echo "0 scenarios/smoke.toml --real --timeless"
 }
 plays | xargs -P "$(nproc)" -d '\n' -n 1 sh -c '
