--- a/scenarios/results.sh
+++ b/scenarios/results.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Writes docs/lab-results.md: the six named scenarios, by every policy, 20 seeds each.
+# Writes docs/lab-results.md: the six named scenarios, with every policy, 20 seeds each.
 set -eu
 cd "$(dirname "$0")/.."
 cargo run --release --quiet --locked -p heronhoist-lab -- table --seeds 1..20 --out docs/lab-results.md \
