--- a/crates/translate/benches/cost.rs
+++ b/crates/translate/benches/cost.rs
@@ -8,18 +8,18 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
 
-const ROOM: Limits = Limits { bytes: 1 << 20, fields: 1 << 16, depth: 8 };
+const LIMITS: Limits = Limits { max_bytes: 1 << 20, max_fields: 1 << 16, max_depth: 8 };
 
-fn there(mapping: &Mapping, message_kind: MessageKind, from: Side, bytes: &[u8]) -> Vec<u8> {
-    let message = mapping.dialect(from).decode(message_kind, bytes, ROOM).expect("it can be read");
+fn translate(mapping: &Mapping, message_kind: MessageKind, from: Side, bytes: &[u8]) -> Vec<u8> {
+    let message = mapping.dialect(from).decode(message_kind, bytes, LIMITS).expect("it can be read");
     let done = mapping.convert(message_kind, from, &message).expect("it can be translated");
     mapping.dialect(from.other()).encode(message_kind, &done.message).expect("it can be written")
 }
 
-fn plain(mapping: &Mapping, message_kind: MessageKind, from: Side, bytes: &[u8]) -> Vec<u8> {
+fn decode_and_encode(mapping: &Mapping, message_kind: MessageKind, from: Side, bytes: &[u8]) -> Vec<u8> {
     let dialect = mapping.dialect(from);
     dialect
-        .encode(message_kind, &dialect.decode(message_kind, bytes, ROOM).expect("it can be read"))
+        .encode(message_kind, &dialect.decode(message_kind, bytes, LIMITS).expect("it can be read"))
         .expect("it can be written")
 }
 
@@ -36,24 +36,24 @@
     format!("{{\"station\":{{\"id\":\"KMIA\",\"name\":\"Miami\"}},\"observations\":[{list}]}}").into_bytes()
 }
 
-fn cost(c: &mut Criterion) {
+fn translation_cost(c: &mut Criterion) {
     // Room for 64 KiB of observations, which the worked file does not need.
     let lookup = include_str!("../../../deploy/translate/lookup.toml").replace("max = 500", "max = 5000");
     let lookup = mapping::read(&lookup).expect("sound");
     let mut group = c.benchmark_group("answer");
     for count in [0, 1, 8, 64, 500] {
         let new = observations(count);
-        let old = there(&lookup, MessageKind::Response, Side::New, &new);
+        let old = translate(&lookup, MessageKind::Response, Side::New, &new);
         for (name, from, bytes) in [("json to table", Side::New, &new), ("table to json", Side::Old, &old)] {
             group.throughput(Throughput::Bytes(bytes.len() as u64));
             group.bench_with_input(BenchmarkId::new(name, bytes.len()), bytes, |b, bytes| {
-                b.iter(|| there(&lookup, MessageKind::Response, from, bytes));
+                b.iter(|| translate(&lookup, MessageKind::Response, from, bytes));
             });
             group.bench_with_input(
                 BenchmarkId::new(format!("{name}, read and written"), bytes.len()),
                 bytes,
                 |b, bytes| {
-                    b.iter(|| plain(&lookup, MessageKind::Response, from, bytes));
+                    b.iter(|| decode_and_encode(&lookup, MessageKind::Response, from, bytes));
                 },
             );
         }
@@ -62,11 +62,11 @@
     let correction = mapping::read(include_str!("../../../deploy/translate/correction.toml")).expect("sound");
     let request = b"DESK=0042&NUM=17&STN=KTPA&OBSDT=202612010805&WHAT=W&WIND=61.5&URGENT=Y&CLERK=Ann&WHY=gauge+was+stuck";
     c.bench_function("correction, form to json", |b| {
-        b.iter(|| there(&correction, MessageKind::Request, Side::Old, request));
+        b.iter(|| translate(&correction, MessageKind::Request, Side::Old, request));
     });
-    let message = correction.old.decode(MessageKind::Request, request, ROOM).expect("it can be read");
+    let message = correction.old.decode(MessageKind::Request, request, LIMITS).expect("it can be read");
     c.bench_function("its key", |b| b.iter(|| correction.key(&message)));
 }
 
-criterion_group!(benches, cost);
+criterion_group!(benches, translation_cost);
 criterion_main!(benches);
--- a/crates/translate/src/charset.rs
+++ b/crates/translate/src/charset.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether it has the character.
-    pub fn has(self, character: char) -> bool {
+    pub fn contains(self, character: char) -> bool {
         match self {
             Charset::Utf8 => true,
             Charset::Latin1 => u32::from(character) < 0x100,
@@ -60,7 +60,9 @@
             Charset::Windows1252 => {
                 let (bytes, _, unmappable) = encoding_rs::WINDOWS_1252.encode(text);
                 match unmappable {
-                    true => Err(text.chars().find(|&c| !self.has(c)).unwrap_or(char::REPLACEMENT_CHARACTER)),
+                    true => {
+                        Err(text.chars().find(|&c| !self.contains(c)).unwrap_or(char::REPLACEMENT_CHARACTER))
+                    }
                     false => Ok(bytes.into_owned()),
                 }
             }
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -2,10 +2,10 @@
 //! conversion that could lose something says what is to become of it.
 
 use crate::charset::Charset;
-use crate::convert::{Cast, Condition, Rule};
-use crate::field::{Clock, ClockForm, Field, Fold, Grain, Kind, Value};
+use crate::convert::{Condition, FieldConversion, Rule};
+use crate::field::{Field, Fold, Kind, Precision, TimeFormat, TimeNotation, Value};
 use crate::file::{self, line_of, Cut, File, Function, Policy, Replace};
-use crate::mapping::{Dialect, Fault, Form, Key, Mapping, MessageKind, Note, Side};
+use crate::mapping::{Diagnostic, Dialect, Form, Key, Mapping, MessageKind, Note, Side};
 use crate::units::{self, Rounding};
 use crate::wire::table::Layout;
 use jiff::tz::TimeZone;
@@ -17,28 +17,28 @@
 
 struct Compiler<'a> {
     text: &'a str,
-    faults: Vec<Fault>,
+    diagnostics: Vec<Diagnostic>,
     notes: Vec<Note>,
 }
 
-pub(crate) fn compile(text: &str, file: File) -> Result<Mapping, Vec<Fault>> {
-    let mut compiler = Compiler { text, faults: Vec::new(), notes: Vec::new() };
+pub(crate) fn compile(text: &str, file: File) -> Result<Mapping, Vec<Diagnostic>> {
+    let mut compiler = Compiler { text, diagnostics: Vec::new(), notes: Vec::new() };
     let old = compiler.dialect(Side::Old, &file.old);
     let new = compiler.dialect(Side::New, &file.new);
     if !is_name(file.name.get_ref()) {
-        compiler.fault(&file.name, "name", NAME);
+        compiler.add_diagnostic(&file.name, "name", NAME);
     }
     let charsets = (old.charset, new.charset);
     let mut rules = |message_kind: MessageKind, rules: &[file::Rule]| {
-        let sides = Sides {
+        let scope = Scope {
             message_kind,
             old: old.fields(message_kind),
             new: new.fields(message_kind),
             charsets,
-            above: ["", ""],
+            prefix: ["", ""],
         };
         let extensions = (old.extension.is_some(), new.extension.is_some());
-        compiler.rules(&sides, rules, Some(extensions), &file.name)
+        compiler.rules(&scope, rules, Some(extensions), &file.name)
     };
     let request_rules = rules(MessageKind::Request, &file.request);
     let response_rules = rules(MessageKind::Response, &file.response);
@@ -48,7 +48,7 @@
             match place.filter(|&at| !matches!(old.request_fields[at].kind, Kind::Group(..))) {
                 Some(at) => Some(at),
                 None => {
-                    compiler.fault(name, "key.old", "no such field of the old request");
+                    compiler.add_diagnostic(name, "key.old", "no such field of the old request");
                     None
                 }
             }
@@ -56,10 +56,10 @@
         Key { fields: places.collect(), namespace: key.namespace.clone(), without: key.without.clone() }
     });
     if key.as_ref().is_some_and(|key| key.fields.is_empty()) {
-        compiler.fault(&file.name, "key.old", "a key is made of one field at least");
+        compiler.add_diagnostic(&file.name, "key.old", "a key is made of one field at least");
     }
-    let Compiler { mut faults, notes, .. } = compiler;
-    match faults.is_empty() {
+    let Compiler { mut diagnostics, notes, .. } = compiler;
+    match diagnostics.is_empty() {
         true => Ok(Mapping {
             name: file.name.into_inner(),
             version: file.version,
@@ -72,23 +72,23 @@
             key,
         }),
         false => {
-            faults.sort_by_key(|fault| fault.line);
-            Err(faults)
+            diagnostics.sort_by_key(|diagnostic| diagnostic.line);
+            Err(diagnostics)
         }
     }
 }
 
 /// The fields that rules speak of.
-struct Sides<'a> {
+struct Scope<'a> {
     message_kind: MessageKind,
     old: &'a [Field],
     new: &'a [Field],
     charsets: (Charset, Charset),
     /// The groups that the fields are in, on each side.
-    above: [&'a str; 2],
+    prefix: [&'a str; 2],
 }
 
-impl Sides<'_> {
+impl Scope<'_> {
     fn of(&self, side: Side) -> &[Field] {
         match side {
             Side::Old => self.old,
@@ -96,34 +96,34 @@
         }
     }
 
-    fn above(&self, side: Side) -> &str {
-        self.above[usize::from(side == Side::New)]
+    fn prefix(&self, side: Side) -> &str {
+        self.prefix[usize::from(side == Side::New)]
     }
 
     /// The characters of the other side, if it does not have all that this one has.
-    fn narrower(&self, side: Side) -> Option<Charset> {
-        let (here, there) = match side {
+    fn narrower_charset(&self, side: Side) -> Option<Charset> {
+        let (source_charset, target_charset) = match side {
             Side::Old => (self.charsets.0, self.charsets.1),
             Side::New => (self.charsets.1, self.charsets.0),
         };
-        (here != there && there != Charset::Utf8).then_some(there)
+        (source_charset != target_charset && target_charset != Charset::Utf8).then_some(target_charset)
     }
 
     fn key(&self, side: Side, name: &str) -> String {
-        format!("{}.{}.{}{name}", self.message_kind.name(), side.name(), self.above(side))
+        format!("{}.{}.{}{name}", self.message_kind.name(), side.name(), self.prefix(side))
     }
 }
 
 /// One direction of a rule, from the field of `side` into the other's.
 #[derive(Clone, Copy)]
-struct Way<'a> {
-    sides: &'a Sides<'a>,
+struct Direction<'a> {
+    scope: &'a Scope<'a>,
     side: Side,
     from: &'a Field,
     into: &'a Field,
     file: &'a file::Rule,
     /// Where the rule stands.
-    named: &'a Spanned<String>,
+    location: &'a Spanned<String>,
 }
 
 fn is_name(text: &str) -> bool {
@@ -135,14 +135,14 @@
 }
 
 impl Compiler<'_> {
-    fn fault<T>(&mut self, at: &Spanned<T>, key: impl Into<String>, what: impl Into<String>) {
+    fn add_diagnostic<T>(&mut self, at: &Spanned<T>, key: impl Into<String>, message: impl Into<String>) {
         let line = line_of(self.text, at.span().start);
-        self.faults.push(Fault { line, key: key.into(), what: what.into() });
+        self.diagnostics.push(Diagnostic { line, key: key.into(), message: message.into() });
     }
 
-    fn note(&mut self, sides: &Sides<'_>, from: Side, name: &str, text: impl Into<String>) {
-        let field = format!("{}{name}", sides.above(from));
-        self.notes.push(Note { message_kind: sides.message_kind, field, from, text: text.into() });
+    fn note(&mut self, scope: &Scope<'_>, from: Side, name: &str, text: impl Into<String>) {
+        let field = format!("{}{name}", scope.prefix(from));
+        self.notes.push(Note { message_kind: scope.message_kind, field, from, text: text.into() });
     }
 
     // ---- sides --------------------------------------------------------------------------------------------------
@@ -151,49 +151,53 @@
         let zone = self.zone(file.zone.as_ref(), &TimeZone::UTC);
         let request_form = *file.form.get_ref();
         let response_form = file.response_form.as_ref().map_or(request_form, |form| *form.get_ref());
-        let here = side.name();
+        let side_name = side.name();
         if request_form == Form::Table {
-            self.fault(
+            self.add_diagnostic(
                 &file.form,
-                format!("{here}.form"),
+                format!("{side_name}.form"),
                 "a request is a form, SOAP or JSON; tables are answers",
             );
         }
         if let Some(bad) = file.response_form.as_ref().filter(|form| *form.get_ref() == Form::Form) {
-            self.fault(bad, format!("{here}.answers"), "an answer is a table, SOAP or JSON");
+            self.add_diagnostic(bad, format!("{side_name}.answers"), "an answer is a table, SOAP or JSON");
         }
         if (request_form == Form::Json || response_form == Form::Json) && file.charset != Charset::Utf8 {
-            self.fault(&file.form, format!("{here}.charset"), "JSON is UTF-8 (RFC 8259, 8.1)");
+            self.add_diagnostic(&file.form, format!("{side_name}.charset"), "JSON is UTF-8 (RFC 8259, 8.1)");
         }
         let soap = request_form == Form::Soap || response_form == Form::Soap;
         let operation = file.operation.clone().unwrap_or_default();
         if soap && (!is_name(&operation) || file.namespace.as_deref().unwrap_or_default().is_empty()) {
-            self.fault(&file.form, here, "SOAP needs an operation, which is a name, and a namespace");
+            self.add_diagnostic(
+                &file.form,
+                side_name,
+                "SOAP needs an operation, which is a name, and a namespace",
+            );
         }
         if !file.path.get_ref().starts_with('/') {
-            self.fault(&file.path, format!("{here}.path"), "a path begins with /");
+            self.add_diagnostic(&file.path, format!("{side_name}.path"), "a path begins with /");
         }
         let delimiter =
             file.delimiter.as_ref().map_or(b'|', |delimiter| match delimiter.get_ref().as_bytes() {
                 &[mark] if mark == b'\t' || mark.is_ascii_punctuation() && mark != b'"' => mark,
                 _ => {
-                    let what = "a delimiter is one ASCII mark or a tab";
-                    self.fault(delimiter, format!("{here}.delimiter"), what);
+                    let message = "a delimiter is one ASCII mark or a tab";
+                    self.add_diagnostic(delimiter, format!("{side_name}.delimiter"), message);
                     b'|'
                 }
             });
         if let Some(bad) = file.extension.as_ref().filter(|name| !is_name(name.get_ref())) {
-            self.fault(bad, format!("{here}.extension"), NAME);
+            self.add_diagnostic(bad, format!("{side_name}.extension"), NAME);
         }
-        let request_fields = self.fields(&format!("{here}.request"), &file.request, &zone);
-        let response_fields = self.fields(&format!("{here}.answer"), &file.response, &zone);
+        let request_fields = self.fields(&format!("{side_name}.request"), &file.request, &zone);
+        let response_fields = self.fields(&format!("{side_name}.answer"), &file.response, &zone);
         if let Some(extension) = &file.extension {
             if request_fields.iter().chain(&response_fields).any(|field| field.path == *extension.get_ref()) {
-                self.fault(extension, format!("{here}.extension"), "a field has this name");
+                self.add_diagnostic(extension, format!("{side_name}.extension"), "a field has this name");
             }
         }
         if response_form == Form::Table {
-            self.check_table(here, &file.response, &response_fields);
+            self.check_table(side_name, &file.response, &response_fields);
         }
         let extension = file.extension.as_ref().map(|name| name.get_ref().clone());
         Dialect {
@@ -213,25 +217,25 @@
     }
 
     /// Delimited text has rows for one level of groups, and no way to tell an empty text from none.
-    fn check_table(&mut self, here: &str, files: &[file::Field], fields: &[Field]) {
+    fn check_table(&mut self, side_name: &str, files: &[file::Field], fields: &[Field]) {
         for (file, field) in files.iter().zip(fields) {
-            let key = format!("{here}.answer.{}", field.path);
+            let key = format!("{side_name}.answer.{}", field.path);
             let within = match &field.kind {
                 Kind::Group(_, within)
                     if within.iter().any(|field| matches!(field.kind, Kind::Group(..))) =>
                 {
-                    self.fault(&file.name, key.clone(), "a table has no groups within groups");
+                    self.add_diagnostic(&file.name, key.clone(), "a table has no groups within groups");
                     continue;
                 }
                 Kind::Group(_, within) => within.as_slice(),
                 _ => std::slice::from_ref(field),
             };
             if matches!(field.kind, Kind::Group(..)) && matches!(field.path.as_str(), "H" | "T" | "X") {
-                self.fault(&file.name, key.clone(), "H, T and X are the tags of a table's own rows");
+                self.add_diagnostic(&file.name, key.clone(), "H, T and X are the tags of a table's own rows");
             }
             if within.iter().any(|field| matches!(field.kind, Kind::Text(0, _))) {
-                let what = "a table does not tell an empty text from none: length from 1";
-                self.fault(&file.name, key, what);
+                let message = "a table does not tell an empty text from none: length from 1";
+                self.add_diagnostic(&file.name, key, message);
             }
         }
     }
@@ -239,24 +243,28 @@
     fn zone(&mut self, name: Option<&Spanned<String>>, otherwise: &TimeZone) -> TimeZone {
         let Some(name) = name else { return otherwise.clone() };
         TimeZone::get(name.get_ref()).unwrap_or_else(|_| {
-            self.fault(name, "zone", format!("{:?} is no zone of the IANA database", name.get_ref()));
+            self.add_diagnostic(
+                name,
+                "zone",
+                format!("{:?} is no zone of the IANA database", name.get_ref()),
+            );
             otherwise.clone()
         })
     }
 
-    fn fields(&mut self, above: &str, files: &[file::Field], zone: &TimeZone) -> Vec<Field> {
+    fn fields(&mut self, prefix: &str, files: &[file::Field], zone: &TimeZone) -> Vec<Field> {
         let mut fields: Vec<Field> = Vec::with_capacity(files.len());
         for file in files {
             let path = file.name.get_ref();
-            let key = format!("{above}.{path}");
+            let key = format!("{prefix}.{path}");
             if !path.split('.').all(is_name) {
-                self.fault(&file.name, &key, format!("{NAME}, records parted by points"));
+                self.add_diagnostic(&file.name, &key, format!("{NAME}, records parted by points"));
             }
             let within = |a: &str, b: &str| {
                 a.strip_prefix(b).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
             };
             if fields.iter().any(|known| within(&known.path, path) || within(path, &known.path)) {
-                self.fault(&file.name, &key, "the name is taken, as a field or as a record");
+                self.add_diagnostic(&file.name, &key, "the name is taken, as a field or as a record");
             }
             let kind = self.kind(file, &key, zone);
             fields.push(Field { path: path.clone(), kind, optional: file.optional });
@@ -288,26 +296,26 @@
         ];
         for (name, is_given, belongs) in given {
             if is_given && !belongs {
-                self.fault(at, key, format!("{name} says nothing of this type"));
+                self.add_diagnostic(at, key, format!("{name} says nothing of this type"));
             }
         }
         let digits = file.digits.unwrap_or(0);
         match file.kind {
             file::Kind::Text => {
-                let [least, most] = file.length.unwrap_or_default();
-                if most == 0 || least > most {
-                    self.fault(at, key, "a text has length = [least, most], in characters");
+                let [min, max] = file.length.unwrap_or_default();
+                if max == 0 || min > max {
+                    self.add_diagnostic(at, key, "a text has length = [least, most], in characters");
                 }
-                Kind::Text(least, most)
+                Kind::Text(min, max)
             }
             file::Kind::Integer => {
                 let bounds = file.range.as_ref().map(|[a, b]| (a.parse(), b.parse()));
                 match bounds {
-                    Some((Ok(least), Ok(most))) if least <= most => {
-                        Kind::Integer(least, most, file.width.unwrap_or(0).min(40))
+                    Some((Ok(min), Ok(max))) if min <= max => {
+                        Kind::Integer(min, max, file.width.unwrap_or(0).min(40))
                     }
                     _ => {
-                        self.fault(at, key, "an integer has range = [\"least\", \"most\"]");
+                        self.add_diagnostic(at, key, "an integer has range = [\"least\", \"most\"]");
                         Kind::Integer(0, 0, 0)
                     }
                 }
@@ -317,25 +325,29 @@
                     .range
                     .as_ref()
                     .map(|[a, b]| (Decimal::from_str_exact(a), Decimal::from_str_exact(b)));
-                let (least, most) = match bounds {
-                    Some((Ok(least), Ok(most))) if least <= most => (least, most),
+                let (min, max) = match bounds {
+                    Some((Ok(min), Ok(max))) if min <= max => (min, max),
                     _ => {
-                        self.fault(at, key, "a decimal has range = [\"least\", \"most\"]");
+                        self.add_diagnostic(at, key, "a decimal has range = [\"least\", \"most\"]");
                         (Decimal::ZERO, Decimal::ZERO)
                     }
                 };
                 if digits > 18 {
-                    self.fault(at, key, "18 digits after the point at most");
+                    self.add_diagnostic(at, key, "18 digits after the point at most");
                 }
                 if file.kind == file::Kind::Decimal {
-                    return Kind::Decimal(least, most, digits.min(18));
+                    return Kind::Decimal(min, max, digits.min(18));
                 }
                 let unit = file.unit.as_deref().and_then(units::find).unwrap_or_else(|| {
                     let known: Vec<_> = units::UNITS.iter().map(|unit| unit.symbol).collect();
-                    self.fault(at, key, format!("a quantity has a unit, one of {}", known.join(", ")));
+                    self.add_diagnostic(
+                        at,
+                        key,
+                        format!("a quantity has a unit, one of {}", known.join(", ")),
+                    );
                     &units::UNITS[0]
                 });
-                Kind::Quantity(least, most, digits.min(18), unit)
+                Kind::Quantity(min, max, digits.min(18), unit)
             }
             file::Kind::Date => {
                 let form = file.format.clone().unwrap_or_else(|| "%Y-%m-%d".into());
@@ -344,32 +356,40 @@
                     .ok()
                     .and_then(|text| jiff::civil::Date::strptime(&form, text).ok());
                 if again != Some(day) {
-                    self.fault(at, key, "a date's format has to hold year, month and day, as of strftime");
+                    self.add_diagnostic(
+                        at,
+                        key,
+                        "a date's format has to hold year, month and day, as of strftime",
+                    );
                 }
                 Kind::Date(form)
             }
             file::Kind::Time => {
-                let form = match file.format.as_deref() {
-                    None | Some("rfc3339") => ClockForm::Rfc3339,
-                    Some("unix") => ClockForm::Unix,
+                let notation = match file.format.as_deref() {
+                    None | Some("rfc3339") => TimeNotation::Rfc3339,
+                    Some("unix") => TimeNotation::Unix,
                     Some(form) => {
                         let minute = jiff::civil::date(2007, 11, 23).at(13, 47, 0, 0);
                         let again = jiff::fmt::strtime::format(form, minute)
                             .ok()
                             .and_then(|text| jiff::civil::DateTime::strptime(form, text).ok());
                         if again != Some(minute) {
-                            let what = "a time's format is rfc3339, unix, or holds day, hour and minute, as of strftime";
-                            self.fault(at, key, what);
+                            let message = "a time's format is rfc3339, unix, or holds day, hour and minute, as of strftime";
+                            self.add_diagnostic(at, key, message);
                         }
-                        ClockForm::Local(form.to_owned())
+                        TimeNotation::Local(form.to_owned())
                     }
                 };
                 let zone = self.zone(file.zone.as_ref(), zone);
-                let clock = Clock { form, zone, fold: file.fold.unwrap_or(Fold::Refuse) };
-                if clock.is_set() && file.fold.is_none() {
-                    self.fault(at, key, "a local time needs fold = \"earlier\", \"later\" or \"refuse\"");
+                let time_format = TimeFormat { notation, zone, fold: file.fold.unwrap_or(Fold::Refuse) };
+                if time_format.has_transitions() && file.fold.is_none() {
+                    self.add_diagnostic(
+                        at,
+                        key,
+                        "a local time needs fold = \"earlier\", \"later\" or \"refuse\"",
+                    );
                 }
-                Kind::Time(clock)
+                Kind::Time(time_format)
             }
             file::Kind::Choice => {
                 let values = file.values.clone().unwrap_or_default();
@@ -377,21 +397,21 @@
                 sorted.sort();
                 sorted.dedup();
                 if values.is_empty() || sorted.len() != values.len() || values.iter().any(String::is_empty) {
-                    self.fault(at, key, "a choice has values, none empty, none twice");
+                    self.add_diagnostic(at, key, "a choice has values, none empty, none twice");
                 }
                 Kind::Choice(values)
             }
             file::Kind::Flag => {
                 let [yes, no] = file.words.clone().unwrap_or_else(|| ["true".into(), "false".into()]);
                 if yes == no || yes.is_empty() || no.is_empty() {
-                    self.fault(at, key, "a flag has two words that differ");
+                    self.add_diagnostic(at, key, "a flag has two words that differ");
                 }
                 Kind::Flag(yes, no)
             }
             file::Kind::Group => {
                 let fields = self.fields(key, &file.fields, zone);
                 if fields.is_empty() || file.max.unwrap_or(0) == 0 {
-                    self.fault(at, key, "a group has fields, and max items");
+                    self.add_diagnostic(at, key, "a group has fields, and max items");
                 }
                 Kind::Group(file.max.unwrap_or(0), fields)
             }
@@ -403,7 +423,7 @@
     /// The rules of a message or of a group's items. A group has no extension of its own.
     fn rules(
         &mut self,
-        sides: &Sides<'_>,
+        scope: &Scope<'_>,
         files: &[file::Rule],
         extensions: Option<(bool, bool)>,
         at: &Spanned<String>,
@@ -415,11 +435,11 @@
                 let used = if side == Side::Old { &mut used.0 } else { &mut used.1 };
                 let mut all = Vec::new();
                 for name in names.map(file::Names::list).unwrap_or_default() {
-                    let key = sides.key(side, name.get_ref());
-                    match sides.of(side).iter().position(|field| field.path == *name.get_ref()) {
-                        None => self.fault(name, key, "no such field"),
+                    let key = scope.key(side, name.get_ref());
+                    match scope.of(side).iter().position(|field| field.path == *name.get_ref()) {
+                        None => self.add_diagnostic(name, key, "no such field"),
                         Some(at) if used.contains(&at) => {
-                            self.fault(name, key, "another rule has it already");
+                            self.add_diagnostic(name, key, "another rule has it already");
                         }
                         Some(at) => {
                             used.push(at);
@@ -431,33 +451,39 @@
             };
             let (old, new) = (places(Side::Old, file.old.as_ref()), places(Side::New, file.new.as_ref()));
             let (Some(old), Some(new)) = (old, new) else { continue };
-            let named = file.old.as_ref().or(file.new.as_ref()).and_then(|names| names.list().first());
-            let Some(named) = named else {
-                self.fault(at, sides.message_kind.name(), "a rule names an old field, a new one or both");
+            let location = file.old.as_ref().or(file.new.as_ref()).and_then(|names| names.list().first());
+            let Some(location) = location else {
+                self.add_diagnostic(
+                    at,
+                    scope.message_kind.name(),
+                    "a rule names an old field, a new one or both",
+                );
                 continue;
             };
             let rule = match (old.as_slice(), new.as_slice(), file.function) {
-                (_, &[new], Some(Function::Join)) if old.len() > 1 => self.join(sides, old, new, file, named),
-                (&[old], &[new], _) => self.pair(sides, old, new, file, named, &rules),
+                (_, &[new], Some(Function::Join)) if old.len() > 1 => {
+                    self.join(scope, old, new, file, location)
+                }
+                (&[old], &[new], _) => self.pair(scope, old, new, file, location, &rules),
                 (&[old], &[], _) => {
-                    self.alone(sides, Side::Old, old, file, named, extensions.map(|both| both.1))
+                    self.one_sided(scope, Side::Old, old, file, location, extensions.map(|both| both.1))
                 }
                 (&[], &[new], _) => {
-                    self.alone(sides, Side::New, new, file, named, extensions.map(|both| both.0))
+                    self.one_sided(scope, Side::New, new, file, location, extensions.map(|both| both.0))
                 }
                 _ => {
-                    let what = "one old field and one new one, or several old ones, one new one and function = \"join\"";
-                    self.fault(named, sides.message_kind.name(), what);
+                    let message = "one old field and one new one, or several old ones, one new one and function = \"join\"";
+                    self.add_diagnostic(location, scope.message_kind.name(), message);
                     None
                 }
             };
             rules.extend(rule);
         }
         for (side, used) in [(Side::Old, &used.0), (Side::New, &used.1)] {
-            let fields = sides.of(side).iter().enumerate();
+            let fields = scope.of(side).iter().enumerate();
             for (_, field) in fields.filter(|(place, _)| !used.contains(place)) {
-                let what = "neither mapped, defaulted nor given a policy";
-                self.fault(at, sides.key(side, &field.path), what);
+                let message = "neither mapped, defaulted nor given a policy";
+                self.add_diagnostic(at, scope.key(side, &field.path), message);
             }
         }
         rules
@@ -465,78 +491,83 @@
 
     fn join(
         &mut self,
-        sides: &Sides<'_>,
+        scope: &Scope<'_>,
         old: Vec<usize>,
         new: usize,
         file: &file::Rule,
-        named: &Spanned<String>,
+        location: &Spanned<String>,
     ) -> Option<Rule> {
-        let key = sides.key(Side::New, &sides.new[new].path);
-        let with = file.with.clone().unwrap_or_default();
-        let plain = |&at: &usize| !matches!(sides.old[at].kind, Kind::Group(..)) && !sides.old[at].optional;
-        if with.is_empty() || !old.iter().all(plain) || sides.new[new].optional {
-            self.fault(
-                named,
+        let key = scope.key(Side::New, &scope.new[new].path);
+        let separator = file.with.clone().unwrap_or_default();
+        let plain = |&at: &usize| !matches!(scope.old[at].kind, Kind::Group(..)) && !scope.old[at].optional;
+        if separator.is_empty() || !old.iter().all(plain) || scope.new[new].optional {
+            self.add_diagnostic(
+                location,
                 key,
                 "join needs with = \"...\", and fields that are no groups and not optional",
             );
             return None;
         }
-        let Kind::Text(..) = sides.new[new].kind else {
-            self.fault(named, key, "join makes a text");
+        let Kind::Text(..) = scope.new[new].kind else {
+            self.add_diagnostic(location, key, "join makes a text");
             return None;
         };
         self.note(
-            sides,
+            scope,
             Side::New,
-            &sides.new[new].path,
+            &scope.new[new].path,
             format!(
-                "refused unless it is {} parts with {with:?}, each as the old field writes it",
+                "refused unless it is {} parts with {separator:?}, each as the old field writes it",
                 old.len()
             ),
         );
         for &at in &old {
-            if matches!(sides.old[at].kind, Kind::Text(..)) {
-                self.note(sides, Side::Old, &sides.old[at].path, format!("refused if it has {with:?} in it"));
+            if matches!(scope.old[at].kind, Kind::Text(..)) {
+                self.note(
+                    scope,
+                    Side::Old,
+                    &scope.old[at].path,
+                    format!("refused if it has {separator:?} in it"),
+                );
             }
         }
-        Some(Rule::Join { old, new, with })
+        Some(Rule::Join { old, new, separator })
     }
 
-    fn alone(
+    fn one_sided(
         &mut self,
-        sides: &Sides<'_>,
+        scope: &Scope<'_>,
         side: Side,
         place: usize,
         file: &file::Rule,
-        named: &Spanned<String>,
+        location: &Spanned<String>,
         can_carry: Option<bool>,
     ) -> Option<Rule> {
-        let field = &sides.of(side)[place];
-        let key = sides.key(side, &field.path);
+        let field = &scope.of(side)[place];
+        let key = scope.key(side, &field.path);
         let text = file.constant.as_ref().or(file.default.as_ref());
-        let value = text.and_then(|text| self.literal(field, text, named, &key));
+        let value = text.and_then(|text| self.literal(field, text, location, &key));
         let is_group = matches!(field.kind, Kind::Group(..));
         let Some(policy) = file.policy.or(file.constant.as_ref().map(|_| Policy::Refuse)) else {
-            self.fault(
-                named,
+            self.add_diagnostic(
+                location,
                 key,
                 "the other side has no such field: policy = \"refuse\", \"carry\" or \"drop\"",
             );
             return None;
         };
         if policy == Policy::Carry && (is_group || can_carry != Some(true)) {
-            let what = match (is_group, can_carry) {
+            let message = match (is_group, can_carry) {
                 (true, _) => "a group can't be carried",
                 (_, None) => "a field of a group's items can't be carried",
                 _ => "the other side has no extension to carry it in",
             };
-            self.fault(named, key, what);
+            self.add_diagnostic(location, key, message);
             return None;
         }
         if value.is_none() && !field.optional && !is_group {
-            self.fault(
-                named,
+            self.add_diagnostic(
+                location,
                 key,
                 "it has to be there, and the other side does not say what: default or constant",
             );
@@ -546,24 +577,25 @@
         let given = text.map_or("any value".to_owned(), |text| format!("any value but {text:?}"));
         match policy {
             Policy::Drop if !constant => {
-                self.note(sides, side, &field.path, "any value is dropped, with a notice");
+                self.note(scope, side, &field.path, "any value is dropped, with a notice");
             }
             Policy::Carry if !constant => {
-                if let Some(there) = sides.narrower(side) {
-                    let what = format!("characters that {} does not have are refused", there.name());
-                    self.note(sides, side, &field.path, what);
+                if let Some(target_charset) = scope.narrower_charset(side) {
+                    let message =
+                        format!("characters that {} does not have are refused", target_charset.name());
+                    self.note(scope, side, &field.path, message);
                 }
             }
-            _ => self.note(sides, side, &field.path, format!("{given} is refused")),
+            _ => self.note(scope, side, &field.path, format!("{given} is refused")),
         }
-        Some(Rule::Alone { side, field: place, policy, value, constant })
+        Some(Rule::OneSided { side, field: place, policy, value, constant })
     }
 
     fn literal(&mut self, field: &Field, text: &str, at: &Spanned<String>, key: &str) -> Option<Value> {
         match field.kind.parse(text) {
             Ok(value) => Some(value),
-            Err(why) => {
-                self.fault(at, key, format!("{text:?} is no value of it: {why}"));
+            Err(reason) => {
+                self.add_diagnostic(at, key, format!("{text:?} is no value of it: {reason}"));
                 None
             }
         }
@@ -571,19 +603,19 @@
 
     fn pair(
         &mut self,
-        sides: &Sides<'_>,
+        scope: &Scope<'_>,
         old: usize,
         new: usize,
         file: &file::Rule,
-        named: &Spanned<String>,
+        location: &Spanned<String>,
         before: &[Rule],
     ) -> Option<Rule> {
-        let (a, b) = (&sides.old[old], &sides.new[new]);
-        let keys = (sides.key(Side::Old, &a.path), sides.key(Side::New, &b.path));
+        let (a, b) = (&scope.old[old], &scope.new[new]);
+        let keys = (scope.key(Side::Old, &a.path), scope.key(Side::New, &b.path));
         let mut default = |field: &Field, text: &Option<String>, key: &str| {
-            text.as_ref().and_then(|text| self.literal(field, text, named, key))
+            text.as_ref().and_then(|text| self.literal(field, text, location, key))
         };
-        let mut cast = Cast {
+        let mut cast = FieldConversion {
             old_default: default(a, &file.old_default, &keys.0),
             new_default: default(b, &file.new_default, &keys.1),
             round: file.round,
@@ -595,14 +627,14 @@
             rules: Vec::new(),
         };
         let when = file.when.as_ref().and_then(|when| {
-            let place = sides.old.iter().position(|field| field.path == *when.old.get_ref());
+            let place = scope.old.iter().position(|field| field.path == *when.old.get_ref());
             // The way back reads the field from what has been translated so far.
             let earlier =
                 |&at: &usize| before.iter().any(|rule| matches!(rule, Rule::Pair { old, .. } if *old == at));
             match place.filter(earlier) {
-                Some(field) => Some(Condition { field, is: when.is.clone() }),
+                Some(field) => Some(Condition { field, values: when.is.clone() }),
                 None => {
-                    self.fault(
+                    self.add_diagnostic(
                         &when.old,
                         &keys.0,
                         "a condition names an old field that an earlier rule maps to a new one",
@@ -612,7 +644,7 @@
             }
         });
         if file.when.is_some() && !(a.optional && b.optional) {
-            self.fault(named, &keys.0, "a field with a condition is optional on both sides");
+            self.add_diagnostic(location, &keys.0, "a field with a condition is optional on both sides");
         }
         for (from, field, into, given, key) in [
             (Side::Old, a, b, cast.new_default.is_some(), &keys.1),
@@ -620,60 +652,63 @@
         ] {
             let is_group = matches!(field.kind, Kind::Group(..));
             if field.optional && !into.optional && !given && !is_group {
-                let what = format!(
+                let message = format!(
                     "it has to be there, and {:?} may be absent: {}_default",
                     field.path,
                     from.other().name()
                 );
-                self.fault(named, key, what);
+                self.add_diagnostic(location, key, message);
             }
             if given {
-                self.note(sides, from, &field.path, "if absent, comes back as the default");
+                self.note(scope, from, &field.path, "if absent, comes back as the default");
             }
         }
         if cast.function == Some(Function::Join) {
-            self.fault(named, &keys.1, "join takes several old fields");
+            self.add_diagnostic(location, &keys.1, "join takes several old fields");
         }
-        let old_to_new = self.check(Way { sides, side: Side::Old, from: a, into: b, file, named });
-        let new_to_old = self.check(Way { sides, side: Side::New, from: b, into: a, file, named });
+        let old_to_new =
+            self.check_direction(Direction { scope, side: Side::Old, from: a, into: b, file, location });
+        let new_to_old =
+            self.check_direction(Direction { scope, side: Side::New, from: b, into: a, file, location });
         if !old_to_new || !new_to_old {
             return None;
         }
-        if let (Kind::Group(_, had), Kind::Group(_, wanted)) = (&a.kind, &b.kind) {
-            let above =
-                [(Side::Old, a), (Side::New, b)].map(|(side, f)| format!("{}{}.", sides.above(side), f.path));
-            let within = Sides { old: had, new: wanted, above: [&above[0], &above[1]], ..*sides };
-            cast.rules = self.rules(&within, &file.rules, None, named);
+        if let (Kind::Group(_, source_fields), Kind::Group(_, target_fields)) = (&a.kind, &b.kind) {
+            let prefix = [(Side::Old, a), (Side::New, b)]
+                .map(|(side, f)| format!("{}{}.", scope.prefix(side), f.path));
+            let within =
+                Scope { old: source_fields, new: target_fields, prefix: [&prefix[0], &prefix[1]], ..*scope };
+            cast.rules = self.rules(&within, &file.rules, None, location);
         }
         Some(Rule::Pair { old, new, cast, when })
     }
 
     /// Whether every value of a way has a counterpart, or the rule says what becomes of those that have none.
-    fn check(&mut self, way: Way<'_>) -> bool {
-        let Way { sides, side, from, into, file, .. } = way;
-        let before = self.faults.len();
+    fn check_direction(&mut self, direction: Direction<'_>) -> bool {
+        let Direction { scope, side, from, into, file, .. } = direction;
+        let before = self.diagnostics.len();
         match (&from.kind, &into.kind) {
-            (Kind::Text(least, most), Kind::Text(low, high)) => {
-                if most > high {
-                    self.loss(
-                        way,
+            (Kind::Text(min, max), Kind::Text(target_min, target_max)) => {
+                if max > target_max {
+                    self.check_loss(
+                        direction,
                         file.long.map(|cut| cut == Cut::Refuse),
-                        format!("{most} characters into {high}: long = \"refuse\" or \"cut\""),
-                        format!("more than {high} characters are refused"),
-                        format!("cut to {high} characters, with a notice"),
+                        format!("{max} characters into {target_max}: long = \"refuse\" or \"cut\""),
+                        format!("more than {target_max} characters are refused"),
+                        format!("cut to {target_max} characters, with a notice"),
                     );
                 }
-                if least < low {
-                    self.bound(way, format!("less than {low} characters"));
+                if min < target_min {
+                    self.check_bound(direction, format!("less than {target_min} characters"));
                 }
-                if let Some(there) = sides.narrower(side) {
-                    let what = format!("characters that {} does not have", there.name());
-                    self.loss(
-                        way,
+                if let Some(target_charset) = scope.narrower_charset(side) {
+                    let message = format!("characters that {} does not have", target_charset.name());
+                    self.check_loss(
+                        direction,
                         file.unmappable.map(|replace| replace == Replace::Refuse),
-                        format!("{what}: unmappable = \"refuse\" or \"replace\""),
-                        format!("{what} are refused"),
-                        format!("{what} become ?, with a notice"),
+                        format!("{message}: unmappable = \"refuse\" or \"replace\""),
+                        format!("{message} are refused"),
+                        format!("{message} become ?, with a notice"),
                     );
                 }
                 let changed = match file.function.filter(|_| side == Side::Old) {
@@ -682,170 +717,205 @@
                     Some(Function::Trim) => Some("white space at the ends does not come back"),
                     Some(Function::Join) | None => None,
                 };
-                changed.into_iter().for_each(|what| self.told(way, what));
+                changed.into_iter().for_each(|message| self.add_note(direction, message));
             }
-            (Kind::Integer(least, most, _), Kind::Integer(low, high, _)) => {
-                self.range(way, least >= low && most <= high, low, high);
+            (Kind::Integer(min, max, _), Kind::Integer(target_min, target_max, _)) => {
+                self.check_range(direction, min >= target_min && max <= target_max, target_min, target_max);
             }
-            (Kind::Integer(least, most, _), Kind::Decimal(low, high, _)) => {
+            (Kind::Integer(min, max, _), Kind::Decimal(target_min, target_max, _)) => {
                 let number = |n: i128| Decimal::try_from_i128_with_scale(n, 0).ok();
-                let fits = number(*least).is_some_and(|least| least >= *low)
-                    && number(*most).is_some_and(|most| most <= *high);
-                self.range(way, fits, low, high);
+                let fits = number(*min).is_some_and(|min| min >= *target_min)
+                    && number(*max).is_some_and(|max| max <= *target_max);
+                self.check_range(direction, fits, target_min, target_max);
             }
-            (Kind::Decimal(least, most, digits), Kind::Integer(low, high, _)) => {
+            (Kind::Decimal(min, max, digits), Kind::Integer(target_min, target_max, _)) => {
                 let number = |n: i128| Decimal::try_from_i128_with_scale(n, 0).ok();
-                let fits = number(*low).is_none_or(|low| *least >= low)
-                    && number(*high).is_none_or(|high| *most <= high);
-                self.range(way, fits, low, high);
+                let fits = number(*target_min).is_none_or(|target_min| *min >= target_min)
+                    && number(*target_max).is_none_or(|target_max| *max <= target_max);
+                self.check_range(direction, fits, target_min, target_max);
                 if *digits > 0 {
-                    self.rounds(way, 0);
+                    self.check_rounding(direction, 0);
                 }
             }
-            (Kind::Decimal(least, most, digits), Kind::Decimal(low, high, kept)) => {
-                self.range(way, least >= low && most <= high, low, high);
+            (Kind::Decimal(min, max, digits), Kind::Decimal(target_min, target_max, kept)) => {
+                self.check_range(direction, min >= target_min && max <= target_max, target_min, target_max);
                 if digits > kept {
-                    self.rounds(way, *kept);
+                    self.check_rounding(direction, *kept);
                 }
             }
-            (Kind::Quantity(least, most, digits, unit), Kind::Quantity(low, high, kept, to)) => {
+            (Kind::Quantity(min, max, digits, unit), Kind::Quantity(target_min, target_max, kept, to)) => {
                 if unit.dimension != to.dimension {
-                    self.wrong(way, format!("{} is no {} as {} is", unit.symbol, to.dimension, to.symbol));
+                    self.add_error(
+                        direction,
+                        format!("{} is no {} as {} is", unit.symbol, to.dimension, to.symbol),
+                    );
                     return false;
                 }
                 if units::exact_digits(unit, to, *digits).is_none_or(|enough| enough > *kept) {
-                    self.rounds(way, *kept);
+                    self.check_rounding(direction, *kept);
                 }
                 let rounding = file.round.unwrap_or(Rounding::HalfEven);
-                let there = |value: Decimal| {
+                let convert = |value: Decimal| {
                     units::convert(value, unit, to)
                         .and_then(|exact| exact.round(*kept, rounding))
                         .map(|(value, _)| value)
                 };
-                let fits = there(*least).is_some_and(|least| least >= *low)
-                    && there(*most).is_some_and(|most| most <= *high);
-                self.range(way, fits, low, format_args!("{high} {}", to.symbol));
+                let fits = convert(*min).is_some_and(|min| min >= *target_min)
+                    && convert(*max).is_some_and(|max| max <= *target_max);
+                self.check_range(direction, fits, target_min, format_args!("{target_max} {}", to.symbol));
             }
             (Kind::Date(_), Kind::Date(_)) | (Kind::Flag(..), Kind::Flag(..)) => {}
-            (Kind::Time(clock), Kind::Time(other)) => self.clocks(way, clock, other),
-            (Kind::Choice(words), Kind::Choice(others)) => self.choice(way, words, others),
-            (Kind::Group(most, _), Kind::Group(high, _)) => {
-                if most > high {
-                    self.bound(way, format!("more than {high} items"));
+            (Kind::Time(time_format), Kind::Time(target_format)) => {
+                self.check_times(direction, time_format, target_format)
+            }
+            (Kind::Choice(values), Kind::Choice(target_values)) => {
+                self.check_choices(direction, values, target_values)
+            }
+            (Kind::Group(max, _), Kind::Group(target_max, _)) => {
+                if max > target_max {
+                    self.check_bound(direction, format!("more than {target_max} items"));
                 }
             }
-            (a, b) => self.wrong(way, format!("a {} does not become a {}", a.name(), b.name())),
+            (a, b) => self.add_error(direction, format!("a {} does not become a {}", a.name(), b.name())),
         }
-        self.faults.len() == before
+        self.diagnostics.len() == before
     }
 
-    fn wrong(&mut self, way: Way<'_>, what: impl Into<String>) {
-        self.fault(way.named, way.sides.key(way.side, &way.from.path), what);
+    fn add_error(&mut self, direction: Direction<'_>, message: impl Into<String>) {
+        self.add_diagnostic(
+            direction.location,
+            direction.scope.key(direction.side, &direction.from.path),
+            message,
+        );
     }
 
-    fn told(&mut self, way: Way<'_>, what: impl Into<String>) {
-        self.note(way.sides, way.side, &way.from.path, what);
+    fn add_note(&mut self, direction: Direction<'_>, message: impl Into<String>) {
+        self.note(direction.scope, direction.side, &direction.from.path, message);
     }
 
     /// Something can be lost: a fault unless the rule says that it is refused, or is not.
-    fn loss(&mut self, way: Way<'_>, refuse: Option<bool>, unsaid: String, refused: String, lost: String) {
+    fn check_loss(
+        &mut self,
+        direction: Direction<'_>,
+        refuse: Option<bool>,
+        missing_policy: String,
+        refused: String,
+        lost: String,
+    ) {
         match refuse {
-            None => self.wrong(way, unsaid),
-            Some(true) => self.told(way, refused),
-            Some(false) => self.told(way, lost),
+            None => self.add_error(direction, missing_policy),
+            Some(true) => self.add_note(direction, refused),
+            Some(false) => self.add_note(direction, lost),
         }
     }
 
-    fn bound(&mut self, way: Way<'_>, what: String) {
-        match way.file.range {
-            Some(file::Refuse::Refuse) => self.told(way, format!("{what}: refused")),
-            None => self.wrong(way, format!("{what} does not fit the other side: range = \"refuse\"")),
+    fn check_bound(&mut self, direction: Direction<'_>, message: String) {
+        match direction.file.range {
+            Some(file::Refuse::Refuse) => self.add_note(direction, format!("{message}: refused")),
+            None => self
+                .add_error(direction, format!("{message} does not fit the other side: range = \"refuse\"")),
         }
     }
 
-    fn range(&mut self, way: Way<'_>, fits: bool, low: impl Display, high: impl Display) {
+    fn check_range(
+        &mut self,
+        direction: Direction<'_>,
+        fits: bool,
+        target_min: impl Display,
+        target_max: impl Display,
+    ) {
         if !fits {
-            self.bound(way, format!("less than {low} or more than {high}"));
+            self.check_bound(direction, format!("less than {target_min} or more than {target_max}"));
         }
     }
 
-    fn rounds(&mut self, way: Way<'_>, kept: u32) {
+    fn check_rounding(&mut self, direction: Direction<'_>, kept: u32) {
         let more = format!("more than {kept} digits after the point");
-        match way.file.round {
-            Some(_) => self.told(way, format!("what needs {more} is rounded, with a notice")),
-            None => self.wrong(way, format!("{more}: round = \"half-even\", \"half-up\" or \"down\"")),
+        match direction.file.round {
+            Some(_) => self.add_note(direction, format!("what needs {more} is rounded, with a notice")),
+            None => {
+                self.add_error(direction, format!("{more}: round = \"half-even\", \"half-up\" or \"down\""))
+            }
         }
     }
 
-    fn clocks(&mut self, way: Way<'_>, clock: &Clock, other: &Clock) {
-        let grain = |clock: &Clock| match clock.grain() {
-            Grain::Minute => "minutes",
-            Grain::Second => "seconds",
-            Grain::Fraction => "nanoseconds",
+    fn check_times(
+        &mut self,
+        direction: Direction<'_>,
+        time_format: &TimeFormat,
+        target_format: &TimeFormat,
+    ) {
+        let precision = |time_format: &TimeFormat| match time_format.precision() {
+            Precision::Minute => "minutes",
+            Precision::Second => "seconds",
+            Precision::Fraction => "nanoseconds",
         };
-        if clock.grain() > other.grain() {
-            let (fine, coarse) = (grain(clock), grain(other));
-            self.loss(
-                way,
-                way.file.finer.map(|cut| cut == Cut::Refuse),
+        if time_format.precision() > target_format.precision() {
+            let (fine, coarse) = (precision(time_format), precision(target_format));
+            self.check_loss(
+                direction,
+                direction.file.finer.map(|cut| cut == Cut::Refuse),
                 format!("{fine} into {coarse}: finer = \"refuse\" or \"cut\""),
                 format!("anything finer than {coarse} is refused"),
                 format!("cut to {coarse}, with a notice"),
             );
         }
-        if clock.form == ClockForm::Rfc3339 {
-            self.told(way, "leap seconds are refused");
-            if other.form != ClockForm::Rfc3339 {
-                self.told(way, "the same moment comes back with another offset");
+        if time_format.notation == TimeNotation::Rfc3339 {
+            self.add_note(direction, "leap seconds are refused");
+            if target_format.notation != TimeNotation::Rfc3339 {
+                self.add_note(direction, "the same moment comes back with another offset");
             }
         }
-        if other.is_set() {
-            let which = match other.fold {
+        if target_format.has_transitions() {
+            let which = match target_format.fold {
                 Fold::Earlier => "the second",
                 Fold::Later => "the first",
                 Fold::Refuse => "either",
             };
-            self.told(
-                way,
+            self.add_note(
+                direction,
                 format!("{which} of two hours that the other side's clock shows alike is refused"),
             );
         }
-        if clock.is_set() {
-            self.told(way, "an hour that the clock skipped is refused");
-            if clock.fold == Fold::Refuse {
-                self.told(way, "an hour that the clock showed twice is refused");
+        if time_format.has_transitions() {
+            self.add_note(direction, "an hour that the clock skipped is refused");
+            if time_format.fold == Fold::Refuse {
+                self.add_note(direction, "an hour that the clock showed twice is refused");
             }
         }
     }
 
-    fn choice(&mut self, way: Way<'_>, words: &[String], others: &[String]) {
-        let (here, there) = if way.side == Side::Old { (0, 1) } else { (1, 0) };
-        let pairs = way.file.pairs.as_deref().unwrap_or_default();
-        if let Some(pair) = pairs.iter().find(|pair| !words.contains(&pair[here])) {
-            self.wrong(way, format!("pairs: {:?} is none of its values", pair[here]));
+    fn check_choices(&mut self, direction: Direction<'_>, values: &[String], target_values: &[String]) {
+        let (source_index, target_index) = if direction.side == Side::Old { (0, 1) } else { (1, 0) };
+        let pairs = direction.file.pairs.as_deref().unwrap_or_default();
+        if let Some(pair) = pairs.iter().find(|pair| !values.contains(&pair[source_index])) {
+            self.add_error(direction, format!("pairs: {:?} is none of its values", pair[source_index]));
         }
         let counterpart = |word: &String| match pairs {
-            [] => others.iter().find(|other| *other == word),
-            pairs => pairs.iter().find(|pair| pair[here] == *word).map(|pair| &pair[there]),
+            [] => target_values.iter().find(|other| *other == word),
+            pairs => pairs.iter().find(|pair| pair[source_index] == *word).map(|pair| &pair[target_index]),
         };
-        let alone: Vec<&str> =
-            words.iter().filter(|word| counterpart(word).is_none()).map(String::as_str).collect();
-        if alone.len() == words.len() {
-            self.wrong(way, "none of its values has a counterpart: pairs");
-        } else if !alone.is_empty() {
-            let list = alone.join(", ");
-            match way.file.unpaired {
-                Some(_) => self.told(way, format!("{list}: refused")),
-                None => self.wrong(way, format!("{list}: no counterpart; pairs, or unpaired = \"refuse\"")),
-            }
-        }
-        for word in words {
+        let unpaired_values: Vec<&str> =
+            values.iter().filter(|word| counterpart(word).is_none()).map(String::as_str).collect();
+        if unpaired_values.len() == values.len() {
+            self.add_error(direction, "none of its values has a counterpart: pairs");
+        } else if !unpaired_values.is_empty() {
+            let list = unpaired_values.join(", ");
+            match direction.file.unpaired {
+                Some(_) => self.add_note(direction, format!("{list}: refused")),
+                None => self
+                    .add_error(direction, format!("{list}: no counterpart; pairs, or unpaired = \"refuse\"")),
+            }
+        }
+        for word in values {
             let back = counterpart(word).and_then(|other| match pairs {
                 [] => Some(other),
-                pairs => pairs.iter().find(|pair| pair[there] == *other).map(|pair| &pair[here]),
+                pairs => {
+                    pairs.iter().find(|pair| pair[target_index] == *other).map(|pair| &pair[source_index])
+                }
             });
             if let Some(back) = back.filter(|back| *back != word) {
-                self.told(way, format!("{word} comes back as {back}"));
+                self.add_note(direction, format!("{word} comes back as {back}"));
             }
         }
     }
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -33,7 +33,7 @@
     /// A day, in a form as of strftime.
     Date(String),
     /// A moment.
-    Time(Clock),
+    Time(TimeFormat),
     /// One of these words.
     Choice(Vec<String>),
     /// Yes or no, by these words where the form has no flags.
@@ -44,9 +44,9 @@
 
 /// How moments are written.
 #[derive(Debug, Clone)]
-pub struct Clock {
+pub struct TimeFormat {
     /// Their form.
-    pub form: ClockForm,
+    pub notation: TimeNotation,
     /// The zone of local times, and the one that moments without an offset are written in.
     pub zone: TimeZone,
     /// Which is meant where the clock was set back and shows an hour twice.
@@ -55,7 +55,7 @@
 
 /// The form of a moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClockForm {
+pub enum TimeNotation {
     /// RFC 3339, with its offset.
     Rfc3339,
     /// Seconds since 1970.
@@ -78,7 +78,7 @@
 
 /// How finely a form tells time, coarsest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Grain {
+pub enum Precision {
     /// Minutes.
     Minute,
     /// Seconds.
@@ -87,44 +87,46 @@
     Fraction,
 }
 
-impl Clock {
+impl TimeFormat {
     /// It shows local times of a zone that sets its clocks, so that some hours come twice and some never.
-    pub fn is_set(&self) -> bool {
-        matches!(self.form, ClockForm::Local(_)) && self.zone.to_fixed_offset().is_err()
+    pub fn has_transitions(&self) -> bool {
+        matches!(self.notation, TimeNotation::Local(_)) && self.zone.to_fixed_offset().is_err()
     }
 
     /// How finely it tells time.
-    pub fn grain(&self) -> Grain {
-        match &self.form {
-            ClockForm::Rfc3339 => Grain::Fraction,
-            ClockForm::Unix => Grain::Second,
-            ClockForm::Local(form) if form.contains("%f") || form.contains("%.f") => Grain::Fraction,
-            ClockForm::Local(form) if form.contains("%S") || form.contains("%T") => Grain::Second,
-            ClockForm::Local(_) => Grain::Minute,
+    pub fn precision(&self) -> Precision {
+        match &self.notation {
+            TimeNotation::Rfc3339 => Precision::Fraction,
+            TimeNotation::Unix => Precision::Second,
+            TimeNotation::Local(form) if form.contains("%f") || form.contains("%.f") => Precision::Fraction,
+            TimeNotation::Local(form) if form.contains("%S") || form.contains("%T") => Precision::Second,
+            TimeNotation::Local(_) => Precision::Minute,
         }
     }
 
     /// The moment that it shows with nothing finer than its grain.
-    pub fn cut(&self, moment: Moment) -> Moment {
-        let unit = match self.grain() {
-            Grain::Minute => 60,
-            Grain::Second => 1,
-            Grain::Fraction => return moment,
+    pub fn truncate(&self, moment: OffsetTimestamp) -> OffsetTimestamp {
+        let unit = match self.precision() {
+            Precision::Minute => 60,
+            Precision::Second => 1,
+            Precision::Fraction => return moment,
         };
-        let seconds = moment.at.as_second() - i64::from(moment.at.subsec_nanosecond() < 0);
-        let at = Timestamp::from_second(seconds - seconds.rem_euclid(unit)).unwrap_or(moment.at);
-        Moment { at, ..moment }
+        let seconds = moment.timestamp.as_second() - i64::from(moment.timestamp.subsec_nanosecond() < 0);
+        let timestamp =
+            Timestamp::from_second(seconds - seconds.rem_euclid(unit)).unwrap_or(moment.timestamp);
+        OffsetTimestamp { timestamp, ..moment }
     }
 
-    fn read(&self, text: &str) -> Result<Moment, String> {
-        match &self.form {
-            ClockForm::Rfc3339 => rfc3339(text),
-            ClockForm::Unix => {
+    fn read(&self, text: &str) -> Result<OffsetTimestamp, String> {
+        match &self.notation {
+            TimeNotation::Rfc3339 => rfc3339(text),
+            TimeNotation::Unix => {
                 let seconds = integer(text)?;
-                let at = i64::try_from(seconds).ok().and_then(|seconds| Timestamp::from_second(seconds).ok());
-                Ok(Moment { at: at.ok_or("out of the range of times")?, offset: None })
+                let timestamp =
+                    i64::try_from(seconds).ok().and_then(|seconds| Timestamp::from_second(seconds).ok());
+                Ok(OffsetTimestamp { timestamp: timestamp.ok_or("out of the range of times")?, offset: None })
             }
-            ClockForm::Local(form) => {
+            TimeNotation::Local(form) => {
                 let wrong = || format!("not a time as {form:?}");
                 let local = DateTime::strptime(form, text).map_err(|_| wrong())?;
                 // Leap seconds, missing zeros and the like would come out otherwise than they came in.
@@ -147,21 +149,21 @@
                         return Err("a local time that the clock showed twice: it was set back".into())
                     }
                 };
-                let at = offset.to_timestamp(local).map_err(|_| "out of the range of times")?;
-                Ok(Moment { at, offset: Some(offset) })
+                let timestamp = offset.to_timestamp(local).map_err(|_| "out of the range of times")?;
+                Ok(OffsetTimestamp { timestamp, offset: Some(offset) })
             }
         }
     }
 
-    fn write(&self, moment: Moment) -> Result<String, String> {
-        let text = match &self.form {
-            ClockForm::Unix => return Ok(moment.at.as_second().to_string()),
-            ClockForm::Rfc3339 => {
-                let offset = moment.offset.unwrap_or_else(|| self.zone.to_offset(moment.at));
+    fn write(&self, moment: OffsetTimestamp) -> Result<String, String> {
+        let text = match &self.notation {
+            TimeNotation::Unix => return Ok(moment.timestamp.as_second().to_string()),
+            TimeNotation::Rfc3339 => {
+                let offset = moment.offset.unwrap_or_else(|| self.zone.to_offset(moment.timestamp));
                 if offset.seconds() % 60 != 0 {
                     return Err("an offset of parts of a minute".into());
                 }
-                let local = offset.to_datetime(moment.at);
+                let local = offset.to_datetime(moment.timestamp);
                 if local.year() < 0 {
                     return Err("a year before the first".into());
                 }
@@ -173,28 +175,28 @@
                     false => format!("{local}{sign}{:02}:{:02}", minutes / 60, minutes % 60),
                 });
             }
-            ClockForm::Local(form) => self.zone.to_datetime(moment.at).strftime(form).to_string(),
+            TimeNotation::Local(form) => self.zone.to_datetime(moment.timestamp).strftime(form).to_string(),
         };
         // The second of two hours that look alike, and years that the form has no digits for.
         match self.read(&text) {
-            Ok(again) if again.at == moment.at => Ok(text),
+            Ok(reread) if reread.timestamp == moment.timestamp => Ok(text),
             Ok(_) => Err(format!("it would be written as {text:?}, which is another moment")),
-            Err(why) => Err(format!("it would be written as {text:?}: {why}")),
+            Err(reason) => Err(format!("it would be written as {text:?}: {reason}")),
         }
     }
 }
 
 /// RFC 3339, 5.6, in capitals as its 4.3 recommends.
-fn rfc3339(text: &str) -> Result<Moment, String> {
+fn rfc3339(text: &str) -> Result<OffsetTimestamp, String> {
     let bytes = text.as_bytes();
-    let shape = |from: usize, like: &[u8]| {
+    let matches_pattern = |from: usize, like: &[u8]| {
         like.iter().enumerate().all(|(n, &c)| match bytes.get(from + n) {
             Some(byte) if c == b'0' => byte.is_ascii_digit(),
             byte => byte == Some(&c),
         })
     };
     let wrong = || "not a time as of RFC 3339".to_owned();
-    if !shape(0, b"0000-00-00T00:00:00") {
+    if !matches_pattern(0, b"0000-00-00T00:00:00") {
         return Err(wrong());
     }
     let mut end = 19;
@@ -212,7 +214,7 @@
     let offset = match &bytes[end..] {
         b"Z" => Some(Offset::UTC),
         b"-00:00" => None,
-        rest if rest.len() == 6 && (shape(end, b"+00:00") || shape(end, b"-00:00")) => {
+        rest if rest.len() == 6 && (matches_pattern(end, b"+00:00") || matches_pattern(end, b"-00:00")) => {
             let part = |from: usize| text[from..from + 2].parse::<i32>().unwrap_or(99);
             let (hours, minutes) = (part(end + 1), part(end + 4));
             if hours > 23 || minutes > 59 {
@@ -223,23 +225,23 @@
         }
         _ => return Err(wrong()),
     };
-    let at = offset.unwrap_or(Offset::UTC).to_timestamp(local).map_err(|_| wrong())?;
-    Ok(Moment { at, offset })
+    let timestamp = offset.unwrap_or(Offset::UTC).to_timestamp(local).map_err(|_| wrong())?;
+    Ok(OffsetTimestamp { timestamp, offset })
 }
 
 /// A moment, and the offset that it was written with.
 #[derive(Debug, Clone, Copy)]
-pub struct Moment {
+pub struct OffsetTimestamp {
     /// When.
-    pub at: Timestamp,
+    pub timestamp: Timestamp,
     /// None if it is not known where.
     pub offset: Option<Offset>,
 }
 
 /// Moments are equal wherever they are told.
-impl PartialEq for Moment {
+impl PartialEq for OffsetTimestamp {
     fn eq(&self, other: &Self) -> bool {
-        self.at == other.at
+        self.timestamp == other.timestamp
     }
 }
 
@@ -255,7 +257,7 @@
     /// Of [`Kind::Date`].
     Date(Date),
     /// Of [`Kind::Time`].
-    Time(Moment),
+    Time(OffsetTimestamp),
     /// Of [`Kind::Choice`].
     Choice(String),
     /// Of [`Kind::Flag`].
@@ -270,7 +272,7 @@
     /// Numbers and flags are not texts.
     pub typed: bool,
     /// A list of one looks like the one.
-    pub lone_items: bool,
+    pub single_item_unwrapped: bool,
 }
 
 fn integer(text: &str) -> Result<i128, String> {
@@ -294,7 +296,7 @@
 }
 
 /// A number in JSON's grammar without its exponent, if it can be written so.
-fn plain(number: &str) -> Result<String, String> {
+fn expand_exponent(number: &str) -> Result<String, String> {
     let Some((digits, exponent)) = number.split_once(['e', 'E']) else { return Ok(number.to_owned()) };
     let exponent: i32 = exponent.parse().map_err(|_| "too large a number")?;
     let value = decimal(digits)?;
@@ -311,7 +313,7 @@
 impl Field {
     /// Reads the field from a message of its side.
     pub fn read(&self, message: &Node, typing: Typing) -> Result<Option<Value>, String> {
-        match message.at(&self.path) {
+        match message.get(&self.path) {
             None | Some(Node::Null) => match &self.kind {
                 Kind::Group(..) => Ok(Some(Value::Group(Vec::new()))),
                 _ if self.optional => Ok(None),
@@ -323,14 +325,14 @@
 
     fn value(&self, node: &Node, typing: Typing) -> Result<Option<Value>, String> {
         let wrong = || format!("{} where {} should be", node.kind(), self.kind.name());
-        if let Kind::Group(most, fields) = &self.kind {
+        if let Kind::Group(max, fields) = &self.kind {
             let items = match node {
                 Node::List(items) => items.as_slice(),
-                one if typing.lone_items => std::slice::from_ref(one),
+                one if typing.single_item_unwrapped => std::slice::from_ref(one),
                 _ => return Err(wrong()),
             };
-            if items.len() > *most {
-                return Err(format!("{} items, of {most} at most", items.len()));
+            if items.len() > *max {
+                return Err(format!("{} items, of {max} at most", items.len()));
             }
             let item = |(n, item): (usize, &Node)| {
                 if !matches!(item, Node::Record(_))
@@ -338,10 +340,12 @@
                 {
                     return Err(format!("item {}: {} where a record should be", n + 1, item.kind()));
                 }
-                stray(item, fields, None)
+                find_unknown_field(item, fields, None)
                     .map_or(Ok(()), |name| Err(format!("item {}: {name:?} is no field of it", n + 1)))?;
                 let read = |field: &Field| {
-                    field.read(item, typing).map_err(|why| format!("item {}, {:?}: {why}", n + 1, field.path))
+                    field
+                        .read(item, typing)
+                        .map_err(|reason| format!("item {}, {:?}: {reason}", n + 1, field.path))
                 };
                 fields.iter().map(read).collect()
             };
@@ -353,8 +357,8 @@
                 .map(|all| Some(Value::Group(all)));
         }
         let text = match (node, &self.kind) {
-            (Node::Flag(flag), Kind::Flag(..)) => return Ok(Some(Value::Flag(*flag))),
-            (Node::Number(digits), kind) if kind.is_number() => &plain(digits)?,
+            (Node::Bool(flag), Kind::Flag(..)) => return Ok(Some(Value::Flag(*flag))),
+            (Node::Number(digits), kind) if kind.is_number() => &expand_exponent(digits)?,
             (Node::Text(text), kind)
                 if !typing.typed || !kind.is_number() && !matches!(kind, Kind::Flag(..)) =>
             {
@@ -370,15 +374,15 @@
 
     /// What the field looks like in a message of its side.
     pub fn write(&self, value: &Value, typing: Typing) -> Result<Node, String> {
-        if let (Kind::Group(most, fields), Value::Group(items)) = (&self.kind, value) {
-            if items.len() > *most {
-                return Err(format!("{} items, of {most} at most", items.len()));
+        if let (Kind::Group(max, fields), Value::Group(items)) = (&self.kind, value) {
+            if items.len() > *max {
+                return Err(format!("{} items, of {max} at most", items.len()));
             }
             let item = |values: &Vec<Option<Value>>| {
                 let mut record = Node::record();
                 for (field, value) in fields.iter().zip(values) {
                     if let Some(value) = value {
-                        record.put(&field.path, field.write(value, typing)?);
+                        record.insert(&field.path, field.write(value, typing)?);
                     }
                 }
                 Ok(record)
@@ -388,7 +392,7 @@
         self.kind.check(value)?;
         let text = self.kind.format(value)?;
         Ok(match value {
-            Value::Flag(flag) if typing.typed => Node::Flag(*flag),
+            Value::Flag(flag) if typing.typed => Node::Bool(*flag),
             _ if typing.typed && self.kind.is_number() => Node::Number(text),
             _ => Node::Text(text),
         })
@@ -396,7 +400,7 @@
 }
 
 /// A name in a record that none of the fields has, nor `extension`.
-pub fn stray(record: &Node, fields: &[Field], extension: Option<&str>) -> Option<String> {
+pub fn find_unknown_field(record: &Node, fields: &[Field], extension: Option<&str>) -> Option<String> {
     fn within(node: &Node, path: &str, fields: &[Field], extension: Option<&str>) -> Option<String> {
         let Node::Record(members) = node else { return Some(path.to_owned()) };
         members.iter().find_map(|(name, value)| {
@@ -421,10 +425,10 @@
     }
 }
 
-fn within<T: PartialOrd + std::fmt::Display>(value: &T, least: &T, most: &T) -> Result<(), String> {
-    match (least..=most).contains(&value) {
+fn check_range<T: PartialOrd + std::fmt::Display>(value: &T, min: &T, max: &T) -> Result<(), String> {
+    match (min..=max).contains(&value) {
         true => Ok(()),
-        false => Err(format!("{value} is not within {least} and {most}")),
+        false => Err(format!("{value} is not within {min} and {max}")),
     }
 }
 
@@ -445,7 +449,7 @@
     }
 
     fn is_number(&self) -> bool {
-        let unix = matches!(self, Kind::Time(Clock { form: ClockForm::Unix, .. }));
+        let unix = matches!(self, Kind::Time(TimeFormat { notation: TimeNotation::Unix, .. }));
         unix || matches!(self, Kind::Integer(..) | Kind::Decimal(..) | Kind::Quantity(..))
     }
 
@@ -460,7 +464,7 @@
                     Date::strptime(form, text).ok().filter(|day| day.strftime(form).to_string() == text);
                 day.map(Value::Date).ok_or_else(|| format!("not a date as {form:?}"))
             }
-            Kind::Time(clock) => clock.read(text).map(Value::Time),
+            Kind::Time(time_format) => time_format.read(text).map(Value::Time),
             Kind::Choice(_) => self.checked(Value::Choice(text.to_owned())),
             Kind::Flag(yes, no) => match text {
                 text if text == yes => Ok(Value::Flag(true)),
@@ -478,22 +482,22 @@
     /// What is written must be what would be read: within its bounds, its length, its words.
     fn check(&self, value: &Value) -> Result<(), String> {
         match (self, value) {
-            (Kind::Text(least, most), Value::Text(text)) => {
+            (Kind::Text(min, max), Value::Text(text)) => {
                 let length = text.chars().count();
-                match (*least..=*most).contains(&length) {
+                match (*min..=*max).contains(&length) {
                     true => Ok(()),
-                    false => Err(format!("{length} characters, not {least} to {most}")),
+                    false => Err(format!("{length} characters, not {min} to {max}")),
                 }
             }
-            (Kind::Integer(least, most, _), Value::Integer(value)) => within(value, least, most),
+            (Kind::Integer(min, max, _), Value::Integer(value)) => check_range(value, min, max),
             (
-                Kind::Decimal(least, most, digits) | Kind::Quantity(least, most, digits, _),
+                Kind::Decimal(min, max, digits) | Kind::Quantity(min, max, digits, _),
                 Value::Decimal(value),
             ) => {
                 if value.scale() > *digits && value.normalize().scale() > *digits {
                     return Err(format!("{value} has more than {digits} digits after the point"));
                 }
-                within(value, least, most)
+                check_range(value, min, max)
             }
             (Kind::Choice(words), Value::Choice(word)) if !words.contains(word) => {
                 Err(format!("{word:?} is none of {}", words.join(", ")))
@@ -522,7 +526,7 @@
             }
             (Kind::Decimal(..) | Kind::Quantity(..), Value::Decimal(n)) => Ok(n.to_string()),
             (Kind::Date(form), Value::Date(day)) => Ok(day.strftime(form).to_string()),
-            (Kind::Time(clock), Value::Time(moment)) => clock.write(*moment),
+            (Kind::Time(time_format), Value::Time(moment)) => time_format.write(*moment),
             (Kind::Flag(yes, no), Value::Flag(flag)) => Ok(if *flag { yes } else { no }.clone()),
             _ => Err(format!("no {}", self.name())),
         }
--- a/crates/translate/src/file.rs
+++ b/crates/translate/src/file.rs
@@ -2,7 +2,7 @@
 
 use crate::charset::Charset;
 use crate::field::Fold;
-use crate::mapping::{Fault, Form};
+use crate::mapping::{Diagnostic, Form};
 use crate::units::Rounding;
 use serde::Deserialize;
 use toml::Spanned;
@@ -197,10 +197,10 @@
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|&&byte| byte == b'\n').count()
 }
 
-pub(crate) fn parse(text: &str) -> Result<File, Vec<Fault>> {
+pub(crate) fn parse(text: &str) -> Result<File, Vec<Diagnostic>> {
     toml::from_str(text).map_err(|e: toml::de::Error| {
         let line = e.span().map_or(1, |span| line_of(text, span.start));
-        let what = e.message().lines().collect::<Vec<_>>().join("; ");
-        vec![Fault { line, key: String::new(), what }]
+        let message = e.message().lines().collect::<Vec<_>>().join("; ");
+        vec![Diagnostic { line, key: String::new(), message }]
     })
 }
--- a/crates/translate/src/lib.rs
+++ b/crates/translate/src/lib.rs
@@ -19,6 +19,6 @@
 mod compile;
 mod file;
 
-pub use convert::{Converted, Notice, Refused};
+pub use convert::{ConversionError, Converted, Notice};
 pub use mapping::{Mapping, Mappings, MessageKind, Side};
 pub use node::{Limits, Node};
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -71,7 +71,7 @@
 impl Form {
     /// How it holds values.
     pub fn typing(self) -> Typing {
-        Typing { typed: self == Form::Json, lone_items: self == Form::Soap }
+        Typing { typed: self == Form::Json, single_item_unwrapped: self == Form::Soap }
     }
 
     /// The media type of a message.
@@ -95,20 +95,20 @@
 
 /// A fault of a mapping file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where, counted from one.
     pub line: usize,
     /// What it is about, as `request.old.STN`; empty where the file itself can't be read.
     pub key: String,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            "" => write!(f, "line {}: {}", self.line, self.what),
-            key => write!(f, "line {}: {key}: {}", self.line, self.what),
+            "" => write!(f, "line {}: {}", self.line, self.message),
+            key => write!(f, "line {}: {key}: {}", self.line, self.message),
         }
     }
 }
@@ -309,6 +309,6 @@
 }
 
 /// Reads a mapping file, or says all that is wrong with it.
-pub fn read(text: &str) -> Result<Mapping, Vec<Fault>> {
+pub fn read(text: &str) -> Result<Mapping, Vec<Diagnostic>> {
     crate::compile::compile(text, crate::file::parse(text)?)
 }
--- a/crates/translate/src/mixed_fleet.rs
+++ b/crates/translate/src/mixed_fleet.rs
@@ -33,15 +33,17 @@
 /// notices, or the reason why it can't be sent.
 pub fn plan_old_request(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
     let key = mapping.key(message);
-    let said = mapping.convert(MessageKind::Request, Side::Old, message).map_err(|why| why.to_string());
-    let said =
-        said.and_then(|done| Ok((mapping.new.encode(MessageKind::Request, &done.message)?, done.notices)));
-    let (old, new) = match &said {
+    let translated_request =
+        mapping.convert(MessageKind::Request, Side::Old, message).map_err(|reason| reason.to_string());
+    let translated_request = translated_request
+        .and_then(|done| Ok((mapping.new.encode(MessageKind::Request, &done.message)?, done.notices)));
+    let (old, new) = match &translated_request {
         Ok((_, notices)) => (serving.old, notices.is_empty() || !serving.old),
-        Err(why) if !serving.old => return Err(why.clone()),
+        Err(reason) if !serving.old => return Err(reason.clone()),
         Err(_) => (true, false),
     };
-    let (translated, notices) = said.ok().filter(|_| new).map_or((None, Vec::new()), |(b, n)| (Some(b), n));
+    let (translated, notices) =
+        translated_request.ok().filter(|_| new).map_or((None, Vec::new()), |(b, n)| (Some(b), n));
     Ok(Plan { sides: Sides { old, new }, translated, notices, key })
 }
 
@@ -54,7 +56,7 @@
         notices: Vec::new(),
         key: key.map(str::to_owned),
     };
-    let said = || {
+    let translated_request = || {
         let message = mapping.new.decode(MessageKind::Request, bytes, Limits::default()).ok()?;
         let done = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
         // Old servers tell repeats by the fields that the key is made of. Where the client has made its own key the two need
@@ -63,7 +65,7 @@
         let faithful = done.notices.is_empty() && same;
         faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
     };
-    match serving.old.then(said).flatten() {
+    match serving.old.then(translated_request).flatten() {
         Some(bytes) => Plan { sides: Sides { old: true, new: true }, translated: Some(bytes), ..only_new() },
         None => only_new(),
     }
@@ -77,7 +79,7 @@
     bytes: &[u8],
 ) -> Result<(Vec<u8>, Vec<Notice>), String> {
     let message = mapping.dialect(from).decode(MessageKind::Response, bytes, Limits::default())?;
-    let done = mapping.convert(MessageKind::Response, from, &message).map_err(|why| why.to_string())?;
+    let done = mapping.convert(MessageKind::Response, from, &message).map_err(|reason| reason.to_string())?;
     Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &done.message)?, done.notices))
 }
 
--- a/crates/translate/src/mixed_fleet/tests.rs
+++ b/crates/translate/src/mixed_fleet/tests.rs
@@ -24,15 +24,15 @@
     assert_eq!(sides(RAIN, OLD), Ok(BOTH), "a new server may come while it waits");
     assert_eq!(sides(RAIN, NEW), Ok(NEW));
     // 50 degF is 10 degC; 51 degF has no end, and is rounded.
-    let warm = RAIN.replace("WHAT=R&RAIN=1.51", "WHAT=T&TEMP=51");
-    assert_eq!(sides(&warm, BOTH), Ok(OLD), "new servers would get less of it");
-    let plan = old(&correction, &warm, NEW).unwrap();
+    let with_loss = RAIN.replace("WHAT=R&RAIN=1.51", "WHAT=T&TEMP=51");
+    assert_eq!(sides(&with_loss, BOTH), Ok(OLD), "new servers would get less of it");
+    let plan = old(&correction, &with_loss, NEW).unwrap();
     assert_eq!((plan.sides, plan.notices.len()), (NEW, 1), "with a notice");
-    assert_eq!(old(&correction, &warm, BOTH).unwrap().notices, []);
+    assert_eq!(old(&correction, &with_loss, BOTH).unwrap().notices, []);
     // A moment that New York's clocks skipped is none.
-    let never = RAIN.replace("202612010805", "202603080230");
-    assert_eq!(sides(&never, BOTH), Ok(OLD));
-    assert!(sides(&never, NEW).is_err());
+    let skipped_hour = RAIN.replace("202612010805", "202603080230");
+    assert_eq!(sides(&skipped_hour, BOTH), Ok(OLD));
+    assert!(sides(&skipped_hour, NEW).is_err());
 }
 
 #[test]
--- a/crates/translate/src/node.rs
+++ b/crates/translate/src/node.rs
@@ -12,7 +12,7 @@
     /// A number in JSON's grammar (RFC 8259, 6), digit for digit as it came.
     Number(String),
     /// `true` or `false` in JSON.
-    Flag(bool),
+    Bool(bool),
     /// Named values, in their order; no name twice.
     Record(Vec<(String, Node)>),
     /// Values of one name.
@@ -26,7 +26,7 @@
     }
 
     /// The value at a path whose steps are parted by points.
-    pub fn at(&self, path: &str) -> Option<&Node> {
+    pub fn get(&self, path: &str) -> Option<&Node> {
         path.split('.').try_fold(self, |node, step| match node {
             Node::Record(members) => members.iter().find(|(name, _)| name == step).map(|(_, value)| value),
             _ => None,
@@ -34,7 +34,7 @@
     }
 
     /// Puts a value at a path, with records on the way. A value that stands there is replaced.
-    pub fn put(&mut self, path: &str, value: Node) {
+    pub fn insert(&mut self, path: &str, value: Node) {
         let (step, rest) = match path.split_once('.') {
             Some((step, rest)) => (step, Some(rest)),
             None => (path, None),
@@ -48,7 +48,7 @@
             members.len() - 1
         });
         match rest {
-            Some(rest) => members[place].1.put(rest, value),
+            Some(rest) => members[place].1.insert(rest, value),
             None => members[place].1 = value,
         }
     }
@@ -59,7 +59,7 @@
             Node::Null => "null",
             Node::Text(_) => "text",
             Node::Number(_) => "a number",
-            Node::Flag(_) => "true or false",
+            Node::Bool(_) => "true or false",
             Node::Record(_) => "a record",
             Node::List(_) => "a list",
         }
@@ -72,7 +72,7 @@
             Node::Null => f.write_str("null"),
             Node::Text(text) => write!(f, "{text:?}"),
             Node::Number(digits) => f.write_str(digits),
-            Node::Flag(flag) => write!(f, "{flag}"),
+            Node::Bool(flag) => write!(f, "{flag}"),
             Node::Record(members) => write!(f, "{{{} members}}", members.len()),
             Node::List(items) => write!(f, "[{} items]", items.len()),
         }
@@ -83,42 +83,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of the body.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Values in all.
-    pub fields: usize,
+    pub max_fields: usize,
     /// Records and lists in each other.
-    pub depth: usize,
+    pub max_depth: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { bytes: 64 * 1024, fields: 4096, depth: 8 }
+        Limits { max_bytes: 64 * 1024, max_fields: 4096, max_depth: 8 }
     }
 }
 
 /// Counts what a message holds against its limits.
 #[derive(Debug)]
-pub(crate) struct Count {
+pub(crate) struct LimitCounter {
     limits: Limits,
     fields: usize,
 }
 
-impl Count {
+impl LimitCounter {
     pub(crate) fn new(limits: Limits, bytes: usize) -> Result<Self, String> {
-        match bytes > limits.bytes {
-            true => Err(format!("{bytes} bytes, of {} at most", limits.bytes)),
-            false => Ok(Count { limits, fields: 0 }),
+        match bytes > limits.max_bytes {
+            true => Err(format!("{bytes} bytes, of {} at most", limits.max_bytes)),
+            false => Ok(LimitCounter { limits, fields: 0 }),
         }
     }
 
     /// Another value, so deep within others.
-    pub(crate) fn value(&mut self, depth: usize) -> Result<(), String> {
+    pub(crate) fn add_value(&mut self, depth: usize) -> Result<(), String> {
         self.fields += 1;
-        if self.fields > self.limits.fields {
-            return Err(format!("more than {} fields", self.limits.fields));
+        if self.fields > self.limits.max_fields {
+            return Err(format!("more than {} fields", self.limits.max_fields));
         }
-        if depth > self.limits.depth {
-            return Err(format!("nested deeper than {}", self.limits.depth));
+        if depth > self.limits.max_depth {
+            return Err(format!("nested deeper than {}", self.limits.max_depth));
         }
         Ok(())
     }
--- a/crates/translate/src/units.rs
+++ b/crates/translate/src/units.rs
@@ -14,15 +14,21 @@
     /// What it measures; only units of one dimension convert.
     pub dimension: &'static str,
     /// SI units in `per` of these: how many,
-    times: i128,
+    si_numerator: i128,
     /// and the number that it is divided by.
-    per: i128,
+    si_denominator: i128,
     /// Added before the ratio, in hundredths of this unit.
-    offset: i128,
+    offset_hundredths: i128,
 }
 
-const fn unit(symbol: &'static str, dimension: &'static str, times: i128, per: i128, offset: i128) -> Unit {
-    Unit { symbol, dimension, times, per, offset }
+const fn unit(
+    symbol: &'static str,
+    dimension: &'static str,
+    si_numerator: i128,
+    si_denominator: i128,
+    offset_hundredths: i128,
+) -> Unit {
+    Unit { symbol, dimension, si_numerator, si_denominator, offset_hundredths }
 }
 
 /// All units.
@@ -77,11 +83,11 @@
 /// A ratio of whole numbers; the lower one is above zero.
 #[derive(Debug, Clone, Copy)]
 pub struct Ratio {
-    above: i128,
-    below: i128,
+    numerator: i128,
+    denominator: i128,
 }
 
-fn divisor(mut a: u128, mut b: u128) -> u128 {
+fn greatest_common_divisor(mut a: u128, mut b: u128) -> u128 {
     while b != 0 {
         (a, b) = (b, a % b);
     }
@@ -89,60 +95,75 @@
 }
 
 impl Ratio {
-    fn new(above: i128, below: i128) -> Option<Ratio> {
-        let by = i128::try_from(divisor(above.unsigned_abs(), below.unsigned_abs())).ok()?.max(1);
-        Some(Ratio { above: above / by, below: below / by })
+    fn new(numerator: i128, denominator: i128) -> Option<Ratio> {
+        let divisor =
+            i128::try_from(greatest_common_divisor(numerator.unsigned_abs(), denominator.unsigned_abs()))
+                .ok()?
+                .max(1);
+        Some(Ratio { numerator: numerator / divisor, denominator: denominator / divisor })
     }
 
     /// The ratio that a decimal is.
-    pub fn of(value: Decimal) -> Option<Ratio> {
-        Some(Ratio { above: value.mantissa(), below: 10_i128.checked_pow(value.scale())? })
+    pub fn from_decimal(value: Decimal) -> Option<Ratio> {
+        Some(Ratio { numerator: value.mantissa(), denominator: 10_i128.checked_pow(value.scale())? })
     }
 
     /// Common divisors are sought only where a product would be too large: that costs more than all the rest.
-    fn times(self, above: i128, below: i128) -> Option<Ratio> {
-        if let (Some(above), Some(below)) = (self.above.checked_mul(above), self.below.checked_mul(below)) {
-            return Some(Ratio { above, below });
+    fn multiply(self, numerator: i128, denominator: i128) -> Option<Ratio> {
+        if let (Some(numerator), Some(denominator)) =
+            (self.numerator.checked_mul(numerator), self.denominator.checked_mul(denominator))
+        {
+            return Some(Ratio { numerator, denominator });
         }
-        let (first, second) = (Ratio::new(self.above, below)?, Ratio::new(above, self.below)?);
-        Ratio::new(first.above.checked_mul(second.above)?, first.below.checked_mul(second.below)?)
+        let (first, second) =
+            (Ratio::new(self.numerator, denominator)?, Ratio::new(numerator, self.denominator)?);
+        Ratio::new(
+            first.numerator.checked_mul(second.numerator)?,
+            first.denominator.checked_mul(second.denominator)?,
+        )
     }
 
-    fn plus(self, hundredths: i128) -> Option<Ratio> {
+    fn add_hundredths(self, hundredths: i128) -> Option<Ratio> {
         if hundredths == 0 {
             return Some(self);
         }
-        let Ratio { above, below } =
-            match self.above.unsigned_abs().max(self.below.unsigned_abs()) > u128::MAX >> 41 {
-                true => Ratio::new(self.above, self.below)?,
+        let Ratio { numerator, denominator } =
+            match self.numerator.unsigned_abs().max(self.denominator.unsigned_abs()) > u128::MAX >> 41 {
+                true => Ratio::new(self.numerator, self.denominator)?,
                 false => self,
             };
-        let above = above.checked_mul(100)?.checked_add(hundredths.checked_mul(below)?)?;
-        Some(Ratio { above, below: below.checked_mul(100)? })
+        let numerator = numerator.checked_mul(100)?.checked_add(hundredths.checked_mul(denominator)?)?;
+        Some(Ratio { numerator, denominator: denominator.checked_mul(100)? })
     }
 
     /// The decimal with so many digits after the point at most, and whether it is less exact than the ratio. None if
     /// it is too large.
     pub fn round(self, digits: u32, rounding: Rounding) -> Option<(Decimal, bool)> {
-        let scaled = self.times(10_i128.checked_pow(digits)?, 1)?;
-        let (whole, rest) = (scaled.above / scaled.below, scaled.above % scaled.below);
-        let up = match rounding {
+        let scaled = self.multiply(10_i128.checked_pow(digits)?, 1)?;
+        let (quotient, remainder) =
+            (scaled.numerator / scaled.denominator, scaled.numerator % scaled.denominator);
+        let round_up = match rounding {
             Rounding::Down => false,
-            Rounding::HalfUp => rest.unsigned_abs() >= scaled.below.unsigned_abs() - rest.unsigned_abs(),
+            Rounding::HalfUp => {
+                remainder.unsigned_abs() >= scaled.denominator.unsigned_abs() - remainder.unsigned_abs()
+            }
             Rounding::HalfEven => {
-                let (low, high) = (rest.unsigned_abs(), scaled.below.unsigned_abs() - rest.unsigned_abs());
-                low > high || low == high && whole % 2 != 0
+                let (remainder_size, complement) =
+                    (remainder.unsigned_abs(), scaled.denominator.unsigned_abs() - remainder.unsigned_abs());
+                remainder_size > complement || remainder_size == complement && quotient % 2 != 0
             }
         };
-        let whole = if up { whole.checked_add(scaled.above.signum())? } else { whole };
-        Some((Decimal::try_from_i128_with_scale(whole, digits).ok()?, rest != 0))
+        let quotient = if round_up { quotient.checked_add(scaled.numerator.signum())? } else { quotient };
+        Some((Decimal::try_from_i128_with_scale(quotient, digits).ok()?, remainder != 0))
     }
 }
 
 /// The value in another unit of the same dimension, exactly. None if a number on the way is too large.
 pub fn convert(value: Decimal, from: &Unit, to: &Unit) -> Option<Ratio> {
-    let si = Ratio::of(value)?.plus(from.offset)?.times(from.times, from.per)?;
-    si.times(to.per, to.times)?.plus(-to.offset)
+    let si = Ratio::from_decimal(value)?
+        .add_hundredths(from.offset_hundredths)?
+        .multiply(from.si_numerator, from.si_denominator)?;
+    si.multiply(to.si_denominator, to.si_numerator)?.add_hundredths(-to.offset_hundredths)
 }
 
 /// Digits after the point that every value of `from` with `digits` of them may need in `to`; None if no number of
@@ -153,7 +174,7 @@
         steps.iter().all(|&step| {
             convert(step, from, to)
                 .and_then(|exact| exact.round(more, Rounding::Down))
-                .is_some_and(|(_, lost)| !lost)
+                .is_some_and(|(_, inexact)| !inexact)
         })
     })
 }
--- a/crates/translate/src/units/tests.rs
+++ b/crates/translate/src/units/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn say(value: &str, from: &str, to: &str, digits: u32) -> (String, bool) {
+fn convert_and_round(value: &str, from: &str, to: &str, digits: u32) -> (String, bool) {
     let (from, to) = (find(from).unwrap(), find(to).unwrap());
     let (value, lost) =
         convert(value.parse().unwrap(), from, to).unwrap().round(digits, Rounding::HalfEven).unwrap();
@@ -9,20 +9,25 @@
 
 #[test]
 fn the_agreed_ratios_hold() {
-    assert_eq!(say("1", "in", "mm", 1), ("25.4".into(), false));
-    assert_eq!(say("1", "mi", "m", 3), ("1609.344".into(), false));
-    assert_eq!(say("1", "mi/h", "m/s", 5), ("0.44704".into(), false));
-    assert_eq!(say("9", "kn", "m/s", 2), ("4.63".into(), false));
-    assert_eq!(say("1", "kn", "m/s", 4), ("0.5144".into(), true));
-    assert_eq!(say("32", "degF", "degC", 2), ("0".into(), false));
-    assert_eq!(say("-40", "degC", "degF", 2), ("-40".into(), false));
-    assert_eq!(say("100", "degF", "degC", 1), ("37.8".into(), true));
-    assert_eq!(say("1000000000000000000", "nmi", "m", 0), ("1852000000000000000000".into(), false));
+    assert_eq!(convert_and_round("1", "in", "mm", 1), ("25.4".into(), false));
+    assert_eq!(convert_and_round("1", "mi", "m", 3), ("1609.344".into(), false));
+    assert_eq!(convert_and_round("1", "mi/h", "m/s", 5), ("0.44704".into(), false));
+    assert_eq!(convert_and_round("9", "kn", "m/s", 2), ("4.63".into(), false));
+    assert_eq!(convert_and_round("1", "kn", "m/s", 4), ("0.5144".into(), true));
+    assert_eq!(convert_and_round("32", "degF", "degC", 2), ("0".into(), false));
+    assert_eq!(convert_and_round("-40", "degC", "degF", 2), ("-40".into(), false));
+    assert_eq!(convert_and_round("100", "degF", "degC", 1), ("37.8".into(), true));
+    assert_eq!(
+        convert_and_round("1000000000000000000", "nmi", "m", 0),
+        ("1852000000000000000000".into(), false)
+    );
 }
 
 #[test]
 fn halves_go_where_they_are_told() {
-    let half = |text: &str, rounding| Ratio::of(text.parse().unwrap()).unwrap().round(0, rounding).unwrap().0;
+    let half = |text: &str, rounding| {
+        Ratio::from_decimal(text.parse().unwrap()).unwrap().round(0, rounding).unwrap().0
+    };
     assert_eq!(half("2.5", Rounding::HalfEven), Decimal::from(2));
     assert_eq!(half("-3.5", Rounding::HalfEven), Decimal::from(-4));
     assert_eq!(half("-2.5", Rounding::HalfUp), Decimal::from(-3));
--- a/crates/translate/src/wire/error_response.rs
+++ b/crates/translate/src/wire/error_response.rs
@@ -35,13 +35,13 @@
 impl RequestFailure {
     fn parts(&self) -> (u16, &'static str, String) {
         match self {
-            RequestFailure::BadRequest(why) => (400, "Request not understood", why.clone()),
-            RequestFailure::TooLarge(why) => (413, "Request too large", why.clone()),
+            RequestFailure::BadRequest(reason) => (400, "Request not understood", reason.clone()),
+            RequestFailure::TooLarge(reason) => (413, "Request too large", reason.clone()),
             RequestFailure::Rejected(_) => {
                 (503, "Refused", "It did not run; trying again is harmless.".into())
             }
-            RequestFailure::Failed(why) => {
-                (502, "Failed", format!("It may have run. {why}").trim_end().to_owned())
+            RequestFailure::Failed(reason) => {
+                (502, "Failed", format!("It may have run. {reason}").trim_end().to_owned())
             }
         }
     }
@@ -80,7 +80,11 @@
                     RequestFailure::TooLarge(_) | RequestFailure::Rejected(_) => status,
                 };
                 let after = retry_after.map(|s| ("retryAfterSeconds", s.to_string()));
-                (status, "text/xml; charset=utf-8", soap::fault(code, &format!("{title}: {detail}"), after))
+                (
+                    status,
+                    "text/xml; charset=utf-8",
+                    soap::encode_fault(code, &format!("{title}: {detail}"), after),
+                )
             }
             Form::Form | Form::Table => {
                 let more = retry_after.map(|s| format!("RETRY-AFTER {s}\r\n")).unwrap_or_default();
--- a/crates/translate/src/wire/error_response/tests.rs
+++ b/crates/translate/src/wire/error_response/tests.rs
@@ -2,22 +2,22 @@
 
 #[test]
 fn a_refusal_is_one_in_each_form_and_says_when() {
-    let refused = RequestFailure::Rejected(Some(Duration::from_millis(1200)));
+    let rejected = RequestFailure::Rejected(Some(Duration::from_millis(1200)));
     for form in [Form::Json, Form::Soap, Form::Form, Form::Table] {
-        let told = refused.to_response(form);
-        assert_eq!((told.status, told.retry_after), (503, Some(2)), "{form:?}");
-        assert!(String::from_utf8_lossy(&told.body).contains('2'), "{form:?}");
-        assert_eq!(is_rejection(told.status, &told.body), form != Form::Json, "{form:?}");
+        let response = rejected.to_response(form);
+        assert_eq!((response.status, response.retry_after), (503, Some(2)), "{form:?}");
+        assert!(String::from_utf8_lossy(&response.body).contains('2'), "{form:?}");
+        assert_eq!(is_rejection(response.status, &response.body), form != Form::Json, "{form:?}");
     }
 }
 
 #[test]
 fn a_failure_never_looks_like_a_refusal() {
     for form in [Form::Json, Form::Soap, Form::Form, Form::Table] {
-        for trouble in [RequestFailure::Failed("x \"<&".into()), RequestFailure::BadRequest("é".into())] {
-            let told = trouble.to_response(form);
-            assert!(!matches!(told.status, 200..=299 | 429 | 503), "{form:?}");
-            assert!(!is_rejection(503, &told.body), "whatever the status says");
+        for failure in [RequestFailure::Failed("x \"<&".into()), RequestFailure::BadRequest("é".into())] {
+            let response = failure.to_response(form);
+            assert!(!matches!(response.status, 200..=299 | 429 | 503), "{form:?}");
+            assert!(!is_rejection(503, &response.body), "whatever the status says");
         }
     }
     let problem = RequestFailure::Failed("a \"b\"".into()).to_response(Form::Json).body;
--- a/crates/translate/src/wire/form.rs
+++ b/crates/translate/src/wire/form.rs
@@ -3,12 +3,12 @@
 //! Records are written as `record.field`, lists as `list.1.field`, counted from 1 without gaps.
 
 use crate::charset::Charset;
-use crate::node::{Count, Limits, Node};
+use crate::node::{LimitCounter, Limits, Node};
 use std::borrow::Cow;
 
 /// Reads a query or a body. A name that comes twice is refused: which of the two was meant is not known.
 pub fn decode(bytes: &[u8], charset: Charset, limits: Limits) -> Result<Node, String> {
-    let mut count = Count::new(limits, bytes.len())?;
+    let mut counter = LimitCounter::new(limits, bytes.len())?;
     let mut message = Node::record();
     for pair in bytes.split(|&byte| byte == b'&').filter(|pair| !pair.is_empty()) {
         let (name, value) = match pair.iter().position(|&byte| byte == b'=') {
@@ -17,8 +17,8 @@
         };
         let (name, value) = (part(name, charset)?, part(value, charset)?);
         let steps: Vec<&str> = name.split('.').collect();
-        count.value(steps.len())?;
-        place(&mut message, &steps, value).map_err(|why| format!("{name:?}: {why}"))?;
+        counter.add_value(steps.len())?;
+        place(&mut message, &steps, value).map_err(|reason| format!("{name:?}: {reason}"))?;
     }
     Ok(message)
 }
@@ -94,7 +94,7 @@
         }
         Node::Null => return Ok(()),
         Node::Text(text) | Node::Number(text) => Cow::from(text),
-        Node::Flag(flag) => Cow::from(if *flag { "true" } else { "false" }),
+        Node::Bool(flag) => Cow::from(if *flag { "true" } else { "false" }),
     };
     let bytes = |text: &str| {
         charset.encode(text).map_err(|c| format!("{path:?}: {} has no character {c:?}", charset.name()))
--- a/crates/translate/src/wire/form/tests.rs
+++ b/crates/translate/src/wire/form/tests.rs
@@ -8,10 +8,10 @@
 fn names_make_records_and_lists() {
     let text = "A=caf%E9+%80&S.ID=7&L.1.X=1&L.1.Y=2&L.2.X=&B";
     let message = read(text).unwrap();
-    assert_eq!(message.at("A"), Some(&Node::Text("café €".into())));
-    assert_eq!(message.at("S.ID"), Some(&Node::Text("7".into())));
-    assert!(matches!(message.at("L"), Some(Node::List(items)) if items.len() == 2));
-    assert_eq!(message.at("B"), Some(&Node::Text(String::new())));
+    assert_eq!(message.get("A"), Some(&Node::Text("café €".into())));
+    assert_eq!(message.get("S.ID"), Some(&Node::Text("7".into())));
+    assert!(matches!(message.get("L"), Some(Node::List(items)) if items.len() == 2));
+    assert_eq!(message.get("B"), Some(&Node::Text(String::new())));
     assert_eq!(encode(&message, Charset::Windows1252).unwrap(), format!("{text}=").into_bytes());
 }
 
@@ -27,6 +27,6 @@
 #[test]
 fn what_the_charset_lacks_is_named() {
     let mut message = Node::record();
-    message.put("A", Node::Text("Łódź".into()));
+    message.insert("A", Node::Text("Łódź".into()));
     assert!(encode(&message, Charset::Windows1252).unwrap_err().contains("'Ł'"));
 }
--- a/crates/translate/src/wire/json.rs
+++ b/crates/translate/src/wire/json.rs
@@ -1,6 +1,6 @@
 //! JSON (RFC 8259), with numbers kept digit for digit and names that come twice refused.
 
-use crate::node::{Count, Limits, Node};
+use crate::node::{LimitCounter, Limits, Node};
 use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
 use std::collections::HashSet;
@@ -8,9 +8,9 @@
 
 /// Reads a body; its outermost value must be an object.
 pub fn decode(bytes: &[u8], limits: Limits) -> Result<Node, String> {
-    let mut count = Count::new(limits, bytes.len())?;
+    let mut counter = LimitCounter::new(limits, bytes.len())?;
     let raw: &RawValue = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
-    match value(raw, 0, &mut count)? {
+    match value(raw, 0, &mut counter)? {
         message @ Node::Record(_) => Ok(message),
         other => Err(format!("{} where an object should be", other.kind())),
     }
@@ -53,30 +53,30 @@
     }
 }
 
-fn value(raw: &RawValue, depth: usize, count: &mut Count) -> Result<Node, String> {
-    count.value(depth)?;
+fn value(raw: &RawValue, depth: usize, counter: &mut LimitCounter) -> Result<Node, String> {
+    counter.add_value(depth)?;
     let text = raw.get();
     let mut reader = serde_json::Deserializer::from_str(text);
-    let said = |e: serde_json::Error| format!("not JSON: {e}");
+    let json_error = |e: serde_json::Error| format!("not JSON: {e}");
     match text.as_bytes().first() {
         Some(b'{') => {
-            let members = reader.deserialize_map(MembersVisitor).map_err(said)?.0;
+            let members = reader.deserialize_map(MembersVisitor).map_err(json_error)?.0;
             let mut names = HashSet::with_capacity(members.len());
-            if let Some((twice, _)) = members.iter().find(|(name, _)| !names.insert(name.as_str())) {
-                return Err(format!("{twice:?}: given twice"));
+            if let Some((duplicate, _)) = members.iter().find(|(name, _)| !names.insert(name.as_str())) {
+                return Err(format!("{duplicate:?}: given twice"));
             }
             drop(names);
-            let members = members.into_iter().map(|(name, raw)| Ok((name, value(raw, depth + 1, count)?)));
+            let members = members.into_iter().map(|(name, raw)| Ok((name, value(raw, depth + 1, counter)?)));
             members.collect::<Result<_, String>>().map(Node::Record)
         }
         Some(b'[') => {
-            let items = reader.deserialize_seq(ItemsVisitor).map_err(said)?;
-            let items = items.into_iter().map(|raw| value(raw, depth + 1, count));
+            let items = reader.deserialize_seq(ItemsVisitor).map_err(json_error)?;
+            let items = items.into_iter().map(|raw| value(raw, depth + 1, counter));
             items.collect::<Result<_, _>>().map(Node::List)
         }
-        Some(b'"') => serde_json::from_str(text).map(Node::Text).map_err(said),
-        Some(b't') => Ok(Node::Flag(true)),
-        Some(b'f') => Ok(Node::Flag(false)),
+        Some(b'"') => serde_json::from_str(text).map(Node::Text).map_err(json_error),
+        Some(b't') => Ok(Node::Bool(true)),
+        Some(b'f') => Ok(Node::Bool(false)),
         Some(b'n') => Ok(Node::Null),
         _ => Ok(Node::Number(text.to_owned())),
     }
@@ -97,7 +97,7 @@
 fn write(node: &Node, out: &mut String) {
     match node {
         Node::Null => out.push_str("null"),
-        Node::Flag(flag) => out.push_str(if *flag { "true" } else { "false" }),
+        Node::Bool(flag) => out.push_str(if *flag { "true" } else { "false" }),
         Node::Number(digits) => out.push_str(digits),
         Node::Text(text) => out.push_str(&quoted(text)),
         Node::Record(members) => {
--- a/crates/translate/src/wire/json/tests.rs
+++ b/crates/translate/src/wire/json/tests.rs
@@ -8,7 +8,7 @@
 fn numbers_keep_their_digits() {
     let text = r#"{"a":1.10,"b":123456789012345678901234567890.5,"c":-0,"d":[1,"x\n",null,true],"e":{}}"#;
     let message = read(text).unwrap();
-    assert_eq!(message.at("a"), Some(&Node::Number("1.10".into())));
+    assert_eq!(message.get("a"), Some(&Node::Number("1.10".into())));
     assert_eq!(String::from_utf8(encode(&message)).unwrap(), text);
 }
 
@@ -19,6 +19,6 @@
     }
     let deep = format!("{}1{}", "{\"a\":".repeat(9), "}".repeat(9));
     assert!(read(&deep).unwrap_err().contains("deeper"));
-    let many = Limits { fields: 3, ..Limits::default() };
+    let many = Limits { max_fields: 3, ..Limits::default() };
     assert!(decode(b"{\"a\":[1,2,3]}", many).unwrap_err().contains("more than 3"));
 }
--- a/crates/translate/src/wire/soap.rs
+++ b/crates/translate/src/wire/soap.rs
@@ -2,7 +2,7 @@
 //! chapter 3 asks), and so no entity but the five of XML.
 
 use crate::charset::Charset;
-use crate::node::{Count, Limits, Node};
+use crate::node::{LimitCounter, Limits, Node};
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::name::ResolveResult;
 use quick_xml::NsReader;
@@ -12,7 +12,7 @@
 pub const ENVELOPE: &str = "http://schemas.xmlsoap.org/soap/envelope/";
 const INSTANCE: &str = "http://www.w3.org/2001/XMLSchema-instance";
 /// Envelope, Body and the call itself stand around the fields.
-const AROUND: usize = 3;
+const ENVELOPE_DEPTH: usize = 3;
 
 /// What an envelope holds.
 #[derive(Debug, Clone, PartialEq)]
@@ -46,9 +46,9 @@
 
 /// Reads an envelope.
 pub fn decode(bytes: &[u8], charset: Charset, limits: Limits) -> Result<Body, String> {
-    let mut count = Count::new(limits, bytes.len())?;
+    let mut counter = LimitCounter::new(limits, bytes.len())?;
     let text = charset.decode(bytes)?;
-    let envelope = parse(text.trim_start_matches('\u{feff}'), charset, limits, &mut count)?;
+    let envelope = parse(text.trim_start_matches('\u{feff}'), charset, limits, &mut counter)?;
     if (envelope.namespace.as_str(), envelope.name.as_str()) != (ENVELOPE, "Envelope") {
         return Err(format!("{:?} of {:?} is no SOAP 1.1 envelope", envelope.name, envelope.namespace));
     }
@@ -81,39 +81,46 @@
     }
 }
 
-fn parse(text: &str, charset: Charset, limits: Limits, count: &mut Count) -> Result<Element, String> {
+fn parse(
+    text: &str,
+    charset: Charset,
+    limits: Limits,
+    counter: &mut LimitCounter,
+) -> Result<Element, String> {
     let mut reader = NsReader::from_str(text);
-    let mut open: Vec<Element> = Vec::new();
+    let mut open_elements: Vec<Element> = Vec::new();
     let mut root = None;
     loop {
         let at = reader.buffer_position();
-        let said = |e: quick_xml::Error| format!("not XML after byte {at}: {e}");
-        let event = reader.read_event().map_err(said)?;
+        let xml_error = |e: quick_xml::Error| format!("not XML after byte {at}: {e}");
+        let event = reader.read_event().map_err(xml_error)?;
         let closed = match &event {
             Event::Start(start) | Event::Empty(start) => {
                 if root.is_some() {
                     return Err("more than one root element".into());
                 }
-                count.value(open.len().saturating_sub(AROUND)).map_err(|why| format!("byte {at}: {why}"))?;
-                if open.len() > limits.depth + AROUND {
-                    return Err(format!("nested deeper than {}", limits.depth));
+                counter
+                    .add_value(open_elements.len().saturating_sub(ENVELOPE_DEPTH))
+                    .map_err(|reason| format!("byte {at}: {reason}"))?;
+                if open_elements.len() > limits.max_depth + ENVELOPE_DEPTH {
+                    return Err(format!("nested deeper than {}", limits.max_depth));
                 }
-                open.push(element(&reader, start)?);
+                open_elements.push(element(&reader, start)?);
                 matches!(event, Event::Empty(_))
             }
             Event::End(_) => true,
             Event::Text(part) => {
-                let part = part.xml10_content().map_err(|e| format!("not XML after byte {at}: {e}"))?;
-                add(&mut open, &part)?;
+                let content = part.xml10_content().map_err(|e| format!("not XML after byte {at}: {e}"))?;
+                append_text(&mut open_elements, &content)?;
                 false
             }
             Event::CData(part) => {
-                let part = part.xml10_content().map_err(|e| format!("not XML after byte {at}: {e}"))?;
-                add(&mut open, &part)?;
+                let content = part.xml10_content().map_err(|e| format!("not XML after byte {at}: {e}"))?;
+                append_text(&mut open_elements, &content)?;
                 false
             }
             Event::GeneralRef(name) => {
-                let character = match name.resolve_char_ref().map_err(said)? {
+                let character = match name.resolve_char_ref().map_err(xml_error)? {
                     Some(character) => character,
                     None => match &**name {
                         b"lt" => '<',
@@ -124,16 +131,16 @@
                         _ => return Err("an entity that only a document type could declare".into()),
                     },
                 };
-                add(&mut open, character.encode_utf8(&mut [0; 4]))?;
+                append_text(&mut open_elements, character.encode_utf8(&mut [0; 4]))?;
                 false
             }
             Event::Decl(declared) => {
-                let named = declared.encoding().transpose().map_err(|e| e.to_string())?;
-                let named = named.map(|name| String::from_utf8_lossy(&name).to_ascii_lowercase());
-                if named.as_deref().is_some_and(|name| name != charset.name()) {
+                let encoding = declared.encoding().transpose().map_err(|e| e.to_string())?;
+                let encoding = encoding.map(|name| String::from_utf8_lossy(&name).to_ascii_lowercase());
+                if encoding.as_deref().is_some_and(|name| name != charset.name()) {
                     return Err(format!(
                         "declared as {}, not as {}",
-                        named.unwrap_or_default(),
+                        encoding.unwrap_or_default(),
                         charset.name()
                     ));
                 }
@@ -145,24 +152,24 @@
             Event::Eof => break,
         };
         if closed {
-            let Some(done) = open.pop() else { return Err("an end without a start".into()) };
-            match open.last_mut() {
-                Some(parent) => parent.children.push(done),
-                None => root = Some(done),
+            let Some(element) = open_elements.pop() else { return Err("an end without a start".into()) };
+            match open_elements.last_mut() {
+                Some(parent) => parent.children.push(element),
+                None => root = Some(element),
             }
         }
     }
-    match (root, open.is_empty()) {
+    match (root, open_elements.is_empty()) {
         (Some(root), true) => Ok(root),
         _ => Err("cut off".into()),
     }
 }
 
-fn add(open: &mut [Element], text: &str) -> Result<(), String> {
+fn append_text(open_elements: &mut [Element], text: &str) -> Result<(), String> {
     if let Some(bad) = text.chars().find(|&c| !is_xml(c)) {
         return Err(format!("the character {bad:?}, which XML does not have"));
     }
-    match open.last_mut() {
+    match open_elements.last_mut() {
         Some(element) => element.text.push_str(text),
         None if text.trim().is_empty() => {}
         None => return Err("text outside the root element".into()),
@@ -279,7 +286,7 @@
             value => write_field(name, value, out),
         }),
         Node::Text(text) | Node::Number(text) => escape(text, out),
-        Node::Flag(flag) => escape(if *flag { "true" } else { "false" }, out),
+        Node::Bool(flag) => escape(if *flag { "true" } else { "false" }, out),
         Node::Null => Ok(()),
         Node::List(_) => Err("a list within a list".into()),
     }
@@ -287,20 +294,20 @@
 
 fn write_field(name: &str, value: &Node, out: &mut String) -> Result<(), String> {
     let _ = write!(out, "<{name}>");
-    write_fields(value, out).map_err(|why| format!("{name:?}: {why}"))?;
+    write_fields(value, out).map_err(|reason| format!("{name:?}: {reason}"))?;
     let _ = write!(out, "</{name}>");
     Ok(())
 }
 
 /// A Fault, with one element of detail if there is any; in UTF-8.
-pub(crate) fn fault(code: &str, text: &str, detail: Option<(&str, String)>) -> String {
-    let mut words = String::new();
-    let legible: String = text.chars().map(|c| if is_xml(c) { c } else { '?' }).collect();
-    let _ = escape(&legible, &mut words);
+pub(crate) fn encode_fault(code: &str, text: &str, detail: Option<(&str, String)>) -> String {
+    let mut escaped_text = String::new();
+    let valid_text: String = text.chars().map(|c| if is_xml(c) { c } else { '?' }).collect();
+    let _ = escape(&valid_text, &mut escaped_text);
     let detail = detail.map(|(name, value)| format!("<detail><{name}>{value}</{name}></detail>"));
     format!(
         "<?xml version=\"1.0\" encoding=\"utf-8\"?><soap:Envelope xmlns:soap=\"{ENVELOPE}\"><soap:Body><soap:Fault>\
-         <faultcode>soap:{code}</faultcode><faultstring>{words}</faultstring>{}</soap:Fault></soap:Body></soap:Envelope>",
+         <faultcode>soap:{code}</faultcode><faultstring>{escaped_text}</faultstring>{}</soap:Fault></soap:Body></soap:Envelope>",
         detail.unwrap_or_default()
     )
 }
--- a/crates/translate/src/wire/soap/tests.rs
+++ b/crates/translate/src/wire/soap/tests.rs
@@ -4,48 +4,48 @@
     decode(text.as_bytes(), Charset::Utf8, Limits::default())
 }
 
-fn around(inner: &str) -> String {
+fn envelope(inner: &str) -> String {
     format!("<s:Envelope xmlns:s='{ENVELOPE}'><s:Body>{inner}</s:Body></s:Envelope>")
 }
 
 #[test]
 fn a_call_is_read_and_written() {
-    let text = around(
+    let text = envelope(
         "<m:Get xmlns:m='urn:x'><A>1 &lt; &#233;<![CDATA[<&]]></A><B/><L><X>1</X></L><L><X>2</X></L>\
              <N xmlns:xsi='http://www.w3.org/2001/XMLSchema-instance' xsi:nil='1'/><!-- c --></m:Get>",
     );
     let Body::Call { namespace, name, fields } = read(&text).unwrap() else { panic!() };
     assert_eq!((namespace.as_str(), name.as_str()), ("urn:x", "Get"));
-    assert_eq!(fields.at("A"), Some(&Node::Text("1 < é<&".into())));
-    assert_eq!(fields.at("N"), Some(&Node::Null));
-    assert!(matches!(fields.at("L"), Some(Node::List(items)) if items.len() == 2));
+    assert_eq!(fields.get("A"), Some(&Node::Text("1 < é<&".into())));
+    assert_eq!(fields.get("N"), Some(&Node::Null));
+    assert!(matches!(fields.get("L"), Some(Node::List(items)) if items.len() == 2));
     let written = encode(&namespace, &name, &fields, Charset::Windows1252).unwrap();
     let Body::Call { fields: again, .. } = decode(&written, Charset::Windows1252, Limits::default()).unwrap()
     else {
         panic!()
     };
-    assert_eq!(again.at("A"), fields.at("A"));
-    assert_eq!(again.at("N"), None);
+    assert_eq!(again.get("A"), fields.get("A"));
+    assert_eq!(again.get("N"), None);
 }
 
 #[test]
 fn what_could_grow_or_hide_is_refused() {
-    let bomb = format!("<!DOCTYPE x [<!ENTITY a 'b'>]>{}", around("<g><A>&a;</A></g>"));
+    let bomb = format!("<!DOCTYPE x [<!ENTITY a 'b'>]>{}", envelope("<g><A>&a;</A></g>"));
     for text in [
         bomb,
-        around("<g><A>&a;</A></g>"),
-        around("<g><?php x ?></g>"),
-        around("<g hidden='1'><A>1</A></g>"),
-        around("<g>text<A>1</A></g>"),
-        around("<g>&#1;</g>"),
-        around("<g/><h/>"),
-        around(""),
-        around("<m:g/>"),
-        around("<g><A>1</A>"),
+        envelope("<g><A>&a;</A></g>"),
+        envelope("<g><?php x ?></g>"),
+        envelope("<g hidden='1'><A>1</A></g>"),
+        envelope("<g>text<A>1</A></g>"),
+        envelope("<g>&#1;</g>"),
+        envelope("<g/><h/>"),
+        envelope(""),
+        envelope("<m:g/>"),
+        envelope("<g><A>1</A>"),
         "<Envelope/>".into(),
-        around("<g/>").replace("<s:Body>", "<s:Header><t s:mustUnderstand='1'/></s:Header><s:Body>"),
-        around(&format!("<g>{}{}</g>", "<a>".repeat(20), "</a>".repeat(20))),
-        format!("{}{}", around("<g/>"), around("<g/>")),
+        envelope("<g/>").replace("<s:Body>", "<s:Header><t s:mustUnderstand='1'/></s:Header><s:Body>"),
+        envelope(&format!("<g>{}{}</g>", "<a>".repeat(20), "</a>".repeat(20))),
+        format!("{}{}", envelope("<g/>"), envelope("<g/>")),
     ] {
         assert!(read(&text).is_err(), "{text}");
     }
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_fault_is_told_from_an_answer() {
-    let told = fault("Server.Busy", "full \u{1} <now>", Some(("retryAfterSeconds", "2".into())));
-    let Body::Fault { code, text } = read(&told).unwrap() else { panic!() };
+    let encoded = encode_fault("Server.Busy", "full \u{1} <now>", Some(("retryAfterSeconds", "2".into())));
+    let Body::Fault { code, text } = read(&encoded).unwrap() else { panic!() };
     assert_eq!((code.as_str(), text.as_str()), ("Server.Busy", "full ? <now>"));
 }
--- a/crates/translate/src/wire/table.rs
+++ b/crates/translate/src/wire/table.rs
@@ -11,7 +11,7 @@
 
 use crate::charset::Charset;
 use crate::field::{Field, Kind};
-use crate::node::{Count, Limits, Node};
+use crate::node::{LimitCounter, Limits, Node};
 
 /// What a message holds, in its order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -47,59 +47,59 @@
     layout: &Layout,
     limits: Limits,
 ) -> Result<Node, String> {
-    let mut count = Count::new(limits, bytes.len())?;
+    let mut counter = LimitCounter::new(limits, bytes.len())?;
     let text = charset.decode(bytes)?;
     let mut reader = csv::ReaderBuilder::new()
         .delimiter(delimiter)
         .has_headers(false)
         .flexible(true)
         .from_reader(text.as_bytes());
-    let (mut message, mut rows, mut whole) = (Node::record(), 0_usize, false);
+    let (mut message, mut rows, mut is_complete) = (Node::record(), 0_usize, false);
     let mut groups: Vec<Vec<Node>> = vec![Vec::new(); layout.groups.len()];
     for row in reader.records() {
         let row = row.map_err(|e| format!("row {}: {e}", rows + 1))?;
-        if whole {
+        if is_complete {
             return Err("rows after the last".into());
         }
         let tag = row.get(0).unwrap_or_default();
-        let columns = |fields: &[String], count: &mut Count| {
+        let columns = |fields: &[String], counter: &mut LimitCounter| {
             if row.len() != fields.len() + 1 {
-                let (has, wants) = (row.len() - 1, fields.len());
-                return Err(format!("row {}: {has} columns after its tag, not {wants}", rows + 1));
+                let (found, expected) = (row.len() - 1, fields.len());
+                return Err(format!("row {}: {found} columns after its tag, not {expected}", rows + 1));
             }
             let mut record = Node::record();
             for (path, column) in
                 fields.iter().zip(row.iter().skip(1)).filter(|(_, column)| !column.is_empty())
             {
-                count.value(1)?;
-                record.put(path, Node::Text(column.to_owned()));
+                counter.add_value(1)?;
+                record.insert(path, Node::Text(column.to_owned()));
             }
             Ok(record)
         };
         match tag {
-            "H" if rows == 0 => message = columns(&layout.fields, &mut count)?,
+            "H" if rows == 0 => message = columns(&layout.fields, &mut counter)?,
             _ if rows == 0 => return Err("the first row is no H".into()),
             "T" => {
-                whole = row.len() == 2 && row.get(1) == Some(rows.to_string().as_str());
-                if !whole {
+                is_complete = row.len() == 2 && row.get(1) == Some(rows.to_string().as_str());
+                if !is_complete {
                     return Err(format!("the last row does not say that {rows} came before it"));
                 }
             }
             "X" => match (&layout.extension, row.get(1), row.get(2)) {
                 (Some(extension), Some(name), Some(value)) if row.len() == 3 => {
-                    count.value(2)?;
+                    counter.add_value(2)?;
                     let path = format!("{extension}.{name}");
-                    if message.at(&path).is_some() {
+                    if message.get(&path).is_some() {
                         return Err(format!("row {}: {name:?} is carried twice", rows + 1));
                     }
-                    message.put(&path, Node::Text(value.to_owned()));
+                    message.insert(&path, Node::Text(value.to_owned()));
                 }
                 _ => return Err(format!("row {}: nothing is carried like this", rows + 1)),
             },
             _ => match layout.groups.iter().position(|(name, _)| name == tag) {
                 Some(at) => {
-                    count.value(1)?;
-                    let item = columns(&layout.groups[at].1, &mut count)?;
+                    counter.add_value(1)?;
+                    let item = columns(&layout.groups[at].1, &mut counter)?;
                     groups[at].push(item);
                 }
                 None => return Err(format!("row {}: no rows are called {tag:?}", rows + 1)),
@@ -107,11 +107,11 @@
         }
         rows += 1;
     }
-    if !whole {
+    if !is_complete {
         return Err("cut off: the last row is missing".into());
     }
     for ((name, _), items) in layout.groups.iter().zip(groups).filter(|(_, items)| !items.is_empty()) {
-        message.put(name, Node::List(items));
+        message.insert(name, Node::List(items));
     }
     Ok(message)
 }
@@ -124,19 +124,20 @@
         .terminator(csv::Terminator::CRLF)
         .from_writer(Vec::new());
     let columns = |tag: &'_ str, record: &'_ Node, fields: &'_ [String]| -> Vec<String> {
-        std::iter::once(tag.to_owned()).chain(fields.iter().map(|path| text(record.at(path)))).collect()
+        std::iter::once(tag.to_owned()).chain(fields.iter().map(|path| text(record.get(path)))).collect()
     };
-    let mut all = vec![columns("H", message, &layout.fields)];
+    let mut table_rows = vec![columns("H", message, &layout.fields)];
     for (name, fields) in &layout.groups {
-        if let Some(Node::List(items)) = message.at(name) {
-            all.extend(items.iter().map(|item| columns(name, item, fields)));
+        if let Some(Node::List(items)) = message.get(name) {
+            table_rows.extend(items.iter().map(|item| columns(name, item, fields)));
         }
     }
-    if let Some(Node::Record(carried)) = layout.extension.as_ref().and_then(|path| message.at(path)) {
-        all.extend(carried.iter().map(|(name, value)| vec!["X".into(), name.clone(), text(Some(value))]));
+    if let Some(Node::Record(carried)) = layout.extension.as_ref().and_then(|path| message.get(path)) {
+        table_rows
+            .extend(carried.iter().map(|(name, value)| vec!["X".into(), name.clone(), text(Some(value))]));
     }
-    all.push(vec!["T".into(), all.len().to_string()]);
-    for row in &all {
+    table_rows.push(vec!["T".into(), table_rows.len().to_string()]);
+    for row in &table_rows {
         writer.write_record(row).map_err(|e| e.to_string())?;
     }
     let bytes = writer.into_inner().map_err(|e| e.to_string())?;
@@ -147,7 +148,7 @@
 fn text(node: Option<&Node>) -> String {
     match node {
         Some(Node::Text(text) | Node::Number(text)) => text.clone(),
-        Some(Node::Flag(flag)) => flag.to_string(),
+        Some(Node::Bool(flag)) => flag.to_string(),
         _ => String::new(),
     }
 }
--- a/crates/translate/src/wire/table/tests.rs
+++ b/crates/translate/src/wire/table/tests.rs
@@ -16,8 +16,8 @@
 fn rows_are_quoted_and_counted() {
     let text = "H|7|\"a \"\"b\"\" | c\r\nd\"\r\nLINE|1|2.5\r\nLINE|2|\r\nX|seen|yes\r\nT|4\r\n";
     let message = read(text).unwrap();
-    assert_eq!(message.at("S.NAME"), Some(&Node::Text("a \"b\" | c\r\nd".into())));
-    assert_eq!(message.at("EXT.seen"), Some(&Node::Text("yes".into())));
+    assert_eq!(message.get("S.NAME"), Some(&Node::Text("a \"b\" | c\r\nd".into())));
+    assert_eq!(message.get("EXT.seen"), Some(&Node::Text("yes".into())));
     assert_eq!(encode(&message, Charset::Utf8, b'|', &layout()).unwrap(), text.as_bytes());
 }
 
--- a/crates/translate/tests/faults.rs
+++ b/crates/translate/tests/faults.rs
@@ -1,9 +1,9 @@
 //! Files with faults, each with its line, and the worked files, which have none.
 mod worked;
-use heronhoist_translate::mapping::{self, Fault};
+use heronhoist_translate::mapping::{self, Diagnostic};
 use worked::WORKED;
 
-fn faults(text: &str) -> Vec<Fault> {
+fn faults(text: &str) -> Vec<Diagnostic> {
     mapping::read(text).err().unwrap_or_default()
 }
 
@@ -12,8 +12,11 @@
     for (name, text) in WORKED {
         let mapping = mapping::read(text).unwrap_or_else(|faults| panic!("{name}: {faults:?}"));
         assert_eq!((mapping.name.as_str(), mapping.class.as_str()), (name, name));
-        let told = heronhoist_translate::explain::explain(&mapping);
-        assert!(mapping.notes.iter().all(|note| told.contains(&format!("`{}`", note.field))), "{told}");
+        let explained = heronhoist_translate::explain::explain(&mapping);
+        assert!(
+            mapping.notes.iter().all(|note| explained.contains(&format!("`{}`", note.field))),
+            "{explained}"
+        );
     }
 }
 
@@ -54,11 +57,11 @@
 #[test]
 fn faults_are_told_with_line_and_key() {
     let (_, text) = WORKED[0];
-    let wrong = |from: &str, to: &str, key: &str, what: &str| {
+    let wrong = |from: &str, to: &str, key: &str, message: &str| {
         assert!(text.contains(from), "{from}");
         let found = faults(&text.replacen(from, to, 1));
         assert!(
-            found.iter().any(|fault| fault.key.contains(key) && fault.what.contains(what)),
+            found.iter().any(|fault| fault.key.contains(key) && fault.message.contains(message)),
             "{from} -> {to}: {found:?}"
         );
     };
--- a/crates/translate/tests/golden.rs
+++ b/crates/translate/tests/golden.rs
@@ -17,16 +17,16 @@
 ) -> Result<(String, Vec<String>), String> {
     let mapping = worked(name);
     let message = mapping.dialect(from).decode(message_kind, bytes, Limits::default())?;
-    let done = mapping.convert(message_kind, from, &message).map_err(|why| why.to_string())?;
+    let done = mapping.convert(message_kind, from, &message).map_err(|reason| reason.to_string())?;
     let bytes = mapping.dialect(from.other()).encode(message_kind, &done.message)?;
     let text = mapping.dialect(from.other()).charset.decode(&bytes)?;
     Ok((text, done.notices.iter().map(ToString::to_string).collect()))
 }
 
 fn golden(name: &str, message_kind: MessageKind, from: Side, bytes: &[u8], to: &str, notices: &[&str]) {
-    let (text, told) = translate(name, message_kind, from, bytes).unwrap();
+    let (text, found_notices) = translate(name, message_kind, from, bytes).unwrap();
     assert_eq!(text, to);
-    assert_eq!(told, notices);
+    assert_eq!(found_notices, notices);
 }
 
 /// Why a message is refused.
@@ -152,7 +152,7 @@
     let answer =
         |name: &str| format!("{{\"station\":{{\"id\":\"{name}\",\"name\":\"n\"}},\"observations\":[]}}");
     let at = |time: &str| format!("station=K&from={time}&to=2026-06-01T04:00:00Z&kind=all");
-    for (name, message_kind, from, bytes, why) in [
+    for (name, message_kind, from, bytes, reason) in [
         // A field, a word, a flag that the other side does not have.
         (
             "certified-copy",
@@ -209,7 +209,7 @@
             "whole number",
         ),
     ] {
-        let told = refusal(name, message_kind, from, &bytes);
-        assert!(told.contains(why), "{bytes}: {told}");
+        let error = refusal(name, message_kind, from, &bytes);
+        assert!(error.contains(reason), "{bytes}: {error}");
     }
 }
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -1,6 +1,6 @@
 //! Every field of every worked message, there and back, on generated values with their edges; and bytes that are wrong.
 mod worked;
-use heronhoist_translate::field::{Clock, ClockForm, Field, Kind, Moment, Value};
+use heronhoist_translate::field::{Field, Kind, OffsetTimestamp, TimeFormat, TimeNotation, Value};
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Node, Side};
 use jiff::civil::date;
 use jiff::tz::Offset;
@@ -13,7 +13,7 @@
 use std::cell::Cell;
 use worked::WORKED;
 
-const WAYS: [(MessageKind, Side); 4] = [
+const DIRECTIONS: [(MessageKind, Side); 4] = [
     (MessageKind::Request, Side::Old),
     (MessageKind::Request, Side::New),
     (MessageKind::Response, Side::Old),
@@ -57,40 +57,39 @@
 
 fn value(kind: &Kind) -> BoxedStrategy<Value> {
     match kind {
-        Kind::Text(least, most) => {
-            let any = vec(character(), *least..=(*most).min(least + 40));
-            let full = vec(proptest::char::range('a', 'z'), *most..=*most);
+        Kind::Text(min, max) => {
+            let any = vec(character(), *min..=(*max).min(min + 40));
+            let full = vec(proptest::char::range('a', 'z'), *max..=*max);
             prop_oneof![9 => any, 1 => full].prop_map(|text| Value::Text(text.into_iter().collect())).boxed()
         }
-        Kind::Integer(least, most, _) => {
-            prop_oneof![Just(*least), Just(*most), *least..=*most].prop_map(Value::Integer).boxed()
+        Kind::Integer(min, max, _) => {
+            prop_oneof![Just(*min), Just(*max), *min..=*max].prop_map(Value::Integer).boxed()
         }
-        Kind::Decimal(least, most, digits) | Kind::Quantity(least, most, digits, _) => {
+        Kind::Decimal(min, max, digits) | Kind::Quantity(min, max, digits, _) => {
             let digits = *digits;
             let whole =
                 |n: Decimal| (n * Decimal::from(10_u64.pow(digits))).mantissa() / 10_i128.pow((n).scale());
-            let any =
-                (whole(*least)..=whole(*most)).prop_map(move |n| Decimal::from_i128_with_scale(n, digits));
-            prop_oneof![1 => Just(*least), 1 => Just(*most), 8 => any].prop_map(Value::Decimal).boxed()
+            let any = (whole(*min)..=whole(*max)).prop_map(move |n| Decimal::from_i128_with_scale(n, digits));
+            prop_oneof![1 => Just(*min), 1 => Just(*max), 8 => any].prop_map(Value::Decimal).boxed()
         }
         Kind::Date(_) => {
             (1900_i16..2100, 1_i8..=12, 1_i8..=28).prop_map(|(y, m, d)| Value::Date(date(y, m, d))).boxed()
         }
-        Kind::Time(clock) => {
-            let clock: Clock = clock.clone();
+        Kind::Time(time_format) => {
+            let time_format: TimeFormat = time_format.clone();
             let offset = select(vec![None, Some(0), Some(-18_000), Some(20_700)]);
             let nanos = prop_oneof![3 => Just(0), 1 => Just(500_000_000_i32), 1 => Just(1)];
             let moment = (moments(), offset, nanos).prop_map(move |(at, offset, nanos)| {
                 let offset = offset.map(|seconds| Offset::from_seconds(seconds).unwrap());
-                let offset = if clock.form == ClockForm::Rfc3339 { offset } else { None };
+                let offset = if time_format.notation == TimeNotation::Rfc3339 { offset } else { None };
                 let at = Timestamp::new(at.as_second(), nanos).unwrap();
-                clock.cut(Moment { at, offset })
+                time_format.truncate(OffsetTimestamp { timestamp: at, offset })
             });
             moment.prop_map(Value::Time).boxed()
         }
         Kind::Choice(words) => select(words.clone()).prop_map(Value::Choice).boxed(),
         Kind::Flag(..) => any::<bool>().prop_map(Value::Flag).boxed(),
-        Kind::Group(most, fields) => vec(values(fields), 0..=(*most).min(4)).prop_map(Value::Group).boxed(),
+        Kind::Group(max, fields) => vec(values(fields), 0..=(*max).min(4)).prop_map(Value::Group).boxed(),
     }
 }
 
@@ -104,7 +103,12 @@
 }
 
 /// The correction's own condition: of the three quantities the one that is named.
-fn abide(mapping: &Mapping, message_kind: MessageKind, from: Side, values: &mut [Option<Value>]) {
+fn apply_correction_conditions(
+    mapping: &Mapping,
+    message_kind: MessageKind,
+    from: Side,
+    values: &mut [Option<Value>],
+) {
     let fields = mapping.dialect(from).fields(message_kind);
     if mapping.name != "correction" || message_kind != MessageKind::Request {
         return;
@@ -132,8 +136,9 @@
 fn read(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Vec<Option<Value>> {
     let dialect = mapping.dialect(side);
     let typing = dialect.form(message_kind).typing();
-    let read =
-        |field: &Field| field.read(message, typing).unwrap_or_else(|why| panic!("{}: {why}", field.path));
+    let read = |field: &Field| {
+        field.read(message, typing).unwrap_or_else(|reason| panic!("{}: {reason}", field.path))
+    };
     dialect.fields(message_kind).iter().map(read).collect()
 }
 
@@ -142,20 +147,25 @@
     let mut message = Node::record();
     for (field, value) in dialect.fields(message_kind).iter().zip(values) {
         if let Some(value) = value {
-            message.put(&field.path, field.write(value, dialect.form(message_kind).typing()).ok()?);
+            message.insert(&field.path, field.write(value, dialect.form(message_kind).typing()).ok()?);
         }
     }
     Some(message)
 }
 
 /// Through the wire of a side; None if its characters can't say it.
-fn wire(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Option<Node> {
+fn encode_and_decode(
+    mapping: &Mapping,
+    message_kind: MessageKind,
+    side: Side,
+    message: &Node,
+) -> Option<Node> {
     let dialect = mapping.dialect(side);
     let bytes = dialect.encode(message_kind, message).ok()?;
     Some(
         dialect
             .decode(message_kind, &bytes, Limits::default())
-            .unwrap_or_else(|why| panic!("own message: {why}")),
+            .unwrap_or_else(|reason| panic!("own message: {reason}")),
     )
 }
 
@@ -166,28 +176,29 @@
     (message_kind, from): (MessageKind, Side),
     given: &[Option<Value>],
 ) -> Option<Vec<String>> {
-    let message = wire(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
+    let message =
+        encode_and_decode(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
     assert_eq!(read(mapping, message_kind, from, &message), given, "over the wire of its own side");
     let there = mapping.convert(message_kind, from, &message).ok()?;
-    let sent =
-        wire(mapping, message_kind, from.other(), &there.message).expect("what was converted can be written");
+    let sent = encode_and_decode(mapping, message_kind, from.other(), &there.message)
+        .expect("what was converted can be written");
     assert_eq!(
         read(mapping, message_kind, from.other(), &sent),
         read(mapping, message_kind, from.other(), &there.message)
     );
-    let mut told: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
+    let mut noticed_fields: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
     let back = match again.convert(message_kind, from.other(), &sent) {
         Ok(back) => back,
         // A rounded value may lie just outside of the bounds that it came from.
-        Err(_) if !told.is_empty() => return None,
-        Err(why) => return Some(vec![why.to_string()]),
+        Err(_) if !noticed_fields.is_empty() => return None,
+        Err(reason) => return Some(vec![reason.to_string()]),
     };
     let fields = mapping.dialect(from).fields(message_kind);
-    told.extend(back.notices.iter().map(|notice| notice.field.clone()));
+    noticed_fields.extend(back.notices.iter().map(|notice| notice.field.clone()));
     let back = read(mapping, message_kind, from, &back.message);
     let mut differences = Vec::new();
     for ((field, a), b) in fields.iter().zip(given).zip(&back) {
-        compare(field, a, b, "", &told, &mut differences);
+        compare(field, a, b, "", &noticed_fields, &mut differences);
     }
     Some(differences)
 }
@@ -196,16 +207,16 @@
     field: &Field,
     a: &Option<Value>,
     b: &Option<Value>,
-    above: &str,
-    told: &[String],
+    prefix: &str,
+    noticed_fields: &[String],
     differences: &mut Vec<String>,
 ) {
-    let path = format!("{above}{}", field.path);
+    let path = format!("{prefix}{}", field.path);
     match (a, b, &field.kind) {
         (Some(Value::Group(a)), Some(Value::Group(b)), Kind::Group(_, fields)) if a.len() == b.len() => {
             for (a, b) in a.iter().zip(b) {
                 for ((field, a), b) in fields.iter().zip(a).zip(b) {
-                    compare(field, a, b, &format!("{path}."), told, differences);
+                    compare(field, a, b, &format!("{path}."), noticed_fields, differences);
                 }
             }
         }
@@ -215,7 +226,7 @@
                 differences.push(format!("{path}: {a} came back as {b}"));
             }
         }
-        (a, b, _) if a == b || told.contains(&path) => {}
+        (a, b, _) if a == b || noticed_fields.contains(&path) => {}
         (a, b, _) => differences.push(format!("{path}: {a:?} came back as {b:?}")),
     }
 }
@@ -224,11 +235,11 @@
 fn every_field_of_every_message_comes_back_or_is_told_of() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
-        for (message_kind, from) in WAYS {
-            let (tried, whole) = (Cell::new(0), Cell::new(0));
+        for (message_kind, from) in DIRECTIONS {
+            let (tried, translated) = (Cell::new(0), Cell::new(0));
             let fields = mapping.dialect(from).fields(message_kind).to_vec();
             let run = runner(400).run(&values(&fields), |mut given| {
-                abide(&mapping, message_kind, from, &mut given);
+                apply_correction_conditions(&mapping, message_kind, from, &mut given);
                 tried.set(tried.get() + 1);
                 if let Some(found) = differences(&mapping, &mapping, (message_kind, from), &given) {
                     prop_assert!(
@@ -236,16 +247,16 @@
                         "{} {message_kind:?} from {from:?}: {found:?}",
                         mapping.name
                     );
-                    whole.set(whole.get() + 1);
+                    translated.set(translated.get() + 1);
                 }
                 Ok(())
             });
             run.unwrap_or_else(|e| panic!("{e}"));
             assert!(
-                whole.get() * 20 >= tried.get(),
+                translated.get() * 20 >= tried.get(),
                 "{} {message_kind:?} {from:?}: {} whole",
                 mapping.name,
-                whole.get()
+                translated.get()
             );
         }
     }
@@ -278,7 +289,7 @@
         let found = Cell::new(0);
         let fields = mapping.dialect(Side::Old).fields(MessageKind::Request).to_vec();
         let _ = runner(200).run(&values(&fields), |mut given| {
-            abide(&mapping, MessageKind::Request, Side::Old, &mut given);
+            apply_correction_conditions(&mapping, MessageKind::Request, Side::Old, &mut given);
             let differences = differences(&mapping, &wrong, (MessageKind::Request, Side::Old), &given);
             found.set(found.get() + usize::from(differences.is_some_and(|d| !d.is_empty())));
             Ok(())
@@ -292,16 +303,16 @@
 fn wrong_bytes_are_refused_without_a_panic() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
-        for (message_kind, from) in WAYS {
+        for (message_kind, from) in DIRECTIONS {
             let dialect = mapping.dialect(from);
             let fields = dialect.fields(message_kind).to_vec();
-            let spoil = vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6);
-            let run = runner(300).run(&(values(&fields), spoil), |(given, spoil)| {
+            let corruptions = vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6);
+            let run = runner(300).run(&(values(&fields), corruptions), |(given, corruptions)| {
                 let message = write(&mapping, message_kind, from, &given);
                 let Some(mut bytes) = message.and_then(|m| dialect.encode(message_kind, &m).ok()) else {
                     return Ok(());
                 };
-                for (index, byte, how) in spoil {
+                for (index, byte, how) in corruptions {
                     let at = index.index(bytes.len().max(1)).min(bytes.len().saturating_sub(1));
                     match how {
                         0 => bytes.truncate(at),
