--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -267,7 +267,9 @@
     fn key_of_old(&self, class: usize, call: usize) -> Option<String> {
         let (kind, mapping) = &self.classes[class];
         let old = ExpectedExchange { number: call as u64 }.request(*kind, Side::Old);
-        mapping.key(&mapping.old.decode(MessageKind::Request, old.as_bytes(), Limits::default()).ok()?)
+        mapping.idempotency_key(
+            &mapping.old.decode(MessageKind::Request, old.as_bytes(), Limits::default()).ok()?,
+        )
     }
 
     /// What a server that speaks `side` tells repeats of this request by, whoever sent it; it reads old ones itself.
@@ -275,9 +277,8 @@
         let mapping = &self.classes[class].1;
         match side {
             Side::New => key.map(str::to_owned),
-            Side::Old => {
-                mapping.key(&mapping.old.decode(MessageKind::Request, said, Limits::default()).ok()?)
-            }
+            Side::Old => mapping
+                .idempotency_key(&mapping.old.decode(MessageKind::Request, said, Limits::default()).ok()?),
         }
     }
 
--- a/crates/translate/benches/cost.rs
+++ b/crates/translate/benches/cost.rs
@@ -65,7 +65,7 @@
         b.iter(|| translate(&correction, MessageKind::Request, Side::Old, request));
     });
     let message = correction.old.decode(MessageKind::Request, request, LIMITS).expect("it can be read");
-    c.bench_function("its key", |b| b.iter(|| correction.key(&message)));
+    c.bench_function("its key", |b| b.iter(|| correction.idempotency_key(&message)));
 }
 
 criterion_group!(benches, translation_cost);
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -230,7 +230,7 @@
                 let _ = writeln!(output, "notice: {notice}");
             }
             if let (MessageKind::Request, Side::Old) = (message_kind, from) {
-                if let Some(key) = mapping.key(&message) {
+                if let Some(key) = mapping.idempotency_key(&message) {
                     let _ = writeln!(output, "Idempotency-Key: {key}");
                 }
             }
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -296,7 +296,7 @@
 
     /// The key of an old request's repeats, from the fields that its file names; None if it names none, or if one is
     /// not there.
-    pub fn key(&self, request: &Node) -> Option<String> {
+    pub fn idempotency_key(&self, request: &Node) -> Option<String> {
         let key = self.key.as_ref()?;
         let part = |&at: &usize| {
             let field = &self.old.request_fields[at];
--- a/crates/translate/src/mixed_fleet.rs
+++ b/crates/translate/src/mixed_fleet.rs
@@ -32,7 +32,7 @@
 /// Loses something in the new dialect, or can't be said in it: old servers only, if one serves; if none does, new ones with
 /// notices, or the reason why it can't be sent.
 pub fn plan_old_request(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
-    let key = mapping.key(message);
+    let key = mapping.idempotency_key(message);
     let translated_request =
         mapping.convert(MessageKind::Request, Side::Old, message).map_err(|reason| reason.to_string());
     let translated_request = translated_request
@@ -61,7 +61,7 @@
         let done = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
         // Old servers tell repeats by the fields that the key is made of. Where the client has made its own key the two need
         // not agree, and a repeat could run at a server of each kind.
-        let same = mapping.key(&done.message).as_deref() == key;
+        let same = mapping.idempotency_key(&done.message).as_deref() == key;
         let faithful = done.notices.is_empty() && same;
         faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
     };
--- a/crates/translate/tests/golden.rs
+++ b/crates/translate/tests/golden.rs
@@ -91,7 +91,7 @@
     let mapping = worked("correction");
     let key = |text: &str| {
         let request = mapping.old.decode(MessageKind::Request, text.as_bytes(), Limits::default()).unwrap();
-        mapping.key(&request)
+        mapping.idempotency_key(&request)
     };
     let first = key(std::str::from_utf8(old).unwrap()).unwrap();
     // A repeat may word the rest otherwise, and write its desk without zeros.
