--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -1,5 +1,5 @@
-//! What a mapping file means, and all that is wrong with it: no field of either side goes without a rule, and every
-//! conversion that could lose something says what is to become of it.
+//! Compiles a parsed mapping file into a [`Mapping`], or reports every error in it. Each field of both sides needs a
+//! rule, and a rule whose conversion can lose something must state what happens then.
 
 use crate::charset::Charset;
 use crate::convert::{Condition, FieldConversion, Rule};
@@ -13,7 +13,7 @@
 use std::fmt::Display;
 use toml::Spanned;
 
-const NAME: &str = "a name has letters, digits, _ and - only";
+const NAME: &str = "a name may contain only letters, digits, _ and -";
 
 struct Compiler<'a> {
     text: &'a str,
@@ -56,7 +56,7 @@
         Key { fields: places.collect(), namespace: key.namespace.clone(), without: key.without.clone() }
     });
     if key.as_ref().is_some_and(|key| key.fields.is_empty()) {
-        compiler.add_diagnostic(&file.name, "key.old", "a key is made of one field at least");
+        compiler.add_diagnostic(&file.name, "key.old", "a key needs at least one field");
     }
     let Compiler { mut diagnostics, notes, .. } = compiler;
     match diagnostics.is_empty() {
@@ -78,13 +78,13 @@
     }
 }
 
-/// The fields that rules speak of.
+/// The fields of both sides that a list of rules applies to.
 struct Scope<'a> {
     message_kind: MessageKind,
     old: &'a [Field],
     new: &'a [Field],
     charsets: (Charset, Charset),
-    /// The groups that the fields are in, on each side.
+    /// The path of the enclosing groups on each side, ending with a point.
     prefix: [&'a str; 2],
 }
 
@@ -100,7 +100,7 @@
         self.prefix[usize::from(side == Side::New)]
     }
 
-    /// The characters of the other side, if it does not have all that this one has.
+    /// Returns the other side's character set if it lacks characters that this side's set contains.
     fn narrower_charset(&self, side: Side) -> Option<Charset> {
         let (source_charset, target_charset) = match side {
             Side::Old => (self.charsets.0, self.charsets.1),
@@ -114,7 +114,7 @@
     }
 }
 
-/// One direction of a rule, from the field of `side` into the other's.
+/// One direction of a rule: from the field of `side` to the other side's field.
 #[derive(Clone, Copy)]
 struct Direction<'a> {
     scope: &'a Scope<'a>,
@@ -122,7 +122,7 @@
     from: &'a Field,
     into: &'a Field,
     file: &'a file::Rule,
-    /// Where the rule stands.
+    /// The position in the file that diagnostics refer to.
     location: &'a Spanned<String>,
 }
 
@@ -156,11 +156,15 @@
             self.add_diagnostic(
                 &file.form,
                 format!("{side_name}.form"),
-                "a request is a form, SOAP or JSON; tables are answers",
+                "a request must be a form, SOAP or JSON; only answers can be tables",
             );
         }
         if let Some(bad) = file.response_form.as_ref().filter(|form| *form.get_ref() == Form::Form) {
-            self.add_diagnostic(bad, format!("{side_name}.answers"), "an answer is a table, SOAP or JSON");
+            self.add_diagnostic(
+                bad,
+                format!("{side_name}.answers"),
+                "an answer must be a table, SOAP or JSON",
+            );
         }
         if (request_form == Form::Json || response_form == Form::Json) && file.charset != Charset::Utf8 {
             self.add_diagnostic(&file.form, format!("{side_name}.charset"), "JSON is UTF-8 (RFC 8259, 8.1)");
@@ -171,17 +175,18 @@
             self.add_diagnostic(
                 &file.form,
                 side_name,
-                "SOAP needs an operation, which is a name, and a namespace",
+                "SOAP needs an operation, which must be a name, and a namespace",
             );
         }
         if !file.path.get_ref().starts_with('/') {
-            self.add_diagnostic(&file.path, format!("{side_name}.path"), "a path begins with /");
+            self.add_diagnostic(&file.path, format!("{side_name}.path"), "a path must begin with /");
         }
         let delimiter =
             file.delimiter.as_ref().map_or(b'|', |delimiter| match delimiter.get_ref().as_bytes() {
                 &[mark] if mark == b'\t' || mark.is_ascii_punctuation() && mark != b'"' => mark,
                 _ => {
-                    let message = "a delimiter is one ASCII mark or a tab";
+                    let message =
+                        "a delimiter must be a tab or one ASCII punctuation character, but no quotation mark";
                     self.add_diagnostic(delimiter, format!("{side_name}.delimiter"), message);
                     b'|'
                 }
@@ -193,7 +198,11 @@
         let response_fields = self.fields(&format!("{side_name}.answer"), &file.response, &zone);
         if let Some(extension) = &file.extension {
             if request_fields.iter().chain(&response_fields).any(|field| field.path == *extension.get_ref()) {
-                self.add_diagnostic(extension, format!("{side_name}.extension"), "a field has this name");
+                self.add_diagnostic(
+                    extension,
+                    format!("{side_name}.extension"),
+                    "a field already has this name",
+                );
             }
         }
         if response_form == Form::Table {
@@ -216,7 +225,8 @@
         }
     }
 
-    /// Delimited text has rows for one level of groups, and no way to tell an empty text from none.
+    /// Checks a response in delimited text, which supports one level of groups and can't distinguish an empty text from
+    /// an absent one.
     fn check_table(&mut self, side_name: &str, files: &[file::Field], fields: &[Field]) {
         for (file, field) in files.iter().zip(fields) {
             let key = format!("{side_name}.answer.{}", field.path);
@@ -224,17 +234,21 @@
                 Kind::Group(_, within)
                     if within.iter().any(|field| matches!(field.kind, Kind::Group(..))) =>
                 {
-                    self.add_diagnostic(&file.name, key.clone(), "a table has no groups within groups");
+                    self.add_diagnostic(
+                        &file.name,
+                        key.clone(),
+                        "a table can't contain groups within groups",
+                    );
                     continue;
                 }
                 Kind::Group(_, within) => within.as_slice(),
                 _ => std::slice::from_ref(field),
             };
             if matches!(field.kind, Kind::Group(..)) && matches!(field.path.as_str(), "H" | "T" | "X") {
-                self.add_diagnostic(&file.name, key.clone(), "H, T and X are the tags of a table's own rows");
+                self.add_diagnostic(&file.name, key.clone(), "H, T and X are reserved tags of a table");
             }
             if within.iter().any(|field| matches!(field.kind, Kind::Text(0, _))) {
-                let message = "a table does not tell an empty text from none: length from 1";
+                let message = "a table can't distinguish an empty text from an absent one: the minimum length must be 1";
                 self.add_diagnostic(&file.name, key, message);
             }
         }
@@ -246,7 +260,7 @@
             self.add_diagnostic(
                 name,
                 "zone",
-                format!("{:?} is no zone of the IANA database", name.get_ref()),
+                format!("{:?} is not a time zone of the IANA database", name.get_ref()),
             );
             otherwise.clone()
         })
@@ -258,13 +272,13 @@
             let path = file.name.get_ref();
             let key = format!("{prefix}.{path}");
             if !path.split('.').all(is_name) {
-                self.add_diagnostic(&file.name, &key, format!("{NAME}, records parted by points"));
+                self.add_diagnostic(&file.name, &key, format!("{NAME}; points separate nested records"));
             }
             let within = |a: &str, b: &str| {
                 a.strip_prefix(b).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
             };
             if fields.iter().any(|known| within(&known.path, path) || within(path, &known.path)) {
-                self.add_diagnostic(&file.name, &key, "the name is taken, as a field or as a record");
+                self.add_diagnostic(&file.name, &key, "the name is already used by a field or a record");
             }
             let kind = self.kind(file, &key, zone);
             fields.push(Field { path: path.clone(), kind, optional: file.optional });
@@ -296,7 +310,7 @@
         ];
         for (name, is_given, belongs) in given {
             if is_given && !belongs {
-                self.add_diagnostic(at, key, format!("{name} says nothing of this type"));
+                self.add_diagnostic(at, key, format!("{name} does not apply to this type"));
             }
         }
         let digits = file.digits.unwrap_or(0);
@@ -304,7 +318,7 @@
             file::Kind::Text => {
                 let [min, max] = file.length.unwrap_or_default();
                 if max == 0 || min > max {
-                    self.add_diagnostic(at, key, "a text has length = [least, most], in characters");
+                    self.add_diagnostic(at, key, "a text needs length = [min, max], in characters");
                 }
                 Kind::Text(min, max)
             }
@@ -315,7 +329,7 @@
                         Kind::Integer(min, max, file.width.unwrap_or(0).min(40))
                     }
                     _ => {
-                        self.add_diagnostic(at, key, "an integer has range = [\"least\", \"most\"]");
+                        self.add_diagnostic(at, key, "an integer needs range = [\"min\", \"max\"]");
                         Kind::Integer(0, 0, 0)
                     }
                 }
@@ -328,12 +342,12 @@
                 let (min, max) = match bounds {
                     Some((Ok(min), Ok(max))) if min <= max => (min, max),
                     _ => {
-                        self.add_diagnostic(at, key, "a decimal has range = [\"least\", \"most\"]");
+                        self.add_diagnostic(at, key, "a decimal needs range = [\"min\", \"max\"]");
                         (Decimal::ZERO, Decimal::ZERO)
                     }
                 };
                 if digits > 18 {
-                    self.add_diagnostic(at, key, "18 digits after the point at most");
+                    self.add_diagnostic(at, key, "at most 18 digits after the point are supported");
                 }
                 if file.kind == file::Kind::Decimal {
                     return Kind::Decimal(min, max, digits.min(18));
@@ -343,7 +357,7 @@
                     self.add_diagnostic(
                         at,
                         key,
-                        format!("a quantity has a unit, one of {}", known.join(", ")),
+                        format!("a quantity needs a unit, one of {}", known.join(", ")),
                     );
                     &units::UNITS[0]
                 });
@@ -359,7 +373,7 @@
                     self.add_diagnostic(
                         at,
                         key,
-                        "a date's format has to hold year, month and day, as of strftime",
+                        "a date's format must be a strftime format with year, month and day",
                     );
                 }
                 Kind::Date(form)
@@ -374,7 +388,7 @@
                             .ok()
                             .and_then(|text| jiff::civil::DateTime::strptime(form, text).ok());
                         if again != Some(minute) {
-                            let message = "a time's format is rfc3339, unix, or holds day, hour and minute, as of strftime";
+                            let message = "a time's format must be rfc3339, unix, or a strftime format with date, hour and minute";
                             self.add_diagnostic(at, key, message);
                         }
                         TimeNotation::Local(form.to_owned())
@@ -397,21 +411,25 @@
                 sorted.sort();
                 sorted.dedup();
                 if values.is_empty() || sorted.len() != values.len() || values.iter().any(String::is_empty) {
-                    self.add_diagnostic(at, key, "a choice has values, none empty, none twice");
+                    self.add_diagnostic(at, key, "a choice needs values that are neither empty nor repeated");
                 }
                 Kind::Choice(values)
             }
             file::Kind::Flag => {
                 let [yes, no] = file.words.clone().unwrap_or_else(|| ["true".into(), "false".into()]);
                 if yes == no || yes.is_empty() || no.is_empty() {
-                    self.add_diagnostic(at, key, "a flag has two words that differ");
+                    self.add_diagnostic(at, key, "a flag needs two different words that are not empty");
                 }
                 Kind::Flag(yes, no)
             }
             file::Kind::Group => {
                 let fields = self.fields(key, &file.fields, zone);
                 if fields.is_empty() || file.max.unwrap_or(0) == 0 {
-                    self.add_diagnostic(at, key, "a group has fields, and max items");
+                    self.add_diagnostic(
+                        at,
+                        key,
+                        "a group needs fields, and max, its largest number of items",
+                    );
                 }
                 Kind::Group(file.max.unwrap_or(0), fields)
             }
@@ -420,7 +438,7 @@
 
     // ---- rules --------------------------------------------------------------------------------------------------
 
-    /// The rules of a message or of a group's items. A group has no extension of its own.
+    /// Compiles the rules of a message or of a group's items. The items of a group have no extension.
     fn rules(
         &mut self,
         scope: &Scope<'_>,
@@ -439,7 +457,7 @@
                     match scope.of(side).iter().position(|field| field.path == *name.get_ref()) {
                         None => self.add_diagnostic(name, key, "no such field"),
                         Some(at) if used.contains(&at) => {
-                            self.add_diagnostic(name, key, "another rule has it already");
+                            self.add_diagnostic(name, key, "another rule already names this field");
                         }
                         Some(at) => {
                             used.push(at);
@@ -456,7 +474,7 @@
                 self.add_diagnostic(
                     at,
                     scope.message_kind.name(),
-                    "a rule names an old field, a new one or both",
+                    "a rule must name an old field, a new field or both",
                 );
                 continue;
             };
@@ -472,7 +490,7 @@
                     self.one_sided(scope, Side::New, new, file, location, extensions.map(|both| both.0))
                 }
                 _ => {
-                    let message = "one old field and one new one, or several old ones, one new one and function = \"join\"";
+                    let message = "a rule maps one old field to one new field, or several old fields to one new field with function = \"join\"";
                     self.add_diagnostic(location, scope.message_kind.name(), message);
                     None
                 }
@@ -504,12 +522,12 @@
             self.add_diagnostic(
                 location,
                 key,
-                "join needs with = \"...\", and fields that are no groups and not optional",
+                "join needs with = \"...\", and fields that are neither groups nor optional",
             );
             return None;
         }
         let Kind::Text(..) = scope.new[new].kind else {
-            self.add_diagnostic(location, key, "join makes a text");
+            self.add_diagnostic(location, key, "the result of join must be a text");
             return None;
         };
         self.note(
@@ -569,7 +587,7 @@
             self.add_diagnostic(
                 location,
                 key,
-                "it has to be there, and the other side does not say what: default or constant",
+                "a required field that the other side does not have needs a default or a constant",
             );
             return None;
         }
@@ -595,7 +613,7 @@
         match field.kind.parse(text) {
             Ok(value) => Some(value),
             Err(reason) => {
-                self.add_diagnostic(at, key, format!("{text:?} is no value of it: {reason}"));
+                self.add_diagnostic(at, key, format!("{text:?} is not a valid value: {reason}"));
                 None
             }
         }
@@ -628,7 +646,7 @@
         };
         let when = file.when.as_ref().and_then(|when| {
             let place = scope.old.iter().position(|field| field.path == *when.old.get_ref());
-            // The way back reads the field from what has been translated so far.
+            // The conversion from new to old reads the field from the part of the message that is already converted.
             let earlier =
                 |&at: &usize| before.iter().any(|rule| matches!(rule, Rule::Pair { old, .. } if *old == at));
             match place.filter(earlier) {
@@ -637,14 +655,14 @@
                     self.add_diagnostic(
                         &when.old,
                         &keys.0,
-                        "a condition names an old field that an earlier rule maps to a new one",
+                        "a condition must name an old field that an earlier rule maps to a new field",
                     );
                     None
                 }
             }
         });
         if file.when.is_some() && !(a.optional && b.optional) {
-            self.add_diagnostic(location, &keys.0, "a field with a condition is optional on both sides");
+            self.add_diagnostic(location, &keys.0, "a field with a condition must be optional on both sides");
         }
         for (from, field, into, given, key) in [
             (Side::Old, a, b, cast.new_default.is_some(), &keys.1),
@@ -653,7 +671,7 @@
             let is_group = matches!(field.kind, Kind::Group(..));
             if field.optional && !into.optional && !given && !is_group {
                 let message = format!(
-                    "it has to be there, and {:?} may be absent: {}_default",
+                    "the field is required, and {:?} may be absent: {}_default is needed",
                     field.path,
                     from.other().name()
                 );
@@ -664,7 +682,7 @@
             }
         }
         if cast.function == Some(Function::Join) {
-            self.add_diagnostic(location, &keys.1, "join takes several old fields");
+            self.add_diagnostic(location, &keys.1, "join needs several old fields");
         }
         let old_to_new =
             self.check_direction(Direction { scope, side: Side::Old, from: a, into: b, file, location });
@@ -683,7 +701,8 @@
         Some(Rule::Pair { old, new, cast, when })
     }
 
-    /// Whether every value of a way has a counterpart, or the rule says what becomes of those that have none.
+    /// Returns true if every value has a counterpart in this direction, or the rule states what happens to values
+    /// without one.
     fn check_direction(&mut self, direction: Direction<'_>) -> bool {
         let Direction { scope, side, from, into, file, .. } = direction;
         let before = self.diagnostics.len();
@@ -747,7 +766,7 @@
                 if unit.dimension != to.dimension {
                     self.add_error(
                         direction,
-                        format!("{} is no {} as {} is", unit.symbol, to.dimension, to.symbol),
+                        format!("{} is not a unit of {}, as {} is", unit.symbol, to.dimension, to.symbol),
                     );
                     return false;
                 }
@@ -776,7 +795,9 @@
                     self.check_bound(direction, format!("more than {target_max} items"));
                 }
             }
-            (a, b) => self.add_error(direction, format!("a {} does not become a {}", a.name(), b.name())),
+            (a, b) => {
+                self.add_error(direction, format!("a {} can't be converted to a {}", a.name(), b.name()))
+            }
         }
         self.diagnostics.len() == before
     }
@@ -793,7 +814,8 @@
         self.note(direction.scope, direction.side, &direction.from.path, message);
     }
 
-    /// Something can be lost: a fault unless the rule says that it is refused, or is not.
+    /// Handles a conversion that can lose something: a diagnostic if the rule has no policy for it, otherwise a note
+    /// that says what the policy does.
     fn check_loss(
         &mut self,
         direction: Direction<'_>,
@@ -889,7 +911,10 @@
         let (source_index, target_index) = if direction.side == Side::Old { (0, 1) } else { (1, 0) };
         let pairs = direction.file.pairs.as_deref().unwrap_or_default();
         if let Some(pair) = pairs.iter().find(|pair| !values.contains(&pair[source_index])) {
-            self.add_error(direction, format!("pairs: {:?} is none of its values", pair[source_index]));
+            self.add_error(
+                direction,
+                format!("pairs: {:?} is not one of the field's values", pair[source_index]),
+            );
         }
         let counterpart = |word: &String| match pairs {
             [] => target_values.iter().find(|other| *other == word),
@@ -898,7 +923,7 @@
         let unpaired_values: Vec<&str> =
             values.iter().filter(|word| counterpart(word).is_none()).map(String::as_str).collect();
         if unpaired_values.len() == values.len() {
-            self.add_error(direction, "none of its values has a counterpart: pairs");
+            self.add_error(direction, "no value has a counterpart: pairs are needed");
         } else if !unpaired_values.is_empty() {
             let list = unpaired_values.join(", ");
             match direction.file.unpaired {
--- a/crates/translate/tests/faults.rs
+++ b/crates/translate/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Files with faults, each with its line, and the worked files, which have none.
+//! Mapping files with errors, each reported with its line, and the worked files, which have none.
 mod worked;
 use heronhoist_translate::mapping::{self, Diagnostic};
 use worked::WORKED;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_worked_files_are_sound_and_say_what_they_lose() {
+fn worked_files_are_valid_and_explain_their_losses() {
     for (name, text) in WORKED {
         let mapping = mapping::read(text).unwrap_or_else(|faults| panic!("{name}: {faults:?}"));
         assert_eq!((mapping.name.as_str(), mapping.class.as_str()), (name, name));
@@ -20,10 +20,11 @@
     }
 }
 
-/// Each worked file without one of its rules or policies: the very field or word is named.
+/// Removes each rule option and policy of the worked files in turn. The compiler must report an error near the removed
+/// line.
 #[test]
-fn whatever_is_left_out_is_missed() {
-    let (mut tried, mut at_line) = (0, 0);
+fn missing_rule_option_is_reported() {
+    let (mut attempts, mut near_line) = (0, 0);
     for (name, text) in WORKED {
         let lines: Vec<&str> = text.lines().collect();
         for (n, line) in lines.iter().enumerate() {
@@ -36,18 +37,18 @@
             let without: Vec<&str> =
                 lines.iter().enumerate().filter(|(m, _)| *m != n).map(|(_, l)| *l).collect();
             let found = faults(&without.join("\n"));
-            tried += 1;
+            attempts += 1;
             assert!(!found.is_empty(), "{name} without line {} ({line})", n + 1);
             assert!(found.iter().all(|fault| fault.line > 0 && !fault.key.is_empty()), "{found:?}");
-            at_line += usize::from(found.iter().any(|fault| fault.line.abs_diff(n + 1) <= 12));
+            near_line += usize::from(found.iter().any(|fault| fault.line.abs_diff(n + 1) <= 12));
         }
     }
-    assert!(tried > 70, "{tried}");
-    assert_eq!(at_line, tried, "each fault is told near its place");
+    assert!(attempts > 70, "{attempts}");
+    assert_eq!(near_line, attempts, "each error is reported near the removed line");
 }
 
 #[test]
-fn a_field_without_a_rule_is_named() {
+fn field_without_a_rule_is_reported() {
     let (_, text) = WORKED[1];
     let without = text.replace("[[request]]\nold = \"URGENT\"\nnew = \"urgent\"\n", "");
     let found: Vec<String> = faults(&without).iter().map(|fault| fault.key.clone()).collect();
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn faults_are_told_with_line_and_key() {
+fn errors_are_reported_with_line_and_key() {
     let (_, text) = WORKED[0];
     let wrong = |from: &str, to: &str, key: &str, message: &str| {
         assert!(text.contains(from), "{from}");
@@ -65,12 +66,12 @@
             "{from} -> {to}: {found:?}"
         );
     };
-    wrong("zone = \"America/New_York\"", "zone = \"Mars/Olympus\"", "zone", "no zone");
+    wrong("zone = \"America/New_York\"", "zone = \"Mars/Olympus\"", "zone", "not a time zone");
     wrong("unit = \"kn\"", "unit = \"knots\"", "WIND", "a unit, one of");
-    wrong("unit = \"m/s\"", "unit = \"m\"", "WIND", "is no");
-    wrong("name = \"STN\"", "name = \"S TN\"", "S TN", "a name has");
+    wrong("unit = \"m/s\"", "unit = \"m\"", "WIND", "is not a unit of length");
+    wrong("name = \"STN\"", "name = \"S TN\"", "S TN", "a name may contain");
     wrong("old = \"STN\"", "old = \"STM\"", "STM", "no such field");
-    wrong("name = \"END\"", "name = \"BEG\"", "BEG", "taken");
+    wrong("name = \"END\"", "name = \"BEG\"", "BEG", "already used");
     wrong("format = \"%m/%d/%Y %H:%M\"", "format = \"%m/%d %H:%M\"", "BEG", "format");
     wrong(
         "values = [\"A\", \"W\", \"R\"]",
@@ -81,23 +82,23 @@
     wrong("type = \"choice\"", "type = \"chioce\"", "", "chioce");
     wrong("length = [1, 8]", "length = [1, 8]\nlenght = 3", "", "lenght");
     wrong("extension = \"x_old\"", "", "CLERK", "no extension");
-    wrong("range = [\"0\", \"300\"]", "range = [\"0\", \"300\"]\nwidth = 2", "WIND", "width says nothing");
+    wrong("range = [\"0\", \"300\"]", "range = [\"0\", \"300\"]\nwidth = 2", "WIND", "width does not apply");
     wrong("length = [1, 40]", "length = [0, 40]", "NAME", "empty text");
-    wrong("new = \"observations\"", "new = \"station.name\"", "station.name", "already");
+    wrong("new = \"observations\"", "new = \"station.name\"", "station.name", "another rule already");
     wrong("[new]", "[new]\ncharset = \"iso-8859-1\"", "charset", "JSON is UTF-8");
 }
 
 #[test]
-fn no_text_makes_the_reader_panic() {
+fn corrupted_mapping_files_do_not_panic() {
     for (_, text) in WORKED {
         for end in (0..text.len()).step_by(7).filter(|&end| text.is_char_boundary(end)) {
             let _ = mapping::read(&text[..end]);
         }
         let words: Vec<&str> = text.split_inclusive(' ').collect();
         for n in 0..words.len() {
-            let mut mixed = words.clone();
-            mixed.swap(n, (n * 7 + 3) % words.len());
-            let _ = mapping::read(&mixed.concat());
+            let mut swapped = words.clone();
+            swapped.swap(n, (n * 7 + 3) % words.len());
+            let _ = mapping::read(&swapped.concat());
         }
     }
 }
