--- a/crates/translate/src/wire/error_response.rs
+++ b/crates/translate/src/wire/error_response.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures in the client's own form, with the same meaning in each.
+//! Error responses in the client's own form, with the same meaning in each form.
 
 use super::{json::quoted, soap};
 use crate::charset::Charset;
@@ -6,20 +6,20 @@
 use crate::node::Limits;
 use std::time::Duration;
 
-/// Why a request gets no answer of a server's.
+/// Why a request has no response of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestFailure {
-    /// The client sent what can't be read or translated; the same again will not be either.
+    /// The request can't be decoded or translated; sending it again gives the same error.
     BadRequest(String),
-    /// More than is taken.
+    /// The request exceeds a size limit.
     TooLarge(String),
-    /// It did not run and may be sent again, after this long where that is known.
+    /// The request did not run and may be sent again, after this delay if one is known.
     Rejected(Option<Duration>),
-    /// It may have run.
+    /// The request may have run.
     Failed(String),
 }
 
-/// An answer over HTTP.
+/// An HTTP error response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorResponse {
     /// The status code.
@@ -46,10 +46,10 @@
         }
     }
 
-    /// In the form of the client.
+    /// Encodes the failure in the client's form.
     ///
-    /// SOAP 1.1 (6.2) asks for status 500 with the Fault of a request that was processed; one that was refused or too
-    /// large was not, and keeps its own status so that the client may tell.
+    /// SOAP 1.1 (6.2) requires status 500 with a Fault if the request was processed. A rejected or too large request
+    /// was not processed, and keeps its own status so that the client can distinguish it.
     pub fn to_response(&self, form: Form) -> ErrorResponse {
         let (status, title, detail) = self.parts();
         let retry_after = match self {
@@ -96,8 +96,9 @@
     }
 }
 
-/// Whether an old server's answer says that it turned the request away unseen: status 503 with the first line of a refusal
-/// in text, or with the fault code of one in SOAP. Anything else may have run.
+/// Reports whether an old server's response states that the request was rejected without any effect: status 503 with
+/// the first line of a text rejection, or with the SOAP fault code of a rejection. After any other response the request
+/// may have run.
 pub fn is_rejection(status: u16, body: &[u8]) -> bool {
     if status != 503 {
         return false;
@@ -109,7 +110,7 @@
     matches!(read, Ok(soap::Body::Fault { code, .. }) if code.rsplit(':').next() == Some("Server.Busy"))
 }
 
-/// Old clients read ASCII in any charset.
+/// Replaces characters outside printable ASCII, which legacy clients can read in any charset.
 fn ascii(text: &str) -> String {
     text.chars().map(|c| if c.is_ascii() && !c.is_control() { c } else { '?' }).collect()
 }
--- a/crates/translate/src/wire/error_response/tests.rs
+++ b/crates/translate/src/wire/error_response/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_refusal_is_one_in_each_form_and_says_when() {
+fn rejection_is_recognizable_in_each_form_and_has_retry_after() {
     let rejected = RequestFailure::Rejected(Some(Duration::from_millis(1200)));
     for form in [Form::Json, Form::Soap, Form::Form, Form::Table] {
         let response = rejected.to_response(form);
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn a_failure_never_looks_like_a_refusal() {
+fn failure_never_looks_like_a_rejection() {
     for form in [Form::Json, Form::Soap, Form::Form, Form::Table] {
         for failure in [RequestFailure::Failed("x \"<&".into()), RequestFailure::BadRequest("é".into())] {
             let response = failure.to_response(form);
             assert!(!matches!(response.status, 200..=299 | 429 | 503), "{form:?}");
-            assert!(!is_rejection(503, &response.body), "whatever the status says");
+            assert!(!is_rejection(503, &response.body), "the body alone must not look like a rejection");
         }
     }
     let problem = RequestFailure::Failed("a \"b\"".into()).to_response(Form::Json).body;
--- a/crates/translate/src/wire/form.rs
+++ b/crates/translate/src/wire/form.rs
@@ -6,7 +6,7 @@
 use crate::node::{LimitCounter, Limits, Node};
 use std::borrow::Cow;
 
-/// Reads a query or a body. A name that comes twice is refused: which of the two was meant is not known.
+/// Decodes a query or a body. A repeated name is refused, because it is ambiguous which value is meant.
 pub fn decode(bytes: &[u8], charset: Charset, limits: Limits) -> Result<Node, String> {
     let mut counter = LimitCounter::new(limits, bytes.len())?;
     let mut message = Node::record();
@@ -41,7 +41,8 @@
         *node = Node::Text(text);
         return Ok(());
     };
-    // What is new on the way becomes a list if the next step counts, a record if it names, and the text at the end.
+    // A new member is a list if the next step is a number, and a record otherwise; the last step replaces it with the
+    // text.
     let fresh = || match rest.first() {
         Some(next) if index(next).is_some() => Node::List(Vec::new()),
         _ => Node::record(),
@@ -68,7 +69,7 @@
     next.map_or(Ok(()), |next| place(next, rest, text))
 }
 
-/// Writes a message. The error names the field whose text the charset does not have.
+/// Encodes a message. The error names the field with a character that the charset does not contain.
 pub fn encode(message: &Node, charset: Charset) -> Result<Vec<u8>, String> {
     let mut out = String::new();
     let mut path = String::new();
--- a/crates/translate/src/wire/form/tests.rs
+++ b/crates/translate/src/wire/form/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn names_make_records_and_lists() {
+fn names_decode_to_records_and_lists() {
     let text = "A=caf%E9+%80&S.ID=7&L.1.X=1&L.1.Y=2&L.2.X=&B";
     let message = read(text).unwrap();
     assert_eq!(message.get("A"), Some(&Node::Text("café €".into())));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_has_two_meanings_is_refused() {
+fn ambiguous_names_are_refused() {
     for text in ["A=1&A=2", "A=1&A.B=2", "L.2.X=1", "L.1.X=1&L.X=2", "L.1=1&L.1=2", "A.B=1&A=2"] {
         assert!(read(text).is_err(), "{text}");
     }
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_the_charset_lacks_is_named() {
+fn unmappable_character_is_named() {
     let mut message = Node::record();
     message.insert("A", Node::Text("Łódź".into()));
     assert!(encode(&message, Charset::Windows1252).unwrap_err().contains("'Ł'"));
--- a/crates/translate/src/wire/json.rs
+++ b/crates/translate/src/wire/json.rs
@@ -1,4 +1,4 @@
-//! JSON (RFC 8259), with numbers kept digit for digit and names that come twice refused.
+//! JSON (RFC 8259). Numbers keep their digits, and repeated names are refused.
 
 use crate::node::{LimitCounter, Limits, Node};
 use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::fmt;
 
-/// Reads a body; its outermost value must be an object.
+/// Decodes a body, whose outermost value must be an object.
 pub fn decode(bytes: &[u8], limits: Limits) -> Result<Node, String> {
     let mut counter = LimitCounter::new(limits, bytes.len())?;
     let raw: &RawValue = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
@@ -82,14 +82,14 @@
     }
 }
 
-/// Writes a message, without white space.
+/// Encodes a message without white space.
 pub fn encode(message: &Node) -> Vec<u8> {
     let mut out = String::new();
     write(message, &mut out);
     out.into_bytes()
 }
 
-/// A text as a JSON string.
+/// Encodes a text as a JSON string.
 pub(crate) fn quoted(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
--- a/crates/translate/src/wire/json/tests.rs
+++ b/crates/translate/src/wire/json/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_refused() {
+fn invalid_messages_are_refused() {
     for text in ["", "[]", "1", "{\"a\":1,\"a\":2}", "{\"a\":01}", "{\"a\":1}x", "{\"a\":NaN}", "{a:1}"] {
         assert!(read(text).is_err(), "{text}");
     }
--- a/crates/translate/src/wire/mod.rs
+++ b/crates/translate/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The forms that messages travel in: bytes to [nodes](crate::Node) and back.
+//! The forms of messages on the wire, decoded to [nodes](crate::Node) and encoded from them.
 
 pub mod error_response;
 pub mod form;
--- a/crates/translate/src/wire/soap.rs
+++ b/crates/translate/src/wire/soap.rs
@@ -1,5 +1,5 @@
-//! SOAP 1.1 envelopes (W3C note of 8 May 2000), document type declarations and processing instructions refused (as its
-//! chapter 3 asks), and so no entity but the five of XML.
+//! SOAP 1.1 envelopes (W3C note of 8 May 2000). Document type declarations and processing instructions are refused, as
+//! its chapter 3 requires, so only the five predefined XML entities exist.
 
 use crate::charset::Charset;
 use crate::node::{LimitCounter, Limits, Node};
@@ -8,29 +8,29 @@
 use quick_xml::NsReader;
 use std::fmt::Write;
 
-/// The namespace of envelopes.
+/// The XML namespace of envelopes.
 pub const ENVELOPE: &str = "http://schemas.xmlsoap.org/soap/envelope/";
 const INSTANCE: &str = "http://www.w3.org/2001/XMLSchema-instance";
-/// Envelope, Body and the call itself stand around the fields.
+/// The Envelope, Body and call elements enclose the fields.
 const ENVELOPE_DEPTH: usize = 3;
 
-/// What an envelope holds.
+/// The content of an envelope.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Body {
-    /// A call, or the answer to one.
+    /// A call or its response.
     Call {
         /// The namespace of its element.
         namespace: String,
         /// The name of its element.
         name: String,
-        /// Its fields. Elements of one name are a list, and one alone is not.
+        /// Its fields. Repeated elements form a list; a single element does not.
         fields: Node,
     },
     /// A Fault (4.4).
     Fault {
-        /// Its code, without the prefix: `Client`, `Server`, `Server.Busy`.
+        /// The code without its prefix: `Client`, `Server`, `Server.Busy`.
         code: String,
-        /// For people.
+        /// The description for people.
         text: String,
     },
 }
@@ -44,7 +44,7 @@
     text: String,
 }
 
-/// Reads an envelope.
+/// Decodes an envelope.
 pub fn decode(bytes: &[u8], charset: Charset, limits: Limits) -> Result<Body, String> {
     let mut counter = LimitCounter::new(limits, bytes.len())?;
     let text = charset.decode(bytes)?;
@@ -206,7 +206,7 @@
             (INSTANCE, "nil") => element.nil = is_true,
             (ENVELOPE, "mustUnderstand") => element.must_understand = is_true,
             (INSTANCE, "type" | "schemaLocation") | (ENVELOPE, "encodingStyle" | "actor") => {}
-            // What nobody reads would be lost without a word.
+            // Ignoring an unknown attribute would lose it silently.
             _ => {
                 return Err(format!(
                     "{:?} has an attribute {local:?}, which nothing stands for",
@@ -247,7 +247,7 @@
     Ok(Node::Record(members))
 }
 
-/// XML 1.0, production 2.
+/// The characters allowed by XML 1.0, production 2.
 fn is_xml(c: char) -> bool {
     matches!(c, '\t' | '\n' | '\r' | '\u{20}'..='\u{d7ff}' | '\u{e000}'..='\u{fffd}' | '\u{10000}'..)
 }
@@ -258,7 +258,7 @@
             '&' => out.push_str("&amp;"),
             '<' => out.push_str("&lt;"),
             '>' => out.push_str("&gt;"),
-            // A bare one would be read back as a line feed.
+            // An unescaped carriage return would be read back as a line feed.
             '\r' => out.push_str("&#13;"),
             c if is_xml(c) => out.push(c),
             c => return Err(format!("XML does not have the character {c:?}")),
@@ -267,7 +267,7 @@
     Ok(())
 }
 
-/// Writes a call, or the answer to one. The error names what can't be written.
+/// Encodes a call or its response. The error names what can't be encoded.
 pub fn encode(namespace: &str, name: &str, message: &Node, charset: Charset) -> Result<Vec<u8>, String> {
     let mut out = format!("<?xml version=\"1.0\" encoding=\"{}\"?>", charset.name());
     let _ = write!(out, "<soap:Envelope xmlns:soap=\"{ENVELOPE}\"><soap:Body><m:{name} xmlns:m=\"");
@@ -299,7 +299,7 @@
     Ok(())
 }
 
-/// A Fault, with one element of detail if there is any; in UTF-8.
+/// Encodes a Fault in UTF-8, with an optional element of detail.
 pub(crate) fn encode_fault(code: &str, text: &str, detail: Option<(&str, String)>) -> String {
     let mut escaped_text = String::new();
     let valid_text: String = text.chars().map(|c| if is_xml(c) { c } else { '?' }).collect();
--- a/crates/translate/src/wire/soap/tests.rs
+++ b/crates/translate/src/wire/soap/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_call_is_read_and_written() {
+fn call_is_decoded_and_encoded() {
     let text = envelope(
         "<m:Get xmlns:m='urn:x'><A>1 &lt; &#233;<![CDATA[<&]]></A><B/><L><X>1</X></L><L><X>2</X></L>\
              <N xmlns:xsi='http://www.w3.org/2001/XMLSchema-instance' xsi:nil='1'/><!-- c --></m:Get>",
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_could_grow_or_hide_is_refused() {
+fn unsafe_or_ambiguous_envelopes_are_refused() {
     let bomb = format!("<!DOCTYPE x [<!ENTITY a 'b'>]>{}", envelope("<g><A>&a;</A></g>"));
     for text in [
         bomb,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_fault_is_told_from_an_answer() {
+fn fault_is_distinguished_from_a_response() {
     let encoded = encode_fault("Server.Busy", "full \u{1} <now>", Some(("retryAfterSeconds", "2".into())));
     let Body::Fault { code, text } = read(&encoded).unwrap() else { panic!() };
     assert_eq!((code.as_str(), text.as_str()), ("Server.Busy", "full ? <now>"));
--- a/crates/translate/src/wire/table.rs
+++ b/crates/translate/src/wire/table.rs
@@ -1,26 +1,26 @@
-//! Delimited text: rows of columns quoted as in RFC 4180, the first of each a tag.
+//! Delimited text: rows of columns, quoted as in RFC 4180. The first column is a tag.
 //!
 //! ```text
 //! H|value|value              the message's own fields, in the order of the mapping
 //! LINE|value|value           an item of the group LINE, in the order of its fields
-//! X|name|value               what is carried for the other side
-//! T|3                        the number of rows before this one: an answer that was cut off shows
+//! X|name|value               a carried field of the other side
+//! T|3                        the number of rows before this one, which reveals truncation
 //! ```
 //!
-//! An empty column is a field that is not there; the mapping's check sees to it that no field needs the difference.
+//! An empty column is an absent field. The compiler refuses mappings in which a table field may be an empty text.
 
 use crate::charset::Charset;
 use crate::field::{Field, Kind};
 use crate::node::{LimitCounter, Limits, Node};
 
-/// What a message holds, in its order.
+/// The structure of a message, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Layout {
-    /// Paths of its own fields.
+    /// The paths of its own fields.
     pub fields: Vec<String>,
-    /// Names of its groups and of their fields.
+    /// The names of its groups, each with the paths of its fields.
     pub groups: Vec<(String, Vec<String>)>,
-    /// Where carried fields stand, if anywhere.
+    /// The record of carried fields, if there is one.
     pub extension: Option<String>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads rows parted by `delimiter`, an ASCII character.
+/// Decodes rows whose columns are separated by `delimiter`, an ASCII character.
 pub fn decode(
     bytes: &[u8],
     charset: Charset,
@@ -116,7 +116,7 @@
     Ok(message)
 }
 
-/// Writes a message. The error names what can't be written.
+/// Encodes a message. The error names what can't be encoded.
 pub fn encode(message: &Node, charset: Charset, delimiter: u8, layout: &Layout) -> Result<Vec<u8>, String> {
     let mut writer = csv::WriterBuilder::new()
         .delimiter(delimiter)
--- a/crates/translate/src/wire/table/tests.rs
+++ b/crates/translate/src/wire/table/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_is_cut_off_or_strange_is_refused() {
+fn truncated_or_unknown_rows_are_refused() {
     for text in [
         "",
         "H|7|a\r\n",
