--- a/crates/translate/src/charset.rs
+++ b/crates/translate/src/charset.rs
@@ -1,25 +1,26 @@
-//! Character sets of old messages.
+//! Character sets of legacy messages.
 
 use serde::Deserialize;
 
-/// How characters stand for bytes.
+/// A character set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub enum Charset {
     /// UTF-8 (RFC 3629).
     #[default]
     #[serde(rename = "utf-8")]
     Utf8,
-    /// windows-1252 as the WHATWG Encoding standard has it: bytes without a character are C1 controls.
+    /// windows-1252 as defined by the WHATWG Encoding standard: undefined bytes decode to C1 controls.
     #[serde(rename = "windows-1252")]
     Windows1252,
-    /// ISO-8859-1 by the letter: each byte is the character of its number. (WHATWG reads it as windows-1252; servers
-    /// that write bytes 80 to 9F under this label mean that set, and should be given it by name.)
+    /// ISO-8859-1 as standardized: each byte is the character with the same number. (WHATWG decodes this label as
+    /// windows-1252. A server that writes bytes 80 to 9F under this label means windows-1252, and its mapping must name
+    /// that set.)
     #[serde(rename = "iso-8859-1")]
     Latin1,
 }
 
 impl Charset {
-    /// Its name as in a `charset` parameter.
+    /// Returns the name used in a `charset` parameter.
     pub fn name(self) -> &'static str {
         match self {
             Charset::Utf8 => "utf-8",
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Whether it has the character.
+    /// Reports whether the set contains the character.
     pub fn contains(self, character: char) -> bool {
         match self {
             Charset::Utf8 => true,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The text that bytes stand for. Only UTF-8 can be wrong.
+    /// Decodes bytes. Only UTF-8 input can be invalid.
     pub fn decode(self, bytes: &[u8]) -> Result<String, String> {
         match self {
             Charset::Utf8 => std::str::from_utf8(bytes)
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The bytes of a text, or the first character that the set does not have.
+    /// Encodes a text, or returns the first character that the set does not contain.
     pub fn encode(self, text: &str) -> Result<Vec<u8>, char> {
         match self {
             Charset::Utf8 => Ok(text.as_bytes().to_vec()),
--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -1,4 +1,4 @@
-//! One side's message into the other's, field by field.
+//! Converts a message of one side into a message of the other, field by field.
 
 use crate::charset::Charset;
 use crate::field::{find_unknown_field, Field, Kind, Value};
@@ -9,21 +9,21 @@
 use rust_decimal::Decimal;
 use std::fmt;
 
-/// How fields become each other; places are those in the fields of the sides.
+/// A compiled rule. Fields are given by their index in the fields of their side.
 #[derive(Debug, Clone)]
 pub(crate) enum Rule {
-    /// One is the other.
+    /// One old field corresponds to one new field.
     Pair { old: usize, new: usize, cast: FieldConversion, when: Option<Condition> },
-    /// Several old ones are one new text.
+    /// Several old fields are joined into one new text.
     Join { old: Vec<usize>, new: usize, separator: String },
-    /// The other side does not have it.
+    /// The field exists on one side only.
     OneSided { side: Side, field: usize, policy: Policy, value: Option<Value>, constant: bool },
 }
 
-/// How a value of one side becomes one of the other.
+/// How a value is converted between the two fields of a pair.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FieldConversion {
-    /// What stands for a missing value, by the side that has to have one.
+    /// The value that replaces a missing one, for each side that requires a value.
     pub old_default: Option<Value>,
     pub new_default: Option<Value>,
     pub round: Option<Rounding>,
@@ -35,19 +35,19 @@
     pub rules: Vec<Rule>,
 }
 
-/// A rule holds if this old field is one of these.
+/// A condition that is met if the old field has one of these values.
 #[derive(Debug, Clone)]
 pub(crate) struct Condition {
     pub field: usize,
     pub values: Vec<String>,
 }
 
-/// Why a message has no counterpart. It is not sent on, not even in part.
+/// Why a message can't be converted. Nothing of such a message is sent on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConversionError {
-    /// The side that the field is of.
+    /// The side of the field.
     pub side: Side,
-    /// The field.
+    /// The path of the field.
     pub field: String,
     /// What is wrong with it.
     pub reason: String,
@@ -65,25 +65,25 @@
     }
 }
 
-/// What was lost on the way, as the mapping allows. The client is told.
+/// A loss that the mapping allows. It is reported to the client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notice {
-    /// The field, of the side that it came from.
+    /// The path of the field in the message that was converted.
     pub field: String,
-    /// What became of it.
+    /// What was lost.
     pub loss: Loss,
 }
 
-/// How a value was not kept as it was.
+/// How a converted value differs from the original.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Loss {
-    /// It has no counterpart and was left out.
+    /// The field has no counterpart and was left out.
     Dropped,
-    /// It became this, which has fewer digits.
+    /// The value was rounded to this one.
     Rounded(String),
-    /// It became this, which is shorter or coarser.
+    /// The value was shortened, or reduced to a coarser precision, to this one.
     Cut(String),
-    /// It became this, for want of some of its characters.
+    /// Characters that the other side's set lacks were replaced, which gave this text.
     Replaced(String),
 }
 
@@ -98,16 +98,17 @@
     }
 }
 
-/// A message of the other side.
+/// The result of a conversion.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Converted {
-    /// It.
+    /// The message of the other side.
     pub message: Node,
-    /// What was lost.
+    /// The losses of the conversion.
     pub notices: Vec<Notice>,
 }
 
-/// The name of a carried field in the extension: steps of a path are parted by two hyphens, which no name has.
+/// Returns the name of a carried field in the extension. Two hyphens separate the steps of its path; no field name
+/// contains two hyphens.
 fn carried_name(path: &str) -> String {
     path.replace('.', "--")
 }
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Turns a message of `from` into the other side's, whole or not at all.
+    /// Converts a message of `from` into one of the other side. A message that can't be converted completely is
+    /// refused.
     pub fn convert(
         &self,
         message_kind: MessageKind,
@@ -266,7 +268,7 @@
                         for (&at, part) in old.iter().zip(&parts) {
                             let kind = &target_fields[at].kind;
                             let value = kind.parse(part).map_err(|reason| self.error(&path, reason))?;
-                            // What is written otherwise would come back otherwise.
+                            // A value in another spelling would not be restored as it was.
                             if kind.format(&value).as_deref() != Ok(part) {
                                 return Err(self.error(&path, format!("{part:?} is not written so")));
                             }
@@ -282,7 +284,7 @@
                     match policy {
                         _ if is_empty || *constant && same => {}
                         _ if *constant => return Err(self.error(&path, "it may have one value only")),
-                        // The other side's message will be read with this very value.
+                        // The reader of the other side's message fills in this same value.
                         Policy::Refuse if same => {}
                         Policy::Refuse => return Err(self.error(&path, "the other side has nothing like it")),
                         Policy::Drop => self.record_loss(&path, Loss::Dropped),
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -1,4 +1,4 @@
-//! Typed fields: how a value of each type stands in a message, and what is wrong with one that does not.
+//! Typed fields: parsing and formatting the values of each type, and validating them.
 
 use crate::node::Node;
 use crate::units::Unit;
@@ -11,89 +11,90 @@
 /// A field of one side's message.
 #[derive(Debug, Clone)]
 pub struct Field {
-    /// Its name; records on the way are parted by points.
+    /// Its path; points separate the names of nested records.
     pub path: String,
     /// Its type.
     pub kind: Kind,
-    /// A message may come without it.
+    /// True if a message may omit the field.
     pub optional: bool,
 }
 
 /// The type of a field.
 #[derive(Debug, Clone)]
 pub enum Kind {
-    /// Characters, so many at least and at most.
+    /// A text with a minimum and a maximum number of characters.
     Text(usize, usize),
-    /// A whole number within bounds, written with so many digits at least.
+    /// A whole number within bounds, written with at least this number of digits.
     Integer(i128, i128, usize),
-    /// A decimal within bounds, with so many digits after the point at most.
+    /// A decimal within bounds, with at most this number of digits after the point.
     Decimal(Decimal, Decimal, u32),
-    /// A decimal within bounds, with so many digits after the point, in a unit.
+    /// A decimal within bounds, with at most this number of digits after the point, in a unit.
     Quantity(Decimal, Decimal, u32, &'static Unit),
-    /// A day, in a form as of strftime.
+    /// A date in this strftime format.
     Date(String),
-    /// A moment.
+    /// A point in time.
     Time(TimeFormat),
-    /// One of these words.
+    /// One of these values.
     Choice(Vec<String>),
-    /// Yes or no, by these words where the form has no flags.
+    /// True or false, written as these words in forms that have no booleans.
     Flag(String, String),
-    /// So many items at most, each with these fields.
+    /// A list with a maximum number of items, each with these fields.
     Group(usize, Vec<Field>),
 }
 
-/// How moments are written.
+/// How points in time are written.
 #[derive(Debug, Clone)]
 pub struct TimeFormat {
-    /// Their form.
+    /// The notation.
     pub notation: TimeNotation,
-    /// The zone of local times, and the one that moments without an offset are written in.
+    /// The time zone of local times, and of times that are written with an offset but have none of their own.
     pub zone: TimeZone,
-    /// Which is meant where the clock was set back and shows an hour twice.
+    /// How a local time is resolved that occurs twice because clocks were set back.
     pub fold: Fold,
 }
 
-/// The form of a moment.
+/// The notation of a point in time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TimeNotation {
-    /// RFC 3339, with its offset.
+    /// RFC 3339, with a UTC offset.
     Rfc3339,
-    /// Seconds since 1970.
+    /// Seconds since 1970 (Unix time).
     Unix,
-    /// A local time, in a form as of strftime.
+    /// A local time in this strftime format.
     Local(String),
 }
 
-/// Which of two moments that a clock shows alike.
+/// How a local time that occurs twice is resolved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fold {
-    /// Neither: the message is refused.
+    /// The message is refused.
     Refuse,
-    /// The first.
+    /// The first occurrence is meant.
     Earlier,
-    /// The second.
+    /// The second occurrence is meant.
     Later,
 }
 
-/// How finely a form tells time, coarsest first.
+/// The precision of a time notation, coarsest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Precision {
     /// Minutes.
     Minute,
     /// Seconds.
     Second,
-    /// Parts of a second.
+    /// Fractions of a second.
     Fraction,
 }
 
 impl TimeFormat {
-    /// It shows local times of a zone that sets its clocks, so that some hours come twice and some never.
+    /// Reports whether this writes local times of a zone with offset transitions, where some local times occur twice
+    /// and some never.
     pub fn has_transitions(&self) -> bool {
         matches!(self.notation, TimeNotation::Local(_)) && self.zone.to_fixed_offset().is_err()
     }
 
-    /// How finely it tells time.
+    /// Returns the precision of the notation.
     pub fn precision(&self) -> Precision {
         match &self.notation {
             TimeNotation::Rfc3339 => Precision::Fraction,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The moment that it shows with nothing finer than its grain.
+    /// Truncates a point in time to the precision of the notation.
     pub fn truncate(&self, moment: OffsetTimestamp) -> OffsetTimestamp {
         let unit = match self.precision() {
             Precision::Minute => 60,
@@ -129,7 +130,7 @@
             TimeNotation::Local(form) => {
                 let wrong = || format!("not a time as {form:?}");
                 let local = DateTime::strptime(form, text).map_err(|_| wrong())?;
-                // Leap seconds, missing zeros and the like would come out otherwise than they came in.
+                // Refuses leap seconds, missing zeros and other input that would be written back differently.
                 if local.strftime(form).to_string() != text {
                     return Err(if text.contains("60") {
                         "a leap second, or not a time as its form".into()
@@ -169,7 +170,7 @@
                 }
                 let sign = if offset.seconds() < 0 { '-' } else { '+' };
                 let minutes = offset.seconds().abs() / 60;
-                // As RFC 3339 has it but for the offset (ISO 8601, with as many parts of a second as it takes).
+                // RFC 3339 as in ISO 8601, with as many fractional digits as needed.
                 return Ok(match offset == Offset::UTC {
                     true => format!("{local}Z"),
                     false => format!("{local}{sign}{:02}:{:02}", minutes / 60, minutes % 60),
@@ -177,7 +178,7 @@
             }
             TimeNotation::Local(form) => self.zone.to_datetime(moment.timestamp).strftime(form).to_string(),
         };
-        // The second of two hours that look alike, and years that the form has no digits for.
+        // Refuses the second occurrence of a repeated hour, and years that the format has no digits for.
         match self.read(&text) {
             Ok(reread) if reread.timestamp == moment.timestamp => Ok(text),
             Ok(_) => Err(format!("it would be written as {text:?}, which is another moment")),
@@ -186,7 +187,7 @@
     }
 }
 
-/// RFC 3339, 5.6, in capitals as its 4.3 recommends.
+/// Parses RFC 3339 (section 5.6), in capitals as its section 4.3 recommends.
 fn rfc3339(text: &str) -> Result<OffsetTimestamp, String> {
     let bytes = text.as_bytes();
     let matches_pattern = |from: usize, like: &[u8]| {
@@ -229,49 +230,49 @@
     Ok(OffsetTimestamp { timestamp, offset })
 }
 
-/// A moment, and the offset that it was written with.
+/// A point in time and the UTC offset that it was written with.
 #[derive(Debug, Clone, Copy)]
 pub struct OffsetTimestamp {
-    /// When.
+    /// The point in time.
     pub timestamp: Timestamp,
-    /// None if it is not known where.
+    /// `None` if the local offset is unknown (`-00:00`).
     pub offset: Option<Offset>,
 }
 
-/// Moments are equal wherever they are told.
+/// Two values are equal if they denote the same point in time, whatever their offsets.
 impl PartialEq for OffsetTimestamp {
     fn eq(&self, other: &Self) -> bool {
         self.timestamp == other.timestamp
     }
 }
 
-/// What a field holds.
+/// The value of a field.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// Of [`Kind::Text`].
+    /// A value of [`Kind::Text`].
     Text(String),
-    /// Of [`Kind::Integer`].
+    /// A value of [`Kind::Integer`].
     Integer(i128),
-    /// Of [`Kind::Decimal`] and [`Kind::Quantity`], in its unit.
+    /// A value of [`Kind::Decimal`] or [`Kind::Quantity`], in the field's unit.
     Decimal(Decimal),
-    /// Of [`Kind::Date`].
+    /// A value of [`Kind::Date`].
     Date(Date),
-    /// Of [`Kind::Time`].
+    /// A value of [`Kind::Time`].
     Time(OffsetTimestamp),
-    /// Of [`Kind::Choice`].
+    /// A value of [`Kind::Choice`].
     Choice(String),
-    /// Of [`Kind::Flag`].
+    /// A value of [`Kind::Flag`].
     Flag(bool),
-    /// Of [`Kind::Group`]: its items, with a value or none for each field.
+    /// A value of [`Kind::Group`]: its items, with an optional value for each field.
     Group(Vec<Vec<Option<Value>>>),
 }
 
-/// What sets forms apart in how they hold values.
+/// How a form represents values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Typing {
-    /// Numbers and flags are not texts.
+    /// True if numbers and booleans are distinct from text.
     pub typed: bool,
-    /// A list of one looks like the one.
+    /// True if a list with one item looks like the item itself.
     pub single_item_unwrapped: bool,
 }
 
@@ -283,7 +284,7 @@
     text.parse().map_err(|_| "too large a number".into())
 }
 
-/// Digits, at most one point with digits on both sides, and a minus before them.
+/// Parses a decimal: an optional minus, digits, and at most one point with digits on both sides.
 fn decimal(text: &str) -> Result<Decimal, String> {
     let plain = text.strip_prefix('-').unwrap_or(text);
     let (whole, part) = plain.split_once('.').unwrap_or((plain, "0"));
@@ -291,11 +292,11 @@
     if !digits(whole) || !digits(part) {
         return Err("not a decimal".into());
     }
-    // Exactly, or the number would lose its last digits without a word.
+    // An inexact conversion would silently drop the last digits.
     Decimal::from_str_exact(text).map_err(|_| "more digits than can be kept".into())
 }
 
-/// A number in JSON's grammar without its exponent, if it can be written so.
+/// Rewrites a JSON number without its exponent, if it can be represented so.
 fn expand_exponent(number: &str) -> Result<String, String> {
     let Some((digits, exponent)) = number.split_once(['e', 'E']) else { return Ok(number.to_owned()) };
     let exponent: i32 = exponent.parse().map_err(|_| "too large a number")?;
@@ -372,7 +373,7 @@
         self.kind.parse(text).map(Some)
     }
 
-    /// What the field looks like in a message of its side.
+    /// Converts a value to its representation in a message of its side.
     pub fn write(&self, value: &Value, typing: Typing) -> Result<Node, String> {
         if let (Kind::Group(max, fields), Value::Group(items)) = (&self.kind, value) {
             if items.len() > *max {
@@ -399,7 +400,7 @@
     }
 }
 
-/// A name in a record that none of the fields has, nor `extension`.
+/// Returns the path of a member that belongs to none of the fields and is not `extension`.
 pub fn find_unknown_field(record: &Node, fields: &[Field], extension: Option<&str>) -> Option<String> {
     fn within(node: &Node, path: &str, fields: &[Field], extension: Option<&str>) -> Option<String> {
         let Node::Record(members) = node else { return Some(path.to_owned()) };
@@ -433,7 +434,7 @@
 }
 
 impl Kind {
-    /// Its name, as files have it.
+    /// Returns the name used in mapping files.
     pub fn name(&self) -> &'static str {
         match self {
             Kind::Text(..) => "text",
@@ -453,7 +454,7 @@
         unix || matches!(self, Kind::Integer(..) | Kind::Decimal(..) | Kind::Quantity(..))
     }
 
-    /// Reads a value from characters.
+    /// Parses a value.
     pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self {
             Kind::Text(..) => self.checked(Value::Text(text.to_owned())),
@@ -479,7 +480,7 @@
         self.check(&value).map(|()| value)
     }
 
-    /// What is written must be what would be read: within its bounds, its length, its words.
+    /// Checks that a value can be read back: its bounds, its length or its list of values.
     fn check(&self, value: &Value) -> Result<(), String> {
         match (self, value) {
             (Kind::Text(min, max), Value::Text(text)) => {
@@ -502,17 +503,17 @@
             (Kind::Choice(words), Value::Choice(word)) if !words.contains(word) => {
                 Err(format!("{word:?} is none of {}", words.join(", ")))
             }
-            // A year that its form has no digits for comes back as another.
+            // A year that the format has no digits for would be read back as another year.
             (Kind::Date(_), Value::Date(_)) => match self.parse(&self.format(value)?)? == *value {
                 true => Ok(()),
                 false => Err("it would be written as another day".into()),
             },
-            // A clock reads again what it has written.
+            // `TimeFormat::write` parses its own output.
             _ => Ok(()),
         }
     }
 
-    /// A value in characters.
+    /// Formats a value.
     pub fn format(&self, value: &Value) -> Result<String, String> {
         match (self, value) {
             (Kind::Text(..), Value::Text(text)) | (Kind::Choice(_), Value::Choice(text)) => Ok(text.clone()),
@@ -520,7 +521,7 @@
                 let sign = if *n < 0 { "-" } else { "" };
                 Ok(format!("{sign}{:0width$}", n.unsigned_abs(), width = *width))
             }
-            // A minus before nothing but zeros says nothing.
+            // A zero is written without a minus.
             (Kind::Decimal(..) | Kind::Quantity(..), Value::Decimal(n)) if n.is_zero() => {
                 Ok(n.abs().to_string())
             }
--- a/crates/translate/src/node.rs
+++ b/crates/translate/src/node.rs
@@ -1,31 +1,31 @@
-//! What every form is decoded into: names, texts, lists. Types come later, from the mapping.
+//! The decoded message, common to all forms: names, texts and lists. The mapping adds the types.
 
 use std::fmt;
 
 /// A value as a form carries it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Node {
-    /// It says that there is none: `null` in JSON (RFC 8259, 3), `xsi:nil` in SOAP.
+    /// An explicit absence: `null` in JSON (RFC 8259, 3), `xsi:nil` in SOAP.
     Null,
-    /// Characters.
+    /// A text.
     Text(String),
-    /// A number in JSON's grammar (RFC 8259, 6), digit for digit as it came.
+    /// A number in JSON's grammar (RFC 8259, 6), with its digits as received.
     Number(String),
     /// `true` or `false` in JSON.
     Bool(bool),
-    /// Named values, in their order; no name twice.
+    /// Named values in their order, with unique names.
     Record(Vec<(String, Node)>),
-    /// Values of one name.
+    /// The values of a list, or of repeated elements.
     List(Vec<Node>),
 }
 
 impl Node {
-    /// An empty record.
+    /// Returns an empty record.
     pub fn record() -> Node {
         Node::Record(Vec::new())
     }
 
-    /// The value at a path whose steps are parted by points.
+    /// Returns the value at a path; points separate its steps.
     pub fn get(&self, path: &str) -> Option<&Node> {
         path.split('.').try_fold(self, |node, step| match node {
             Node::Record(members) => members.iter().find(|(name, _)| name == step).map(|(_, value)| value),
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Puts a value at a path, with records on the way. A value that stands there is replaced.
+    /// Sets the value at a path, and creates the records on the way. An existing value is replaced.
     pub fn insert(&mut self, path: &str, value: Node) {
         let (step, rest) = match path.split_once('.') {
             Some((step, rest)) => (step, Some(rest)),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What kind of value it is, for people.
+    /// Returns the kind of the value for error messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Node::Null => "null",
@@ -79,14 +79,14 @@
     }
 }
 
-/// What a message may hold at most; past that it is refused, whatever its form.
+/// Limits of a message in any form; a larger message is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the body.
+    /// The size of the body.
     pub max_bytes: usize,
-    /// Values in all.
+    /// The total number of values.
     pub max_fields: usize,
-    /// Records and lists in each other.
+    /// The nesting depth of records and lists.
     pub max_depth: usize,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// Counts what a message holds against its limits.
+/// Counts the values of a message against its limits.
 #[derive(Debug)]
 pub(crate) struct LimitCounter {
     limits: Limits,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Another value, so deep within others.
+    /// Counts one more value at this nesting depth.
     pub(crate) fn add_value(&mut self, depth: usize) -> Result<(), String> {
         self.fields += 1;
         if self.fields > self.limits.max_fields {
--- a/crates/translate/src/units.rs
+++ b/crates/translate/src/units.rs
@@ -1,23 +1,23 @@
 //! Units and exact conversion between them.
 //!
-//! A unit is a ratio of whole numbers and an offset to the SI unit of its dimension, so that nothing is rounded but the
-//! last step, and that only as the mapping says. Ratios are those of the 1959 yard and pound agreement (1 in = 25.4 mm,
-//! 1 mi = 1609.344 m) and of the international nautical mile (1852 m).
+//! A unit is defined by an integer ratio and an offset to the SI unit of its dimension. Only the last step of a
+//! conversion rounds, and only as the mapping says. The ratios are those of the 1959 yard and pound agreement (1 in =
+//! 25.4 mm, 1 mi = 1609.344 m) and of the international nautical mile (1852 m).
 
 use rust_decimal::Decimal;
 
 /// A unit that mapping files may name.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Unit {
-    /// Its symbol, as files have it.
+    /// The symbol used in mapping files.
     pub symbol: &'static str,
-    /// What it measures; only units of one dimension convert.
+    /// The measured quantity; only units of the same dimension convert.
     pub dimension: &'static str,
-    /// SI units in `per` of these: how many,
+    /// Numerator of the size of this unit in SI units.
     si_numerator: i128,
-    /// and the number that it is divided by.
+    /// Denominator of the size of this unit in SI units.
     si_denominator: i128,
-    /// Added before the ratio, in hundredths of this unit.
+    /// Added before the ratio is applied, in hundredths of this unit.
     offset_hundredths: i128,
 }
 
@@ -31,7 +31,7 @@
     Unit { symbol, dimension, si_numerator, si_denominator, offset_hundredths }
 }
 
-/// All units.
+/// All supported units.
 pub const UNITS: &[Unit] = &[
     unit("m", "length", 1, 1, 0),
     unit("mm", "length", 1, 1000, 0),
@@ -52,25 +52,25 @@
     unit("hPa", "pressure", 100, 1, 0),
 ];
 
-/// The unit of a symbol.
+/// Returns the unit with this symbol.
 pub fn find(symbol: &str) -> Option<&'static Unit> {
     UNITS.iter().find(|unit| unit.symbol == symbol)
 }
 
-/// How the last digit is found where a value has more than may be kept.
+/// How a value with too many digits is rounded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rounding {
-    /// To the nearest; halves to the even digit.
+    /// To the nearest; a tie goes to the even digit.
     HalfEven,
-    /// To the nearest; halves away from zero.
+    /// To the nearest; a tie goes away from zero.
     HalfUp,
     /// Towards zero.
     Down,
 }
 
 impl Rounding {
-    /// Its name, as files have it.
+    /// Returns the name used in mapping files.
     pub fn name(self) -> &'static str {
         match self {
             Rounding::HalfEven => "half-even",
@@ -80,7 +80,7 @@
     }
 }
 
-/// A ratio of whole numbers; the lower one is above zero.
+/// A fraction of integers; the denominator is positive.
 #[derive(Debug, Clone, Copy)]
 pub struct Ratio {
     numerator: i128,
@@ -103,12 +103,13 @@
         Some(Ratio { numerator: numerator / divisor, denominator: denominator / divisor })
     }
 
-    /// The ratio that a decimal is.
+    /// Converts a decimal exactly.
     pub fn from_decimal(value: Decimal) -> Option<Ratio> {
         Some(Ratio { numerator: value.mantissa(), denominator: 10_i128.checked_pow(value.scale())? })
     }
 
-    /// Common divisors are sought only where a product would be too large: that costs more than all the rest.
+    /// Multiplies without reducing unless a product overflows: finding the common divisor costs more than all the other
+    /// steps.
     fn multiply(self, numerator: i128, denominator: i128) -> Option<Ratio> {
         if let (Some(numerator), Some(denominator)) =
             (self.numerator.checked_mul(numerator), self.denominator.checked_mul(denominator))
@@ -136,8 +137,8 @@
         Some(Ratio { numerator, denominator: denominator.checked_mul(100)? })
     }
 
-    /// The decimal with so many digits after the point at most, and whether it is less exact than the ratio. None if
-    /// it is too large.
+    /// Rounds to at most this number of digits after the point; also returns whether the result is inexact. `None` if
+    /// the number is too large.
     pub fn round(self, digits: u32, rounding: Rounding) -> Option<(Decimal, bool)> {
         let scaled = self.multiply(10_i128.checked_pow(digits)?, 1)?;
         let (quotient, remainder) =
@@ -158,7 +159,7 @@
     }
 }
 
-/// The value in another unit of the same dimension, exactly. None if a number on the way is too large.
+/// Converts a value exactly to another unit of the same dimension. `None` if an intermediate number is too large.
 pub fn convert(value: Decimal, from: &Unit, to: &Unit) -> Option<Ratio> {
     let si = Ratio::from_decimal(value)?
         .add_hundredths(from.offset_hundredths)?
@@ -166,8 +167,8 @@
     si.multiply(to.si_denominator, to.si_numerator)?.add_hundredths(-to.offset_hundredths)
 }
 
-/// Digits after the point that every value of `from` with `digits` of them may need in `to`; None if no number of
-/// digits is enough.
+/// Returns how many digits after the point suffice in `to` for every value of `from` with `digits` of them; `None` if
+/// no number of digits suffices.
 pub fn exact_digits(from: &Unit, to: &Unit, digits: u32) -> Option<u32> {
     (0..=27).find(|&more| {
         let steps = [Decimal::ZERO, Decimal::new(1, digits.min(27))];
--- a/crates/translate/src/units/tests.rs
+++ b/crates/translate/src/units/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_agreed_ratios_hold() {
+fn units_convert_by_their_defined_ratios() {
     assert_eq!(convert_and_round("1", "in", "mm", 1), ("25.4".into(), false));
     assert_eq!(convert_and_round("1", "mi", "m", 3), ("1609.344".into(), false));
     assert_eq!(convert_and_round("1", "mi/h", "m/s", 5), ("0.44704".into(), false));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn halves_go_where_they_are_told() {
+fn ties_are_rounded_as_requested() {
     let half = |text: &str, rounding| {
         Ratio::from_decimal(text.parse().unwrap()).unwrap().round(0, rounding).unwrap().0
     };
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn how_many_digits_are_enough_is_known_beforehand() {
+fn exact_digits_counts_the_digits_that_suffice() {
     let digits = |from, to, digits| exact_digits(find(from).unwrap(), find(to).unwrap(), digits);
     assert_eq!(digits("in", "mm", 2), Some(3));
     assert_eq!(digits("mi/h", "m/s", 1), Some(6));
