--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -1,4 +1,4 @@
-//! Mappings for people: Markdown tables, and one message field by field.
+//! Describes mappings for operators: as Markdown tables, and by converting one message field by field.
 
 use crate::convert::{FieldConversion, Rule};
 use crate::field::{Field, Fold, Kind, TimeNotation};
@@ -7,7 +7,7 @@
 use crate::node::{Limits, Node};
 use std::fmt::Write;
 
-/// The whole mapping as Markdown.
+/// Describes the complete mapping as Markdown.
 pub fn explain(mapping: &Mapping) -> String {
     let mut out = format!("# {}, version {}\n\nClass `{}`.\n", mapping.name, mapping.version, mapping.class);
     let _ = writeln!(out, "\n| side | request | answer |\n| --- | --- | --- |");
@@ -67,7 +67,7 @@
     }
 }
 
-/// Bars would end the cell.
+/// Escapes the bars in a text, which would otherwise end the table cell.
 fn escape_cell(text: &str) -> String {
     text.replace('|', "\\|")
 }
@@ -178,7 +178,7 @@
     how
 }
 
-/// One message by hand: what becomes of each field, and the other side's message.
+/// Converts one message and returns what each field became, followed by the encoded message.
 pub fn explain_message(
     mapping: &Mapping,
     message_kind: MessageKind,
--- a/crates/translate/src/file.rs
+++ b/crates/translate/src/file.rs
@@ -1,4 +1,4 @@
-//! Mapping files as they are written; what they mean is found by `compile`.
+//! The contents of a mapping file as written. The `compile` module interprets them.
 
 use crate::charset::Charset;
 use crate::field::Fold;
@@ -26,7 +26,7 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct Side {
     pub form: Spanned<Form>,
-    /// That of its answers, if it is another.
+    /// The form of the responses, if it differs from that of the requests.
     #[serde(rename = "answers")]
     pub response_form: Option<Spanned<Form>>,
     pub method: String,
@@ -105,7 +105,7 @@
     pub rules: Vec<Rule>,
 }
 
-/// One name, or those that a function makes one of.
+/// One field name, or the several names that a function joins.
 #[derive(Debug, Deserialize)]
 #[serde(from = "Spanned<OneOrMany>")]
 pub(crate) struct Names(Vec<Spanned<String>>);
@@ -141,7 +141,7 @@
     pub is: Vec<String>,
 }
 
-/// What becomes of a field that the other side does not have.
+/// What happens to a field that the other side does not have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Policy {
@@ -170,17 +170,17 @@
     Replace,
 }
 
-/// The closed set of functions.
+/// The functions that a rule can apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Function {
-    /// Several old fields are one new text, with `with` between them.
+    /// Joins several old fields into one new text, separated by `with`.
     Join,
-    /// The old text in capitals.
+    /// Converts the old text to upper case.
     Upper,
-    /// The old text in small letters.
+    /// Converts the old text to lower case.
     Lower,
-    /// The old text without white space at its ends.
+    /// Removes white space at both ends of the old text.
     Trim,
 }
 
@@ -192,7 +192,7 @@
     pub without: Option<String>,
 }
 
-/// Where a byte of a text stands, counted from one.
+/// Returns the number of the line that contains the byte `at`, counted from one.
 pub(crate) fn line_of(text: &str, at: usize) -> usize {
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|&&byte| byte == b'\n').count()
 }
--- a/crates/translate/src/key.rs
+++ b/crates/translate/src/key.rs
@@ -1,18 +1,18 @@
-//! Keys of repeats, the same for the same request in either dialect.
+//! Idempotency keys, which are the same for the same request in either dialect.
 //!
 //! `key = hex(SHA-256("heronhoist key 1" 0x00 namespace 0x00 (length of part, 8 bytes, big-endian, part)...)[..16])`.
 //!
-//! Nothing in it belongs to a process or a time: a repeat has the same key after a restart and through another agent.
-//! Lengths stand before the parts, so that no two lists of parts look alike. Of n keys, two that differ in what they are
-//! made of are the same with a probability below n² / 2^129 (the birthday bound for 128 bits): for 10^12 keys below
-//! 1.5 * 10^-15.
+//! A key does not depend on a process or a time: a repeated request has the same key after a restart and through
+//! another agent. Each part is preceded by its length, so that different lists of parts never give the same input to
+//! the hash. Among n keys, the probability that two with different parts are equal is below n² / 2^129 (the birthday
+//! bound for 128 bits): below 1.5 * 10^-15 for 10^12 keys.
 
 use sha2::{Digest, Sha256};
 
-/// Which function this is. Another one needs another number.
+/// Identifies the key function. A changed function needs another number.
 const VERSION: &[u8] = b"heronhoist key 1\0";
 
-/// The key that these parts make, in 32 hexadecimal digits.
+/// Returns the key of these parts as 32 hexadecimal digits.
 pub fn key<'a>(namespace: &str, parts: impl IntoIterator<Item = &'a str>) -> String {
     let mut hash = Sha256::new();
     hash.update(VERSION);
--- a/crates/translate/src/key/tests.rs
+++ b/crates/translate/src/key/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
 #[test]
-fn a_key_is_its_parts_and_nothing_else() {
-    // By hand: sha256sum of the bytes that the formula states. A change of it would let repeats run twice.
+fn key_depends_only_on_namespace_and_parts() {
+    // The expected value was computed with sha256sum over the bytes that the formula states. If the formula changed, a
+    // repeated request could run twice.
     assert_eq!(key("gulf", ["0042", "1001"]), KNOWN);
     assert_eq!(key("gulf", ["0042", "1001"]), key("gulf", ["0042", "1001"]));
     let others =
--- a/crates/translate/src/lib.rs
+++ b/crates/translate/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages of old and new clients and servers, translated by mapping files that are checked before they are used.
+//! Translates messages between legacy and new clients and servers by mapping files, which are checked before use.
 //!
-//! No I/O: bytes in, bytes out. A [`Mapping`] is read from a file ([`mapping::read`]) and refuses to exist while a field of
-//! either side is neither mapped, defaulted nor given a policy. A message is [decoded](wire) into [nodes](Node) by the
-//! form it came in, [converted](Mapping::convert) field by field into the other side's, and encoded in that side's form.
-//! What is lost on the way is either refused or told as a [`Notice`].
+//! The crate does no I/O: it turns bytes into bytes. [`mapping::read`] compiles a file into a [`Mapping`], and fails
+//! while any field of either side is neither mapped nor given a default or a policy. A message is [decoded](wire) from
+//! its form into [nodes](Node), [converted](Mapping::convert) field by field to the other side's message, and encoded
+//! in that side's form. A loss is either refused or reported as a [`Notice`].
 
 pub mod charset;
 pub mod convert;
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -1,4 +1,4 @@
-//! A mapping: what its file says, once it has no fault.
+//! Mappings between two dialects, compiled from mapping files.
 
 use crate::charset::Charset;
 use crate::field::{Field, Typing};
@@ -10,14 +10,14 @@
 /// One of the two dialects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Side {
-    /// The old one.
+    /// The old dialect.
     Old,
-    /// The new one.
+    /// The new dialect.
     New,
 }
 
 impl Side {
-    /// The one that is not this.
+    /// Returns the other side.
     #[must_use]
     pub fn other(self) -> Side {
         match self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Its name, as files have it.
+    /// Returns the name used in mapping files.
     pub fn name(self) -> &'static str {
         match self {
             Side::Old => "old",
@@ -38,14 +38,14 @@
 /// One of the two messages of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MessageKind {
-    /// From a client.
+    /// A client's request.
     Request,
-    /// From a server.
+    /// A server's response.
     Response,
 }
 
 impl MessageKind {
-    /// Its name, as files have it.
+    /// Returns the name used in mapping files.
     pub fn name(self) -> &'static str {
         match self {
             MessageKind::Request => "request",
@@ -54,7 +54,7 @@
     }
 }
 
-/// The form of messages on the wire.
+/// The encoding of messages on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
@@ -69,12 +69,12 @@
 }
 
 impl Form {
-    /// How it holds values.
+    /// Returns how this form represents values.
     pub fn typing(self) -> Typing {
         Typing { typed: self == Form::Json, single_item_unwrapped: self == Form::Soap }
     }
 
-    /// The media type of a message.
+    /// Returns the media type of a message.
     pub fn media_type(self) -> &'static str {
         match self {
             Form::Form => "application/x-www-form-urlencoded",
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The `Content-Type` of a message: text says its charset.
+    /// Returns the `Content-Type` of a message; text forms state their charset.
     pub fn content_type(self, charset: Charset) -> String {
         match self {
             Form::Form | Form::Json => self.media_type().into(),
@@ -93,12 +93,12 @@
     }
 }
 
-/// A fault of a mapping file.
+/// An error in a mapping file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where, counted from one.
+    /// The line, counted from one.
     pub line: usize,
-    /// What it is about, as `request.old.STN`; empty where the file itself can't be read.
+    /// What it is about, such as `request.old.STN`; empty if the file can't be parsed.
     pub key: String,
     /// What is wrong.
     pub message: String,
@@ -113,48 +113,48 @@
     }
 }
 
-/// Values that do not come back as they went.
+/// Values of a field that a round trip through the other dialect does not preserve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
-    /// Of which message.
+    /// The message that contains the field.
     pub message_kind: MessageKind,
-    /// Of which field.
+    /// The path of the field.
     pub field: String,
-    /// The side that they come from.
+    /// The side of the field.
     pub from: Side,
-    /// Exactly which, and what becomes of them.
+    /// Which values are affected, and what happens to them.
     pub text: String,
 }
 
-/// How one side speaks.
+/// The message format of one side.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// The form of its requests.
+    /// The form of requests.
     pub request_form: Form,
-    /// That of its answers.
+    /// The form of responses.
     pub response_form: Form,
-    /// The method of its requests.
+    /// The method of requests.
     pub method: String,
-    /// Their path.
+    /// The path of requests.
     pub path: String,
-    /// Their characters, and those of the answers.
+    /// The character set of requests and responses.
     pub charset: Charset,
-    /// What parts the columns of delimited text.
+    /// The character between the columns of delimited text.
     pub delimiter: u8,
-    /// Where the other side's carried fields stand.
+    /// The name of the record that holds carried fields of the other side.
     pub extension: Option<String>,
-    /// The element of a SOAP call; that of its answer is this with `Response` behind it.
+    /// The element of a SOAP call; the response's element has `Response` appended.
     pub operation: String,
-    /// The namespace of both.
+    /// The XML namespace of both elements.
     pub namespace: String,
     pub(crate) request_fields: Vec<Field>,
     pub(crate) response_fields: Vec<Field>,
-    /// The rows of an answer, which is the only message that can be a table.
+    /// The rows of a response; requests are never tables.
     pub(crate) table_layout: table::Layout,
 }
 
 impl Dialect {
-    /// The fields of a message.
+    /// Returns the fields of a message.
     pub fn fields(&self, message_kind: MessageKind) -> &[Field] {
         match message_kind {
             MessageKind::Request => &self.request_fields,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The form of a message.
+    /// Returns the form of a message.
     pub fn form(&self, message_kind: MessageKind) -> Form {
         match message_kind {
             MessageKind::Request => self.request_form,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Reads a message of this side.
+    /// Decodes a message of this side.
     pub fn decode(&self, message_kind: MessageKind, bytes: &[u8], limits: Limits) -> Result<Node, String> {
         match self.form(message_kind) {
             Form::Form => form::decode(bytes, self.charset, limits),
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Writes a message of this side.
+    /// Encodes a message of this side.
     pub fn encode(&self, message_kind: MessageKind, message: &Node) -> Result<Vec<u8>, String> {
         match self.form(message_kind) {
             Form::Form => form::encode(message, self.charset),
@@ -208,7 +208,7 @@
     }
 }
 
-/// A pair of messages in two dialects, and how each becomes the other.
+/// The translation of one kind of exchange between two dialects.
 #[derive(Debug, Clone)]
 pub struct Mapping {
     /// Its name.
@@ -219,30 +219,30 @@
     pub class: String,
     /// The old dialect.
     pub old: Dialect,
-    /// The new one.
+    /// The new dialect.
     pub new: Dialect,
-    /// Where messages are not the same after a way there and back.
+    /// The values that a round trip does not preserve.
     pub notes: Vec<Note>,
     pub(crate) request_rules: Vec<crate::convert::Rule>,
     pub(crate) response_rules: Vec<crate::convert::Rule>,
     pub(crate) key: Option<Key>,
 }
 
-/// What the keys of old requests are made of.
+/// How the idempotency keys of old requests are built.
 #[derive(Debug, Clone)]
 pub(crate) struct Key {
     pub fields: Vec<usize>,
     pub namespace: String,
-    /// The class of a request that has no key.
+    /// The class of a request without a key.
     pub without: Option<String>,
 }
 
-/// All mappings of an installation, by how their requests are told apart.
+/// All mappings of an installation. Requests select one by method and path.
 #[derive(Debug, Clone, Default)]
 pub struct Mappings(Vec<Rc<Mapping>>);
 
 impl Mappings {
-    /// The mappings, of which no two may have old requests of one method and path.
+    /// Fails if two mappings have old requests with the same method and path.
     pub fn new(mappings: Vec<Mapping>) -> Result<Self, String> {
         for (n, one) in mappings.iter().enumerate() {
             let same =
@@ -255,12 +255,13 @@
         Ok(Mappings(mappings.into_iter().map(Rc::new).collect()))
     }
 
-    /// The mapping of an old request.
+    /// Returns the mapping of an old request.
     pub fn find(&self, method: &str, path: &str) -> Option<&Rc<Mapping>> {
         self.0.iter().find(|mapping| mapping.old.method == method && mapping.old.path == path)
     }
 
-    /// Those whose new requests have this method and path: several old ones may become the same.
+    /// Returns the mappings whose new requests have this method and path. Several old requests may map to the same new
+    /// one.
     pub fn find_by_new_request<'a>(
         &'a self,
         method: &'a str,
@@ -269,14 +270,14 @@
         self.0.iter().filter(move |mapping| mapping.new.method == method && mapping.new.path == path)
     }
 
-    /// All of them.
+    /// Returns all mappings.
     pub fn all(&self) -> &[Rc<Mapping>] {
         &self.0
     }
 }
 
 impl Mapping {
-    /// One side's dialect.
+    /// Returns the dialect of one side.
     pub fn dialect(&self, side: Side) -> &Dialect {
         match side {
             Side::Old => &self.old,
@@ -284,18 +285,18 @@
         }
     }
 
-    /// Old requests have keys.
+    /// Reports whether old requests have idempotency keys.
     pub fn has_keys(&self) -> bool {
         self.key.is_some()
     }
 
-    /// The class of an old request that should have a key and has none; it can't be told from its repeats.
+    /// Returns the class of an old request whose key fields are missing: its repeats can't be recognized.
     pub fn class_without_key(&self) -> Option<&str> {
         self.key.as_ref().and_then(|key| key.without.as_deref())
     }
 
-    /// The key of an old request's repeats, from the fields that its file names; None if it names none, or if one is
-    /// not there.
+    /// Returns the idempotency key of an old request, built from the fields that the mapping file names. `None` if the
+    /// file names none, or a field is missing.
     pub fn idempotency_key(&self, request: &Node) -> Option<String> {
         let key = self.key.as_ref()?;
         let part = |&at: &usize| {
@@ -308,7 +309,7 @@
     }
 }
 
-/// Reads a mapping file, or says all that is wrong with it.
+/// Compiles a mapping file, or returns all errors in it.
 pub fn read(text: &str) -> Result<Mapping, Vec<Diagnostic>> {
     crate::compile::compile(text, crate::file::parse(text)?)
 }
--- a/crates/translate/src/mixed_fleet.rs
+++ b/crates/translate/src/mixed_fleet.rs
@@ -1,36 +1,36 @@
-//! Fleets of which some servers speak the old dialect and some the new: which of the two a request may be said in, and both of
-//! its forms, settled before a server is chosen.
+//! Mixed fleets, where some servers use the old dialect and some the new. Determines, before a server is selected,
+//! which dialects a request may be sent in, and encodes it in both.
 
 use crate::mapping::{Mapping, MessageKind, Side};
 use crate::node::{Limits, Node};
 use crate::Notice;
 
-/// One or both dialects.
+/// A set of dialects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Sides {
-    /// The old one.
+    /// Contains the old dialect.
     pub old: bool,
-    /// The new one.
+    /// Contains the new dialect.
     pub new: bool,
 }
 
-/// Where a request may go, and what it is there.
+/// The dialects that a request may be sent in, and its translation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// The dialects that it may be sent in.
+    /// The dialects that the request may be sent in.
     pub sides: Sides,
-    /// The request in the dialect that its client does not speak, if it may be sent in that.
+    /// The request in the dialect that its client does not use, if it may be sent in that dialect.
     pub translated: Option<Vec<u8>>,
-    /// What is lost in that, as far as its client has to be told.
+    /// The losses of the translation that must be reported to the client.
     pub notices: Vec<Notice>,
-    /// What tells its repeats from other requests, if its class has keys and it one.
+    /// The idempotency key, if the class has keys and the request has one.
     pub key: Option<String>,
 }
 
-/// Where an old request may go, given what there is to send to: where old servers serve, losses are theirs to spare.
+/// Plans an old request for the dialects that the available servers use. A request that loses something in the new
+/// dialect, or can't be translated, is sent to old servers only while one is available.
 ///
-/// Loses something in the new dialect, or can't be said in it: old servers only, if one serves; if none does, new ones with
-/// notices, or the reason why it can't be sent.
+/// Without an old server, it is sent to new servers with notices, or the reason is returned why it can't be translated.
 pub fn plan_old_request(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
     let key = mapping.idempotency_key(message);
     let translated_request =
@@ -47,8 +47,8 @@
     Ok(Plan { sides: Sides { old, new }, translated, notices, key })
 }
 
-/// Where a new request may go: to old servers too if it can be said to them without loss, and its own `key` is the one by
-/// which they know its repeats.
+/// Plans a new request. It may also be sent to old servers if the translation loses nothing, and if its `key` equals
+/// the one by which old servers recognize repeats.
 pub fn plan_new_request(mapping: &Mapping, bytes: &[u8], key: Option<&str>, serving: Sides) -> Plan {
     let only_new = || Plan {
         sides: Sides { old: false, new: true },
@@ -59,8 +59,8 @@
     let translated_request = || {
         let message = mapping.new.decode(MessageKind::Request, bytes, Limits::default()).ok()?;
         let done = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
-        // Old servers tell repeats by the fields that the key is made of. Where the client has made its own key the two need
-        // not agree, and a repeat could run at a server of each kind.
+        // Old servers recognize repeats by the fields that the key is built from. A key that the client chose itself
+        // can differ from them, and a repeat could then run on an old and on a new server.
         let same = mapping.idempotency_key(&done.message).as_deref() == key;
         let faithful = done.notices.is_empty() && same;
         faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
@@ -71,8 +71,8 @@
     }
 }
 
-/// A server's answer in the dialect of the other side, and what is lost. One that can't be said there may have run: it is a
-/// failure, and never passed on in part.
+/// Translates a server's response into the other dialect, and returns the losses. If a response can't be translated,
+/// the request may have run: the exchange fails, and no part of the response is passed on.
 pub fn translate_response(
     mapping: &Mapping,
     from: Side,
