--- a/crates/translate/tests/golden.rs
+++ b/crates/translate/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages written out by hand from the grammars of the forms, and what each has to become.
+//! Messages written by hand from the grammars of the forms, with the expected translation of each.
 mod worked;
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
 use worked::WORKED;
@@ -8,7 +8,7 @@
     mapping::read(file.1).unwrap()
 }
 
-/// The other side's bytes and the notices, or why there are none.
+/// Returns the other side's bytes and the notices, or why the message is refused.
 fn translate(
     name: &str,
     message_kind: MessageKind,
@@ -29,14 +29,14 @@
     assert_eq!(found_notices, notices);
 }
 
-/// Why a message is refused.
+/// Returns why a message is refused.
 fn refusal(name: &str, message_kind: MessageKind, from: Side, bytes: &str) -> String {
     translate(name, message_kind, from, bytes.as_bytes()).expect_err(bytes)
 }
 
 #[test]
-fn a_query_and_its_table() {
-    // EST until 2 o'clock on the eighth of March 2026, EDT after it.
+fn query_and_its_table_response() {
+    // EST applies until 2 o'clock on 8 March 2026, EDT after it.
     golden(
         "lookup",
         MessageKind::Request,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_correction_keeps_its_key() {
+fn correction_keeps_its_idempotency_key() {
     let old = b"DESK=0042&NUM=1000000000000000000&STN=KTPA&OBSDT=202612010805&WHAT=R&RAIN=1.50&URGENT=Y&CLERK=Ann&WHY=";
     golden(
         "correction",
@@ -94,10 +94,10 @@
         mapping.idempotency_key(&request)
     };
     let first = key(std::str::from_utf8(old).unwrap()).unwrap();
-    // A repeat may word the rest otherwise, and write its desk without zeros.
+    // A repeat may change the other fields, and write its desk number without leading zeros.
     assert_eq!(key("NUM=1000000000000000000&DESK=42&WHY=again"), Some(first.clone()));
     assert_ne!(key("DESK=0042&NUM=1000000000000000001"), Some(first));
-    assert_eq!(key("DESK=0042"), None, "without a running number it is at most once");
+    assert_eq!(key("DESK=0042"), None, "without a running number the request has no key");
     golden(
         "correction",
         MessageKind::Response,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_order_in_an_envelope() {
+fn order_in_a_soap_envelope() {
     let around = |inner: &str| {
         format!(
             "<?xml version=\"1.0\" encoding=\"iso-8859-1\"?><soap:Envelope xmlns:soap=\"http://schemas.xmlsoap.org/soap/envelope/\">\
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn what_can_not_be_said_is_refused_by_name() {
+fn untranslatable_field_is_refused_by_name() {
     let order = |more: &str| {
         format!(
             "{{\"case\":\"c\",\"station\":\"K\",\"period\":{{\"first\":\"2024-02-28\",\"last\":\"2024-02-29\"}},\"copies\":1,\
@@ -153,7 +153,7 @@
         |name: &str| format!("{{\"station\":{{\"id\":\"{name}\",\"name\":\"n\"}},\"observations\":[]}}");
     let at = |time: &str| format!("station=K&from={time}&to=2026-06-01T04:00:00Z&kind=all");
     for (name, message_kind, from, bytes, reason) in [
-        // A field, a word, a flag that the other side does not have.
+        // A field, a value and a flag that the other side does not have.
         (
             "certified-copy",
             MessageKind::Request,
@@ -182,7 +182,8 @@
             order("\"language\":1"),
             "a number where choice should be",
         ),
-        // A time that no clock showed, one shown twice that can't be told apart, a leap second, seconds and offsets.
+        // A local time that was skipped, one that occurs twice, a leap second, seconds that the other side can't
+        // represent, a missing offset and an invalid date.
         ("lookup", MessageKind::Request, Side::Old, query("03/08/2026+02:30"), "set forward"),
         ("lookup", MessageKind::Request, Side::Old, query("3/8/2026+01:30"), "not a time as"),
         ("lookup", MessageKind::Request, Side::New, at("2026-11-01T06:30:00Z"), "another moment"),
@@ -190,7 +191,7 @@
         ("lookup", MessageKind::Request, Side::New, at("2026-06-01T04:00:01Z"), "more finely"),
         ("lookup", MessageKind::Request, Side::New, at("2026-06-01T04:00:00"), "RFC 3339"),
         ("lookup", MessageKind::Request, Side::New, at("2026-06-31T04:00:00Z"), "RFC 3339"),
-        // Characters, words, absent fields.
+        // Characters that the charset lacks, a text that is too long, missing fields.
         ("lookup", MessageKind::Response, Side::New, answer("e\u{301}"), "no character '\\u{301}'"),
         ("lookup", MessageKind::Response, Side::New, answer("123456789"), "9 characters"),
         ("lookup", MessageKind::Request, Side::New, "station=K".into(), "\"from\": missing"),
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -1,4 +1,5 @@
-//! Every field of every worked message, there and back, on generated values with their edges; and bytes that are wrong.
+//! Round trips of every field of every worked message, with generated values that include edge cases, and corrupted
+//! messages.
 mod worked;
 use heronhoist_translate::field::{Field, Kind, OffsetTimestamp, TimeFormat, TimeNotation, Value};
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Node, Side};
@@ -20,7 +21,8 @@
     (MessageKind::Response, Side::New),
 ];
 
-/// The same cases every time; so many times more for a long run, which goes on where the short one ends.
+/// Runs the same cases every time. `HERONHOIST_CASES` multiplies their number; a longer run continues where the short
+/// one ends.
 fn runner(cases: u32) -> TestRunner {
     let times = std::env::var("HERONHOIST_CASES").ok().and_then(|times| times.parse().ok()).unwrap_or(1);
     let cases = cases.saturating_mul(times);
@@ -38,7 +40,7 @@
 }
 
 fn moments() -> BoxedStrategy<Timestamp> {
-    // Around the hours that New York's clocks skipped and showed twice, the end of Unix time in 31 bits, a leap year.
+    // The hours that New York's clocks skipped and repeated, the end of 31-bit Unix time, and a leap day.
     let edges = vec![
         "2026-03-08T06:59:59Z",
         "2026-03-08T07:00:00Z",
@@ -93,7 +95,7 @@
     }
 }
 
-/// A value or none for each field.
+/// Generates a value for each field; optional fields may have none.
 fn values(fields: &[Field]) -> BoxedStrategy<Vec<Option<Value>>> {
     let one = |field: &Field| match field.optional {
         true => prop_oneof![2 => value(&field.kind).prop_map(Some), 1 => Just(None)].boxed(),
@@ -102,7 +104,7 @@
     fields.iter().map(one).collect::<Vec<_>>().boxed()
 }
 
-/// The correction's own condition: of the three quantities the one that is named.
+/// Applies the condition of the correction mapping: only the quantity that the request names has a value.
 fn apply_correction_conditions(
     mapping: &Mapping,
     message_kind: MessageKind,
@@ -132,7 +134,7 @@
     }
 }
 
-/// What is given comes back with the field's own name; none in a group may be told by an absent group.
+/// Reads all fields of a message; the panic message names a field that can't be read.
 fn read(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Vec<Option<Value>> {
     let dialect = mapping.dialect(side);
     let typing = dialect.form(message_kind).typing();
@@ -153,7 +155,7 @@
     Some(message)
 }
 
-/// Through the wire of a side; None if its characters can't say it.
+/// Encodes and decodes a message in the form of one side; `None` if its charset lacks a character.
 fn encode_and_decode(
     mapping: &Mapping,
     message_kind: MessageKind,
@@ -165,11 +167,12 @@
     Some(
         dialect
             .decode(message_kind, &bytes, Limits::default())
-            .unwrap_or_else(|reason| panic!("own message: {reason}")),
+            .unwrap_or_else(|reason| panic!("an encoded message must decode: {reason}")),
     )
 }
 
-/// All that differs after a way there over `mapping` and back over `again`, but for what notices and notes tell of.
+/// Converts a message with `mapping`, converts the result back with `again`, and returns every difference that no
+/// notice or note announces.
 fn differences(
     mapping: &Mapping,
     again: &Mapping,
@@ -178,10 +181,14 @@
 ) -> Option<Vec<String>> {
     let message =
         encode_and_decode(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
-    assert_eq!(read(mapping, message_kind, from, &message), given, "over the wire of its own side");
+    assert_eq!(
+        read(mapping, message_kind, from, &message),
+        given,
+        "decoding must restore the encoded message"
+    );
     let there = mapping.convert(message_kind, from, &message).ok()?;
     let sent = encode_and_decode(mapping, message_kind, from.other(), &there.message)
-        .expect("what was converted can be written");
+        .expect("a converted message must encode");
     assert_eq!(
         read(mapping, message_kind, from.other(), &sent),
         read(mapping, message_kind, from.other(), &there.message)
@@ -189,7 +196,7 @@
     let mut noticed_fields: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
     let back = match again.convert(message_kind, from.other(), &sent) {
         Ok(back) => back,
-        // A rounded value may lie just outside of the bounds that it came from.
+        // A rounded value may lie just outside the bounds of the side it came from.
         Err(_) if !noticed_fields.is_empty() => return None,
         Err(reason) => return Some(vec![reason.to_string()]),
     };
@@ -220,19 +227,20 @@
                 }
             }
         }
-        // Rounded there or back: nearer than one and a half units of the coarser side's last digit.
+        // Rounding in either direction may change a value by less than one and a half units of the coarser side's last
+        // digit.
         (Some(Value::Decimal(a)), Some(Value::Decimal(b)), Kind::Quantity(..)) => {
             if (*a - *b).abs() > Decimal::new(35, 1) {
-                differences.push(format!("{path}: {a} came back as {b}"));
+                differences.push(format!("{path}: {a} was returned as {b}"));
             }
         }
         (a, b, _) if a == b || noticed_fields.contains(&path) => {}
-        (a, b, _) => differences.push(format!("{path}: {a:?} came back as {b:?}")),
+        (a, b, _) => differences.push(format!("{path}: {a:?} was returned as {b:?}")),
     }
 }
 
 #[test]
-fn every_field_of_every_message_comes_back_or_is_told_of() {
+fn every_field_survives_a_round_trip_or_its_loss_is_announced() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
         for (message_kind, from) in DIRECTIONS {
@@ -254,7 +262,7 @@
             run.unwrap_or_else(|e| panic!("{e}"));
             assert!(
                 translated.get() * 20 >= tried.get(),
-                "{} {message_kind:?} {from:?}: {} whole",
+                "{} {message_kind:?} {from:?}: {} translated",
                 mapping.name,
                 translated.get()
             );
@@ -262,9 +270,9 @@
     }
 }
 
-/// The check above has to notice a mapping that swaps words, or measures in another unit, on the way back.
+/// The round trip check must detect a mapping that swaps values, fields or time zones on the way back.
 #[test]
-fn a_wrong_way_back_is_noticed() {
+fn wrong_reverse_mapping_is_detected() {
     for (text, from, to) in [
         (WORKED[0].1, "[\"W\", \"wind\"], [\"R\", \"rain\"]", "[\"R\", \"wind\"], [\"W\", \"rain\"]"),
         (WORKED[1].1, "[\"Y\", \"N\"]", "[\"N\", \"Y\"]"),
@@ -294,13 +302,13 @@
             found.set(found.get() + usize::from(differences.is_some_and(|d| !d.is_empty())));
             Ok(())
         });
-        assert!(found.get() > 0, "{from} as {to} was not noticed");
+        assert!(found.get() > 0, "replacing {from} by {to} was not detected");
     }
 }
 
-/// Bytes that are cut, doubled, swapped or drawn: an error or a message, and no panic.
+/// Truncates, inserts, replaces and duplicates bytes: decoding must return an error or a message, without a panic.
 #[test]
-fn wrong_bytes_are_refused_without_a_panic() {
+fn corrupted_bytes_do_not_cause_a_panic() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
         for (message_kind, from) in DIRECTIONS {
--- a/crates/translate/tests/worked/mod.rs
+++ b/crates/translate/tests/worked/mod.rs
@@ -1,6 +1,6 @@
 //! The worked mapping files of the project, by name.
 
-/// Each file's name and text.
+/// The name and text of each file.
 pub const WORKED: [(&str, &str); 3] = [
     ("lookup", include_str!("../../../../deploy/translate/lookup.toml")),
     ("correction", include_str!("../../../../deploy/translate/correction.toml")),
