--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -4,7 +4,7 @@
 use crate::charset::Charset;
 use crate::convert::{Condition, FieldConversion, Rule};
 use crate::field::{Field, Fold, Kind, Precision, TimeFormat, TimeNotation, Value};
-use crate::file::{self, line_of, Cut, File, Function, Policy, Replace};
+use crate::file::{self, line_of, CutOrRefuse, File, Function, Policy, ReplaceOrRefuse};
 use crate::mapping::{Diagnostic, Dialect, Form, Key, Mapping, MessageKind, Note, Side};
 use crate::units::{self, Rounding};
 use crate::wire::table::Layout;
@@ -43,9 +43,9 @@
     let request_rules = rules(MessageKind::Request, &file.request);
     let response_rules = rules(MessageKind::Response, &file.response);
     let key = file.key.as_ref().map(|key| {
-        let places = key.old.iter().filter_map(|name| {
-            let place = old.request_fields.iter().position(|field| field.path == *name.get_ref());
-            match place.filter(|&at| !matches!(old.request_fields[at].kind, Kind::Group(..))) {
+        let indexes = key.old.iter().filter_map(|name| {
+            let index = old.request_fields.iter().position(|field| field.path == *name.get_ref());
+            match index.filter(|&at| !matches!(old.request_fields[at].kind, Kind::Group(..))) {
                 Some(at) => Some(at),
                 None => {
                     compiler.add_diagnostic(name, "key.old", "no such field of the old request");
@@ -53,7 +53,7 @@
                 }
             }
         });
-        Key { fields: places.collect(), namespace: key.namespace.clone(), without: key.without.clone() }
+        Key { fields: indexes.collect(), namespace: key.namespace.clone(), without: key.without.clone() }
     });
     if key.as_ref().is_some_and(|key| key.fields.is_empty()) {
         compiler.add_diagnostic(&file.name, "key.old", "a key needs at least one field");
@@ -364,34 +364,34 @@
                 Kind::Quantity(min, max, digits.min(18), unit)
             }
             file::Kind::Date => {
-                let form = file.format.clone().unwrap_or_else(|| "%Y-%m-%d".into());
-                let day = jiff::civil::date(2007, 11, 23);
-                let again = jiff::fmt::strtime::format(&form, day)
+                let format = file.format.clone().unwrap_or_else(|| "%Y-%m-%d".into());
+                let sample = jiff::civil::date(2007, 11, 23);
+                let parsed = jiff::fmt::strtime::format(&format, sample)
                     .ok()
-                    .and_then(|text| jiff::civil::Date::strptime(&form, text).ok());
-                if again != Some(day) {
+                    .and_then(|text| jiff::civil::Date::strptime(&format, text).ok());
+                if parsed != Some(sample) {
                     self.add_diagnostic(
                         at,
                         key,
                         "a date's format must be a strftime format with year, month and day",
                     );
                 }
-                Kind::Date(form)
+                Kind::Date(format)
             }
             file::Kind::Time => {
                 let notation = match file.format.as_deref() {
                     None | Some("rfc3339") => TimeNotation::Rfc3339,
                     Some("unix") => TimeNotation::Unix,
-                    Some(form) => {
-                        let minute = jiff::civil::date(2007, 11, 23).at(13, 47, 0, 0);
-                        let again = jiff::fmt::strtime::format(form, minute)
+                    Some(format) => {
+                        let sample = jiff::civil::date(2007, 11, 23).at(13, 47, 0, 0);
+                        let parsed = jiff::fmt::strtime::format(format, sample)
                             .ok()
-                            .and_then(|text| jiff::civil::DateTime::strptime(form, text).ok());
-                        if again != Some(minute) {
+                            .and_then(|text| jiff::civil::DateTime::strptime(format, text).ok());
+                        if parsed != Some(sample) {
                             let message = "a time's format must be rfc3339, unix, or a strftime format with date, hour and minute";
                             self.add_diagnostic(at, key, message);
                         }
-                        TimeNotation::Local(form.to_owned())
+                        TimeNotation::Local(format.to_owned())
                     }
                 };
                 let zone = self.zone(file.zone.as_ref(), zone);
@@ -449,7 +449,7 @@
         let mut used: (Vec<usize>, Vec<usize>) = (Vec::new(), Vec::new());
         let mut rules = Vec::with_capacity(files.len());
         for file in files {
-            let mut places = |side: Side, names: Option<&file::Names>| -> Option<Vec<usize>> {
+            let mut indexes = |side: Side, names: Option<&file::Names>| -> Option<Vec<usize>> {
                 let used = if side == Side::Old { &mut used.0 } else { &mut used.1 };
                 let mut all = Vec::new();
                 for name in names.map(file::Names::list).unwrap_or_default() {
@@ -467,7 +467,7 @@
                 }
                 (all.len() == names.map(file::Names::list).unwrap_or_default().len()).then_some(all)
             };
-            let (old, new) = (places(Side::Old, file.old.as_ref()), places(Side::New, file.new.as_ref()));
+            let (old, new) = (indexes(Side::Old, file.old.as_ref()), indexes(Side::New, file.new.as_ref()));
             let (Some(old), Some(new)) = (old, new) else { continue };
             let location = file.old.as_ref().or(file.new.as_ref()).and_then(|names| names.list().first());
             let Some(location) = location else {
@@ -499,7 +499,7 @@
         }
         for (side, used) in [(Side::Old, &used.0), (Side::New, &used.1)] {
             let fields = scope.of(side).iter().enumerate();
-            for (_, field) in fields.filter(|(place, _)| !used.contains(place)) {
+            for (_, field) in fields.filter(|(index, _)| !used.contains(index)) {
                 let message = "neither mapped, defaulted nor given a policy";
                 self.add_diagnostic(at, scope.key(side, &field.path), message);
             }
@@ -556,12 +556,12 @@
         &mut self,
         scope: &Scope<'_>,
         side: Side,
-        place: usize,
+        index: usize,
         file: &file::Rule,
         location: &Spanned<String>,
         can_carry: Option<bool>,
     ) -> Option<Rule> {
-        let field = &scope.of(side)[place];
+        let field = &scope.of(side)[index];
         let key = scope.key(side, &field.path);
         let text = file.constant.as_ref().or(file.default.as_ref());
         let value = text.and_then(|text| self.literal(field, text, location, &key));
@@ -606,7 +606,7 @@
             }
             _ => self.note(scope, side, &field.path, format!("{given} is refused")),
         }
-        Some(Rule::OneSided { side, field: place, policy, value, constant })
+        Some(Rule::OneSided { side, field: index, policy, value, constant })
     }
 
     fn literal(&mut self, field: &Field, text: &str, at: &Spanned<String>, key: &str) -> Option<Value> {
@@ -628,14 +628,14 @@
         location: &Spanned<String>,
         before: &[Rule],
     ) -> Option<Rule> {
-        let (a, b) = (&scope.old[old], &scope.new[new]);
-        let keys = (scope.key(Side::Old, &a.path), scope.key(Side::New, &b.path));
+        let (old_field, new_field) = (&scope.old[old], &scope.new[new]);
+        let keys = (scope.key(Side::Old, &old_field.path), scope.key(Side::New, &new_field.path));
         let mut default = |field: &Field, text: &Option<String>, key: &str| {
             text.as_ref().and_then(|text| self.literal(field, text, location, key))
         };
-        let mut cast = FieldConversion {
-            old_default: default(a, &file.old_default, &keys.0),
-            new_default: default(b, &file.new_default, &keys.1),
+        let mut conversion = FieldConversion {
+            old_default: default(old_field, &file.old_default, &keys.0),
+            new_default: default(new_field, &file.new_default, &keys.1),
             round: file.round,
             long: file.long,
             finer: file.finer,
@@ -645,11 +645,11 @@
             rules: Vec::new(),
         };
         let when = file.when.as_ref().and_then(|when| {
-            let place = scope.old.iter().position(|field| field.path == *when.old.get_ref());
+            let index = scope.old.iter().position(|field| field.path == *when.old.get_ref());
             // The conversion from new to old reads the field from the part of the message that is already converted.
             let earlier =
                 |&at: &usize| before.iter().any(|rule| matches!(rule, Rule::Pair { old, .. } if *old == at));
-            match place.filter(earlier) {
+            match index.filter(earlier) {
                 Some(field) => Some(Condition { field, values: when.is.clone() }),
                 None => {
                     self.add_diagnostic(
@@ -661,12 +661,12 @@
                 }
             }
         });
-        if file.when.is_some() && !(a.optional && b.optional) {
+        if file.when.is_some() && !(old_field.optional && new_field.optional) {
             self.add_diagnostic(location, &keys.0, "a field with a condition must be optional on both sides");
         }
         for (from, field, into, given, key) in [
-            (Side::Old, a, b, cast.new_default.is_some(), &keys.1),
-            (Side::New, b, a, cast.old_default.is_some(), &keys.0),
+            (Side::Old, old_field, new_field, conversion.new_default.is_some(), &keys.1),
+            (Side::New, new_field, old_field, conversion.old_default.is_some(), &keys.0),
         ] {
             let is_group = matches!(field.kind, Kind::Group(..));
             if field.optional && !into.optional && !given && !is_group {
@@ -681,24 +681,38 @@
                 self.note(scope, from, &field.path, "if absent, comes back as the default");
             }
         }
-        if cast.function == Some(Function::Join) {
+        if conversion.function == Some(Function::Join) {
             self.add_diagnostic(location, &keys.1, "join needs several old fields");
         }
-        let old_to_new =
-            self.check_direction(Direction { scope, side: Side::Old, from: a, into: b, file, location });
-        let new_to_old =
-            self.check_direction(Direction { scope, side: Side::New, from: b, into: a, file, location });
+        let old_to_new = self.check_direction(Direction {
+            scope,
+            side: Side::Old,
+            from: old_field,
+            into: new_field,
+            file,
+            location,
+        });
+        let new_to_old = self.check_direction(Direction {
+            scope,
+            side: Side::New,
+            from: new_field,
+            into: old_field,
+            file,
+            location,
+        });
         if !old_to_new || !new_to_old {
             return None;
         }
-        if let (Kind::Group(_, source_fields), Kind::Group(_, target_fields)) = (&a.kind, &b.kind) {
-            let prefix = [(Side::Old, a), (Side::New, b)]
+        if let (Kind::Group(_, source_fields), Kind::Group(_, target_fields)) =
+            (&old_field.kind, &new_field.kind)
+        {
+            let prefix = [(Side::Old, old_field), (Side::New, new_field)]
                 .map(|(side, f)| format!("{}{}.", scope.prefix(side), f.path));
             let within =
                 Scope { old: source_fields, new: target_fields, prefix: [&prefix[0], &prefix[1]], ..*scope };
-            cast.rules = self.rules(&within, &file.rules, None, location);
+            conversion.rules = self.rules(&within, &file.rules, None, location);
         }
-        Some(Rule::Pair { old, new, cast, when })
+        Some(Rule::Pair { old, new, conversion, when })
     }
 
     /// Returns true if every value has a counterpart in this direction, or the rule states what happens to values
@@ -711,7 +725,7 @@
                 if max > target_max {
                     self.check_loss(
                         direction,
-                        file.long.map(|cut| cut == Cut::Refuse),
+                        file.long.map(|cut| cut == CutOrRefuse::Refuse),
                         format!("{max} characters into {target_max}: long = \"refuse\" or \"cut\""),
                         format!("more than {target_max} characters are refused"),
                         format!("cut to {target_max} characters, with a notice"),
@@ -724,7 +738,7 @@
                     let message = format!("characters that {} does not have", target_charset.name());
                     self.check_loss(
                         direction,
-                        file.unmappable.map(|replace| replace == Replace::Refuse),
+                        file.unmappable.map(|replace| replace == ReplaceOrRefuse::Refuse),
                         format!("{message}: unmappable = \"refuse\" or \"replace\""),
                         format!("{message} are refused"),
                         format!("{message} become ?, with a notice"),
@@ -833,7 +847,7 @@
 
     fn check_bound(&mut self, direction: Direction<'_>, message: String) {
         match direction.file.range {
-            Some(file::Refuse::Refuse) => self.add_note(direction, format!("{message}: refused")),
+            Some(file::RefuseOnly::Refuse) => self.add_note(direction, format!("{message}: refused")),
             None => self
                 .add_error(direction, format!("{message} does not fit the other side: range = \"refuse\"")),
         }
@@ -876,7 +890,7 @@
             let (fine, coarse) = (precision(time_format), precision(target_format));
             self.check_loss(
                 direction,
-                direction.file.finer.map(|cut| cut == Cut::Refuse),
+                direction.file.finer.map(|cut| cut == CutOrRefuse::Refuse),
                 format!("{fine} into {coarse}: finer = \"refuse\" or \"cut\""),
                 format!("anything finer than {coarse} is refused"),
                 format!("cut to {coarse}, with a notice"),
--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -2,7 +2,7 @@
 
 use crate::charset::Charset;
 use crate::field::{find_unknown_field, Field, Kind, Value};
-use crate::file::{Cut, Function, Policy, Replace};
+use crate::file::{CutOrRefuse, Function, Policy, ReplaceOrRefuse};
 use crate::mapping::{Mapping, MessageKind, Side};
 use crate::node::Node;
 use crate::units::{convert, Ratio, Rounding};
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Rule {
     /// One old field corresponds to one new field.
-    Pair { old: usize, new: usize, cast: FieldConversion, when: Option<Condition> },
+    Pair { old: usize, new: usize, conversion: FieldConversion, when: Option<Condition> },
     /// Several old fields are joined into one new text.
     Join { old: Vec<usize>, new: usize, separator: String },
     /// The field exists on one side only.
@@ -27,9 +27,9 @@
     pub old_default: Option<Value>,
     pub new_default: Option<Value>,
     pub round: Option<Rounding>,
-    pub long: Option<Cut>,
-    pub finer: Option<Cut>,
-    pub unmappable: Option<Replace>,
+    pub long: Option<CutOrRefuse>,
+    pub finer: Option<CutOrRefuse>,
+    pub unmappable: Option<ReplaceOrRefuse>,
     pub pairs: Vec<[String; 2]>,
     pub function: Option<Function>,
     pub rules: Vec<Rule>,
@@ -148,7 +148,7 @@
             extension: source.extension.as_deref().and_then(|path| message.get(path)),
             restored: 0,
         };
-        let out =
+        let target_values =
             converter.apply_rules(self.rules(message_kind), source_fields, &values, target_fields, "")?;
         let extension_members = match converter.extension {
             Some(Node::Record(members)) => members.len(),
@@ -161,7 +161,7 @@
         }
         let mut converted = Node::record();
         let typing = target.form(message_kind).typing();
-        for (field, value) in target_fields.iter().zip(&out) {
+        for (field, value) in target_fields.iter().zip(&target_values) {
             match value {
                 Some(Value::Group(items)) if items.is_empty() && field.optional => {}
                 Some(value) => {
@@ -214,29 +214,29 @@
         target_fields: &[Field],
         prefix: &str,
     ) -> Result<Vec<Option<Value>>, ConversionError> {
-        let mut out: Vec<Option<Value>> = vec![None; target_fields.len()];
+        let mut target_values: Vec<Option<Value>> = vec![None; target_fields.len()];
         let from_old = self.from == Side::Old;
         let name = |field: &Field| format!("{prefix}{}", field.path);
         for rule in rules {
             match rule {
-                Rule::Pair { old, new, cast, when } => {
+                Rule::Pair { old, new, conversion, when } => {
                     let (source, target) = if from_old { (*old, *new) } else { (*new, *old) };
                     let (field, into) = (&source_fields[source], &target_fields[target]);
                     let path = name(field);
                     let applies = when.as_ref().is_none_or(|when| {
                         let (side, value) = match from_old {
                             true => (&source_fields[when.field], &values[when.field]),
-                            false => (&target_fields[when.field], &out[when.field]),
+                            false => (&target_fields[when.field], &target_values[when.field]),
                         };
                         let text = value.as_ref().and_then(|value| side.kind.format(value).ok());
                         text.is_some_and(|text| when.values.contains(&text))
                     });
-                    let default = if from_old { &cast.new_default } else { &cast.old_default };
-                    out[target] = match &values[source] {
+                    let default = if from_old { &conversion.new_default } else { &conversion.old_default };
+                    target_values[target] = match &values[source] {
                         Some(_) if !applies => {
                             return Err(self.error(&path, "it may not be given with these others"))
                         }
-                        Some(value) => Some(self.convert_value(value, field, into, cast, &path)?),
+                        Some(value) => Some(self.convert_value(value, field, into, conversion, &path)?),
                         None if applies => default.clone(),
                         None => None,
                     };
@@ -256,7 +256,7 @@
                             }
                         };
                         let parts = old.iter().map(part).collect::<Result<Vec<_>, _>>()?;
-                        out[*new] = Some(Value::Text(parts.join(separator)));
+                        target_values[*new] = Some(Value::Text(parts.join(separator)));
                     } else if let Some(Value::Text(text)) = &values[*new] {
                         let parts: Vec<&str> = text.split(separator.as_str()).collect();
                         let path = name(&source_fields[*new]);
@@ -272,7 +272,7 @@
                             if kind.format(&value).as_deref() != Ok(part) {
                                 return Err(self.error(&path, format!("{part:?} is not written so")));
                             }
-                            out[at] = Some(value);
+                            target_values[at] = Some(value);
                         }
                     }
                 }
@@ -309,7 +309,7 @@
                         }
                         _ => None,
                     };
-                    out[*field] = match carried {
+                    target_values[*field] = match carried {
                         Some((_, Node::Text(text))) => {
                             self.restored += 1;
                             Some(into.kind.parse(text).map_err(|reason| self.error(&name(into), reason))?)
@@ -320,7 +320,7 @@
                 }
             }
         }
-        Ok(out)
+        Ok(target_values)
     }
 
     fn convert_value(
@@ -328,7 +328,7 @@
         value: &Value,
         field: &Field,
         into: &Field,
-        cast: &FieldConversion,
+        conversion: &FieldConversion,
         path: &str,
     ) -> Result<Value, ConversionError> {
         match (value, &field.kind, &into.kind) {
@@ -336,7 +336,7 @@
                 let (mut all, prefix) = (Vec::with_capacity(items.len()), format!("{path}."));
                 for item in items {
                     let values =
-                        self.apply_rules(&cast.rules, source_fields, item, target_fields, &prefix)?;
+                        self.apply_rules(&conversion.rules, source_fields, item, target_fields, &prefix)?;
                     if let Some((field, _)) =
                         target_fields.iter().zip(&values).find(|(f, v)| v.is_none() && !f.optional)
                     {
@@ -347,14 +347,14 @@
                 Ok(Value::Group(all))
             }
             (Value::Text(text), _, Kind::Text(_, max)) => {
-                self.convert_text(text, *max, cast, path).map(Value::Text)
+                self.convert_text(text, *max, conversion, path).map(Value::Text)
             }
             (Value::Choice(word), _, Kind::Choice(words)) => {
                 let from_old = self.from == Side::Old;
-                let pair = cast.pairs.iter().find(|pair| pair[usize::from(!from_old)] == *word);
+                let pair = conversion.pairs.iter().find(|pair| pair[usize::from(!from_old)] == *word);
                 match pair.map(|pair| pair[usize::from(from_old)].clone()) {
                     Some(word) => Ok(Value::Choice(word)),
-                    None if cast.pairs.is_empty() && words.contains(word) => Ok(value.clone()),
+                    None if conversion.pairs.is_empty() && words.contains(word) => Ok(value.clone()),
                     None => Err(self.error(path, format!("{word:?} has no counterpart"))),
                 }
             }
@@ -363,34 +363,34 @@
                 Err(_) => Err(self.error(path, "too large a number")),
             },
             (Value::Decimal(n), _, Kind::Integer(..)) => {
-                let n = self.round_number(*n, Ratio::from_decimal(*n), 0, cast, path)?;
+                let n = self.round_number(*n, Ratio::from_decimal(*n), 0, conversion, path)?;
                 Ok(Value::Integer(n.mantissa()))
             }
             (Value::Decimal(n), Kind::Quantity(_, _, _, from), Kind::Quantity(_, _, digits, to)) => {
                 match from == to && n.scale() <= *digits {
                     true => Ok(value.clone()),
                     false => {
-                        let n = self.round_number(*n, convert(*n, from, to), *digits, cast, path)?;
+                        let n = self.round_number(*n, convert(*n, from, to), *digits, conversion, path)?;
                         Ok(Value::Decimal(n.normalize()))
                     }
                 }
             }
             (Value::Decimal(n), _, Kind::Decimal(_, _, digits)) => match n.normalize().scale() <= *digits {
                 true => Ok(value.clone()),
-                false => {
-                    self.round_number(*n, Ratio::from_decimal(*n), *digits, cast, path).map(Value::Decimal)
-                }
+                false => self
+                    .round_number(*n, Ratio::from_decimal(*n), *digits, conversion, path)
+                    .map(Value::Decimal),
             },
-            (Value::Time(moment), _, Kind::Time(time_format)) => {
-                let cut = time_format.truncate(*moment);
-                if cut != *moment {
-                    if cast.finer != Some(Cut::Cut) {
+            (Value::Time(time), _, Kind::Time(time_format)) => {
+                let truncated = time_format.truncate(*time);
+                if truncated != *time {
+                    if conversion.finer != Some(CutOrRefuse::Cut) {
                         return Err(self.error(path, "it tells time more finely than the other side can"));
                     }
-                    let text = into.kind.format(&Value::Time(cut)).unwrap_or_else(|reason| reason);
+                    let text = into.kind.format(&Value::Time(truncated)).unwrap_or_else(|reason| reason);
                     self.record_loss(path, Loss::Cut(text));
                 }
-                Ok(Value::Time(cut))
+                Ok(Value::Time(truncated))
             }
             _ => Ok(value.clone()),
         }
@@ -401,13 +401,13 @@
         n: Decimal,
         exact: Option<Ratio>,
         digits: u32,
-        cast: &FieldConversion,
+        conversion: &FieldConversion,
         path: &str,
     ) -> Result<Decimal, ConversionError> {
-        let rounding = cast.round.unwrap_or(Rounding::HalfEven);
+        let rounding = conversion.round.unwrap_or(Rounding::HalfEven);
         let rounded = exact.and_then(|exact| exact.round(digits, rounding));
         let (value, lost) = rounded.ok_or_else(|| self.error(path, format!("{n} is too large a number")))?;
-        match (lost, cast.round) {
+        match (lost, conversion.round) {
             (true, None) => Err(self.error(path, format!("{n} has too many digits for the other side"))),
             (true, Some(_)) => {
                 self.record_loss(path, Loss::Rounded(value.to_string()));
@@ -421,10 +421,10 @@
         &mut self,
         text: &str,
         max: usize,
-        cast: &FieldConversion,
+        conversion: &FieldConversion,
         path: &str,
     ) -> Result<String, ConversionError> {
-        let text = match cast.function {
+        let text = match conversion.function {
             Some(Function::Upper) if self.from == Side::Old => text.to_uppercase(),
             Some(Function::Lower) if self.from == Side::Old => text.to_lowercase(),
             Some(Function::Trim) if self.from == Side::Old => text.trim().to_owned(),
@@ -432,7 +432,7 @@
         };
         let text = match text.chars().find(|&c| !self.charset.contains(c)) {
             None => text,
-            Some(_) if cast.unmappable == Some(Replace::Replace) => {
+            Some(_) if conversion.unmappable == Some(ReplaceOrRefuse::Replace) => {
                 let charset = self.charset;
                 let there: String = text.chars().map(|c| if charset.contains(c) { c } else { '?' }).collect();
                 self.record_loss(path, Loss::Replaced(there.clone()));
@@ -442,10 +442,10 @@
         };
         match text.chars().count() > max {
             false => Ok(text),
-            true if cast.long == Some(Cut::Cut) => {
-                let cut: String = text.chars().take(max).collect();
-                self.record_loss(path, Loss::Cut(cut.clone()));
-                Ok(cut)
+            true if conversion.long == Some(CutOrRefuse::Cut) => {
+                let truncated: String = text.chars().take(max).collect();
+                self.record_loss(path, Loss::Cut(truncated.clone()));
+                Ok(truncated)
             }
             true => Err(self.error(path, format!("longer than the {max} characters of the other side"))),
         }
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::convert::{FieldConversion, Rule};
 use crate::field::{Field, Fold, Kind, TimeNotation};
-use crate::file::{Cut, Function, Policy, Replace};
+use crate::file::{CutOrRefuse, Function, Policy, ReplaceOrRefuse};
 use crate::mapping::{Dialect, Form, Mapping, MessageKind, Side};
 use crate::node::{Limits, Node};
 use std::fmt::Write;
@@ -81,17 +81,17 @@
         Kind::Quantity(min, max, digits, unit) => {
             format!("{} from {min} to {max}, {digits} digits", unit.symbol)
         }
-        Kind::Date(form) => format!("date {form}"),
+        Kind::Date(format) => format!("date {format}"),
         Kind::Time(time_format) => match &time_format.notation {
             TimeNotation::Rfc3339 => "time, RFC 3339".into(),
             TimeNotation::Unix => "time, Unix seconds".into(),
-            TimeNotation::Local(form) => {
+            TimeNotation::Local(format) => {
                 let fold = match time_format.fold {
                     Fold::Refuse => "no doubled hour",
                     Fold::Earlier => "the first of doubled hours",
                     Fold::Later => "the second of doubled hours",
                 };
-                format!("time {form} in {}, {fold}", time_format.zone.iana_name().unwrap_or("UTC"))
+                format!("time {format} in {}, {fold}", time_format.zone.iana_name().unwrap_or("UTC"))
             }
         },
         Kind::Choice(words) => format!("one of {}", words.join(", ")),
@@ -104,36 +104,38 @@
 fn write_rows(rules: &[Rule], old: &[Field], new: &[Field], prefix: &str, out: &mut String) {
     for rule in rules {
         match rule {
-            Rule::Pair { old: a, new: b, cast, when } => {
-                let mut how = describe_conversion(cast);
+            Rule::Pair { old: old_field, new: new_field, conversion, when } => {
+                let mut how = describe_conversion(conversion);
                 if let Some(when) = when {
                     how.push(format!("only if `{}` is {}", old[when.field].path, when.values.join(" or ")));
                 }
-                let (a, b) = (&old[*a], &new[*b]);
+                let (old_field, new_field) = (&old[*old_field], &new[*new_field]);
                 let _ = writeln!(
                     out,
                     "| {} | {} | {} |",
-                    describe_field(a, prefix),
-                    describe_field(b, prefix),
+                    describe_field(old_field, prefix),
+                    describe_field(new_field, prefix),
                     escape_cell(&how.join("; "))
                 );
-                if let (Kind::Group(_, source_fields), Kind::Group(_, target_fields)) = (&a.kind, &b.kind) {
+                if let (Kind::Group(_, source_fields), Kind::Group(_, target_fields)) =
+                    (&old_field.kind, &new_field.kind)
+                {
                     write_rows(
-                        &cast.rules,
+                        &conversion.rules,
                         source_fields,
                         target_fields,
-                        &format!("{prefix}{}.", a.path),
+                        &format!("{prefix}{}.", old_field.path),
                         out,
                     );
                 }
             }
-            Rule::Join { old: parts, new: b, separator } => {
+            Rule::Join { old: parts, new: new_field, separator } => {
                 let parts: Vec<_> = parts.iter().map(|&at| describe_field(&old[at], prefix)).collect();
                 let _ = writeln!(
                     out,
                     "| {} | {} | joined by `{}` |",
                     parts.join("; "),
-                    describe_field(&new[*b], prefix),
+                    describe_field(&new[*new_field], prefix),
                     escape_cell(separator)
                 );
             }
@@ -150,26 +152,29 @@
                     let _ = write!(how, "; filled with {text:?}");
                 }
                 let description = describe_field(field, prefix);
-                let (a, b) = if *side == Side::Old {
+                let (old_cell, new_cell) = if *side == Side::Old {
                     (description, String::new())
                 } else {
                     (String::new(), description)
                 };
-                let _ = writeln!(out, "| {a} | {b} | {} |", escape_cell(&how));
+                let _ = writeln!(out, "| {old_cell} | {new_cell} | {} |", escape_cell(&how));
             }
         }
     }
 }
 
-fn describe_conversion(cast: &FieldConversion) -> Vec<String> {
-    let mut how: Vec<String> = cast.pairs.iter().map(|[a, b]| format!("{a} = {b}")).collect();
-    how.extend(cast.round.map(|rounding| format!("rounded {}", rounding.name())));
-    how.extend(cast.long.filter(|cut| *cut == Cut::Cut).map(|_| "cut if long".to_owned()));
-    how.extend(cast.finer.filter(|cut| *cut == Cut::Cut).map(|_| "cut if finer".to_owned()));
+fn describe_conversion(conversion: &FieldConversion) -> Vec<String> {
+    let mut how: Vec<String> = conversion.pairs.iter().map(|[a, b]| format!("{a} = {b}")).collect();
+    how.extend(conversion.round.map(|rounding| format!("rounded {}", rounding.name())));
+    how.extend(conversion.long.filter(|cut| *cut == CutOrRefuse::Cut).map(|_| "cut if long".to_owned()));
+    how.extend(conversion.finer.filter(|cut| *cut == CutOrRefuse::Cut).map(|_| "cut if finer".to_owned()));
     how.extend(
-        cast.unmappable.filter(|r| *r == Replace::Replace).map(|_| "? for other characters".to_owned()),
+        conversion
+            .unmappable
+            .filter(|r| *r == ReplaceOrRefuse::Replace)
+            .map(|_| "? for other characters".to_owned()),
     );
-    how.extend(cast.function.map(|function| match function {
+    how.extend(conversion.function.map(|function| match function {
         Function::Upper => "in capitals".to_owned(),
         Function::Lower => "in small letters".to_owned(),
         Function::Trim => "without white space at its ends".to_owned(),
@@ -188,8 +193,8 @@
     let (source, target) = (mapping.dialect(from), mapping.dialect(from.other()));
     let message = source.decode(message_kind, bytes, Limits::default())?;
     let mut output = String::new();
-    let done = mapping.convert(message_kind, from, &message);
-    let result = done.as_ref().ok().map(|done| &done.message);
+    let converted = mapping.convert(message_kind, from, &message);
+    let result = converted.as_ref().ok().map(|converted| &converted.message);
     let mut lines: Vec<[String; 3]> = Vec::new();
     for rule in mapping.rules(message_kind) {
         let (old, new) = match rule {
@@ -211,8 +216,8 @@
             places.iter().map(shown).collect::<Vec<_>>().join(", ")
         };
         let new: Vec<usize> = new.into_iter().collect();
-        let (a, b) = (side(Side::Old, &old), side(Side::New, &new));
-        let (from, to) = if from == Side::Old { (a, b) } else { (b, a) };
+        let (old_text, new_text) = (side(Side::Old, &old), side(Side::New, &new));
+        let (from, to) = if from == Side::Old { (old_text, new_text) } else { (new_text, old_text) };
         let arrow = if from.is_empty() || to.is_empty() { "  " } else { "->" };
         lines.push([from, arrow.into(), to]);
     }
@@ -220,13 +225,13 @@
     for [from, arrow, to] in &lines {
         let _ = writeln!(output, "{}", format!("{from:width$}  {arrow}  {to}").trim_end());
     }
-    match done {
-        Err(refused) => {
-            let _ = writeln!(output, "\nrefused: {refused}");
+    match converted {
+        Err(error) => {
+            let _ = writeln!(output, "\nrefused: {error}");
             Err(output)
         }
-        Ok(done) => {
-            for notice in &done.notices {
+        Ok(converted) => {
+            for notice in &converted.notices {
                 let _ = writeln!(output, "notice: {notice}");
             }
             if let (MessageKind::Request, Side::Old) = (message_kind, from) {
@@ -234,7 +239,7 @@
                     let _ = writeln!(output, "Idempotency-Key: {key}");
                 }
             }
-            let bytes = target.encode(message_kind, &done.message)?;
+            let bytes = target.encode(message_kind, &converted.message)?;
             let text = target.charset.decode(&bytes)?;
             let _ = writeln!(output, "\n{}", text.trim_end());
             Ok(output)
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -99,23 +99,26 @@
         match &self.notation {
             TimeNotation::Rfc3339 => Precision::Fraction,
             TimeNotation::Unix => Precision::Second,
-            TimeNotation::Local(form) if form.contains("%f") || form.contains("%.f") => Precision::Fraction,
-            TimeNotation::Local(form) if form.contains("%S") || form.contains("%T") => Precision::Second,
+            TimeNotation::Local(format) if format.contains("%f") || format.contains("%.f") => {
+                Precision::Fraction
+            }
+            TimeNotation::Local(format) if format.contains("%S") || format.contains("%T") => {
+                Precision::Second
+            }
             TimeNotation::Local(_) => Precision::Minute,
         }
     }
 
     /// Truncates a point in time to the precision of the notation.
-    pub fn truncate(&self, moment: OffsetTimestamp) -> OffsetTimestamp {
+    pub fn truncate(&self, time: OffsetTimestamp) -> OffsetTimestamp {
         let unit = match self.precision() {
             Precision::Minute => 60,
             Precision::Second => 1,
-            Precision::Fraction => return moment,
+            Precision::Fraction => return time,
         };
-        let seconds = moment.timestamp.as_second() - i64::from(moment.timestamp.subsec_nanosecond() < 0);
-        let timestamp =
-            Timestamp::from_second(seconds - seconds.rem_euclid(unit)).unwrap_or(moment.timestamp);
-        OffsetTimestamp { timestamp, ..moment }
+        let seconds = time.timestamp.as_second() - i64::from(time.timestamp.subsec_nanosecond() < 0);
+        let timestamp = Timestamp::from_second(seconds - seconds.rem_euclid(unit)).unwrap_or(time.timestamp);
+        OffsetTimestamp { timestamp, ..time }
     }
 
     fn read(&self, text: &str) -> Result<OffsetTimestamp, String> {
@@ -127,15 +130,15 @@
                     i64::try_from(seconds).ok().and_then(|seconds| Timestamp::from_second(seconds).ok());
                 Ok(OffsetTimestamp { timestamp: timestamp.ok_or("out of the range of times")?, offset: None })
             }
-            TimeNotation::Local(form) => {
-                let wrong = || format!("not a time as {form:?}");
-                let local = DateTime::strptime(form, text).map_err(|_| wrong())?;
+            TimeNotation::Local(format) => {
+                let invalid = || format!("not a time as {format:?}");
+                let local = DateTime::strptime(format, text).map_err(|_| invalid())?;
                 // Refuses leap seconds, missing zeros and other input that would be written back differently.
-                if local.strftime(form).to_string() != text {
+                if local.strftime(format).to_string() != text {
                     return Err(if text.contains("60") {
                         "a leap second, or not a time as its form".into()
                     } else {
-                        wrong()
+                        invalid()
                     });
                 }
                 let ambiguous = self.zone.to_ambiguous_timestamp(local);
@@ -156,38 +159,38 @@
         }
     }
 
-    fn write(&self, moment: OffsetTimestamp) -> Result<String, String> {
+    fn write(&self, time: OffsetTimestamp) -> Result<String, String> {
         let text = match &self.notation {
-            TimeNotation::Unix => return Ok(moment.timestamp.as_second().to_string()),
+            TimeNotation::Unix => return Ok(time.timestamp.as_second().to_string()),
             TimeNotation::Rfc3339 => {
-                let offset = moment.offset.unwrap_or_else(|| self.zone.to_offset(moment.timestamp));
+                let offset = time.offset.unwrap_or_else(|| self.zone.to_offset(time.timestamp));
                 if offset.seconds() % 60 != 0 {
                     return Err("an offset of parts of a minute".into());
                 }
-                let local = offset.to_datetime(moment.timestamp);
+                let local = offset.to_datetime(time.timestamp);
                 if local.year() < 0 {
                     return Err("a year before the first".into());
                 }
                 let sign = if offset.seconds() < 0 { '-' } else { '+' };
                 let minutes = offset.seconds().abs() / 60;
-                // RFC 3339 as in ISO 8601, with as many fractional digits as needed.
+                // `local` is formatted as RFC 3339 without an offset, with as many fractional digits as needed.
                 return Ok(match offset == Offset::UTC {
                     true => format!("{local}Z"),
                     false => format!("{local}{sign}{:02}:{:02}", minutes / 60, minutes % 60),
                 });
             }
-            TimeNotation::Local(form) => self.zone.to_datetime(moment.timestamp).strftime(form).to_string(),
+            TimeNotation::Local(format) => self.zone.to_datetime(time.timestamp).strftime(format).to_string(),
         };
         // Refuses the second occurrence of a repeated hour, and years that the format has no digits for.
         match self.read(&text) {
-            Ok(reread) if reread.timestamp == moment.timestamp => Ok(text),
+            Ok(reread) if reread.timestamp == time.timestamp => Ok(text),
             Ok(_) => Err(format!("it would be written as {text:?}, which is another moment")),
             Err(reason) => Err(format!("it would be written as {text:?}: {reason}")),
         }
     }
 }
 
-/// Parses RFC 3339 (section 5.6), in capitals as its section 4.3 recommends.
+/// Parses a time of RFC 3339 (section 5.6). Accepts only capital letters, as its section 4.3 recommends.
 fn rfc3339(text: &str) -> Result<OffsetTimestamp, String> {
     let bytes = text.as_bytes();
     let matches_pattern = |from: usize, like: &[u8]| {
@@ -196,9 +199,9 @@
             byte => byte == Some(&c),
         })
     };
-    let wrong = || "not a time as of RFC 3339".to_owned();
+    let invalid = || "not a time as of RFC 3339".to_owned();
     if !matches_pattern(0, b"0000-00-00T00:00:00") {
-        return Err(wrong());
+        return Err(invalid());
     }
     let mut end = 19;
     if bytes.get(end) == Some(&b'.') {
@@ -211,7 +214,7 @@
     if &bytes[17..19] == b"60" {
         return Err("a leap second, which the other side has no way to write".into());
     }
-    let local: DateTime = text[..end].parse().map_err(|_| wrong())?;
+    let local: DateTime = text[..end].parse().map_err(|_| invalid())?;
     let offset = match &bytes[end..] {
         b"Z" => Some(Offset::UTC),
         b"-00:00" => None,
@@ -219,14 +222,14 @@
             let part = |from: usize| text[from..from + 2].parse::<i32>().unwrap_or(99);
             let (hours, minutes) = (part(end + 1), part(end + 4));
             if hours > 23 || minutes > 59 {
-                return Err(wrong());
+                return Err(invalid());
             }
             let seconds = (hours * 60 + minutes) * if rest[0] == b'-' { -60 } else { 60 };
-            Some(Offset::from_seconds(seconds).map_err(|_| wrong())?)
+            Some(Offset::from_seconds(seconds).map_err(|_| invalid())?)
         }
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     };
-    let timestamp = offset.unwrap_or(Offset::UTC).to_timestamp(local).map_err(|_| wrong())?;
+    let timestamp = offset.unwrap_or(Offset::UTC).to_timestamp(local).map_err(|_| invalid())?;
     Ok(OffsetTimestamp { timestamp, offset })
 }
 
@@ -325,12 +328,12 @@
     }
 
     fn value(&self, node: &Node, typing: Typing) -> Result<Option<Value>, String> {
-        let wrong = || format!("{} where {} should be", node.kind(), self.kind.name());
+        let invalid = || format!("{} where {} should be", node.kind(), self.kind.name());
         if let Kind::Group(max, fields) = &self.kind {
             let items = match node {
                 Node::List(items) => items.as_slice(),
                 one if typing.single_item_unwrapped => std::slice::from_ref(one),
-                _ => return Err(wrong()),
+                _ => return Err(invalid()),
             };
             if items.len() > *max {
                 return Err(format!("{} items, of {max} at most", items.len()));
@@ -365,7 +368,7 @@
             {
                 text
             }
-            _ => return Err(wrong()),
+            _ => return Err(invalid()),
         };
         if text.is_empty() && !matches!(self.kind, Kind::Text(..)) {
             return if self.optional { Ok(None) } else { Err("empty".into()) };
@@ -460,10 +463,10 @@
             Kind::Text(..) => self.checked(Value::Text(text.to_owned())),
             Kind::Integer(..) => self.checked(Value::Integer(integer(text)?)),
             Kind::Decimal(..) | Kind::Quantity(..) => self.checked(Value::Decimal(decimal(text)?)),
-            Kind::Date(form) => {
+            Kind::Date(format) => {
                 let day =
-                    Date::strptime(form, text).ok().filter(|day| day.strftime(form).to_string() == text);
-                day.map(Value::Date).ok_or_else(|| format!("not a date as {form:?}"))
+                    Date::strptime(format, text).ok().filter(|day| day.strftime(format).to_string() == text);
+                day.map(Value::Date).ok_or_else(|| format!("not a date as {format:?}"))
             }
             Kind::Time(time_format) => time_format.read(text).map(Value::Time),
             Kind::Choice(_) => self.checked(Value::Choice(text.to_owned())),
@@ -526,8 +529,8 @@
                 Ok(n.abs().to_string())
             }
             (Kind::Decimal(..) | Kind::Quantity(..), Value::Decimal(n)) => Ok(n.to_string()),
-            (Kind::Date(form), Value::Date(day)) => Ok(day.strftime(form).to_string()),
-            (Kind::Time(time_format), Value::Time(moment)) => time_format.write(*moment),
+            (Kind::Date(format), Value::Date(day)) => Ok(day.strftime(format).to_string()),
+            (Kind::Time(time_format), Value::Time(time)) => time_format.write(*time),
             (Kind::Flag(yes, no), Value::Flag(flag)) => Ok(if *flag { yes } else { no }.clone()),
             _ => Err(format!("no {}", self.name())),
         }
--- a/crates/translate/src/file.rs
+++ b/crates/translate/src/file.rs
@@ -92,11 +92,11 @@
     pub new_default: Option<String>,
     pub constant: Option<String>,
     pub round: Option<Rounding>,
-    pub range: Option<Refuse>,
-    pub long: Option<Cut>,
-    pub finer: Option<Cut>,
-    pub unmappable: Option<Replace>,
-    pub unpaired: Option<Refuse>,
+    pub range: Option<RefuseOnly>,
+    pub long: Option<CutOrRefuse>,
+    pub finer: Option<CutOrRefuse>,
+    pub unmappable: Option<ReplaceOrRefuse>,
+    pub unpaired: Option<RefuseOnly>,
     pub pairs: Option<Vec<[String; 2]>>,
     pub function: Option<Function>,
     pub with: Option<String>,
@@ -152,20 +152,20 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Refuse {
+pub(crate) enum RefuseOnly {
     Refuse,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Cut {
+pub(crate) enum CutOrRefuse {
     Refuse,
     Cut,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Replace {
+pub(crate) enum ReplaceOrRefuse {
     Refuse,
     Replace,
 }
--- a/crates/translate/src/mixed_fleet.rs
+++ b/crates/translate/src/mixed_fleet.rs
@@ -27,16 +27,18 @@
     pub key: Option<String>,
 }
 
-/// Plans an old request for the dialects that the available servers use. A request that loses something in the new
-/// dialect, or can't be translated, is sent to old servers only while one is available.
+/// Plans an old request for the dialects that the available servers use. A request that can be translated without loss
+/// may be sent in both dialects; while an old server is available, any other request is sent to old servers only.
 ///
-/// Without an old server, it is sent to new servers with notices, or the reason is returned why it can't be translated.
+/// With no old server available, a request that loses something is sent to new servers with notices. If it can't be
+/// translated at all, the reason is returned.
 pub fn plan_old_request(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
     let key = mapping.idempotency_key(message);
     let translated_request =
         mapping.convert(MessageKind::Request, Side::Old, message).map_err(|reason| reason.to_string());
-    let translated_request = translated_request
-        .and_then(|done| Ok((mapping.new.encode(MessageKind::Request, &done.message)?, done.notices)));
+    let translated_request = translated_request.and_then(|converted| {
+        Ok((mapping.new.encode(MessageKind::Request, &converted.message)?, converted.notices))
+    });
     let (old, new) = match &translated_request {
         Ok((_, notices)) => (serving.old, notices.is_empty() || !serving.old),
         Err(reason) if !serving.old => return Err(reason.clone()),
@@ -58,12 +60,12 @@
     };
     let translated_request = || {
         let message = mapping.new.decode(MessageKind::Request, bytes, Limits::default()).ok()?;
-        let done = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
+        let converted = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
         // Old servers recognize repeats by the fields that the key is built from. A key that the client chose itself
         // can differ from them, and a repeat could then run on an old and on a new server.
-        let same = mapping.idempotency_key(&done.message).as_deref() == key;
-        let faithful = done.notices.is_empty() && same;
-        faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
+        let has_same_key = mapping.idempotency_key(&converted.message).as_deref() == key;
+        let is_lossless = converted.notices.is_empty() && has_same_key;
+        is_lossless.then(|| mapping.old.encode(MessageKind::Request, &converted.message).ok())?
     };
     match serving.old.then(translated_request).flatten() {
         Some(bytes) => Plan { sides: Sides { old: true, new: true }, translated: Some(bytes), ..only_new() },
@@ -79,8 +81,9 @@
     bytes: &[u8],
 ) -> Result<(Vec<u8>, Vec<Notice>), String> {
     let message = mapping.dialect(from).decode(MessageKind::Response, bytes, Limits::default())?;
-    let done = mapping.convert(MessageKind::Response, from, &message).map_err(|reason| reason.to_string())?;
-    Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &done.message)?, done.notices))
+    let converted =
+        mapping.convert(MessageKind::Response, from, &message).map_err(|reason| reason.to_string())?;
+    Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &converted.message)?, converted.notices))
 }
 
 #[cfg(test)]
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -212,30 +212,34 @@
 
 fn compare(
     field: &Field,
-    a: &Option<Value>,
-    b: &Option<Value>,
+    original: &Option<Value>,
+    returned: &Option<Value>,
     prefix: &str,
     noticed_fields: &[String],
     differences: &mut Vec<String>,
 ) {
     let path = format!("{prefix}{}", field.path);
-    match (a, b, &field.kind) {
-        (Some(Value::Group(a)), Some(Value::Group(b)), Kind::Group(_, fields)) if a.len() == b.len() => {
-            for (a, b) in a.iter().zip(b) {
-                for ((field, a), b) in fields.iter().zip(a).zip(b) {
-                    compare(field, a, b, &format!("{path}."), noticed_fields, differences);
+    match (original, returned, &field.kind) {
+        (Some(Value::Group(original)), Some(Value::Group(returned)), Kind::Group(_, fields))
+            if original.len() == returned.len() =>
+        {
+            for (original, returned) in original.iter().zip(returned) {
+                for ((field, original), returned) in fields.iter().zip(original).zip(returned) {
+                    compare(field, original, returned, &format!("{path}."), noticed_fields, differences);
                 }
             }
         }
         // Rounding in either direction may change a value by less than one and a half units of the coarser side's last
         // digit.
-        (Some(Value::Decimal(a)), Some(Value::Decimal(b)), Kind::Quantity(..)) => {
-            if (*a - *b).abs() > Decimal::new(35, 1) {
-                differences.push(format!("{path}: {a} was returned as {b}"));
+        (Some(Value::Decimal(original)), Some(Value::Decimal(returned)), Kind::Quantity(..)) => {
+            if (*original - *returned).abs() > Decimal::new(35, 1) {
+                differences.push(format!("{path}: {original} was returned as {returned}"));
             }
         }
-        (a, b, _) if a == b || noticed_fields.contains(&path) => {}
-        (a, b, _) => differences.push(format!("{path}: {a:?} was returned as {b:?}")),
+        (original, returned, _) if original == returned || noticed_fields.contains(&path) => {}
+        (original, returned, _) => {
+            differences.push(format!("{path}: {original:?} was returned as {returned:?}"))
+        }
     }
 }
 
