--- a/crates/translate/src/wire/form.rs
+++ b/crates/translate/src/wire/form.rs
@@ -3,12 +3,12 @@
 //! Records are written as `record.field`, lists as `list.1.field`, counted from 1 without gaps.
 
 use crate::charset::Charset;
-use crate::node::{Count, Limits, Node};
+use crate::node::{LimitCounter, Limits, Node};
 use std::borrow::Cow;
 
-/// Reads a query or a body. A name that comes twice is refused: which of the two was meant is not known.
+/// Decodes a query or a body. A repeated name is refused, because it is ambiguous which value is meant.
 pub fn decode(bytes: &[u8], charset: Charset, limits: Limits) -> Result<Node, String> {
-    let mut count = Count::new(limits, bytes.len())?;
+    let mut counter = LimitCounter::new(limits, bytes.len())?;
     let mut message = Node::record();
     for pair in bytes.split(|&byte| byte == b'&').filter(|pair| !pair.is_empty()) {
         let (name, value) = match pair.iter().position(|&byte| byte == b'=') {
@@ -17,8 +17,8 @@
         };
         let (name, value) = (part(name, charset)?, part(value, charset)?);
         let steps: Vec<&str> = name.split('.').collect();
-        count.value(steps.len())?;
-        place(&mut message, &steps, value).map_err(|why| format!("{name:?}: {why}"))?;
+        counter.add_value(steps.len())?;
+        place(&mut message, &steps, value).map_err(|reason| format!("{name:?}: {reason}"))?;
     }
     Ok(message)
 }
@@ -41,7 +41,8 @@
         *node = Node::Text(text);
         return Ok(());
     };
-    // What is new on the way becomes a list if the next step counts, a record if it names, and the text at the end.
+    // A new member is a list if the next step is a number, and a record otherwise; the last step replaces it with the
+    // text.
     let fresh = || match rest.first() {
         Some(next) if index(next).is_some() => Node::List(Vec::new()),
         _ => Node::record(),
@@ -68,7 +69,7 @@
     next.map_or(Ok(()), |next| place(next, rest, text))
 }
 
-/// Writes a message. The error names the field whose text the charset does not have.
+/// Encodes a message. The error names the field with a character that the charset does not contain.
 pub fn encode(message: &Node, charset: Charset) -> Result<Vec<u8>, String> {
     let mut out = String::new();
     let mut path = String::new();
@@ -94,7 +95,7 @@
         }
         Node::Null => return Ok(()),
         Node::Text(text) | Node::Number(text) => Cow::from(text),
-        Node::Flag(flag) => Cow::from(if *flag { "true" } else { "false" }),
+        Node::Bool(flag) => Cow::from(if *flag { "true" } else { "false" }),
     };
     let bytes = |text: &str| {
         charset.encode(text).map_err(|c| format!("{path:?}: {} has no character {c:?}", charset.name()))
