--- a/crates/decision/src/policy/candidates.rs
+++ b/crates/decision/src/policy/candidates.rs
@@ -107,7 +107,8 @@
     ///
     /// A balancer learns about the server only by its own requests. If there are so many balancers that each
     /// sends it only a few, all have sent theirs before any of them learns that it is overloaded; and while
-    /// the other servers are full, it is chosen every time. The probability is limited further then.
+    /// the other servers are full, it is chosen every time. With so many balancers, the probability is
+    /// therefore limited further.
     fn warming_probability(&self, capacity_fraction: f64) -> f64 {
         let draws = DRAWS as f64;
         let relative_load = if self.is_large_fleet() { draws / (DRAWS + REMEMBERED) as f64 } else { draws };
@@ -118,8 +119,8 @@
         (capacity_fraction / relative_load).min(capacity_fraction * safe_factor)
     }
 
-    /// Adds the missing candidates when few servers are open: draws them from a list of the open servers, of
-    /// the subset if it has any.
+    /// Adds the missing candidates when few servers are open. Draws them from the open servers of the subset
+    /// or, if the request has been sent to all of these, of the fleet.
     fn fill_candidates(&mut self, selection: &Selection, wanted: usize, candidates: &mut Vec<ServerSlot>) {
         let subset = &self.subset.members;
         let is_open = |server: &ServerSlot| self.is_open(selection, *server);
@@ -138,9 +139,10 @@
 
     /// Whether all candidates are warming up and this request exceeds their share of the load.
     ///
-    /// If all warm servers are ejected, their only limit is the acceptance probability of each draw. If warm
-    /// servers are only full, a small number of balancers gives the warming ones their share of the answered
-    /// requests; their share of all requests would overload them.
+    /// If all warm servers are ejected, the acceptance probability of each draw is the only limit. If warm
+    /// servers are only full and there are few balancers, the warming servers may get a share of the
+    /// requests. It is a share of the requests that are answered: the same share of all requests would
+    /// overload them.
     fn would_overload_warming(&mut self, now: Time, candidates: &[ServerSlot]) -> bool {
         let is_warming_up = |&server: &ServerSlot| self.is_warming_up(now, server);
         let is_warm = |&server: &ServerSlot| !self.endpoints[server].is_ejected() && !is_warming_up(&server);
@@ -148,8 +150,8 @@
         if !are_all_warming || !self.endpoints.serving.iter().any(is_warm) {
             return false;
         }
-        // Only a small number of balancers gives them a share, and only once traffic has been observed for a
-        // while: before that the share is unknown.
+        // With many balancers, they get no such share. With few, they get it only once traffic has been
+        // observed for a while, because it is unknown before.
         if self.is_large_fleet() || !self.demand.is_observed_long_enough() {
             return true;
         }
--- a/crates/decision/src/policy/class_stats.rs
+++ b/crates/decision/src/policy/class_stats.rs
@@ -21,7 +21,8 @@
 const INITIAL_LATENCY_RATIO: f64 = 0.2;
 /// The minimum usual latency, in milliseconds.
 const MIN_USUAL_LATENCY_MS: f64 = 0.001;
-/// The maximum number of votes for a usual timeout. As many deviating timeouts replace it.
+/// The maximum number of votes for a usual timeout. Each request with another timeout removes one vote. Once
+/// there are none, the timeout of the next request becomes the usual one.
 const MAX_TIMEOUT_VOTES: u32 = 50;
 /// How long a class is kept after new settings have removed it: a request of this class may have been
 /// accepted just before.
--- a/crates/decision/src/policy/concurrency_limit.rs
+++ b/crates/decision/src/policy/concurrency_limit.rs
@@ -6,7 +6,7 @@
 use super::Balancer;
 use crate::api::Time;
 
-/// The fraction of its latency objective that a response should take, unless the usual latency of its class
+/// The fraction of its latency objective that a response should take, unless the minimum latency of its class
 /// is too high for that.
 pub(super) const TARGET_LATENCY_RATIO: f64 = 0.25;
 /// The concurrency limit of a server before its first response, in requests.
@@ -18,7 +18,7 @@
 const LATENCY_GAIN: f64 = 0.12;
 /// A late response multiplies the limit by this.
 const LATE_FACTOR: f64 = 0.85;
-/// A limit that is in full use grows by this many requests in the course of as many responses as its value.
+/// While a limit is in full use, each response on target raises it by this divided by the limit, in requests.
 const GROWTH: f64 = 0.1;
 /// The fraction by which each response reduces the limit, for each unit of overshoot.
 const SHRINK: f64 = 0.02;
@@ -79,8 +79,8 @@
     ///
     /// The usual number is scaled by the fraction of requests that is answered: clients retry, so a fleet
     /// that has fallen behind would otherwise be sent ever more. It is also scaled by the capacity fraction:
-    /// otherwise, all balancers together would overload a fleet that is all warming up before any of them
-    /// learns of it.
+    /// otherwise, all balancers together would overload a fleet whose servers are all warming up, before any
+    /// balancer learns of it.
     pub(super) fn has_reached_fleet_share(&self, now: Time) -> bool {
         if !self.is_large_fleet() {
             return false;
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -35,8 +35,8 @@
 }
 
 impl Balancer {
-    /// Handles the end of an attempt: updates statistics, and retries or finishes its request unless that has
-    /// its final response.
+    /// Handles the end of an attempt: updates statistics, and retries or finishes its request unless the
+    /// request already has its final response.
     pub(super) fn attempt_ended(
         &mut self,
         now: Time,
--- a/crates/decision/src/policy/outlier_detection.rs
+++ b/crates/decision/src/policy/outlier_detection.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns why a server is to be ejected after an attempt with this outcome, or `None` if it is not to be
-    /// ejected. `is_warm` tells whether the server had its full capacity.
+    /// ejected. `is_warm` is whether the server had its full capacity.
     pub(super) fn ejection_reason(
         &self,
         slot: ServerSlot,
--- a/crates/decision/src/policy/queue.rs
+++ b/crates/decision/src/policy/queue.rs
@@ -11,8 +11,8 @@
 const MARGIN_OVER_LATENCY: f64 = 2.0;
 /// ... or less than this fraction of its latency objective, if that is shorter.
 const MAX_MARGIN: f64 = 0.7;
-/// If there are many balancers, a request is queued for at most this fraction of the time that its client
-/// waits.
+/// If there are many balancers, a request that has not been sent yet is queued for at most this fraction of
+/// the time that its client waits.
 const MAX_QUEUED_FRACTION: f64 = 0.4;
 /// Weights are multiplied by this and compared as integers.
 const WEIGHT_RESOLUTION: f64 = 1e6;
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -5,7 +5,8 @@
 use crate::api::{Settings, Time};
 
 impl Server {
-    /// The fraction of its capacity that the server has at least. It grows linearly to 1 while it warms up.
+    /// The minimum fraction of its capacity that the server has now. It grows linearly to 1 while the server
+    /// warms up.
     pub(super) fn capacity_fraction(&self, now: Time, settings: &Settings) -> f64 {
         let Some(started_at) = self.endpoint.started_at else { return 1.0 };
         let age_ms = now.since(started_at).as_ms();
--- a/crates/decision/src/policy/tenant_quota.rs
+++ b/crates/decision/src/policy/tenant_quota.rs
@@ -37,8 +37,8 @@
 
 impl Balancer {
     /// Whether a request counts as over its tenant's quota. If a tenant has more than its quota fraction of
-    /// this balancer's traffic, a random sample of its requests, as large as the excess, does. A balancer
-    /// sees only its own traffic and takes it as a sample of all traffic.
+    /// this balancer's traffic, the excess counts as over quota; the requests that make it up are chosen at
+    /// random. A balancer sees only its own traffic and takes it as a sample of all traffic.
     pub(super) fn is_over_quota(&mut self, request: &Request) -> bool {
         let known = request.tenant.filter(|tenant| tenant.0 < self.settings.tenants.len());
         let Some(tenant) = known else { return false };
--- a/crates/decision/tests/common/observer.rs
+++ b/crates/decision/tests/common/observer.rs
@@ -1,4 +1,6 @@
-//! An observer that checks the four rules independently of how decisions are made.
+//! An observer that checks the four rules independently of how decisions are made: exactly one final response to each
+//! request, in time; no effect happens twice; no new request to a draining or removed server; and no more load for a
+//! server that is warming up than its capacity fraction allows.
 
 use heronhoist_decision::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/decision/tests/random_walk.rs
+++ b/crates/decision/tests/random_walk.rs
@@ -1,4 +1,5 @@
-//! Random walks: the four rules hold for random sequences of events, and equal events give equal actions.
+//! Random walks: the four rules of the observer hold for random sequences of events, and equal events give equal
+//! actions.
 mod common;
 use common::*;
 use heronhoist_decision::*;
--- a/crates/decision/tests/slow_start.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -191,8 +191,8 @@
     // No check for violations: the observer compares warming servers with warm ones, and the only warm one is down.
 }
 
-/// The remaining warm servers are always full. The warming servers must still get their share of the load, but each not
-/// more than a warm one.
+/// The remaining warm servers are always full. The warming servers must still get their share of the load, but on average
+/// no more than the warm ones.
 #[test]
 fn warming_servers_get_their_share_while_warm_ones_are_full() {
     let mut harness =
