--- a/crates/engine/src/drainable_source.rs
+++ b/crates/engine/src/drainable_source.rs
@@ -1,4 +1,5 @@
-//! An endpoint source whose servers can also be drained by a second authority. A server is drained if either says so.
+//! An endpoint source whose servers can also be drained by a second authority, such as the coordination service of a
+//! fleet. A server drains if the source or the second authority drains it.
 
 use crate::clock::Clock;
 use crate::endpoint_source::{
--- a/crates/engine/src/drainable_source/tests.rs
+++ b/crates/engine/src/drainable_source/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn a_drain_by_either_authority_applies_and_an_undrained_server_warms_up() {
+async fn a_drain_by_either_authority_applies_and_a_server_warms_up_after_it() {
     use EndpointState::{Draining, Serving};
     let observer = Rc::new(RecordingObserver::default());
     let (sender, drained) = watch::channel(BTreeSet::from(["a".to_string()]));
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,7 +1,7 @@
 //! A limit on how much of a resource (descriptors, bytes, requests) the process may hold, divided between parts of
-//! the process. Each share is guaranteed half of an equal part; the rest is allocated first come, first served. A
-//! share that hangs with everything it could get therefore leaves the others able to work, and a single share may
-//! hold everything.
+//! the process. Each share is guaranteed half of an equal part; the rest is allocated first come, first served. The
+//! others can therefore still work if one share holds all that it can get and releases nothing. If there is only one
+//! share, it may hold everything.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
--- a/crates/engine/src/quota/tests.rs
+++ b/crates/engine/src/quota/tests.rs
@@ -20,14 +20,14 @@
 /// A share that reserves all it can get and releases nothing must leave every other share its guaranteed amount, for
 /// any number of shares, and together they must never exceed the limit.
 #[test]
-fn a_share_that_hangs_leaves_the_others_their_guarantee() {
+fn a_share_that_releases_nothing_leaves_the_others_their_guarantee() {
     for share_count in 2..=9 {
         for limit in [1, 7, 64, 1000] {
             let quota = Quota::new(limit);
             let shares: Vec<_> = (0..share_count).map(|_| quota.share()).collect();
-            let greedy: Vec<_> = std::iter::from_fn(|| shares[0].try_reserve(1)).collect();
+            let reserved: Vec<_> = std::iter::from_fn(|| shares[0].try_reserve(1)).collect();
             let guaranteed = limit / (2 * share_count);
-            assert_eq!(greedy.len(), limit - guaranteed * (share_count - 1));
+            assert_eq!(reserved.len(), limit - guaranteed * (share_count - 1));
             for share in &shares[1..] {
                 let reservations: Vec<_> = std::iter::from_fn(|| share.try_reserve(1)).collect();
                 assert_eq!(reservations.len(), guaranteed, "{share_count} shares of {limit}");
--- a/crates/engine/src/servers/name_interner.rs
+++ b/crates/engine/src/servers/name_interner.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 /// The highest id that is assigned to a single name. Names that are not in the settings are few in practice; all
-/// further names share one id, so that endless new names in endpoint lists don't exhaust memory.
+/// further names share one id, so that an unlimited number of new names in endpoint lists doesn't exhaust memory.
 pub(super) const MAX_INTERNED_NAMES: u32 = 1000;
 
 /// Assigns ids to names in the order in which they appear; the names in the settings come first.
--- a/crates/engine/src/servers/tests.rs
+++ b/crates/engine/src/servers/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Changes that add endless new servers and never remove one must not exhaust memory. Tracked servers must still be
+/// Changes that add more and more servers and never remove one must not exhaust memory. Tracked servers must still be
 /// updated.
 #[tokio::test(start_paused = true)]
 async fn no_more_than_max_servers_are_tracked() {
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// The maximum number of stored start times, including those of removed servers. A server that returns to the list
-/// must be found again, but endless new names must not exhaust memory.
+/// must be found again, but an unlimited number of new names must not exhaust memory.
 const MAX_STORED_STARTS: usize = 2 * MAX_SERVERS;
 
 #[derive(Debug, Clone)]
@@ -87,7 +87,7 @@
                 start.is_listed = !is_removed;
                 start.resolved
             }
-            // An entry that removes a server says nothing about its start.
+            // An entry that removes a server contains no information about its start.
             Some(start) if is_removed => start.resolved,
             // A restart is later than the previous start, even if it is reported as earlier.
             Some(start) => {
--- a/crates/engine/src/start_times/tests.rs
+++ b/crates/engine/src/start_times/tests.rs
@@ -146,8 +146,8 @@
     assert!(first < second && second < third, "{first:?}, {second:?}, {third:?}");
 }
 
-/// Endless new servers, in complete or partial lists, must neither exhaust memory nor displace the servers that stay
-/// listed.
+/// An unlimited number of new servers, in complete or partial lists, must neither exhaust memory nor displace the
+/// servers that stay listed.
 #[tokio::test(start_paused = true)]
 async fn no_more_than_max_starts_are_stored() {
     let mut source = TestSource::new();
