--- a/crates/config/src/coordinator.rs
+++ b/crates/config/src/coordinator.rs
@@ -36,7 +36,7 @@
     pub ops_address: Option<SocketAddr>,
     /// A lease that is not renewed for this long expires.
     pub lease_duration: Duration,
-    /// Maximum share by which a clock runs faster or slower than true time.
+    /// The maximum fraction by which a clock runs faster or slower than real time; 0.01 is 1 %.
     pub max_clock_drift: f64,
     /// A follower starts an election when it receives nothing from a leader for one to two times this duration.
     pub election_timeout: Duration,
--- a/crates/coordination/tests/components.rs
+++ b/crates/coordination/tests/components.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_new_or_paused_leader_grants_every_member_a_whole_lease() {
+fn a_new_or_paused_leader_grants_every_member_a_full_lease() {
     let terms = LeaseTerms { duration: 1_000, max_clock_drift: 0.0 };
     let members = || [("a", 1), ("b", 2)].into_iter();
     let mut table = LeaseTable::default();
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Compares all data that coordination processes send, store or keep in a snapshot with golden files, byte by byte. The files
 //! in `golden/` are what the first version of the protocol writes. A file is never changed to make a test pass: processes of
-//! both versions run side by side, and disks outlive them.
+//! different versions run side by side, and a newer version reads the disks of an older one.
 //!
 //! Each `.jsonl` file has one value per line, in the order of the test. A `.bytes` file has one named value per line, with
 //! bytes that are not printable ASCII escaped as in a Rust byte string.
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -100,7 +100,7 @@
     },
 }
 
-/// How a list event relates to the list before it.
+/// What a list event contains: changes, a complete list, a saved list, or an error instead of a list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum Form {
     Partial,
