--- a/crates/engine/src/pool/health_checks.rs
+++ b/crates/engine/src/pool/health_checks.rs
@@ -30,7 +30,7 @@
                 outcome = ?result.outcome,
                 elapsed_us = elapsed.0,
                 report = ?result.load_report,
-                "probe ended"
+                "health check ended"
             );
             pool.handle_event(Event::HealthCheckResult {
                 server,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -136,7 +136,7 @@
     Deleted,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ending {
