--- a/crates/translate/src/lib.rs
+++ b/crates/translate/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod field;
 pub mod key;
 pub mod mapping;
-pub mod mixed;
+pub mod mixed_fleet;
 pub mod node;
 pub mod units;
 pub mod wire;
@@ -20,5 +20,5 @@
 mod file;
 
 pub use convert::{Converted, Notice, Refused};
-pub use mapping::{Mapping, Mappings, Part, Side};
+pub use mapping::{Mapping, Mappings, MessageKind, Side};
 pub use node::{Limits, Node};
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -37,19 +37,19 @@
 
 /// One of the two messages of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Part {
+pub enum MessageKind {
     /// From a client.
     Request,
     /// From a server.
-    Answer,
+    Response,
 }
 
-impl Part {
+impl MessageKind {
     /// Its name, as files have it.
     pub fn name(self) -> &'static str {
         match self {
-            Part::Request => "request",
-            Part::Answer => "answer",
+            MessageKind::Request => "request",
+            MessageKind::Response => "answer",
         }
     }
 }
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
     /// Of which message.
-    pub part: Part,
+    pub message_kind: MessageKind,
     /// Of which field.
     pub field: String,
     /// The side that they come from.
@@ -130,9 +130,9 @@
 #[derive(Debug, Clone)]
 pub struct Dialect {
     /// The form of its requests.
-    pub form: Form,
+    pub request_form: Form,
     /// That of its answers.
-    pub answers: Form,
+    pub response_form: Form,
     /// The method of its requests.
     pub method: String,
     /// Their path.
@@ -147,47 +147,49 @@
     pub operation: String,
     /// The namespace of both.
     pub namespace: String,
-    pub(crate) request: Vec<Field>,
-    pub(crate) answer: Vec<Field>,
+    pub(crate) request_fields: Vec<Field>,
+    pub(crate) response_fields: Vec<Field>,
     /// The rows of an answer, which is the only message that can be a table.
-    pub(crate) shape: table::Shape,
+    pub(crate) table_layout: table::Layout,
 }
 
 impl Dialect {
     /// The fields of a message.
-    pub fn fields(&self, part: Part) -> &[Field] {
-        match part {
-            Part::Request => &self.request,
-            Part::Answer => &self.answer,
+    pub fn fields(&self, message_kind: MessageKind) -> &[Field] {
+        match message_kind {
+            MessageKind::Request => &self.request_fields,
+            MessageKind::Response => &self.response_fields,
         }
     }
 
     /// The form of a message.
-    pub fn form(&self, part: Part) -> Form {
-        match part {
-            Part::Request => self.form,
-            Part::Answer => self.answers,
+    pub fn form(&self, message_kind: MessageKind) -> Form {
+        match message_kind {
+            MessageKind::Request => self.request_form,
+            MessageKind::Response => self.response_form,
         }
     }
 
-    fn element(&self, part: Part) -> String {
-        match part {
-            Part::Request => self.operation.clone(),
-            Part::Answer => format!("{}Response", self.operation),
+    fn element(&self, message_kind: MessageKind) -> String {
+        match message_kind {
+            MessageKind::Request => self.operation.clone(),
+            MessageKind::Response => format!("{}Response", self.operation),
         }
     }
 
     /// Reads a message of this side.
-    pub fn decode(&self, part: Part, bytes: &[u8], limits: Limits) -> Result<Node, String> {
-        match self.form(part) {
+    pub fn decode(&self, message_kind: MessageKind, bytes: &[u8], limits: Limits) -> Result<Node, String> {
+        match self.form(message_kind) {
             Form::Form => form::decode(bytes, self.charset, limits),
             Form::Json => json::decode(bytes, limits),
-            Form::Table => table::decode(bytes, self.charset, self.delimiter, &self.shape, limits),
+            Form::Table => table::decode(bytes, self.charset, self.delimiter, &self.table_layout, limits),
             Form::Soap => match soap::decode(bytes, self.charset, limits)? {
                 soap::Body::Call { namespace, name, fields } => {
-                    match namespace == self.namespace && name == self.element(part) {
+                    match namespace == self.namespace && name == self.element(message_kind) {
                         true => Ok(fields),
-                        false => Err(format!("{name:?} of {namespace:?} is not {:?}", self.element(part))),
+                        false => {
+                            Err(format!("{name:?} of {namespace:?} is not {:?}", self.element(message_kind)))
+                        }
                     }
                 }
                 soap::Body::Fault { code, text } => Err(format!("a Fault, {code}: {text}")),
@@ -196,12 +198,12 @@
     }
 
     /// Writes a message of this side.
-    pub fn encode(&self, part: Part, message: &Node) -> Result<Vec<u8>, String> {
-        match self.form(part) {
+    pub fn encode(&self, message_kind: MessageKind, message: &Node) -> Result<Vec<u8>, String> {
+        match self.form(message_kind) {
             Form::Form => form::encode(message, self.charset),
             Form::Json => Ok(json::encode(message)),
-            Form::Table => table::encode(message, self.charset, self.delimiter, &self.shape),
-            Form::Soap => soap::encode(&self.namespace, &self.element(part), message, self.charset),
+            Form::Table => table::encode(message, self.charset, self.delimiter, &self.table_layout),
+            Form::Soap => soap::encode(&self.namespace, &self.element(message_kind), message, self.charset),
         }
     }
 }
@@ -221,8 +223,8 @@
     pub new: Dialect,
     /// Where messages are not the same after a way there and back.
     pub notes: Vec<Note>,
-    pub(crate) request: Vec<crate::convert::Rule>,
-    pub(crate) answer: Vec<crate::convert::Rule>,
+    pub(crate) request_rules: Vec<crate::convert::Rule>,
+    pub(crate) response_rules: Vec<crate::convert::Rule>,
     pub(crate) key: Option<Key>,
 }
 
@@ -259,7 +261,11 @@
     }
 
     /// Those whose new requests have this method and path: several old ones may become the same.
-    pub fn of_new<'a>(&'a self, method: &'a str, path: &'a str) -> impl Iterator<Item = &'a Rc<Mapping>> {
+    pub fn find_by_new_request<'a>(
+        &'a self,
+        method: &'a str,
+        path: &'a str,
+    ) -> impl Iterator<Item = &'a Rc<Mapping>> {
         self.0.iter().filter(move |mapping| mapping.new.method == method && mapping.new.path == path)
     }
 
@@ -293,8 +299,8 @@
     pub fn key(&self, request: &Node) -> Option<String> {
         let key = self.key.as_ref()?;
         let part = |&at: &usize| {
-            let field = &self.old.request[at];
-            let value = field.read(request, self.old.form.typing()).ok()??;
+            let field = &self.old.request_fields[at];
+            let value = field.read(request, self.old.request_form.typing()).ok()??;
             field.kind.format(&value).ok().filter(|text| !text.is_empty())
         };
         let parts: Option<Vec<String>> = key.fields.iter().map(part).collect();
