--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -268,7 +268,9 @@
     fn key_of_old(&self, class: usize, call: usize) -> Option<String> {
         let (kind, mapping) = &self.classes[class];
         let old = ExpectedExchange { number: call as u64 }.request(*kind, Side::Old);
-        mapping.key(&mapping.old.decode(MessageKind::Request, old.as_bytes(), Limits::default()).ok()?)
+        mapping.idempotency_key(
+            &mapping.old.decode(MessageKind::Request, old.as_bytes(), Limits::default()).ok()?,
+        )
     }
 
     /// Returns the key by which a server with dialect `side` recognizes repeats of a request. Old servers derive it from the fields.
@@ -282,9 +284,8 @@
         let mapping = &self.classes[class].1;
         match side {
             Side::New => key.map(str::to_owned),
-            Side::Old => {
-                mapping.key(&mapping.old.decode(MessageKind::Request, request, Limits::default()).ok()?)
-            }
+            Side::Old => mapping
+                .idempotency_key(&mapping.old.decode(MessageKind::Request, request, Limits::default()).ok()?),
         }
     }
 
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -1,4 +1,4 @@
-//! Typed fields: how a value of each type stands in a message, and what is wrong with one that does not.
+//! Typed fields: parsing and formatting the values of each type, and validating them.
 
 use crate::node::Node;
 use crate::units::Unit;
@@ -11,128 +11,134 @@
 /// A field of one side's message.
 #[derive(Debug, Clone)]
 pub struct Field {
-    /// Its name; records on the way are parted by points.
+    /// Its path; points separate the names of nested records.
     pub path: String,
     /// Its type.
     pub kind: Kind,
-    /// A message may come without it.
+    /// True if a message may omit the field.
     pub optional: bool,
 }
 
 /// The type of a field.
 #[derive(Debug, Clone)]
 pub enum Kind {
-    /// Characters, so many at least and at most.
+    /// A text with a minimum and a maximum number of characters.
     Text(usize, usize),
-    /// A whole number within bounds, written with so many digits at least.
+    /// A whole number within bounds, written with at least this number of digits.
     Integer(i128, i128, usize),
-    /// A decimal within bounds, with so many digits after the point at most.
+    /// A decimal within bounds, with at most this number of digits after the point.
     Decimal(Decimal, Decimal, u32),
-    /// A decimal within bounds, with so many digits after the point, in a unit.
+    /// A decimal within bounds, with at most this number of digits after the point, in a unit.
     Quantity(Decimal, Decimal, u32, &'static Unit),
-    /// A day, in a form as of strftime.
+    /// A date in this strftime format.
     Date(String),
-    /// A moment.
-    Time(Clock),
-    /// One of these words.
+    /// A point in time.
+    Time(TimeFormat),
+    /// One of these values.
     Choice(Vec<String>),
-    /// Yes or no, by these words where the form has no flags.
+    /// True or false, written as these words in forms that have no booleans.
     Flag(String, String),
-    /// So many items at most, each with these fields.
+    /// A list with a maximum number of items, each with these fields.
     Group(usize, Vec<Field>),
 }
 
-/// How moments are written.
+/// How points in time are written.
 #[derive(Debug, Clone)]
-pub struct Clock {
-    /// Their form.
-    pub form: ClockForm,
-    /// The zone of local times, and the one that moments without an offset are written in.
+pub struct TimeFormat {
+    /// The notation.
+    pub notation: TimeNotation,
+    /// The time zone of local times, and of times that are written with an offset but have none of their own.
     pub zone: TimeZone,
-    /// Which is meant where the clock was set back and shows an hour twice.
+    /// How a local time is resolved that occurs twice because clocks were set back.
     pub fold: Fold,
 }
 
-/// The form of a moment.
+/// The notation of a point in time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClockForm {
-    /// RFC 3339, with its offset.
+pub enum TimeNotation {
+    /// RFC 3339, with a UTC offset.
     Rfc3339,
-    /// Seconds since 1970.
+    /// Seconds since 1970 (Unix time).
     Unix,
-    /// A local time, in a form as of strftime.
+    /// A local time in this strftime format.
     Local(String),
 }
 
-/// Which of two moments that a clock shows alike.
+/// How a local time that occurs twice is resolved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fold {
-    /// Neither: the message is refused.
+    /// The message is refused.
     Refuse,
-    /// The first.
+    /// The first occurrence is meant.
     Earlier,
-    /// The second.
+    /// The second occurrence is meant.
     Later,
 }
 
-/// How finely a form tells time, coarsest first.
+/// The precision of a time notation, coarsest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Grain {
+pub enum Precision {
     /// Minutes.
     Minute,
     /// Seconds.
     Second,
-    /// Parts of a second.
+    /// Fractions of a second.
     Fraction,
 }
 
-impl Clock {
-    /// It shows local times of a zone that sets its clocks, so that some hours come twice and some never.
-    pub fn is_set(&self) -> bool {
-        matches!(self.form, ClockForm::Local(_)) && self.zone.to_fixed_offset().is_err()
+impl TimeFormat {
+    /// Reports whether this writes local times of a zone with offset transitions, where some local times occur twice
+    /// and some never.
+    pub fn has_transitions(&self) -> bool {
+        matches!(self.notation, TimeNotation::Local(_)) && self.zone.to_fixed_offset().is_err()
     }
 
-    /// How finely it tells time.
-    pub fn grain(&self) -> Grain {
-        match &self.form {
-            ClockForm::Rfc3339 => Grain::Fraction,
-            ClockForm::Unix => Grain::Second,
-            ClockForm::Local(form) if form.contains("%f") || form.contains("%.f") => Grain::Fraction,
-            ClockForm::Local(form) if form.contains("%S") || form.contains("%T") => Grain::Second,
-            ClockForm::Local(_) => Grain::Minute,
+    /// Returns the precision of the notation.
+    pub fn precision(&self) -> Precision {
+        match &self.notation {
+            TimeNotation::Rfc3339 => Precision::Fraction,
+            TimeNotation::Unix => Precision::Second,
+            TimeNotation::Local(format) if format.contains("%f") || format.contains("%.f") => {
+                Precision::Fraction
+            }
+            TimeNotation::Local(format) if format.contains("%S") || format.contains("%T") => {
+                Precision::Second
+            }
+            TimeNotation::Local(_) => Precision::Minute,
         }
     }
 
-    /// The moment that it shows with nothing finer than its grain.
-    pub fn cut(&self, moment: Moment) -> Moment {
-        let unit = match self.grain() {
-            Grain::Minute => 60,
-            Grain::Second => 1,
-            Grain::Fraction => return moment,
+    /// Truncates a point in time to the precision of the notation.
+    pub fn truncate(&self, time: OffsetTimestamp) -> OffsetTimestamp {
+        let unit = match self.precision() {
+            Precision::Minute => 60,
+            Precision::Second => 1,
+            Precision::Fraction => return time,
         };
-        let seconds = moment.at.as_second() - i64::from(moment.at.subsec_nanosecond() < 0);
-        let at = Timestamp::from_second(seconds - seconds.rem_euclid(unit)).unwrap_or(moment.at);
-        Moment { at, ..moment }
+        let seconds = time.timestamp.as_second() - i64::from(time.timestamp.subsec_nanosecond() < 0);
+        let timestamp = Timestamp::from_second(seconds - seconds.rem_euclid(unit)).unwrap_or(time.timestamp);
+        OffsetTimestamp { timestamp, ..time }
     }
 
-    fn read(&self, text: &str) -> Result<Moment, String> {
-        match &self.form {
-            ClockForm::Rfc3339 => rfc3339(text),
-            ClockForm::Unix => {
+    fn read(&self, text: &str) -> Result<OffsetTimestamp, String> {
+        match &self.notation {
+            TimeNotation::Rfc3339 => rfc3339(text),
+            TimeNotation::Unix => {
                 let seconds = integer(text)?;
-                let at = i64::try_from(seconds).ok().and_then(|seconds| Timestamp::from_second(seconds).ok());
-                Ok(Moment { at: at.ok_or("out of the range of times")?, offset: None })
+                let timestamp =
+                    i64::try_from(seconds).ok().and_then(|seconds| Timestamp::from_second(seconds).ok());
+                Ok(OffsetTimestamp { timestamp: timestamp.ok_or("out of the range of times")?, offset: None })
             }
-            ClockForm::Local(form) => {
-                let wrong = || format!("not a time as {form:?}");
-                let local = DateTime::strptime(form, text).map_err(|_| wrong())?;
-                // Leap seconds, missing zeros and the like would come out otherwise than they came in.
-                if local.strftime(form).to_string() != text {
+            TimeNotation::Local(format) => {
+                let invalid = || format!("not a time as {format:?}");
+                let local = DateTime::strptime(format, text).map_err(|_| invalid())?;
+                // Refuses leap seconds, missing zeros and other input that would be written back differently.
+                if local.strftime(format).to_string() != text {
                     return Err(if text.contains("60") {
                         "a leap second, or not a time as its form".into()
                     } else {
-                        wrong()
+                        invalid()
                     });
                 }
                 let ambiguous = self.zone.to_ambiguous_timestamp(local);
@@ -147,55 +153,55 @@
                         return Err("a local time that the clock showed twice: it was set back".into())
                     }
                 };
-                let at = offset.to_timestamp(local).map_err(|_| "out of the range of times")?;
-                Ok(Moment { at, offset: Some(offset) })
+                let timestamp = offset.to_timestamp(local).map_err(|_| "out of the range of times")?;
+                Ok(OffsetTimestamp { timestamp, offset: Some(offset) })
             }
         }
     }
 
-    fn write(&self, moment: Moment) -> Result<String, String> {
-        let text = match &self.form {
-            ClockForm::Unix => return Ok(moment.at.as_second().to_string()),
-            ClockForm::Rfc3339 => {
-                let offset = moment.offset.unwrap_or_else(|| self.zone.to_offset(moment.at));
+    fn write(&self, time: OffsetTimestamp) -> Result<String, String> {
+        let text = match &self.notation {
+            TimeNotation::Unix => return Ok(time.timestamp.as_second().to_string()),
+            TimeNotation::Rfc3339 => {
+                let offset = time.offset.unwrap_or_else(|| self.zone.to_offset(time.timestamp));
                 if offset.seconds() % 60 != 0 {
                     return Err("an offset of parts of a minute".into());
                 }
-                let local = offset.to_datetime(moment.at);
+                let local = offset.to_datetime(time.timestamp);
                 if local.year() < 0 {
                     return Err("a year before the first".into());
                 }
                 let sign = if offset.seconds() < 0 { '-' } else { '+' };
                 let minutes = offset.seconds().abs() / 60;
-                // As RFC 3339 has it but for the offset (ISO 8601, with as many parts of a second as it takes).
+                // `local` is formatted as RFC 3339 without an offset, with as many fractional digits as needed.
                 return Ok(match offset == Offset::UTC {
                     true => format!("{local}Z"),
                     false => format!("{local}{sign}{:02}:{:02}", minutes / 60, minutes % 60),
                 });
             }
-            ClockForm::Local(form) => self.zone.to_datetime(moment.at).strftime(form).to_string(),
+            TimeNotation::Local(format) => self.zone.to_datetime(time.timestamp).strftime(format).to_string(),
         };
-        // The second of two hours that look alike, and years that the form has no digits for.
+        // Refuses the second occurrence of a repeated hour, and years that the format has no digits for.
         match self.read(&text) {
-            Ok(again) if again.at == moment.at => Ok(text),
+            Ok(reread) if reread.timestamp == time.timestamp => Ok(text),
             Ok(_) => Err(format!("it would be written as {text:?}, which is another moment")),
-            Err(why) => Err(format!("it would be written as {text:?}: {why}")),
+            Err(reason) => Err(format!("it would be written as {text:?}: {reason}")),
         }
     }
 }
 
-/// RFC 3339, 5.6, in capitals as its 4.3 recommends.
-fn rfc3339(text: &str) -> Result<Moment, String> {
+/// Parses a time of RFC 3339 (section 5.6). Accepts only capital letters, as its section 4.3 recommends.
+fn rfc3339(text: &str) -> Result<OffsetTimestamp, String> {
     let bytes = text.as_bytes();
-    let shape = |from: usize, like: &[u8]| {
+    let matches_pattern = |from: usize, like: &[u8]| {
         like.iter().enumerate().all(|(n, &c)| match bytes.get(from + n) {
             Some(byte) if c == b'0' => byte.is_ascii_digit(),
             byte => byte == Some(&c),
         })
     };
-    let wrong = || "not a time as of RFC 3339".to_owned();
-    if !shape(0, b"0000-00-00T00:00:00") {
-        return Err(wrong());
+    let invalid = || "not a time as of RFC 3339".to_owned();
+    if !matches_pattern(0, b"0000-00-00T00:00:00") {
+        return Err(invalid());
     }
     let mut end = 19;
     if bytes.get(end) == Some(&b'.') {
@@ -208,69 +214,69 @@
     if &bytes[17..19] == b"60" {
         return Err("a leap second, which the other side has no way to write".into());
     }
-    let local: DateTime = text[..end].parse().map_err(|_| wrong())?;
+    let local: DateTime = text[..end].parse().map_err(|_| invalid())?;
     let offset = match &bytes[end..] {
         b"Z" => Some(Offset::UTC),
         b"-00:00" => None,
-        rest if rest.len() == 6 && (shape(end, b"+00:00") || shape(end, b"-00:00")) => {
+        rest if rest.len() == 6 && (matches_pattern(end, b"+00:00") || matches_pattern(end, b"-00:00")) => {
             let part = |from: usize| text[from..from + 2].parse::<i32>().unwrap_or(99);
             let (hours, minutes) = (part(end + 1), part(end + 4));
             if hours > 23 || minutes > 59 {
-                return Err(wrong());
+                return Err(invalid());
             }
             let seconds = (hours * 60 + minutes) * if rest[0] == b'-' { -60 } else { 60 };
-            Some(Offset::from_seconds(seconds).map_err(|_| wrong())?)
+            Some(Offset::from_seconds(seconds).map_err(|_| invalid())?)
         }
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     };
-    let at = offset.unwrap_or(Offset::UTC).to_timestamp(local).map_err(|_| wrong())?;
-    Ok(Moment { at, offset })
+    let timestamp = offset.unwrap_or(Offset::UTC).to_timestamp(local).map_err(|_| invalid())?;
+    Ok(OffsetTimestamp { timestamp, offset })
 }
 
-/// A moment, and the offset that it was written with.
+/// A point in time and the UTC offset that it was written with.
 #[derive(Debug, Clone, Copy)]
-pub struct Moment {
-    /// When.
-    pub at: Timestamp,
-    /// None if it is not known where.
+pub struct OffsetTimestamp {
+    /// The point in time.
+    pub timestamp: Timestamp,
+    /// `None` if the local offset is unknown (`-00:00`).
     pub offset: Option<Offset>,
 }
 
-/// Moments are equal wherever they are told.
-impl PartialEq for Moment {
+/// Two values are equal if they denote the same point in time, whatever their offsets.
+impl PartialEq for OffsetTimestamp {
     fn eq(&self, other: &Self) -> bool {
-        self.at == other.at
+        self.timestamp == other.timestamp
     }
 }
 
-/// What a field holds.
+/// The value of a field.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// Of [`Kind::Text`].
+    /// A value of [`Kind::Text`].
     Text(String),
-    /// Of [`Kind::Integer`].
+    /// A value of [`Kind::Integer`].
     Integer(i128),
-    /// Of [`Kind::Decimal`] and [`Kind::Quantity`], in its unit.
+    /// A value of [`Kind::Decimal`] or [`Kind::Quantity`], in the field's unit.
     Decimal(Decimal),
-    /// Of [`Kind::Date`].
+    /// A value of [`Kind::Date`].
     Date(Date),
-    /// Of [`Kind::Time`].
-    Time(Moment),
-    /// Of [`Kind::Choice`].
+    /// A value of [`Kind::Time`].
+    Time(OffsetTimestamp),
+    /// A value of [`Kind::Choice`].
     Choice(String),
-    /// Of [`Kind::Flag`].
+    /// A value of [`Kind::Flag`].
     Flag(bool),
-    /// Of [`Kind::Group`]: its items, with a value or none for each field.
+    /// A value of [`Kind::Group`]: its items, with an optional value for each field.
     Group(Vec<Vec<Option<Value>>>),
 }
 
-/// What sets forms apart in how they hold values.
+/// How a form represents values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Typing {
-    /// Numbers and flags are not texts.
+    /// True if numbers and booleans are distinct from text.
     pub typed: bool,
-    /// A list of one looks like the one.
-    pub lone_items: bool,
+    /// True if a list with one item looks like the item itself.
+    pub single_item_unwrapped: bool,
 }
 
 fn integer(text: &str) -> Result<i128, String> {
@@ -281,7 +287,7 @@
     text.parse().map_err(|_| "too large a number".into())
 }
 
-/// Digits, at most one point with digits on both sides, and a minus before them.
+/// Parses a decimal: an optional minus, digits, and at most one point with digits on both sides.
 fn decimal(text: &str) -> Result<Decimal, String> {
     let plain = text.strip_prefix('-').unwrap_or(text);
     let (whole, part) = plain.split_once('.').unwrap_or((plain, "0"));
@@ -289,12 +295,12 @@
     if !digits(whole) || !digits(part) {
         return Err("not a decimal".into());
     }
-    // Exactly, or the number would lose its last digits without a word.
+    // An inexact conversion would silently drop the last digits.
     Decimal::from_str_exact(text).map_err(|_| "more digits than can be kept".into())
 }
 
-/// A number in JSON's grammar without its exponent, if it can be written so.
-fn plain(number: &str) -> Result<String, String> {
+/// Rewrites a JSON number without its exponent, if it can be represented so.
+fn expand_exponent(number: &str) -> Result<String, String> {
     let Some((digits, exponent)) = number.split_once(['e', 'E']) else { return Ok(number.to_owned()) };
     let exponent: i32 = exponent.parse().map_err(|_| "too large a number")?;
     let value = decimal(digits)?;
@@ -311,7 +317,7 @@
 impl Field {
     /// Reads the field from a message of its side.
     pub fn read(&self, message: &Node, typing: Typing) -> Result<Option<Value>, String> {
-        match message.at(&self.path) {
+        match message.get(&self.path) {
             None | Some(Node::Null) => match &self.kind {
                 Kind::Group(..) => Ok(Some(Value::Group(Vec::new()))),
                 _ if self.optional => Ok(None),
@@ -322,15 +328,15 @@
     }
 
     fn value(&self, node: &Node, typing: Typing) -> Result<Option<Value>, String> {
-        let wrong = || format!("{} where {} should be", node.kind(), self.kind.name());
-        if let Kind::Group(most, fields) = &self.kind {
+        let invalid = || format!("{} where {} should be", node.kind(), self.kind.name());
+        if let Kind::Group(max, fields) = &self.kind {
             let items = match node {
                 Node::List(items) => items.as_slice(),
-                one if typing.lone_items => std::slice::from_ref(one),
-                _ => return Err(wrong()),
+                one if typing.single_item_unwrapped => std::slice::from_ref(one),
+                _ => return Err(invalid()),
             };
-            if items.len() > *most {
-                return Err(format!("{} items, of {most} at most", items.len()));
+            if items.len() > *max {
+                return Err(format!("{} items, of {max} at most", items.len()));
             }
             let item = |(n, item): (usize, &Node)| {
                 if !matches!(item, Node::Record(_))
@@ -338,10 +344,12 @@
                 {
                     return Err(format!("item {}: {} where a record should be", n + 1, item.kind()));
                 }
-                stray(item, fields, None)
+                find_unknown_field(item, fields, None)
                     .map_or(Ok(()), |name| Err(format!("item {}: {name:?} is no field of it", n + 1)))?;
                 let read = |field: &Field| {
-                    field.read(item, typing).map_err(|why| format!("item {}, {:?}: {why}", n + 1, field.path))
+                    field
+                        .read(item, typing)
+                        .map_err(|reason| format!("item {}, {:?}: {reason}", n + 1, field.path))
                 };
                 fields.iter().map(read).collect()
             };
@@ -353,14 +361,14 @@
                 .map(|all| Some(Value::Group(all)));
         }
         let text = match (node, &self.kind) {
-            (Node::Flag(flag), Kind::Flag(..)) => return Ok(Some(Value::Flag(*flag))),
-            (Node::Number(digits), kind) if kind.is_number() => &plain(digits)?,
+            (Node::Bool(flag), Kind::Flag(..)) => return Ok(Some(Value::Flag(*flag))),
+            (Node::Number(digits), kind) if kind.is_number() => &expand_exponent(digits)?,
             (Node::Text(text), kind)
                 if !typing.typed || !kind.is_number() && !matches!(kind, Kind::Flag(..)) =>
             {
                 text
             }
-            _ => return Err(wrong()),
+            _ => return Err(invalid()),
         };
         if text.is_empty() && !matches!(self.kind, Kind::Text(..)) {
             return if self.optional { Ok(None) } else { Err("empty".into()) };
@@ -368,17 +376,17 @@
         self.kind.parse(text).map(Some)
     }
 
-    /// What the field looks like in a message of its side.
+    /// Converts a value to its representation in a message of its side.
     pub fn write(&self, value: &Value, typing: Typing) -> Result<Node, String> {
-        if let (Kind::Group(most, fields), Value::Group(items)) = (&self.kind, value) {
-            if items.len() > *most {
-                return Err(format!("{} items, of {most} at most", items.len()));
+        if let (Kind::Group(max, fields), Value::Group(items)) = (&self.kind, value) {
+            if items.len() > *max {
+                return Err(format!("{} items, of {max} at most", items.len()));
             }
             let item = |values: &Vec<Option<Value>>| {
                 let mut record = Node::record();
                 for (field, value) in fields.iter().zip(values) {
                     if let Some(value) = value {
-                        record.put(&field.path, field.write(value, typing)?);
+                        record.insert(&field.path, field.write(value, typing)?);
                     }
                 }
                 Ok(record)
@@ -388,15 +396,15 @@
         self.kind.check(value)?;
         let text = self.kind.format(value)?;
         Ok(match value {
-            Value::Flag(flag) if typing.typed => Node::Flag(*flag),
+            Value::Flag(flag) if typing.typed => Node::Bool(*flag),
             _ if typing.typed && self.kind.is_number() => Node::Number(text),
             _ => Node::Text(text),
         })
     }
 }
 
-/// A name in a record that none of the fields has, nor `extension`.
-pub fn stray(record: &Node, fields: &[Field], extension: Option<&str>) -> Option<String> {
+/// Returns the path of a member that belongs to none of the fields and is not `extension`.
+pub fn find_unknown_field(record: &Node, fields: &[Field], extension: Option<&str>) -> Option<String> {
     fn within(node: &Node, path: &str, fields: &[Field], extension: Option<&str>) -> Option<String> {
         let Node::Record(members) = node else { return Some(path.to_owned()) };
         members.iter().find_map(|(name, value)| {
@@ -421,15 +429,15 @@
     }
 }
 
-fn within<T: PartialOrd + std::fmt::Display>(value: &T, least: &T, most: &T) -> Result<(), String> {
-    match (least..=most).contains(&value) {
+fn check_range<T: PartialOrd + std::fmt::Display>(value: &T, min: &T, max: &T) -> Result<(), String> {
+    match (min..=max).contains(&value) {
         true => Ok(()),
-        false => Err(format!("{value} is not within {least} and {most}")),
+        false => Err(format!("{value} is not within {min} and {max}")),
     }
 }
 
 impl Kind {
-    /// Its name, as files have it.
+    /// Returns the name used in mapping files.
     pub fn name(&self) -> &'static str {
         match self {
             Kind::Text(..) => "text",
@@ -445,22 +453,22 @@
     }
 
     fn is_number(&self) -> bool {
-        let unix = matches!(self, Kind::Time(Clock { form: ClockForm::Unix, .. }));
+        let unix = matches!(self, Kind::Time(TimeFormat { notation: TimeNotation::Unix, .. }));
         unix || matches!(self, Kind::Integer(..) | Kind::Decimal(..) | Kind::Quantity(..))
     }
 
-    /// Reads a value from characters.
+    /// Parses a value.
     pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self {
             Kind::Text(..) => self.checked(Value::Text(text.to_owned())),
             Kind::Integer(..) => self.checked(Value::Integer(integer(text)?)),
             Kind::Decimal(..) | Kind::Quantity(..) => self.checked(Value::Decimal(decimal(text)?)),
-            Kind::Date(form) => {
+            Kind::Date(format) => {
                 let day =
-                    Date::strptime(form, text).ok().filter(|day| day.strftime(form).to_string() == text);
-                day.map(Value::Date).ok_or_else(|| format!("not a date as {form:?}"))
+                    Date::strptime(format, text).ok().filter(|day| day.strftime(format).to_string() == text);
+                day.map(Value::Date).ok_or_else(|| format!("not a date as {format:?}"))
             }
-            Kind::Time(clock) => clock.read(text).map(Value::Time),
+            Kind::Time(time_format) => time_format.read(text).map(Value::Time),
             Kind::Choice(_) => self.checked(Value::Choice(text.to_owned())),
             Kind::Flag(yes, no) => match text {
                 text if text == yes => Ok(Value::Flag(true)),
@@ -475,40 +483,40 @@
         self.check(&value).map(|()| value)
     }
 
-    /// What is written must be what would be read: within its bounds, its length, its words.
+    /// Checks that a value can be read back: its bounds, its length or its list of values.
     fn check(&self, value: &Value) -> Result<(), String> {
         match (self, value) {
-            (Kind::Text(least, most), Value::Text(text)) => {
+            (Kind::Text(min, max), Value::Text(text)) => {
                 let length = text.chars().count();
-                match (*least..=*most).contains(&length) {
+                match (*min..=*max).contains(&length) {
                     true => Ok(()),
-                    false => Err(format!("{length} characters, not {least} to {most}")),
+                    false => Err(format!("{length} characters, not {min} to {max}")),
                 }
             }
-            (Kind::Integer(least, most, _), Value::Integer(value)) => within(value, least, most),
+            (Kind::Integer(min, max, _), Value::Integer(value)) => check_range(value, min, max),
             (
-                Kind::Decimal(least, most, digits) | Kind::Quantity(least, most, digits, _),
+                Kind::Decimal(min, max, digits) | Kind::Quantity(min, max, digits, _),
                 Value::Decimal(value),
             ) => {
                 if value.scale() > *digits && value.normalize().scale() > *digits {
                     return Err(format!("{value} has more than {digits} digits after the point"));
                 }
-                within(value, least, most)
+                check_range(value, min, max)
             }
             (Kind::Choice(words), Value::Choice(word)) if !words.contains(word) => {
                 Err(format!("{word:?} is none of {}", words.join(", ")))
             }
-            // A year that its form has no digits for comes back as another.
+            // A year that the format has no digits for would be read back as another year.
             (Kind::Date(_), Value::Date(_)) => match self.parse(&self.format(value)?)? == *value {
                 true => Ok(()),
                 false => Err("it would be written as another day".into()),
             },
-            // A clock reads again what it has written.
+            // `TimeFormat::write` parses its own output.
             _ => Ok(()),
         }
     }
 
-    /// A value in characters.
+    /// Formats a value.
     pub fn format(&self, value: &Value) -> Result<String, String> {
         match (self, value) {
             (Kind::Text(..), Value::Text(text)) | (Kind::Choice(_), Value::Choice(text)) => Ok(text.clone()),
@@ -516,13 +524,13 @@
                 let sign = if *n < 0 { "-" } else { "" };
                 Ok(format!("{sign}{:0width$}", n.unsigned_abs(), width = *width))
             }
-            // A minus before nothing but zeros says nothing.
+            // A zero is written without a minus.
             (Kind::Decimal(..) | Kind::Quantity(..), Value::Decimal(n)) if n.is_zero() => {
                 Ok(n.abs().to_string())
             }
             (Kind::Decimal(..) | Kind::Quantity(..), Value::Decimal(n)) => Ok(n.to_string()),
-            (Kind::Date(form), Value::Date(day)) => Ok(day.strftime(form).to_string()),
-            (Kind::Time(clock), Value::Time(moment)) => clock.write(*moment),
+            (Kind::Date(format), Value::Date(day)) => Ok(day.strftime(format).to_string()),
+            (Kind::Time(time_format), Value::Time(time)) => time_format.write(*time),
             (Kind::Flag(yes, no), Value::Flag(flag)) => Ok(if *flag { yes } else { no }.clone()),
             _ => Err(format!("no {}", self.name())),
         }
--- a/crates/translate/src/mixed_fleet.rs
+++ b/crates/translate/src/mixed_fleet.rs
@@ -1,52 +1,56 @@
-//! Fleets of which some servers speak the old dialect and some the new: which of the two a request may be said in, and both of
-//! its forms, settled before a server is chosen.
+//! Mixed fleets, where some servers use the old dialect and some the new. Determines, before a server is selected,
+//! which dialects a request may be sent in, and encodes it in both.
 
 use crate::mapping::{Mapping, MessageKind, Side};
 use crate::node::{Limits, Node};
 use crate::Notice;
 
-/// One or both dialects.
+/// A set of dialects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Sides {
-    /// The old one.
+    /// Contains the old dialect.
     pub old: bool,
-    /// The new one.
+    /// Contains the new dialect.
     pub new: bool,
 }
 
-/// Where a request may go, and what it is there.
+/// The dialects that a request may be sent in, and its translation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// The dialects that it may be sent in.
+    /// The dialects that the request may be sent in.
     pub sides: Sides,
-    /// The request in the dialect that its client does not speak, if it may be sent in that.
+    /// The request in the dialect that its client does not use, if it may be sent in that dialect.
     pub translated: Option<Vec<u8>>,
-    /// What is lost in that, as far as its client has to be told.
+    /// The losses of the translation that must be reported to the client.
     pub notices: Vec<Notice>,
-    /// What tells its repeats from other requests, if its class has keys and it one.
+    /// The idempotency key, if the class has keys and the request has one.
     pub key: Option<String>,
 }
 
-/// Where an old request may go, given what there is to send to: where old servers serve, losses are theirs to spare.
+/// Plans an old request for the dialects that the available servers use. A request that can be translated without loss
+/// may be sent in both dialects; while an old server is available, any other request is sent to old servers only.
 ///
-/// Loses something in the new dialect, or can't be said in it: old servers only, if one serves; if none does, new ones with
-/// notices, or the reason why it can't be sent.
+/// With no old server available, a request that loses something is sent to new servers with notices. If it can't be
+/// translated at all, the reason is returned.
 pub fn plan_old_request(mapping: &Mapping, message: &Node, serving: Sides) -> Result<Plan, String> {
-    let key = mapping.key(message);
-    let said = mapping.convert(MessageKind::Request, Side::Old, message).map_err(|why| why.to_string());
-    let said =
-        said.and_then(|done| Ok((mapping.new.encode(MessageKind::Request, &done.message)?, done.notices)));
-    let (old, new) = match &said {
+    let key = mapping.idempotency_key(message);
+    let translated_request =
+        mapping.convert(MessageKind::Request, Side::Old, message).map_err(|reason| reason.to_string());
+    let translated_request = translated_request.and_then(|converted| {
+        Ok((mapping.new.encode(MessageKind::Request, &converted.message)?, converted.notices))
+    });
+    let (old, new) = match &translated_request {
         Ok((_, notices)) => (serving.old, notices.is_empty() || !serving.old),
-        Err(why) if !serving.old => return Err(why.clone()),
+        Err(reason) if !serving.old => return Err(reason.clone()),
         Err(_) => (true, false),
     };
-    let (translated, notices) = said.ok().filter(|_| new).map_or((None, Vec::new()), |(b, n)| (Some(b), n));
+    let (translated, notices) =
+        translated_request.ok().filter(|_| new).map_or((None, Vec::new()), |(b, n)| (Some(b), n));
     Ok(Plan { sides: Sides { old, new }, translated, notices, key })
 }
 
-/// Where a new request may go: to old servers too if it can be said to them without loss, and its own `key` is the one by
-/// which they know its repeats.
+/// Plans a new request. It may also be sent to old servers if the translation loses nothing, and if its `key` equals
+/// the one by which old servers recognize repeats.
 pub fn plan_new_request(mapping: &Mapping, bytes: &[u8], key: Option<&str>, serving: Sides) -> Plan {
     let only_new = || Plan {
         sides: Sides { old: false, new: true },
@@ -54,31 +58,32 @@
         notices: Vec::new(),
         key: key.map(str::to_owned),
     };
-    let said = || {
+    let translated_request = || {
         let message = mapping.new.decode(MessageKind::Request, bytes, Limits::default()).ok()?;
-        let done = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
-        // Old servers tell repeats by the fields that the key is made of. Where the client has made its own key the two need
-        // not agree, and a repeat could run at a server of each kind.
-        let same = mapping.key(&done.message).as_deref() == key;
-        let faithful = done.notices.is_empty() && same;
-        faithful.then(|| mapping.old.encode(MessageKind::Request, &done.message).ok())?
+        let converted = mapping.convert(MessageKind::Request, Side::New, &message).ok()?;
+        // Old servers recognize repeats by the fields that the key is built from. A key that the client chose itself
+        // can differ from them, and a repeat could then run on an old and on a new server.
+        let has_same_key = mapping.idempotency_key(&converted.message).as_deref() == key;
+        let is_lossless = converted.notices.is_empty() && has_same_key;
+        is_lossless.then(|| mapping.old.encode(MessageKind::Request, &converted.message).ok())?
     };
-    match serving.old.then(said).flatten() {
+    match serving.old.then(translated_request).flatten() {
         Some(bytes) => Plan { sides: Sides { old: true, new: true }, translated: Some(bytes), ..only_new() },
         None => only_new(),
     }
 }
 
-/// A server's answer in the dialect of the other side, and what is lost. One that can't be said there may have run: it is a
-/// failure, and never passed on in part.
+/// Translates a server's response into the other dialect, and returns the losses. If a response can't be translated,
+/// the request may have run: the exchange fails, and no part of the response is passed on.
 pub fn translate_response(
     mapping: &Mapping,
     from: Side,
     bytes: &[u8],
 ) -> Result<(Vec<u8>, Vec<Notice>), String> {
     let message = mapping.dialect(from).decode(MessageKind::Response, bytes, Limits::default())?;
-    let done = mapping.convert(MessageKind::Response, from, &message).map_err(|why| why.to_string())?;
-    Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &done.message)?, done.notices))
+    let converted =
+        mapping.convert(MessageKind::Response, from, &message).map_err(|reason| reason.to_string())?;
+    Ok((mapping.dialect(from.other()).encode(MessageKind::Response, &converted.message)?, converted.notices))
 }
 
 #[cfg(test)]
--- a/crates/translate/src/node.rs
+++ b/crates/translate/src/node.rs
@@ -1,40 +1,40 @@
-//! What every form is decoded into: names, texts, lists. Types come later, from the mapping.
+//! The decoded message, common to all forms: names, texts and lists. The mapping adds the types.
 
 use std::fmt;
 
 /// A value as a form carries it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Node {
-    /// It says that there is none: `null` in JSON (RFC 8259, 3), `xsi:nil` in SOAP.
+    /// An explicit absence: `null` in JSON (RFC 8259, 3), `xsi:nil` in SOAP.
     Null,
-    /// Characters.
+    /// A text.
     Text(String),
-    /// A number in JSON's grammar (RFC 8259, 6), digit for digit as it came.
+    /// A number in JSON's grammar (RFC 8259, 6), with its digits as received.
     Number(String),
     /// `true` or `false` in JSON.
-    Flag(bool),
-    /// Named values, in their order; no name twice.
+    Bool(bool),
+    /// Named values in their order, with unique names.
     Record(Vec<(String, Node)>),
-    /// Values of one name.
+    /// The values of a list, or of repeated elements.
     List(Vec<Node>),
 }
 
 impl Node {
-    /// An empty record.
+    /// Returns an empty record.
     pub fn record() -> Node {
         Node::Record(Vec::new())
     }
 
-    /// The value at a path whose steps are parted by points.
-    pub fn at(&self, path: &str) -> Option<&Node> {
+    /// Returns the value at a path; points separate its steps.
+    pub fn get(&self, path: &str) -> Option<&Node> {
         path.split('.').try_fold(self, |node, step| match node {
             Node::Record(members) => members.iter().find(|(name, _)| name == step).map(|(_, value)| value),
             _ => None,
         })
     }
 
-    /// Puts a value at a path, with records on the way. A value that stands there is replaced.
-    pub fn put(&mut self, path: &str, value: Node) {
+    /// Sets the value at a path, and creates the records on the way. An existing value is replaced.
+    pub fn insert(&mut self, path: &str, value: Node) {
         let (step, rest) = match path.split_once('.') {
             Some((step, rest)) => (step, Some(rest)),
             None => (path, None),
@@ -48,18 +48,18 @@
             members.len() - 1
         });
         match rest {
-            Some(rest) => members[place].1.put(rest, value),
+            Some(rest) => members[place].1.insert(rest, value),
             None => members[place].1 = value,
         }
     }
 
-    /// What kind of value it is, for people.
+    /// Returns the kind of the value for error messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Node::Null => "null",
             Node::Text(_) => "text",
             Node::Number(_) => "a number",
-            Node::Flag(_) => "true or false",
+            Node::Bool(_) => "true or false",
             Node::Record(_) => "a record",
             Node::List(_) => "a list",
         }
@@ -72,53 +72,53 @@
             Node::Null => f.write_str("null"),
             Node::Text(text) => write!(f, "{text:?}"),
             Node::Number(digits) => f.write_str(digits),
-            Node::Flag(flag) => write!(f, "{flag}"),
+            Node::Bool(flag) => write!(f, "{flag}"),
             Node::Record(members) => write!(f, "{{{} members}}", members.len()),
             Node::List(items) => write!(f, "[{} items]", items.len()),
         }
     }
 }
 
-/// What a message may hold at most; past that it is refused, whatever its form.
+/// Limits of a message in any form; a larger message is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the body.
-    pub bytes: usize,
-    /// Values in all.
-    pub fields: usize,
-    /// Records and lists in each other.
-    pub depth: usize,
+    /// The size of the body.
+    pub max_bytes: usize,
+    /// The total number of values.
+    pub max_fields: usize,
+    /// The nesting depth of records and lists.
+    pub max_depth: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { bytes: 64 * 1024, fields: 4096, depth: 8 }
+        Limits { max_bytes: 64 * 1024, max_fields: 4096, max_depth: 8 }
     }
 }
 
-/// Counts what a message holds against its limits.
+/// Counts the values of a message against its limits.
 #[derive(Debug)]
-pub(crate) struct Count {
+pub(crate) struct LimitCounter {
     limits: Limits,
     fields: usize,
 }
 
-impl Count {
+impl LimitCounter {
     pub(crate) fn new(limits: Limits, bytes: usize) -> Result<Self, String> {
-        match bytes > limits.bytes {
-            true => Err(format!("{bytes} bytes, of {} at most", limits.bytes)),
-            false => Ok(Count { limits, fields: 0 }),
+        match bytes > limits.max_bytes {
+            true => Err(format!("{bytes} bytes, of {} at most", limits.max_bytes)),
+            false => Ok(LimitCounter { limits, fields: 0 }),
         }
     }
 
-    /// Another value, so deep within others.
-    pub(crate) fn value(&mut self, depth: usize) -> Result<(), String> {
+    /// Counts one more value at this nesting depth.
+    pub(crate) fn add_value(&mut self, depth: usize) -> Result<(), String> {
         self.fields += 1;
-        if self.fields > self.limits.fields {
-            return Err(format!("more than {} fields", self.limits.fields));
+        if self.fields > self.limits.max_fields {
+            return Err(format!("more than {} fields", self.limits.max_fields));
         }
-        if depth > self.limits.depth {
-            return Err(format!("nested deeper than {}", self.limits.depth));
+        if depth > self.limits.max_depth {
+            return Err(format!("nested deeper than {}", self.limits.max_depth));
         }
         Ok(())
     }
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -1,6 +1,7 @@
-//! Every field of every worked message, there and back, on generated values with their edges; and bytes that are wrong.
+//! Round trips of every field of every worked message, with generated values that include edge cases, and corrupted
+//! messages.
 mod worked;
-use heronhoist_translate::field::{Clock, ClockForm, Field, Kind, Moment, Value};
+use heronhoist_translate::field::{Field, Kind, OffsetTimestamp, TimeFormat, TimeNotation, Value};
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Node, Side};
 use jiff::civil::date;
 use jiff::tz::Offset;
@@ -13,14 +14,15 @@
 use std::cell::Cell;
 use worked::WORKED;
 
-const WAYS: [(MessageKind, Side); 4] = [
+const DIRECTIONS: [(MessageKind, Side); 4] = [
     (MessageKind::Request, Side::Old),
     (MessageKind::Request, Side::New),
     (MessageKind::Response, Side::Old),
     (MessageKind::Response, Side::New),
 ];
 
-/// The same cases every time; so many times more for a long run, which goes on where the short one ends.
+/// Runs the same cases every time. `HERONHOIST_CASES` multiplies their number; a longer run continues where the short
+/// one ends.
 fn runner(cases: u32) -> TestRunner {
     let times = std::env::var("HERONHOIST_CASES").ok().and_then(|times| times.parse().ok()).unwrap_or(1);
     let cases = cases.saturating_mul(times);
@@ -38,7 +40,7 @@
 }
 
 fn moments() -> BoxedStrategy<Timestamp> {
-    // Around the hours that New York's clocks skipped and showed twice, the end of Unix time in 31 bits, a leap year.
+    // The hours that New York's clocks skipped and repeated, the end of 31-bit Unix time, and a leap day.
     let edges = vec![
         "2026-03-08T06:59:59Z",
         "2026-03-08T07:00:00Z",
@@ -57,44 +59,43 @@
 
 fn value(kind: &Kind) -> BoxedStrategy<Value> {
     match kind {
-        Kind::Text(least, most) => {
-            let any = vec(character(), *least..=(*most).min(least + 40));
-            let full = vec(proptest::char::range('a', 'z'), *most..=*most);
+        Kind::Text(min, max) => {
+            let any = vec(character(), *min..=(*max).min(min + 40));
+            let full = vec(proptest::char::range('a', 'z'), *max..=*max);
             prop_oneof![9 => any, 1 => full].prop_map(|text| Value::Text(text.into_iter().collect())).boxed()
         }
-        Kind::Integer(least, most, _) => {
-            prop_oneof![Just(*least), Just(*most), *least..=*most].prop_map(Value::Integer).boxed()
+        Kind::Integer(min, max, _) => {
+            prop_oneof![Just(*min), Just(*max), *min..=*max].prop_map(Value::Integer).boxed()
         }
-        Kind::Decimal(least, most, digits) | Kind::Quantity(least, most, digits, _) => {
+        Kind::Decimal(min, max, digits) | Kind::Quantity(min, max, digits, _) => {
             let digits = *digits;
             let whole =
                 |n: Decimal| (n * Decimal::from(10_u64.pow(digits))).mantissa() / 10_i128.pow((n).scale());
-            let any =
-                (whole(*least)..=whole(*most)).prop_map(move |n| Decimal::from_i128_with_scale(n, digits));
-            prop_oneof![1 => Just(*least), 1 => Just(*most), 8 => any].prop_map(Value::Decimal).boxed()
+            let any = (whole(*min)..=whole(*max)).prop_map(move |n| Decimal::from_i128_with_scale(n, digits));
+            prop_oneof![1 => Just(*min), 1 => Just(*max), 8 => any].prop_map(Value::Decimal).boxed()
         }
         Kind::Date(_) => {
             (1900_i16..2100, 1_i8..=12, 1_i8..=28).prop_map(|(y, m, d)| Value::Date(date(y, m, d))).boxed()
         }
-        Kind::Time(clock) => {
-            let clock: Clock = clock.clone();
+        Kind::Time(time_format) => {
+            let time_format: TimeFormat = time_format.clone();
             let offset = select(vec![None, Some(0), Some(-18_000), Some(20_700)]);
             let nanos = prop_oneof![3 => Just(0), 1 => Just(500_000_000_i32), 1 => Just(1)];
             let moment = (moments(), offset, nanos).prop_map(move |(at, offset, nanos)| {
                 let offset = offset.map(|seconds| Offset::from_seconds(seconds).unwrap());
-                let offset = if clock.form == ClockForm::Rfc3339 { offset } else { None };
+                let offset = if time_format.notation == TimeNotation::Rfc3339 { offset } else { None };
                 let at = Timestamp::new(at.as_second(), nanos).unwrap();
-                clock.cut(Moment { at, offset })
+                time_format.truncate(OffsetTimestamp { timestamp: at, offset })
             });
             moment.prop_map(Value::Time).boxed()
         }
         Kind::Choice(words) => select(words.clone()).prop_map(Value::Choice).boxed(),
         Kind::Flag(..) => any::<bool>().prop_map(Value::Flag).boxed(),
-        Kind::Group(most, fields) => vec(values(fields), 0..=(*most).min(4)).prop_map(Value::Group).boxed(),
+        Kind::Group(max, fields) => vec(values(fields), 0..=(*max).min(4)).prop_map(Value::Group).boxed(),
     }
 }
 
-/// A value or none for each field.
+/// Generates a value for each field; optional fields may have none.
 fn values(fields: &[Field]) -> BoxedStrategy<Vec<Option<Value>>> {
     let one = |field: &Field| match field.optional {
         true => prop_oneof![2 => value(&field.kind).prop_map(Some), 1 => Just(None)].boxed(),
@@ -103,8 +104,13 @@
     fields.iter().map(one).collect::<Vec<_>>().boxed()
 }
 
-/// The correction's own condition: of the three quantities the one that is named.
-fn abide(mapping: &Mapping, message_kind: MessageKind, from: Side, values: &mut [Option<Value>]) {
+/// Applies the condition of the correction mapping: only the quantity that the request names has a value.
+fn apply_correction_conditions(
+    mapping: &Mapping,
+    message_kind: MessageKind,
+    from: Side,
+    values: &mut [Option<Value>],
+) {
     let fields = mapping.dialect(from).fields(message_kind);
     if mapping.name != "correction" || message_kind != MessageKind::Request {
         return;
@@ -128,12 +134,13 @@
     }
 }
 
-/// What is given comes back with the field's own name; none in a group may be told by an absent group.
+/// Reads all fields of a message; the panic message names a field that can't be read.
 fn read(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Vec<Option<Value>> {
     let dialect = mapping.dialect(side);
     let typing = dialect.form(message_kind).typing();
-    let read =
-        |field: &Field| field.read(message, typing).unwrap_or_else(|why| panic!("{}: {why}", field.path));
+    let read = |field: &Field| {
+        field.read(message, typing).unwrap_or_else(|reason| panic!("{}: {reason}", field.path))
+    };
     dialect.fields(message_kind).iter().map(read).collect()
 }
 
@@ -142,93 +149,109 @@
     let mut message = Node::record();
     for (field, value) in dialect.fields(message_kind).iter().zip(values) {
         if let Some(value) = value {
-            message.put(&field.path, field.write(value, dialect.form(message_kind).typing()).ok()?);
+            message.insert(&field.path, field.write(value, dialect.form(message_kind).typing()).ok()?);
         }
     }
     Some(message)
 }
 
-/// Through the wire of a side; None if its characters can't say it.
-fn wire(mapping: &Mapping, message_kind: MessageKind, side: Side, message: &Node) -> Option<Node> {
+/// Encodes and decodes a message in the form of one side; `None` if its charset lacks a character.
+fn encode_and_decode(
+    mapping: &Mapping,
+    message_kind: MessageKind,
+    side: Side,
+    message: &Node,
+) -> Option<Node> {
     let dialect = mapping.dialect(side);
     let bytes = dialect.encode(message_kind, message).ok()?;
     Some(
         dialect
             .decode(message_kind, &bytes, Limits::default())
-            .unwrap_or_else(|why| panic!("own message: {why}")),
+            .unwrap_or_else(|reason| panic!("an encoded message must decode: {reason}")),
     )
 }
 
-/// All that differs after a way there over `mapping` and back over `again`, but for what notices and notes tell of.
+/// Converts a message with `mapping`, converts the result back with `again`, and returns every difference that no
+/// notice or note announces.
 fn differences(
     mapping: &Mapping,
     again: &Mapping,
     (message_kind, from): (MessageKind, Side),
     given: &[Option<Value>],
 ) -> Option<Vec<String>> {
-    let message = wire(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
-    assert_eq!(read(mapping, message_kind, from, &message), given, "over the wire of its own side");
+    let message =
+        encode_and_decode(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
+    assert_eq!(
+        read(mapping, message_kind, from, &message),
+        given,
+        "decoding must restore the encoded message"
+    );
     let there = mapping.convert(message_kind, from, &message).ok()?;
-    let sent =
-        wire(mapping, message_kind, from.other(), &there.message).expect("what was converted can be written");
+    let sent = encode_and_decode(mapping, message_kind, from.other(), &there.message)
+        .expect("a converted message must encode");
     assert_eq!(
         read(mapping, message_kind, from.other(), &sent),
         read(mapping, message_kind, from.other(), &there.message)
     );
-    let mut told: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
+    let mut noticed_fields: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
     let back = match again.convert(message_kind, from.other(), &sent) {
         Ok(back) => back,
-        // A rounded value may lie just outside of the bounds that it came from.
-        Err(_) if !told.is_empty() => return None,
-        Err(why) => return Some(vec![why.to_string()]),
+        // A rounded value may lie just outside the bounds of the side it came from.
+        Err(_) if !noticed_fields.is_empty() => return None,
+        Err(reason) => return Some(vec![reason.to_string()]),
     };
     let fields = mapping.dialect(from).fields(message_kind);
-    told.extend(back.notices.iter().map(|notice| notice.field.clone()));
+    noticed_fields.extend(back.notices.iter().map(|notice| notice.field.clone()));
     let back = read(mapping, message_kind, from, &back.message);
     let mut differences = Vec::new();
     for ((field, a), b) in fields.iter().zip(given).zip(&back) {
-        compare(field, a, b, "", &told, &mut differences);
+        compare(field, a, b, "", &noticed_fields, &mut differences);
     }
     Some(differences)
 }
 
 fn compare(
     field: &Field,
-    a: &Option<Value>,
-    b: &Option<Value>,
-    above: &str,
-    told: &[String],
+    original: &Option<Value>,
+    returned: &Option<Value>,
+    prefix: &str,
+    noticed_fields: &[String],
     differences: &mut Vec<String>,
 ) {
-    let path = format!("{above}{}", field.path);
-    match (a, b, &field.kind) {
-        (Some(Value::Group(a)), Some(Value::Group(b)), Kind::Group(_, fields)) if a.len() == b.len() => {
-            for (a, b) in a.iter().zip(b) {
-                for ((field, a), b) in fields.iter().zip(a).zip(b) {
-                    compare(field, a, b, &format!("{path}."), told, differences);
+    let path = format!("{prefix}{}", field.path);
+    match (original, returned, &field.kind) {
+        (Some(Value::Group(original)), Some(Value::Group(returned)), Kind::Group(_, fields))
+            if original.len() == returned.len() =>
+        {
+            for (original, returned) in original.iter().zip(returned) {
+                for ((field, original), returned) in fields.iter().zip(original).zip(returned) {
+                    compare(field, original, returned, &format!("{path}."), noticed_fields, differences);
                 }
             }
         }
-        // Rounded there or back: nearer than one and a half units of the coarser side's last digit.
-        (Some(Value::Decimal(a)), Some(Value::Decimal(b)), Kind::Quantity(..)) => {
-            if (*a - *b).abs() > Decimal::new(35, 1) {
-                differences.push(format!("{path}: {a} came back as {b}"));
+        // Rounding in either direction may change a value by less than one and a half units of the coarser side's last
+        // digit.
+        (Some(Value::Decimal(original)), Some(Value::Decimal(returned)), Kind::Quantity(..)) => {
+            if (*original - *returned).abs() > Decimal::new(35, 1) {
+                differences.push(format!("{path}: {original} was returned as {returned}"));
             }
         }
-        (a, b, _) if a == b || told.contains(&path) => {}
-        (a, b, _) => differences.push(format!("{path}: {a:?} came back as {b:?}")),
+        (original, returned, _) if original == returned || noticed_fields.contains(&path) => {}
+        (original, returned, _) => {
+            differences.push(format!("{path}: {original:?} was returned as {returned:?}"))
+        }
     }
 }
 
 #[test]
-fn every_field_of_every_message_comes_back_or_is_told_of() {
+fn every_field_survives_a_round_trip_or_its_loss_is_announced() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
-        for (message_kind, from) in WAYS {
-            let (tried, whole) = (Cell::new(0), Cell::new(0));
+        for (message_kind, from) in DIRECTIONS {
+            let (tried, translated) = (Cell::new(0), Cell::new(0));
             let fields = mapping.dialect(from).fields(message_kind).to_vec();
             let run = runner(400).run(&values(&fields), |mut given| {
-                abide(&mapping, message_kind, from, &mut given);
+                apply_correction_conditions(&mapping, message_kind, from, &mut given);
                 tried.set(tried.get() + 1);
                 if let Some(found) = differences(&mapping, &mapping, (message_kind, from), &given) {
                     prop_assert!(
@@ -236,24 +259,24 @@
                         "{} {message_kind:?} from {from:?}: {found:?}",
                         mapping.name
                     );
-                    whole.set(whole.get() + 1);
+                    translated.set(translated.get() + 1);
                 }
                 Ok(())
             });
             run.unwrap_or_else(|e| panic!("{e}"));
             assert!(
-                whole.get() * 20 >= tried.get(),
-                "{} {message_kind:?} {from:?}: {} whole",
+                translated.get() * 20 >= tried.get(),
+                "{} {message_kind:?} {from:?}: {} translated",
                 mapping.name,
-                whole.get()
+                translated.get()
             );
         }
     }
 }
 
-/// The check above has to notice a mapping that swaps words, or measures in another unit, on the way back.
+/// The round trip check must detect a mapping that swaps values, fields or time zones on the way back.
 #[test]
-fn a_wrong_way_back_is_noticed() {
+fn wrong_reverse_mapping_is_detected() {
     for (text, from, to) in [
         (WORKED[0].1, "[\"W\", \"wind\"], [\"R\", \"rain\"]", "[\"R\", \"wind\"], [\"W\", \"rain\"]"),
         (WORKED[1].1, "[\"Y\", \"N\"]", "[\"N\", \"Y\"]"),
@@ -278,30 +301,30 @@
         let found = Cell::new(0);
         let fields = mapping.dialect(Side::Old).fields(MessageKind::Request).to_vec();
         let _ = runner(200).run(&values(&fields), |mut given| {
-            abide(&mapping, MessageKind::Request, Side::Old, &mut given);
+            apply_correction_conditions(&mapping, MessageKind::Request, Side::Old, &mut given);
             let differences = differences(&mapping, &wrong, (MessageKind::Request, Side::Old), &given);
             found.set(found.get() + usize::from(differences.is_some_and(|d| !d.is_empty())));
             Ok(())
         });
-        assert!(found.get() > 0, "{from} as {to} was not noticed");
+        assert!(found.get() > 0, "replacing {from} by {to} was not detected");
     }
 }
 
-/// Bytes that are cut, doubled, swapped or drawn: an error or a message, and no panic.
+/// Truncates, inserts, replaces and duplicates bytes: decoding must return an error or a message, without a panic.
 #[test]
-fn wrong_bytes_are_refused_without_a_panic() {
+fn corrupted_bytes_do_not_cause_a_panic() {
     for (_, text) in WORKED {
         let mapping = mapping::read(text).unwrap();
-        for (message_kind, from) in WAYS {
+        for (message_kind, from) in DIRECTIONS {
             let dialect = mapping.dialect(from);
             let fields = dialect.fields(message_kind).to_vec();
-            let spoil = vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6);
-            let run = runner(300).run(&(values(&fields), spoil), |(given, spoil)| {
+            let corruptions = vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6);
+            let run = runner(300).run(&(values(&fields), corruptions), |(given, corruptions)| {
                 let message = write(&mapping, message_kind, from, &given);
                 let Some(mut bytes) = message.and_then(|m| dialect.encode(message_kind, &m).ok()) else {
                     return Ok(());
                 };
-                for (index, byte, how) in spoil {
+                for (index, byte, how) in corruptions {
                     let at = index.index(bytes.len().max(1)).min(bytes.len().saturating_sub(1));
                     match how {
                         0 => bytes.truncate(at),
