--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -3,7 +3,7 @@
 
 use crate::checker::ClientResponse;
 use crate::emulation::{
-    self, AgentReply, Agents, ClientRequest, ServerOutcome, World, CONNECT_TIMEOUT, KEEPALIVE,
+    self, AgentReply, Agents, ClientRequest, ServerOutcome, World, CONNECT_TIMEOUT, KEEPALIVE_TIMEOUT,
 };
 use crate::policy::{PlainPolicy, Policy, Transport};
 use crate::record::{Mode, Run};
@@ -124,7 +124,7 @@
         tokio::select! {
             biased;
             () = cut(reach, life) => break false,
-            begun = timeout(KEEPALIVE, line.wait_for_data()) => if !matches!(begun, Ok(Ok(true))) { break true },
+            begun = timeout(KEEPALIVE_TIMEOUT, line.wait_for_data()) => if !matches!(begun, Ok(Ok(true))) { break true },
         }
         let at = world.now();
         let has_room = counted || world.connect(server, None);
@@ -429,7 +429,7 @@
         "classes": classes.collect::<Vec<_>>(), "parties": parties.collect::<Vec<_>>(),
         "feedback": {"fields": ["inflight", "queue", "util"], "source": source},
         "limits": {"cancel": settings.cancel, "retryAfter": settings.retry_after, "probes": settings.health_checks,
-            "connectTimeoutMs": CONNECT_TIMEOUT.as_millis() as u64, "keepaliveMs": KEEPALIVE.as_millis() as u64,
+            "connectTimeoutMs": CONNECT_TIMEOUT.as_millis() as u64, "keepaliveMs": KEEPALIVE_TIMEOUT.as_millis() as u64,
             "maxAttempts": settings.max_attempts, "secondCopies": settings.hedging,
             "maxRetryAfterMs": ms(settings.max_retry_after.0)},
         "rules": {"stopSendingWithinMs": ms(settings.drain_grace.0), "coldShare": settings.initial_capacity_share,
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -3,7 +3,7 @@
 
 use crate::checker::ClientResponse;
 use crate::emulation::{
-    self, AgentReply, Agents, ClientRequest, ServerOutcome, World, CONNECT_TIMEOUT, KEEPALIVE,
+    self, AgentReply, Agents, ClientRequest, ServerOutcome, World, CONNECT_TIMEOUT, KEEPALIVE_TIMEOUT,
 };
 use crate::memory::{HeapMeter, SAMPLES};
 use crate::messages::EncodedRequest;
@@ -80,7 +80,7 @@
 
     async fn connection(&self, server: usize) -> Result<u32, Outcome> {
         let now = self.world.now();
-        self.close(server, now.saturating_sub(KEEPALIVE.as_micros() as Micros));
+        self.close(server, now.saturating_sub(KEEPALIVE_TIMEOUT.as_micros() as Micros));
         loop {
             let rested = self.resting.borrow_mut().get_mut(&server).and_then(VecDeque::pop_back);
             match rested {
