--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -2,11 +2,11 @@
 use crate::checker::Rule;
 use crate::scenario::parse;
 
-fn scenario(fleet: &str, rate: f64, faults: &str) -> Scenario {
+fn scenario(fleet: &str, rate: f64, tables: &str) -> Scenario {
     let source = format!(
             "name = \"small\"\nlength_ms = 8000\n[fleet]\n{fleet}\n[agents]\ncount = 5\n[clients]\nrate_per_s = {rate}\n\
              [[class]]\nname = \"read\"\neffect = \"idempotent\"\nwork_ms = 10\naim_ms = 200\ndeadline_ms = 1000\n\
-             [[class]]\nname = \"once\"\neffect = \"at_most_once\"\nwork_ms = 10\naim_ms = 200\ndeadline_ms = 1000\n{faults}"
+             [[class]]\nname = \"once\"\neffect = \"at_most_once\"\nwork_ms = 10\naim_ms = 200\ndeadline_ms = 1000\n{tables}"
         );
     parse(&source).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
@@ -15,7 +15,7 @@
     super::run(scenario, policy, seed, |_| {})
 }
 
-const RELEASE: &str = "[[fault]]\nat_ms = 1000\nwhat = \"drain\"\nserver = 0\n\
+const RELEASE_EVENTS: &str = "[[fault]]\nat_ms = 1000\nwhat = \"drain\"\nserver = 0\n\
         [[fault]]\nat_ms = 2500\nwhat = \"kill\"\nserver = 0\n\
         [[fault]]\nat_ms = 2700\nwhat = \"kill-agent\"\nagent = 1\n\
         [[fault]]\nat_ms = 3000\nwhat = \"replace\"\nserver = 0\n\
@@ -24,8 +24,8 @@
         [[fault]]\nat_ms = 4000\nwhat = \"kill\"\nserver = 1\n";
 
 #[test]
-fn a_run_is_the_same_each_time_and_other_with_another_seed() {
-    let scenario = scenario("servers = 4\nnoisy_share = 0.2", 300.0, RELEASE);
+fn a_run_is_reproducible_from_its_seed_and_differs_with_another_seed() {
+    let scenario = scenario("servers = 4\nnoisy_share = 0.2", 300.0, RELEASE_EVENTS);
     for policy in Policy::ALL {
         let (first, second) = (run(&scenario, policy, 7), run(&scenario, policy, 7));
         assert_eq!((&first.digest, first.calls, first.sends), (&second.digest, second.calls, second.sends));
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn the_engine_keeps_the_rules_through_a_release_and_a_kill() {
-    let scenario = scenario("servers = 4", 300.0, RELEASE);
+fn the_engine_breaks_no_invariant_during_a_release_and_a_kill() {
+    let scenario = scenario("servers = 4", 300.0, RELEASE_EVENTS);
     for seed in 1..=3 {
         let run = run(&scenario, Policy::Heronhoist, seed);
         assert_eq!(run.result.violations, Default::default(), "seed {seed}");
@@ -44,24 +44,28 @@
     }
 }
 
-/// What the model holds against a careless sender is seen by the judge: turns without regard push a cold server over.
+/// The checker must report a policy that ignores cold starts: round robin sends a cold server more than it can handle.
 #[test]
-fn a_careless_policy_pushes_a_cold_server_over() {
-    let start = "[[fault]]\nat_ms = 1000\nwhat = \"kill\"\nserver = 0\n[[fault]]\nat_ms = 1500\nwhat = \"start\"\nserver = 0\n";
+fn a_policy_that_ignores_cold_starts_overloads_a_cold_server() {
+    let start_events = "[[fault]]\nat_ms = 1000\nwhat = \"kill\"\nserver = 0\n[[fault]]\nat_ms = 1500\nwhat = \"start\"\nserver = 0\n";
     let fleet = "servers = 3\ncold_share = 0.05\nwarm_after_ms = 60000\nroom = 500";
-    let careless = run(&scenario(fleet, 400.0, start), Policy::RoundRobin, 1);
-    assert!(careless.result.violations.contains_key(&Rule::ColdStart), "{:?}", careless.result);
-    let careful = run(&scenario(fleet, 400.0, start), Policy::Heronhoist, 1);
-    assert_eq!(careful.result.violations, Default::default());
+    let round_robin = run(&scenario(fleet, 400.0, start_events), Policy::RoundRobin, 1);
+    assert!(round_robin.result.violations.contains_key(&Rule::ColdStart), "{:?}", round_robin.result);
+    let engine = run(&scenario(fleet, 400.0, start_events), Policy::Heronhoist, 1);
+    assert_eq!(engine.result.violations, Default::default());
 }
 
-/// Discovery that is short of room for a while delays agents; it does not stop them.
+/// Discovery that is down or overloaded for a while must delay the agents' lists without breaking an invariant.
 #[test]
-fn agents_live_through_discovery_that_is_flooded_or_down() {
-    let faults = "[[fault]]\nat_ms = 500\nwhat = \"registry-down\"\n\
+fn agents_survive_discovery_that_is_overloaded_or_down() {
+    let tables = "[[fault]]\nat_ms = 500\nwhat = \"registry-down\"\n\
             [[fault]]\nat_ms = 800\nwhat = \"kill\"\nserver = 0\n\
             [[fault]]\nat_ms = 4000\nwhat = \"registry-up\"\n[registry]\nlines_per_s = 5\n";
-    let run = run(&scenario("servers = 4", 200.0, faults), Policy::Heronhoist, 3);
+    let run = run(&scenario("servers = 4", 200.0, tables), Policy::Heronhoist, 3);
     assert_eq!(run.result.violations, Default::default());
-    assert!(run.list_entries >= 5, "each agent was told in the end: {}", run.list_entries);
+    assert!(
+        run.list_entries >= 5,
+        "not every agent was sent the changed list: {} entries written",
+        run.list_entries
+    );
 }
