--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -45,6 +45,7 @@
 }
 
 impl ReservedAddress {
+    /// Binds the given address, or a free port on loopback.
     fn new(address: Option<SocketAddr>) -> io::Result<ReservedAddress> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -693,7 +694,7 @@
 
 /// The emulated servers on their sockets.
 pub struct Testbed {
-    /// The state of the servers and of discovery.
+    /// The state of the servers and of discovery, and the ledger.
     pub world: Rc<World>,
     addresses: Rc<ServerAddresses>,
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -32,7 +32,7 @@
 /// Mean delay before an agent fetches the list again after discovery has rejected a fetch.
 const DISCOVERY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The simulated connections of one agent. Attempts are sent on them and get their outcomes here.
+/// The simulated connections of one agent, and the attempts that are sent on them.
 pub struct AgentConnections {
     world: Rc<World>,
     agent: usize,
@@ -384,6 +384,7 @@
     }
 }
 
+/// A running simulated agent. A restart or an upgrade replaces it with a new instance.
 struct AgentInstance {
     pool: Pool<SimulatedUpstream>,
     connections: Rc<AgentConnections>,
