--- a/crates/lab/src/processes/mod.rs
+++ b/crates/lab/src/processes/mod.rs
@@ -4,8 +4,8 @@
 mod cluster;
 mod links;
 pub mod plan;
+pub mod simulation;
 mod workload;
-pub mod world;
 
 use plan::Plan;
 use std::fmt::Write as _;
@@ -20,7 +20,7 @@
     /// The seed.
     pub seed: u64,
     /// What it came to.
-    pub outcome: world::Outcome,
+    pub outcome: simulation::Outcome,
     /// What was wrong.
     pub wrongs: Vec<String>,
 }
@@ -36,7 +36,7 @@
                 if seed > *seeds.end() || crate::emulation::INTERRUPTED.load(Ordering::Relaxed) {
                     return;
                 }
-                let outcome = world::play(plan, seed);
+                let outcome = simulation::play(plan, seed);
                 let wrongs = checker::check(&outcome.seen, plan.permits, plan.servers_out);
                 let mut each = each.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 each(SeedRun { seed, outcome, wrongs });
--- a/crates/lab/src/processes/world/mod.rs
+++ b/crates/lab/src/processes/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! Several processes in simulated time: the council's core and its members' core, as the program has them, on links and disks
 //! with faults. One seed is one run, the same each time.
 
-mod askers;
+mod callers;
 mod clients;
 mod disk;
 mod drains;
--- a/crates/lab/src/processes/tests.rs
+++ b/crates/lab/src/processes/tests.rs
@@ -11,7 +11,7 @@
 fn a_seed_is_one_run() {
     let mut plan = plan(FAULTS);
     plan.duration = 8_000_000;
-    let [first, again, other] = [3, 3, 4].map(|seed| world::play(&plan, seed).digest);
+    let [first, again, other] = [3, 3, 4].map(|seed| simulation::play(&plan, seed).digest);
     assert_eq!(first, again);
     assert_ne!(first, other);
 }
@@ -24,7 +24,7 @@
         (include_str!("../../../../scenarios/council/old-disk.toml"), 8),
     ] {
         let plan = plan(scenario);
-        let outcomes: Vec<_> = (1..=8).map(|seed| world::play(&plan, seed)).collect();
+        let outcomes: Vec<_> = (1..=8).map(|seed| simulation::play(&plan, seed)).collect();
         assert!(outcomes.iter().map(|outcome| outcome.ended).sum::<usize>() >= least, "{}", plan.name);
         for outcome in outcomes {
             assert_eq!(checker::check(&outcome.seen, plan.permits, plan.servers_out), Vec::<String>::new());
@@ -36,7 +36,7 @@
 fn a_council_without_faults_settles_every_operation_under_one_leader() {
     let mut plan = plan(FAULTS);
     (plan.duration, plan.every) = (8_000_000, 0);
-    let outcome = world::play(&plan, 1);
+    let outcome = simulation::play(&plan, 1);
     assert_eq!(checker::check(&outcome.seen, plan.permits, plan.servers_out), Vec::<String>::new());
     assert_eq!((outcome.unknown, outcome.leaders), (0, 1));
     assert!(outcome.settled > 100, "{}", outcome.settled);
@@ -60,7 +60,7 @@
 fn processes_whose_disks_fail_go_on_from_what_is_kept() {
     let mut plan = plan(include_str!("../../../../scenarios/council/failing-disk.toml"));
     plan.duration = 10_000_000;
-    let outcomes: Vec<_> = (1..=6).map(|seed| world::play(&plan, seed)).collect();
+    let outcomes: Vec<_> = (1..=6).map(|seed| simulation::play(&plan, seed)).collect();
     let failures: usize = outcomes.iter().map(|outcome| outcome.disk_failures).sum();
     let reopened: usize = outcomes.iter().map(|outcome| outcome.reopened).sum();
     assert!(failures >= 20 && reopened >= 10, "{failures} {reopened}");
@@ -69,7 +69,7 @@
     }
     plan.planted = InjectedBug::AckBeforeFailedSync;
     let is_found = |seed: u64| {
-        let outcome = world::play(&plan, seed);
+        let outcome = simulation::play(&plan, seed);
         !checker::check(&outcome.seen, plan.permits, plan.servers_out).is_empty()
     };
     assert!((1..=6).any(is_found));
