--- a/crates/lab/src/processes/checker.rs
+++ b/crates/lab/src/processes/checker.rs
@@ -1,5 +1,5 @@
-//! Judges what processes did, from outside: by what was asked and answered, and by when each believed to hold its lease.
-//! Whether operations on a record can stand in one order is decided by a published checker.
+//! Checks the invariants of a run from outside: from the requests and responses of clients, and from when each process believed
+//! that it held its lease. The linearizability of the operations on a record is checked by the library `todc_utils`.
 
 use crate::server_model::Micros;
 use heronhoist_coordination::state::{Change, ClusterId, Revision};
@@ -8,18 +8,18 @@
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::specifications::Specification;
 
-/// What a client did to one record. Values are never written twice, so a value stands for its revision too.
+/// An operation of a client on a record. No value is written twice, so a value also identifies its revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op {
-    /// It read this.
+    /// A read that returned this value.
     Read(Option<u64>),
-    /// It wrote this, whatever stood there.
+    /// An unconditional write of this value.
     Put(u64),
-    /// It wrote the second if the first stood there; whether it did.
+    /// A write of the second value that requires the first one. The flag tells whether the value was written.
     Swap(Option<u64>, u64, bool),
-    /// Nobody knows whether the second was written, which asks for the first.
+    /// A write of the second value that requires the first one, with an unknown outcome.
     MaybeSwap(Option<u64>, u64),
-    /// Nobody knows whether this was written.
+    /// An unconditional write with an unknown outcome.
     MaybePut(u64),
 }
 
@@ -44,174 +44,193 @@
     }
 }
 
-/// One operation, from its call to its return; none if it never came.
+/// An operation, from its call to its return.
 #[derive(Debug, Clone)]
 pub struct Done {
-    /// Of which record.
+    /// The key of the record.
     pub key: String,
-    /// What, with its outcome.
+    /// The operation with its outcome.
     pub op: Op,
-    /// When it was called.
+    /// When the operation was called.
     pub called: Micros,
-    /// When its outcome was known; none if it never was.
+    /// When its outcome was known; `None` if it never was.
     pub returned: Option<Micros>,
 }
 
-/// When a process believed that it held a lease.
+/// A period in which a process believed that it held a lease.
 #[derive(Debug, Clone)]
 pub struct Belief {
-    /// Whose.
+    /// The name of the lease holder.
     pub name: String,
-    /// Which process of that name.
+    /// The incarnation of the process.
     pub incarnation: u64,
-    /// From when,
+    /// The start of the period.
     pub from: Micros,
-    /// to when, of true time.
+    /// The end of the period, by the true time rather than the clock of the process.
     pub to: Micros,
 }
 
-/// What a watcher was told, one after the other.
+/// What a watcher received, in order.
 #[derive(Debug, Clone, Default)]
-pub struct Watched {
-    /// For each time it read all: the history, the revision that it read, and the changes that it was told from there.
-    pub stretches: Vec<(ClusterId, Revision, Vec<Change>, Revision)>,
+pub struct WatchLog {
+    /// One segment for each full read: the cluster id, the revision that was read, the changes that were received after it, and the
+    /// revision up to which they were complete.
+    pub segments: Vec<(ClusterId, Revision, Vec<Change>, Revision)>,
 }
 
-/// When something was out by a permit.
+/// A period in which an agent was out of service under a permit.
 #[derive(Debug, Clone)]
-pub struct Out {
-    /// Under which budget.
+pub struct Outage {
+    /// The key of the budget.
     pub budget: String,
-    /// What.
-    pub what: String,
-    /// When the permit was agreed.
+    /// The name of the agent.
+    pub agent: String,
+    /// When the permit was committed.
     pub granted: Micros,
-    /// From when,
+    /// The start of the outage.
     pub from: Micros,
-    /// to when it was seen serving.
+    /// When the agent was seen serving again; `None` if it never was.
     pub to: Option<Micros>,
 }
 
-/// When an agent was not living and able to serve, as far as the council knew.
+/// A period in which an agent wasn't living and ready, as far as the coordinator processes knew.
 #[derive(Debug, Clone)]
-pub struct Down {
-    /// Under which budget it counts.
+pub struct Downtime {
+    /// The key of the budget under which the agent counts.
     pub budget: String,
-    /// Who.
-    pub what: String,
-    /// From when,
+    /// The name of the agent.
+    pub agent: String,
+    /// The start of the period.
     pub from: Micros,
-    /// to when it could serve again.
+    /// When the agent was ready again; `None` if it never was.
     pub to: Option<Micros>,
 }
 
-/// When a record server might stop: a barrier was seen open.
+/// A period in which a record server was allowed to stop, because the barrier of its drain was open.
 #[derive(Debug, Clone)]
-pub struct Opened {
-    /// The server.
+pub struct OpenBarrier {
+    /// The name of the server.
     pub server: String,
-    /// When that was seen,
+    /// When the barrier was first seen open.
     pub from: Micros,
-    /// to when its drain began to be taken back.
+    /// When the drain began to be ended; `None` if it never was.
     pub to: Option<Micros>,
-    /// The agents whose leases were counted on then, by name and incarnation.
-    pub living: BTreeMap<String, u64>,
+    /// The agents that could hold a lease when the barrier was seen open, with their incarnations.
+    pub lease_holders: BTreeMap<String, u64>,
 }
 
 /// A request that an agent sent to a record server.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    /// The agent,
+pub struct SentRequest {
+    /// The name of the agent.
     pub agent: String,
-    /// and which one.
+    /// The incarnation of the agent.
     pub incarnation: u64,
-    /// To whom.
+    /// The name of the server.
     pub server: String,
-    /// When.
-    pub at: Micros,
+    /// When the request was sent.
+    pub sent_at: Micros,
 }
 
-/// All that was seen.
+/// Everything that was observed in a run.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// What clients did.
-    pub done: Vec<Done>,
-    /// Who believed what.
-    pub beliefs: Vec<Belief>,
-    /// When the council counted the lease of a name and incarnation as ended.
-    pub ended: HashMap<(String, u64), Micros>,
-    /// All changes in order, as they were agreed.
+pub struct Observations {
+    /// The operations of clients on records.
+    pub operations: Vec<Done>,
+    /// When each process believed that it held a lease.
+    pub lease_beliefs: Vec<Belief>,
+    /// When the coordinator processes counted the lease of a name and incarnation as ended.
+    pub lease_ends: HashMap<(String, u64), Micros>,
+    /// All changes, in the order in which they were committed.
     pub changes: Vec<Change>,
-    /// What watchers were told.
-    pub watched: Vec<Watched>,
-    /// What was out.
-    pub outs: Vec<Out>,
-    /// Who was down, as far as the council knew.
-    pub downs: Vec<Down>,
-    /// Which servers might stop.
-    pub opened: Vec<Opened>,
-    /// What was sent to servers that drained.
-    pub sent: Vec<Sent>,
-    /// Other things that must not be, in words.
-    pub wrongs: Vec<String>,
+    /// What each watcher received.
+    pub watch_logs: Vec<WatchLog>,
+    /// The agents that were out of service under permits.
+    pub outages: Vec<Outage>,
+    /// The agents that were down, as far as the coordinator processes knew.
+    pub downtimes: Vec<Downtime>,
+    /// The record servers that were allowed to stop.
+    pub open_barriers: Vec<OpenBarrier>,
+    /// The requests that were sent to draining servers.
+    pub requests_to_draining: Vec<SentRequest>,
+    /// The violations that were found during the run.
+    pub violations: Vec<String>,
 }
 
-/// All that is wrong, a line each; empty if all held.
-pub fn check(seen: &Seen, permits: u32, servers_out: u32) -> Vec<String> {
-    let mut wrongs = seen.wrongs.clone();
-    wrongs.extend(one_order(&seen.done));
-    wrongs.extend(one_holder(&seen.beliefs, &seen.ended));
-    wrongs
-        .extend(seen.watched.iter().enumerate().flat_map(|(n, watched)| gapless(n, watched, &seen.changes)));
-    wrongs.extend(within_budget(&seen.outs, permits));
-    wrongs.extend(counted_with_the_dead(&seen.outs, &seen.downs, permits));
-    wrongs.extend(left_alone(&seen.opened, &seen.sent, &seen.ended));
-    wrongs.extend(few_servers(&seen.opened, servers_out));
-    wrongs
+/// Returns a description of each violated invariant.
+pub fn check(observations: &Observations, permits_per_site: u32, max_servers_out: u32) -> Vec<String> {
+    let mut violations = observations.violations.clone();
+    violations.extend(check_linearizability(&observations.operations));
+    violations.extend(check_lease_exclusivity(&observations.lease_beliefs, &observations.lease_ends));
+    violations.extend(
+        observations
+            .watch_logs
+            .iter()
+            .enumerate()
+            .flat_map(|(watcher, log)| check_watch_log(watcher, log, &observations.changes)),
+    );
+    violations.extend(check_outages(&observations.outages, permits_per_site));
+    violations.extend(check_grants_with_downtime(
+        &observations.outages,
+        &observations.downtimes,
+        permits_per_site,
+    ));
+    violations.extend(check_requests_after_barrier(
+        &observations.open_barriers,
+        &observations.requests_to_draining,
+        &observations.lease_ends,
+    ));
+    violations.extend(check_open_barriers(&observations.open_barriers, max_servers_out));
+    violations
 }
 
-/// Operations on each record must stand in one order that real time allows.
-fn one_order(done: &[Done]) -> Vec<String> {
+/// Checks that the operations on each record are linearizable.
+fn check_linearizability(operations: &[Done]) -> Vec<String> {
     let mut by_key: BTreeMap<&str, Vec<&Done>> = BTreeMap::new();
-    for one in done {
-        by_key.entry(&one.key).or_default().push(one);
+    for operation in operations {
+        by_key.entry(&operation.key).or_default().push(operation);
     }
-    let mut wrongs = Vec::new();
-    for (key, done) in by_key {
-        // A read that never came back says nothing.
-        let done: Vec<&Done> =
-            done.into_iter().filter(|one| one.returned.is_some() || !matches!(one.op, Op::Read(_))).collect();
-        let mut marks: Vec<(Micros, u8, usize)> = Vec::new();
-        for (number, one) in done.iter().enumerate() {
-            marks.push((one.called, 0, number));
-            // One whose outcome is unknown may take place at any time from its call on.
-            marks.push((one.returned.unwrap_or(Micros::MAX), 1, number));
+    let mut violations = Vec::new();
+    for (key, operations) in by_key {
+        // A read without a response has no effect on the history.
+        let operations: Vec<&Done> = operations
+            .into_iter()
+            .filter(|operation| operation.returned.is_some() || !matches!(operation.op, Op::Read(_)))
+            .collect();
+        let mut call_events: Vec<(Micros, u8, usize)> = Vec::new();
+        for (number, operation) in operations.iter().enumerate() {
+            call_events.push((operation.called, 0, number));
+            // An operation with an unknown outcome may take effect at any time after its call.
+            call_events.push((operation.returned.unwrap_or(Micros::MAX), 1, number));
         }
-        marks.sort_unstable();
+        call_events.sort_unstable();
         let action = |(_, end, number): (Micros, u8, usize)| {
-            let op = done[number].op;
+            let op = operations[number].op;
             (number, if end == 0 { Action::Call(op) } else { Action::Response(op) })
         };
-        let actions: Vec<_> = marks.into_iter().map(action).collect();
+        let actions: Vec<_> = call_events.into_iter().map(action).collect();
         if !actions.is_empty() && !WGLChecker::<Register>::is_linearizable(History::from_actions(actions)) {
-            let ops: Vec<String> =
-                done.iter().map(|one| format!("{:?}@{}..{:?}", one.op, one.called, one.returned)).collect();
-            wrongs.push(format!("record {key}: no one order of {}", ops.join(" ")));
+            let ops: Vec<String> = operations
+                .iter()
+                .map(|operation| format!("{:?}@{}..{:?}", operation.op, operation.called, operation.returned))
+                .collect();
+            violations.push(format!("record {key}: the operations are not linearizable: {}", ops.join(" ")));
         }
     }
-    wrongs
+    violations
 }
 
-/// No two processes of a name believe that they hold its lease, and none does once the council counts it as ended.
-fn one_holder(beliefs: &[Belief], ended: &HashMap<(String, u64), Micros>) -> Vec<String> {
-    let mut wrongs = Vec::new();
+/// Checks that no two processes of a name believe at the same time that they hold its lease, and that no process believes so once
+/// the coordinator processes count the lease as ended.
+fn check_lease_exclusivity(beliefs: &[Belief], lease_ends: &HashMap<(String, u64), Micros>) -> Vec<String> {
+    let mut violations = Vec::new();
     let mut by_name: BTreeMap<&str, Vec<&Belief>> = BTreeMap::new();
     for belief in beliefs.iter().filter(|belief| belief.from < belief.to) {
         by_name.entry(&belief.name).or_default().push(belief);
-        let end = ended.get(&(belief.name.clone(), belief.incarnation));
+        let end = lease_ends.get(&(belief.name.clone(), belief.incarnation));
         if let Some(end) = end.filter(|end| **end < belief.to) {
-            wrongs.push(format!(
-                "{} {} believed in its lease until {}, which had ended at {end}",
+            violations.push(format!(
+                "{} (incarnation {}) believed until {} that it held its lease, which had ended at {end}",
                 belief.name, belief.incarnation, belief.to
             ));
         }
@@ -223,8 +242,8 @@
             if let Some(last) =
                 last.filter(|last| last.incarnation != belief.incarnation && belief.from < last.to)
             {
-                wrongs.push(format!(
-                    "{name}: {} and {} believed at {} that they held one lease",
+                violations.push(format!(
+                    "{name}: incarnations {} and {} both believed at {} that they held the lease",
                     last.incarnation, belief.incarnation, belief.from
                 ));
             }
@@ -233,140 +252,170 @@
             }
         }
     }
-    wrongs
+    violations
 }
 
-/// A watcher is told every change after what it read, once and in order.
-fn gapless(number: usize, watched: &Watched, changes: &[Change]) -> Vec<String> {
-    let mut wrongs = Vec::new();
-    let mut before = 0;
-    for (_, from, told, upto) in &watched.stretches {
-        if *from < before {
-            wrongs.push(format!("watcher {number} had seen revision {before}, and was shown {from}"));
+/// Checks that a watcher receives every change after the revision that it read, once and in order.
+fn check_watch_log(watcher: usize, log: &WatchLog, changes: &[Change]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut previous = 0;
+    for (_, from, received, upto) in &log.segments {
+        if *from < previous {
+            violations.push(format!(
+                "watcher {watcher} had received revision {previous}, and then read the older revision {from}"
+            ));
         }
-        before = before.max(*upto);
-        let meant: Vec<&Change> =
+        previous = previous.max(*upto);
+        let expected: Vec<&Change> =
             changes.iter().filter(|c| c.revision > *from && c.revision <= *upto).collect();
-        if !told.iter().eq(meant.iter().copied()) {
-            wrongs.push(format!(
-                "watcher {number} was told {} changes from {from} to {upto}, and there were {}",
-                told.len(),
-                meant.len()
+        if !received.iter().eq(expected.iter().copied()) {
+            violations.push(format!(
+                "watcher {watcher} received {} changes from revision {from} to {upto}, expected {}",
+                received.len(),
+                expected.len()
             ));
         }
     }
-    wrongs
+    violations
 }
 
-/// Never more out by permits than are stated.
-fn within_budget(outs: &[Out], permits: u32) -> Vec<String> {
-    let mut wrongs = Vec::new();
-    for at in outs {
-        let same = outs.iter().filter(|out| out.budget == at.budget);
-        let mut with: Vec<&str> = same
-            .filter(|out| out.from <= at.from && out.to.is_none_or(|to| to > at.from))
-            .map(|out| out.what.as_str())
+/// Checks that no more agents are out under permits than the budget allows.
+fn check_outages(outages: &[Outage], permits_per_site: u32) -> Vec<String> {
+    let mut violations = Vec::new();
+    for outage in outages {
+        let same_budget = outages.iter().filter(|other| other.budget == outage.budget);
+        let mut agents: Vec<&str> = same_budget
+            .filter(|other| other.from <= outage.from && other.to.is_none_or(|to| to > outage.from))
+            .map(|other| other.agent.as_str())
             .collect();
-        with.sort_unstable();
-        with.dedup();
-        if with.len() > permits as usize {
-            wrongs.push(format!(
-                "{}: {} were out at {} by permits, of {permits}",
-                at.budget,
-                with.join(", "),
-                at.from
+        agents.sort_unstable();
+        agents.dedup();
+        if agents.len() > permits_per_site as usize {
+            violations.push(format!(
+                "{}: {} were out under permits at {}, at most {permits_per_site} are allowed",
+                outage.budget,
+                agents.join(", "),
+                outage.from
             ));
         }
     }
-    wrongs
+    violations
 }
 
-/// The most record servers that might stop at once, and the most agents of one site that were out by permits.
-pub fn most_out(seen: &Seen) -> (usize, usize) {
-    type Stretch<'s> = (&'s str, &'s str, Micros, Option<Micros>);
-    let most = |all: Vec<Stretch<'_>>| {
-        let at = |(group, _, at, _): &Stretch<'_>| {
-            let with = all
-                .iter()
-                .filter(|(other, _, from, to)| other == group && from <= at && to.is_none_or(|to| to > *at));
-            with.map(|(_, what, _, _)| *what).collect::<std::collections::BTreeSet<_>>().len()
+/// Returns the maximum number of record servers that were allowed to stop at the same time, and the maximum number of agents of one
+/// site that were out under permits at the same time.
+pub fn max_out(observations: &Observations) -> (usize, usize) {
+    type Period<'s> = (&'s str, &'s str, Micros, Option<Micros>);
+    let max_at_once = |all: Vec<Period<'_>>| {
+        let count_at = |(group, _, time, _): &Period<'_>| {
+            let open = all.iter().filter(|(other, _, from, to)| {
+                other == group && from <= time && to.is_none_or(|to| to > *time)
+            });
+            open.map(|(_, item, _, _)| *item).collect::<std::collections::BTreeSet<_>>().len()
         };
-        all.iter().map(at).max().unwrap_or(0)
+        all.iter().map(count_at).max().unwrap_or(0)
     };
-    let servers = seen.opened.iter().map(|one| ("", one.server.as_str(), one.from, one.to)).collect();
-    let agents = seen.outs.iter().map(|o| (o.budget.as_str(), o.what.as_str(), o.from, o.to)).collect();
-    (most(servers), most(agents))
+    let servers = observations
+        .open_barriers
+        .iter()
+        .map(|barrier| ("", barrier.server.as_str(), barrier.from, barrier.to))
+        .collect();
+    let agents = observations
+        .outages
+        .iter()
+        .map(|outage| (outage.budget.as_str(), outage.agent.as_str(), outage.from, outage.to))
+        .collect();
+    (max_at_once(servers), max_at_once(agents))
 }
 
-/// When a permit is agreed, what is out by permits and who is down, as far as the council knows, are together no more than is
-/// stated; one that is down itself takes nothing more.
-fn counted_with_the_dead(outs: &[Out], downs: &[Down], permits: u32) -> Vec<String> {
-    let mut wrongs = Vec::new();
-    for out in outs {
-        let at = out.granted;
-        let down = downs
-            .iter()
-            .filter(|down| down.budget == out.budget && down.from < at && down.to.is_none_or(|to| to > at));
-        let mut with: Vec<&str> = down.map(|down| down.what.as_str()).collect();
-        if with.contains(&out.what.as_str()) {
+/// Checks that the budget holds whenever a permit is granted: the agents out under permits and the agents that are down, as far as
+/// the coordinator processes know, count together. An agent that is already down may always get a permit, since it takes nothing
+/// more.
+fn check_grants_with_downtime(
+    outages: &[Outage],
+    downtimes: &[Downtime],
+    permits_per_site: u32,
+) -> Vec<String> {
+    let mut violations = Vec::new();
+    for outage in outages {
+        let granted = outage.granted;
+        let down_at_grant = downtimes.iter().filter(|down| {
+            down.budget == outage.budget && down.from < granted && down.to.is_none_or(|to| to > granted)
+        });
+        let mut agents: Vec<&str> = down_at_grant.map(|down| down.agent.as_str()).collect();
+        if agents.contains(&outage.agent.as_str()) {
             continue;
         }
-        let others = outs.iter().filter(|other| {
-            other.budget == out.budget && other.granted <= at && other.to.is_none_or(|to| to > at)
+        let others = outages.iter().filter(|other| {
+            other.budget == outage.budget
+                && other.granted <= granted
+                && other.to.is_none_or(|to| to > granted)
         });
-        with.extend(others.map(|other| other.what.as_str()));
-        with.sort_unstable();
-        with.dedup();
-        if with.len() > permits as usize && !downs.is_empty() {
-            wrongs.push(format!(
-                "{}: a permit for {} at {at}, with {} out, of {permits}",
-                out.budget,
-                out.what,
-                with.join(", ")
+        agents.extend(others.map(|other| other.agent.as_str()));
+        agents.sort_unstable();
+        agents.dedup();
+        if agents.len() > permits_per_site as usize && !downtimes.is_empty() {
+            violations.push(format!(
+                "{}: a permit for {} was granted at {granted} with {} out or down, at most {permits_per_site} are allowed",
+                outage.budget,
+                outage.agent,
+                agents.join(", ")
             ));
         }
     }
-    wrongs
+    violations
 }
 
-/// While a server may stop, nobody sends to it who held a lease when it might first, and still does.
-fn left_alone(opened: &[Opened], sent: &[Sent], ended: &HashMap<(String, u64), Micros>) -> Vec<String> {
-    let mut wrongs = Vec::new();
-    for opened in opened {
-        let during = |sent: &&Sent| {
-            sent.server == opened.server && sent.at > opened.from && opened.to.is_none_or(|to| sent.at < to)
+/// Checks that while a server is allowed to stop, no agent sends to it that held a lease when the barrier opened and still holds
+/// it.
+fn check_requests_after_barrier(
+    open_barriers: &[OpenBarrier],
+    requests: &[SentRequest],
+    lease_ends: &HashMap<(String, u64), Micros>,
+) -> Vec<String> {
+    let mut violations = Vec::new();
+    for barrier in open_barriers {
+        let during = |request: &&SentRequest| {
+            request.server == barrier.server
+                && request.sent_at > barrier.from
+                && barrier.to.is_none_or(|to| request.sent_at < to)
         };
-        for one in sent.iter().filter(during) {
-            let counted = opened.living.get(&one.agent) == Some(&one.incarnation);
-            let held = ended.get(&(one.agent.clone(), one.incarnation)).is_none_or(|end| *end > one.at);
-            if counted && held {
-                wrongs.push(format!(
-                    "{} {} sent to {} at {}, which might stop since {}",
-                    one.agent, one.incarnation, one.server, one.at, opened.from
+        for request in requests.iter().filter(during) {
+            let awaited = barrier.lease_holders.get(&request.agent) == Some(&request.incarnation);
+            let held_lease = lease_ends
+                .get(&(request.agent.clone(), request.incarnation))
+                .is_none_or(|end| *end > request.sent_at);
+            if awaited && held_lease {
+                violations.push(format!(
+                    "{} (incarnation {}) sent a request to {} at {}, which has been allowed to stop since {}",
+                    request.agent, request.incarnation, request.server, request.sent_at, barrier.from
                 ));
             }
         }
     }
-    wrongs
+    violations
 }
 
-/// Never more servers that may stop than are stated.
-fn few_servers(opened: &[Opened], most: u32) -> Vec<String> {
-    let mut wrongs = Vec::new();
-    for one in opened {
-        let at = one.from;
-        let mut with: Vec<&str> = opened
+/// Checks that no more servers are allowed to stop at the same time than the budget allows.
+fn check_open_barriers(open_barriers: &[OpenBarrier], max_servers_out: u32) -> Vec<String> {
+    let mut violations = Vec::new();
+    for barrier in open_barriers {
+        let time = barrier.from;
+        let mut servers: Vec<&str> = open_barriers
             .iter()
-            .filter(|other| other.from <= at && other.to.is_none_or(|to| to > at))
+            .filter(|other| other.from <= time && other.to.is_none_or(|to| to > time))
             .map(|other| other.server.as_str())
             .collect();
-        with.sort_unstable();
-        with.dedup();
-        if with.len() > most as usize {
-            wrongs.push(format!("{} might stop at {at}, of {most} servers", with.join(", ")));
+        servers.sort_unstable();
+        servers.dedup();
+        if servers.len() > max_servers_out as usize {
+            violations.push(format!(
+                "{} were allowed to stop at {time}, at most {max_servers_out} may be",
+                servers.join(", ")
+            ));
         }
     }
-    wrongs
+    violations
 }
 
 #[cfg(test)]
--- a/crates/lab/src/processes/cluster.rs
+++ b/crates/lab/src/processes/cluster.rs
@@ -3,9 +3,9 @@
 
 mod servers;
 
-use super::checker::{Done, Op, Out, Seen, Watched};
-use super::links::{Does, Links};
-use super::plan::{Kind, Plan};
+use super::checker::{Done, Observations, Op, Outage, WatchLog};
+use super::links::{LinkMode, Links};
+use super::plan::{FaultKind, Plan};
 use super::workload::Keys;
 use crate::server_model::Micros;
 use heronhoist_coordination::retry_schedule::{RetrySchedule, CALL_TIMEOUT};
@@ -34,30 +34,30 @@
 
 const FLEET: &str = "lab";
 /// After the last fault everything comes right within this, or nothing does; far beyond what a sound program needs.
-const SETTLE: Duration = Duration::from_secs(90);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(90);
 /// A client gives an operation up after this.
-const PATIENCE: Duration = Duration::from_secs(6);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const OPERATION_TIMEOUT: Duration = Duration::from_secs(6);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Where a process's disk fails, writes beyond a bound do that is drawn from these: within what a small council writes at each
 /// step, and beyond what it has said in its log.
-const FAILS_BEYOND: RangeInclusive<u64> = 16 << 10..=64 << 10;
+const FILE_SIZE_LIMITS: RangeInclusive<u64> = 16 << 10..=64 << 10;
 
 /// What a run came to.
 pub struct Outcome {
     /// What was seen.
-    pub seen: Seen,
+    pub observations: Observations,
     /// Operations with a known outcome.
-    pub settled: usize,
+    pub completed: usize,
     /// Without.
     pub unknown: usize,
     /// Faults that were begun.
-    pub faults: usize,
+    pub faults_started: usize,
     /// Permits under which something was out.
-    pub permits: usize,
+    pub permits_granted: usize,
     /// Looks at agents' leases.
-    pub looks: usize,
+    pub lease_checks: usize,
     /// Processes that ended by themselves, since their disks were not what they had been.
-    pub ended: usize,
+    pub self_terminated: usize,
     /// Calls of clients that had an answer of a record server, and others.
     pub calls: (u64, u64),
 }
@@ -68,7 +68,7 @@
     log: PathBuf,
     child: RefCell<Option<Child>>,
     /// It is stopped, or down on purpose: nobody starts it but the fault that did it.
-    held: Cell<bool>,
+    under_fault: Cell<bool>,
     /// How often it was started.
     starts: Cell<u64>,
     /// Where it listens, or operators call.
@@ -86,7 +86,7 @@
     fn start(&self, program: &Path) -> Result<(), String> {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
-        let mut command = match self.arguments.first().is_some_and(|word| word == "council") {
+        let mut command = match self.arguments.first().is_some_and(|argument| argument == "council") {
             // Writes beyond a bound, which `Kind::FailDisk` sets, fail then, and do not kill.
             true => {
                 let mut shell = tokio::process::Command::new("sh");
@@ -126,10 +126,10 @@
 
 /// What becomes of the disk of a process that is killed and started again.
 #[derive(Clone, Copy, PartialEq)]
-enum After {
-    Kept,
-    Emptied,
-    Cut,
+enum DiskFault {
+    None,
+    Wipe,
+    Truncate,
 }
 
 struct ProcessCluster {
@@ -137,7 +137,7 @@
     program: PathBuf,
     folder: PathBuf,
     links: Links,
-    council: Vec<Rc<Process>>,
+    coordinators: Vec<Rc<Process>>,
     agents: Vec<Rc<Process>>,
     proxies: Vec<SocketAddr>,
     /// Where the agents' clients call.
@@ -145,39 +145,39 @@
     /// Where record servers listen, until they serve.
     listeners: RefCell<Vec<(String, TcpListener)>>,
     calls: servers::Calls,
-    begun: Instant,
-    healed: Cell<bool>,
-    seen: RefCell<Seen>,
-    endings: RefCell<HashMap<(String, u64), Micros>>,
+    started_at: Instant,
+    faults_ended: Cell<bool>,
+    observations: RefCell<Observations>,
+    lease_ends: RefCell<HashMap<(String, u64), Micros>>,
     /// Processes that ended by themselves.
-    ended: Cell<usize>,
+    self_terminated: Cell<usize>,
     unknown: Cell<usize>,
-    looks: Cell<usize>,
-    faults: Cell<usize>,
-    out: RefCell<BTreeMap<String, usize>>,
+    lease_checks: Cell<usize>,
+    faults_started: Cell<usize>,
+    open_outages: RefCell<BTreeMap<String, usize>>,
     keys: RefCell<Keys>,
-    values: Cell<u64>,
+    last_value: Cell<u64>,
     rng: RefCell<Pcg64Mcg>,
-    wrappers: RefCell<Vec<u32>>,
+    command_pids: RefCell<Vec<u32>>,
 }
 
 /// Plays one seed with processes of the program.
-pub fn play(plan: &Plan, seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
+pub fn run_seed(plan: &Plan, seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let cluster = Rc::new(ProcessCluster::new(plan, seed, program, folder).await?);
-        let played = Rc::clone(&cluster).run().await;
-        for process in cluster.council.iter().chain(&cluster.agents) {
+        let outcome = Rc::clone(&cluster).run().await;
+        for process in cluster.coordinators.iter().chain(&cluster.agents) {
             process.kill().await;
         }
-        played
+        outcome
     })
 }
 
 /// An address that nobody listens on, and that no connection takes as its own end meanwhile: a host and a port of its own,
 /// outside of those that the system gives out.
-async fn free() -> std::io::Result<SocketAddr> {
+async fn unused_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let (next, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -193,45 +193,45 @@
 
 /// One call with a body of its own connection.
 async fn http(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
-    let calling = async {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
         stream.write_all(&[head.as_bytes(), body].concat()).await.ok()?;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await.ok()?;
-        let split = answer.windows(4).position(|window| window == b"\r\n\r\n")?;
-        let status = std::str::from_utf8(&answer[..split]).ok()?.split(' ').nth(1)?.parse().ok()?;
-        Some((status, answer[split + 4..].to_vec()))
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).await.ok()?;
+        let split = received.windows(4).position(|window| window == b"\r\n\r\n")?;
+        let status = std::str::from_utf8(&received[..split]).ok()?.split(' ').nth(1)?.parse().ok()?;
+        Some((status, received[split + 4..].to_vec()))
     };
-    timeout(Duration::from_micros(CALL_TIMEOUT), calling).await.ok().flatten()
+    timeout(Duration::from_micros(CALL_TIMEOUT), exchange).await.ok().flatten()
 }
 
 /// Somebody who asks the council through the links.
-struct Asker {
+struct CoordinationClient {
     name: String,
     addresses: Vec<SocketAddr>,
-    caller: RetrySchedule,
+    retry_schedule: RetrySchedule,
     session: Option<u64>,
-    number: u64,
+    sequence: u64,
 }
 
-impl Asker {
-    fn new(cluster: &ProcessCluster, name: &str) -> Asker {
+impl CoordinationClient {
+    fn new(cluster: &ProcessCluster, name: &str) -> CoordinationClient {
         let (addresses, draw) = (cluster.proxies.clone(), cluster.rng.borrow_mut().random());
-        Asker {
+        CoordinationClient {
             name: name.into(),
-            caller: RetrySchedule::new(addresses.len(), draw),
+            retry_schedule: RetrySchedule::new(addresses.len(), draw),
             addresses,
             session: None,
-            number: 0,
+            sequence: 0,
         }
     }
 
     /// One call, and the pause that is due if it settled nothing.
-    async fn once(&mut self, request: &Request) -> Result<Response, Duration> {
+    async fn try_request(&mut self, request: &Request) -> Result<Response, Duration> {
         let envelope = Envelope {
             fleet: FLEET.into(),
             protocol: PROTOCOL,
@@ -240,21 +240,22 @@
             term: 0,
         };
         let body = serde_json::json!({ "envelope": envelope, "request": request }).to_string();
-        let answer = http(self.addresses[self.caller.target()], "POST", "/v1/ask", body.as_bytes()).await;
-        let response = answer.and_then(|(_, body)| serde_json::from_slice::<Response>(&body).ok());
+        let reply =
+            http(self.addresses[self.retry_schedule.target()], "POST", "/v1/ask", body.as_bytes()).await;
+        let response = reply.and_then(|(_, body)| serde_json::from_slice::<Response>(&body).ok());
         let pause = match &response {
             Some(Response::Refused(Refusal::NotLeader { leader })) => {
-                let at = leader.as_ref().and_then(|peer| {
+                let index = leader.as_ref().and_then(|peer| {
                     self.addresses.iter().position(|address| address.to_string() == peer.address)
                 });
-                self.caller.record_redirect(at, 0.5)
+                self.retry_schedule.record_redirect(index, 0.5)
             }
             None
             | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::LimitExceeded(_))) => {
-                self.caller.record_failure(0.5)
+                self.retry_schedule.record_failure(0.5)
             }
             Some(_) => {
-                self.caller.record_success();
+                self.retry_schedule.record_success();
                 return response.ok_or(Duration::ZERO);
             }
         };
@@ -262,39 +263,39 @@
     }
 
     /// Asks until it is settled, for so long.
-    async fn settled(&mut self, request: &Request, within: Duration) -> Option<Response> {
-        let until = Instant::now() + within;
+    async fn request_until(&mut self, request: &Request, time_limit: Duration) -> Option<Response> {
+        let deadline = Instant::now() + time_limit;
         loop {
-            match self.once(request).await {
+            match self.try_request(request).await {
                 Ok(response) => return Some(response),
-                Err(_) if Instant::now() > until => return None,
+                Err(_) if Instant::now() > deadline => return None,
                 Err(pause) => sleep(pause).await,
             }
         }
     }
 
-    async fn view(&mut self, prefix: &str, within: Duration) -> Option<View> {
+    async fn view(&mut self, prefix: &str, time_limit: Duration) -> Option<View> {
         let read = Request::Read { stale: false, prefix: prefix.into(), members: true };
-        match self.settled(&read, within).await {
+        match self.request_until(&read, time_limit).await {
             Some(Response::Read(view)) => Some(view),
             _ => None,
         }
     }
 
     /// The next command under the session, which is opened if there is none.
-    async fn call(&mut self, command: Command) -> Option<Request> {
+    async fn prepare_command(&mut self, command: Command) -> Option<Request> {
         if self.session.is_none() {
             let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
-            match self.settled(&open, PATIENCE).await {
+            match self.request_until(&open, OPERATION_TIMEOUT).await {
                 Some(Response::Reply(CommandResult::SessionOpened(session), _)) => {
                     self.session = Some(session);
                 }
                 _ => return None,
             }
         }
-        self.number += 1;
+        self.sequence += 1;
         Some(Request::Command(CommandRequest {
-            session: self.session.map(|session| (session, self.number)),
+            session: self.session.map(|session| (session, self.sequence)),
             command,
         }))
     }
@@ -302,30 +303,30 @@
 
 impl ProcessCluster {
     async fn new(plan: &Plan, seed: u64, program: &Path, folder: &Path) -> Result<ProcessCluster, String> {
-        let fault = |e: std::io::Error| e.to_string();
-        std::fs::create_dir_all(folder).map_err(fault)?;
+        let to_text = |e: std::io::Error| e.to_string();
+        std::fs::create_dir_all(folder).map_err(to_text)?;
         let links = Links::default();
-        let (mut listens, mut proxies) = (Vec::new(), Vec::new());
+        let (mut listen_addresses, mut proxies) = (Vec::new(), Vec::new());
         for n in 0..plan.coordinators {
-            let listen = free().await.map_err(fault)?;
-            proxies.push(links.before(&format!("c{n}"), listen).await.map_err(fault)?);
-            listens.push(listen);
+            let listen = unused_address().await.map_err(to_text)?;
+            proxies.push(links.start_proxy(&format!("c{n}"), listen).await.map_err(to_text)?);
+            listen_addresses.push(listen);
         }
         let process = |name: String, file: PathBuf, command: &str, address| {
             let arguments = vec![command.into(), "--config".into(), file.to_string_lossy().into()];
-            let (child, held, log) =
+            let (child, under_fault, log) =
                 (RefCell::new(None), Cell::new(false), folder.join(format!("{name}.log")));
             let starts = Cell::new(0);
-            Rc::new(Process { name, arguments, log, child, held, starts, address })
+            Rc::new(Process { name, arguments, log, child, under_fault, starts, address })
         };
-        let election = plan.tick as f64 / 1e3 * 10.0;
-        let mut council = Vec::new();
-        for (n, listen) in listens.iter().enumerate() {
+        let election_ms = plan.tick_interval as f64 / 1e3 * 10.0;
+        let mut coordinators = Vec::new();
+        for (n, listen) in listen_addresses.iter().enumerate() {
             let mut text = format!(
                 "[council]\nfleet = \"{FLEET}\"\nname = \"c{n}\"\nlisten = \"{listen}\"\ndisk = \"c{n}.redb\"\nlease_ms = {}\n\
-                 election_ms = {election}\ndrift = {:?}\nlog_entries = {}\n",
-                plan.terms.duration as f64 / 1e3,
-                plan.terms.max_clock_drift,
+                 election_ms = {election_ms}\ndrift = {:?}\nlog_entries = {}\n",
+                plan.lease_terms.duration as f64 / 1e3,
+                plan.lease_terms.max_clock_drift,
                 plan.log_entries.max(64)
             );
             // Changes are kept as many as the program keeps: watchers are judged by all of them, read at the end.
@@ -333,26 +334,28 @@
                 text += &format!("[[council.peer]]\nname = \"c{n}\"\naddress = \"{proxy}\"\n");
             }
             let file = folder.join(format!("c{n}.toml"));
-            std::fs::write(&file, text).map_err(fault)?;
-            council.push(process(format!("c{n}"), file, "council", *listen));
+            std::fs::write(&file, text).map_err(to_text)?;
+            coordinators.push(process(format!("c{n}"), file, "council", *listen));
         }
-        let list: Vec<String> = proxies.iter().map(|proxy| format!("\"{proxy}\"")).collect();
+        let proxy_list: Vec<String> = proxies.iter().map(|proxy| format!("\"{proxy}\"")).collect();
         let mut listeners = Vec::new();
         let mut servers = Vec::new();
         for n in 0..plan.servers {
-            let listener = TcpListener::bind(free().await.map_err(fault)?).await.map_err(fault)?;
-            let address = listener.local_addr().map_err(fault)?;
+            let listener =
+                TcpListener::bind(unused_address().await.map_err(to_text)?).await.map_err(to_text)?;
+            let address = listener.local_addr().map_err(to_text)?;
             servers.push(format!("{{ name = \"s{n}\", address = \"{address}\" }}"));
             listeners.push((format!("s{n}"), listener));
         }
         if servers.is_empty() {
-            let nobody = free().await.map_err(fault)?;
-            servers.push(format!("{{ name = \"s0\", address = \"{nobody}\" }}"));
+            let unused = unused_address().await.map_err(to_text)?;
+            servers.push(format!("{{ name = \"s0\", address = \"{unused}\" }}"));
         }
         let servers = servers.join(", ");
         let (mut agents, mut fronts) = (Vec::new(), Vec::new());
         for n in 0..plan.agents {
-            let [front, ops] = [free().await.map_err(fault)?, free().await.map_err(fault)?];
+            let [front, ops] =
+                [unused_address().await.map_err(to_text)?, unused_address().await.map_err(to_text)?];
             fronts.push(front);
             let text = format!(
                 "[ops]\nlisten = \"{ops}\"\n[[class]]\nname = \"lookup\"\neffect = \"idempotent\"\naim_ms = 200\n\
@@ -360,10 +363,10 @@
                  server = [{servers}]\n[[front]]\nname = \"desk\"\nlisten = \"{front}\"\n\
                  [fleet]\nname = \"{FLEET}\"\nmember = \"a{n}\"\nsite = \"site{}\"\ncouncil = [{}]\n",
                 n % plan.sites,
-                list.join(", ")
+                proxy_list.join(", ")
             );
             let file = folder.join(format!("a{n}.toml"));
-            std::fs::write(&file, text).map_err(fault)?;
+            std::fs::write(&file, text).map_err(to_text)?;
             agents.push(process(format!("a{n}"), file, "run", ops));
         }
         Ok(ProcessCluster {
@@ -371,77 +374,78 @@
             program: program.into(),
             folder: folder.into(),
             links,
-            council,
+            coordinators,
             agents,
             proxies,
             fronts,
             listeners: RefCell::new(listeners),
             calls: servers::Calls::default(),
-            begun: Instant::now(),
-            healed: Cell::new(false),
-            seen: RefCell::default(),
-            endings: RefCell::default(),
-            ended: Cell::new(0),
+            started_at: Instant::now(),
+            faults_ended: Cell::new(false),
+            observations: RefCell::default(),
+            lease_ends: RefCell::default(),
+            self_terminated: Cell::new(0),
             unknown: Cell::new(0),
-            looks: Cell::new(0),
-            faults: Cell::new(0),
-            out: RefCell::default(),
+            lease_checks: Cell::new(0),
+            faults_started: Cell::new(0),
+            open_outages: RefCell::default(),
             keys: RefCell::default(),
-            values: Cell::new(0),
+            last_value: Cell::new(0),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
-            wrappers: RefCell::default(),
+            command_pids: RefCell::default(),
         })
     }
 
     fn now(&self) -> Micros {
-        self.begun.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    fn wrong(&self, what: String) {
-        self.seen.borrow_mut().wrongs.push(what);
+    fn record_violation(&self, violation: String) {
+        self.observations.borrow_mut().violations.push(violation);
     }
 
     /// States how much may be out, with the program's own command.
-    async fn state_budgets(&self) -> Result<(), String> {
+    async fn set_budgets(&self) -> Result<(), String> {
         let mut text =
-            format!("[[budget]]\nof = \"servers\"\nby = \"all\"\nmost = {}\n", self.plan.servers_out);
-        text += &format!("[[budget]]\nof = \"agents\"\nby = \"site\"\nmost = {}\n", self.plan.permits);
+            format!("[[budget]]\nof = \"servers\"\nby = \"all\"\nmost = {}\n", self.plan.max_servers_out);
+        text +=
+            &format!("[[budget]]\nof = \"agents\"\nby = \"site\"\nmost = {}\n", self.plan.permits_per_site);
         for n in 0..self.plan.servers {
             text += &format!("[[server]]\nname = \"s{n}\"\nsite = \"site{}\"\n", n % self.plan.sites);
         }
         let file = self.folder.join("budgets.toml");
         std::fs::write(&file, text).map_err(|e| e.to_string())?;
-        match self.tool(&["fleet", "budgets", &file.to_string_lossy()]).await {
+        match self.run_command(&["fleet", "budgets", &file.to_string_lossy()]).await {
             Some(0) => Ok(()),
             other => Err(format!("the budgets were not taken: {other:?}")),
         }
     }
 
     async fn run(self: Rc<Self>) -> Result<Outcome, String> {
-        self.serve();
-        for process in self.council.iter().chain(&self.agents) {
+        self.start_servers();
+        for process in self.coordinators.iter().chain(&self.agents) {
             process.start(&self.program)?;
         }
-        let mut asker = Asker::new(&self, "judge");
-        if asker.view("note/", SETTLE).await.is_none() {
+        let mut client = CoordinationClient::new(&self, "judge");
+        if client.view("note/", SETTLE_TIMEOUT).await.is_none() {
             return Err(format!("the council was not formed; its logs are in {}", self.folder.display()));
         }
         if self.plan.operators > 0 {
             for site in 0..self.plan.sites {
-                let most = self.plan.permits.to_string();
+                let most = self.plan.permits_per_site.to_string();
                 let site = format!("site{site}");
-                self.tool(&["fleet", "permits", "--site", &site, "--most", &most]).await;
+                self.run_command(&["fleet", "permits", "--site", &site, "--most", &most]).await;
             }
         }
         if self.plan.servers > 0 {
-            self.state_budgets().await?;
+            self.set_budgets().await?;
         }
         let mut tasks: Vec<JoinHandle<()>> = Vec::new();
         for agent in &self.agents {
-            tasks.push(spawn_local(Rc::clone(&self).look_after(Rc::clone(agent))));
+            tasks.push(spawn_local(Rc::clone(&self).supervise_agent(Rc::clone(agent))));
         }
-        let endings = spawn_local(Rc::clone(&self).note_endings());
-        let watchers: Vec<JoinHandle<Watched>> =
+        let lease_ends = spawn_local(Rc::clone(&self).record_lease_ends());
+        let watchers: Vec<JoinHandle<WatchLog>> =
             (0..self.plan.watchers).map(|n| spawn_local(Rc::clone(&self).watch(n))).collect();
         let clients: Vec<JoinHandle<()>> =
             (0..self.plan.clients).map(|n| spawn_local(Rc::clone(&self).client(n))).collect();
@@ -452,178 +456,193 @@
             (0..callers).map(|n| spawn_local(Rc::clone(&self).call_agent(n))).collect();
         let drainers: Vec<JoinHandle<()>> =
             (0..self.plan.drainers).map(|n| spawn_local(Rc::clone(&self).drainer(n))).collect();
-        self.chaos().await;
-        self.healed.set(true);
+        self.inject_faults().await;
+        self.faults_ended.set(true);
         self.links.clear();
-        for process in self.council.iter().chain(&self.agents) {
+        for process in self.coordinators.iter().chain(&self.agents) {
             process.signal(Signal::CONT);
         }
         for client in clients.into_iter().chain(operators).chain(callers).chain(drainers) {
             let _ = client.await;
         }
-        self.come_right(&mut asker).await;
+        self.wait_for_recovery(&mut client).await;
         for watcher in watchers {
-            let watched = watcher.await.unwrap_or_default();
-            self.seen.borrow_mut().watched.push(watched);
+            let log = watcher.await.unwrap_or_default();
+            self.observations.borrow_mut().watch_logs.push(log);
         }
-        endings.abort();
+        lease_ends.abort();
         tasks.iter().for_each(JoinHandle::abort);
-        self.last_look(&mut asker).await;
-        let mut seen = self.seen.take();
-        seen.sent = self.sent();
-        let settled = seen.done.iter().filter(|done| done.returned.is_some()).count();
-        let permits = seen.outs.len();
-        let (unknown, faults, looks) = (self.unknown.get(), self.faults.get(), self.looks.get());
+        self.read_final_state(&mut client).await;
+        let mut observations = self.observations.take();
+        observations.requests_to_draining = self.requests_received();
+        let completed = observations.operations.iter().filter(|done| done.returned.is_some()).count();
+        let permits_granted = observations.outages.len();
+        let (unknown, faults_started, lease_checks) =
+            (self.unknown.get(), self.faults_started.get(), self.lease_checks.get());
         Ok(Outcome {
-            settled,
+            completed,
             unknown,
-            faults,
-            permits,
-            looks,
-            ended: self.ended.get(),
-            calls: self.calls.answered(),
-            seen,
+            faults_started,
+            permits_granted,
+            lease_checks,
+            self_terminated: self.self_terminated.get(),
+            calls: self.calls.call_counts(),
+            observations,
         })
     }
 
     /// Everybody takes part again, and there is one state.
-    async fn come_right(&self, asker: &mut Asker) {
-        let until = Instant::now() + SETTLE;
-        while Instant::now() < until {
-            if let Some(view) = asker.view("budget/", PATIENCE).await {
-                let lives = |agent: &Rc<Process>| {
+    async fn wait_for_recovery(&self, client: &mut CoordinationClient) {
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
+        while Instant::now() < deadline {
+            if let Some(view) = client.view("budget/", OPERATION_TIMEOUT).await {
+                let is_ready = |agent: &Rc<Process>| {
                     view.members.get(&agent.name).is_some_and(|m| m.status == MemberStatus::Living && m.ready)
                 };
-                if self.agents.iter().all(lives) {
+                if self.agents.iter().all(is_ready) {
                     return;
                 }
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.wrong("nothing came right after the last fault".into());
+        self.record_violation("nothing came right after the last fault".into());
     }
 
     /// All changes from the first on, and what stands there at the end.
-    async fn last_look(&self, asker: &mut Asker) {
-        let Some(view) = asker.view("", PATIENCE).await else { return };
+    async fn read_final_state(&self, client: &mut CoordinationClient) {
+        let Some(view) = client.view("", OPERATION_TIMEOUT).await else { return };
         let mut after = 0;
         while after < view.revision {
             let watch = Request::Watch { cluster_id: view.cluster_id, after, prefix: String::new() };
-            match asker.settled(&watch, PATIENCE).await {
+            match client.request_until(&watch, OPERATION_TIMEOUT).await {
                 Some(Response::Changes { changes, upto }) => {
-                    self.seen.borrow_mut().changes.extend(changes);
+                    self.observations.borrow_mut().changes.extend(changes);
                     after = upto;
                 }
-                other => return self.wrong(format!("the changes from {after} on can't be read: {other:?}")),
+                other => {
+                    return self
+                        .record_violation(format!("the changes from {after} on can't be read: {other:?}"))
+                }
             }
         }
-        let mut keys: Vec<String> = self.seen.borrow().done.iter().map(|done| done.key.clone()).collect();
+        let mut keys: Vec<String> =
+            self.observations.borrow().operations.iter().map(|done| done.key.clone()).collect();
         keys.sort();
         keys.dedup();
         let now = self.now();
         for key in keys {
             let value = view.records.get(&key).and_then(|record| record.value.parse().ok());
             let done = Done { key, op: Op::Read(value), called: now, returned: Some(now + 1) };
-            self.seen.borrow_mut().done.push(done);
+            self.observations.borrow_mut().operations.push(done);
         }
     }
 
-    async fn tool(&self, words: &[&str]) -> Option<i32> {
-        let list: Vec<String> = self.proxies.iter().map(ToString::to_string).collect();
-        let depth = if words[0] == "hold" { 1 } else { 2 };
+    async fn run_command(&self, arguments: &[&str]) -> Option<i32> {
+        let proxy_list: Vec<String> = self.proxies.iter().map(ToString::to_string).collect();
+        let subcommand_length = if arguments[0] == "hold" { 1 } else { 2 };
         let mut command = tokio::process::Command::new(&self.program);
         command
-            .args(&words[..depth])
-            .args(["--council", &list.join(","), "--fleet", FLEET])
-            .args(&words[depth..]);
+            .args(&arguments[..subcommand_length])
+            .args(["--council", &proxy_list.join(","), "--fleet", FLEET])
+            .args(&arguments[subcommand_length..]);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).kill_on_drop(true);
         let mut child = command.spawn().ok()?;
         let id = child.id().unwrap_or(0);
-        self.wrappers.borrow_mut().push(id);
+        self.command_pids.borrow_mut().push(id);
         let code = child.wait().await.ok().and_then(|status| status.code());
-        self.wrappers.borrow_mut().retain(|other| *other != id);
+        self.command_pids.borrow_mut().retain(|other| *other != id);
         code
     }
 
     // Agents.
 
     /// Starts an agent again when it has ended, and looks at what it says of its lease.
-    async fn look_after(self: Rc<Self>, agent: Rc<Process>) {
-        let mark = agent.log.with_extension("out");
+    async fn supervise_agent(self: Rc<Self>, agent: Rc<Process>) {
+        let marker = agent.log.with_extension("out");
         loop {
-            sleep(LOOK_EVERY).await;
-            if agent.has_ended() && !agent.held.get() {
-                if std::fs::remove_file(&mark).is_ok() {
-                    let site = self.agents.iter().position(|other| other.name == agent.name).unwrap_or(0);
-                    let budget = format!("site{}", site % self.plan.sites);
-                    let mut seen = self.seen.borrow_mut();
-                    self.out.borrow_mut().insert(agent.name.clone(), seen.outs.len());
+            sleep(POLL_INTERVAL).await;
+            if agent.has_ended() && !agent.under_fault.get() {
+                if std::fs::remove_file(&marker).is_ok() {
+                    let agent_index =
+                        self.agents.iter().position(|other| other.name == agent.name).unwrap_or(0);
+                    let budget = format!("site{}", agent_index % self.plan.sites);
+                    let mut observations = self.observations.borrow_mut();
+                    self.open_outages.borrow_mut().insert(agent.name.clone(), observations.outages.len());
                     let from = self.now();
-                    seen.outs.push(Out { budget, what: agent.name.clone(), granted: from, from, to: None });
+                    observations.outages.push(Outage {
+                        budget,
+                        agent: agent.name.clone(),
+                        granted: from,
+                        from,
+                        to: None,
+                    });
                 }
-                let down = self.rng.borrow_mut().random_range(100..2000);
-                sleep(Duration::from_millis(down)).await;
+                let downtime = self.rng.borrow_mut().random_range(100..2000);
+                sleep(Duration::from_millis(downtime)).await;
                 if let Err(why) = agent.start(&self.program) {
-                    self.wrong(why);
+                    self.record_violation(why);
                 }
             }
-            let (known, process) = (self.endings.borrow().clone(), agent.starts.get());
-            let Some((_, page)) = http(agent.address, "GET", "/-/metrics", b"").await else { continue };
-            let page = String::from_utf8_lossy(&page).into_owned();
-            let figure = |name: &str| {
-                let line = page.lines().find(|line| line.split(' ').next() == Some(name))?;
+            let (lease_ends, start_count) = (self.lease_ends.borrow().clone(), agent.starts.get());
+            let Some((_, metrics)) = http(agent.address, "GET", "/-/metrics", b"").await else { continue };
+            let metrics = String::from_utf8_lossy(&metrics).into_owned();
+            let metric = |name: &str| {
+                let line = metrics.lines().find(|line| line.split(' ').next() == Some(name))?;
                 line.split(' ').nth(1)?.parse::<f64>().ok()
             };
-            let Some((held, incarnation)) = figure("app_fleet_lease_held")
-                .zip(figure("app_fleet_incarnation"))
+            let Some((holds_lease, incarnation)) = metric("app_fleet_lease_held")
+                .zip(metric("app_fleet_incarnation"))
                 .map(|(h, i)| (h > 0.0, i as u64))
             else {
                 continue;
             };
-            self.looks.set(self.looks.get() + 1);
-            if held && agent.starts.get() == process {
-                self.calls.holds(&agent.name, incarnation, process);
+            self.lease_checks.set(self.lease_checks.get() + 1);
+            if holds_lease && agent.starts.get() == start_count {
+                self.calls.record_lease(&agent.name, incarnation, start_count);
             }
-            if let Some(at) = known.get(&(agent.name.clone(), incarnation)).filter(|_| held) {
-                self.wrong(format!("{} {incarnation} holds a lease that was seen ended at {at}", agent.name));
+            if let Some(at) = lease_ends.get(&(agent.name.clone(), incarnation)).filter(|_| holds_lease) {
+                self.record_violation(format!(
+                    "{} {incarnation} holds a lease that was seen ended at {at}",
+                    agent.name
+                ));
             }
             // Serving again: the end of what the permit was for.
             if http(agent.address, "GET", "/-/ready", b"").await.is_some_and(|(status, _)| status == 200) {
-                if let Some(number) = self.out.borrow_mut().remove(&agent.name) {
-                    self.seen.borrow_mut().outs[number].to = Some(self.now());
+                if let Some(outage_index) = self.open_outages.borrow_mut().remove(&agent.name) {
+                    self.observations.borrow_mut().outages[outage_index].to = Some(self.now());
                 }
             }
         }
     }
 
     /// Which leases the council counts as ended, as a reader sees it.
-    async fn note_endings(self: Rc<Self>) {
-        let mut asker = Asker::new(&self, "reader");
+    async fn record_lease_ends(self: Rc<Self>) {
+        let mut client = CoordinationClient::new(&self, "reader");
         loop {
-            if let Some(view) = asker.view("budget/", PATIENCE).await {
+            if let Some(view) = client.view("budget/", OPERATION_TIMEOUT).await {
                 let at = self.now();
                 for (name, member) in view.members {
                     if !member.status.may_hold_lease() {
-                        self.endings.borrow_mut().entry((name, member.incarnation)).or_insert(at);
+                        self.lease_ends.borrow_mut().entry((name, member.incarnation)).or_insert(at);
                     }
                 }
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     // Whoever reads, writes and watches.
 
     async fn client(self: Rc<Self>, number: usize) {
-        let mut asker = Asker::new(&self, &format!("k{number}"));
+        let mut client = CoordinationClient::new(&self, &format!("k{number}"));
         let mut seen: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-        while !self.healed.get() {
+        while !self.faults_ended.get() {
             let key = self.keys.borrow_mut().draw(self.plan.clients, &mut *self.rng.borrow_mut());
-            let roll: f64 = self.rng.borrow_mut().random();
-            let new = self.values.get() + 1;
-            self.values.set(new);
+            let random: f64 = self.rng.borrow_mut().random();
+            let new_value = self.last_value.get() + 1;
+            self.last_value.set(new_value);
             let called = self.now();
-            let op = Op::draw(roll, seen.get(&key).map(|seen| seen.0), new);
+            let op = Op::draw(random, seen.get(&key).map(|seen| seen.0), new_value);
             let mut checks = Vec::new();
             if let Op::Swap(..) = op {
                 let at = seen.get(&key).map(|(_, revision)| Check::At(key.clone(), *revision));
@@ -632,12 +651,12 @@
             let request = match op {
                 Op::Read(_) => Some(Request::Read { stale: false, prefix: key.clone(), members: false }),
                 _ => {
-                    let writes = vec![Write::Put(key.clone(), new.to_string())];
-                    asker.call(Command::Write(Txn { checks, writes })).await
+                    let writes = vec![Write::Put(key.clone(), new_value.to_string())];
+                    client.prepare_command(Command::Write(Txn { checks, writes })).await
                 }
             };
             let Some(request) = request else { continue };
-            let response = asker.settled(&request, PATIENCE).await;
+            let response = client.request_until(&request, OPERATION_TIMEOUT).await;
             let returned = Some(self.now());
             let (op, returned) = match (response, op) {
                 (Some(Response::Read(view)), Op::Read(_)) => {
@@ -650,7 +669,7 @@
                     (Op::Read(value), returned)
                 }
                 (Some(Response::Reply(CommandResult::Done(revision), _)), op) => {
-                    seen.insert(key.clone(), (new, revision));
+                    seen.insert(key.clone(), (new_value, revision));
                     (op, returned)
                 }
                 (Some(Response::Reply(CommandResult::Conflict { .. }, _)), Op::Swap(old, new, _)) => {
@@ -658,341 +677,396 @@
                 }
                 (other, op) => {
                     if matches!(other, Some(Response::Reply(CommandResult::NoSession, _))) {
-                        asker.session = None;
+                        client.session = None;
                     }
                     self.unknown.set(self.unknown.get() + 1);
                     (op.unknown(), None)
                 }
             };
-            self.seen.borrow_mut().done.push(Done { key, op, called, returned });
-            let pause = self.rng.borrow_mut().random_range(self.plan.pause / 2..=self.plan.pause * 3 / 2);
+            self.observations.borrow_mut().operations.push(Done { key, op, called, returned });
+            let pause = self
+                .rng
+                .borrow_mut()
+                .random_range(self.plan.mean_client_pause / 2..=self.plan.mean_client_pause * 3 / 2);
             sleep(Duration::from_micros(pause)).await;
         }
     }
 
-    async fn watch(self: Rc<Self>, number: usize) -> Watched {
-        let mut asker = Asker::new(&self, &format!("w{number}"));
-        let mut watched = Watched::default();
+    async fn watch(self: Rc<Self>, number: usize) -> WatchLog {
+        let mut client = CoordinationClient::new(&self, &format!("w{number}"));
+        let mut log = WatchLog::default();
         let mut from: Option<(ClusterId, u64)> = None;
-        while !self.healed.get() {
+        while !self.faults_ended.get() {
             let request = match from {
                 None => Request::Read { stale: false, prefix: String::new(), members: true },
-                Some((history, after)) => {
-                    Request::Watch { cluster_id: history, after, prefix: String::new() }
-                }
+                Some((cluster_id, after)) => Request::Watch { cluster_id, after, prefix: String::new() },
             };
-            match asker.once(&request).await {
+            match client.try_request(&request).await {
                 Ok(Response::Read(view)) => {
                     from = Some((view.cluster_id, view.revision));
-                    watched.stretches.push((view.cluster_id, view.revision, Vec::new(), view.revision));
+                    log.segments.push((view.cluster_id, view.revision, Vec::new(), view.revision));
                 }
                 Ok(Response::Changes { changes, upto }) => {
-                    if let Some(stretch) = watched.stretches.last_mut() {
-                        stretch.2.extend(changes);
-                        stretch.3 = upto;
-                        from = Some((stretch.0, upto));
+                    if let Some(segment) = log.segments.last_mut() {
+                        segment.2.extend(changes);
+                        segment.3 = upto;
+                        from = Some((segment.0, upto));
                     }
                 }
                 Ok(_) => from = None,
                 Err(pause) => sleep(pause).await,
             }
         }
-        watched
+        log
     }
 
     /// Takes agents out under permits, with the program's own wrapper.
     async fn operator(self: Rc<Self>) {
-        while !self.healed.get() {
+        while !self.faults_ended.get() {
             let pause = self.rng.borrow_mut().random_range(100..1500);
             sleep(Duration::from_millis(pause)).await;
             let agent = self.rng.borrow_mut().random_range(0..self.agents.len().max(1));
             let Some(agent) = self.agents.get(agent) else { return };
             // The mark says that it was by a permit. A stopped agent is killed like any other.
-            let (mark, pid) = (agent.log.with_extension("out"), agent.log.with_extension("pid"));
-            let line = format!("touch '{}'; kill -9 $(cat '{}')", mark.display(), pid.display());
-            let thing = format!("agent:{}", agent.name);
-            let words = ["hold", "--for", &thing, "--why", "lab", "--", "sh", "-c", &line];
+            let (marker, pid_file) = (agent.log.with_extension("out"), agent.log.with_extension("pid"));
+            let line = format!("touch '{}'; kill -9 $(cat '{}')", marker.display(), pid_file.display());
+            let subject = format!("agent:{}", agent.name);
+            let arguments = ["hold", "--for", &subject, "--why", "lab", "--", "sh", "-c", &line];
             // After the last fault nobody waits for an agent that a command missed.
             tokio::select! {
-                _ = self.tool(&words) => {}
-                () = async { while !self.healed.get() { sleep(LOOK_EVERY).await } } => {}
+                _ = self.run_command(&arguments) => {}
+                () = async { while !self.faults_ended.get() { sleep(POLL_INTERVAL).await } } => {}
             }
         }
     }
 
     // Faults.
 
-    fn some<'a>(&self, of: &'a [Rc<Process>]) -> Option<&'a Rc<Process>> {
-        of.choose(&mut *self.rng.borrow_mut())
+    fn random_process<'a>(&self, processes: &'a [Rc<Process>]) -> Option<&'a Rc<Process>> {
+        processes.choose(&mut *self.rng.borrow_mut())
     }
 
-    async fn chaos(self: &Rc<Self>) {
-        let begun = Instant::now();
-        let ends = begun + Duration::from_micros(self.plan.duration);
-        let mut faults = Vec::new();
-        for listed in self.plan.listed.clone() {
+    async fn inject_faults(self: &Rc<Self>) {
+        let started_at = Instant::now();
+        let ends = started_at + Duration::from_micros(self.plan.duration);
+        let mut tasks = Vec::new();
+        for fault in self.plan.scheduled_faults.clone() {
             let cluster = Rc::clone(self);
-            faults.push(spawn_local(async move {
-                tokio::time::sleep_until(begun + Duration::from_micros(listed.at)).await;
-                cluster.faults.set(cluster.faults.get() + 1);
-                let (who, to) = (listed.who.as_deref(), listed.to.as_deref());
-                Rc::clone(&cluster).begin(listed.what, (who, to), Duration::from_micros(listed.length)).await;
+            tasks.push(spawn_local(async move {
+                tokio::time::sleep_until(started_at + Duration::from_micros(fault.starts_at)).await;
+                cluster.faults_started.set(cluster.faults_started.get() + 1);
+                let (target, peer) = (fault.target.as_deref(), fault.peer.as_deref());
+                Rc::clone(&cluster)
+                    .inject_fault(fault.kind, (target, peer), Duration::from_micros(fault.duration))
+                    .await;
             }));
         }
-        if self.plan.every == 0 || self.plan.faults.is_empty() {
+        if self.plan.fault_interval == 0 || self.plan.fault_kinds.is_empty() {
             tokio::time::sleep_until(ends).await;
         }
-        while self.plan.every > 0
+        while self.plan.fault_interval > 0
             && Instant::now() < ends
             && !crate::emulation::INTERRUPTED.load(std::sync::atomic::Ordering::Relaxed)
         {
-            let (kind, length, pause) = {
+            let (kind, duration, pause) = {
                 let mut rng = self.rng.borrow_mut();
-                let kind = *self.plan.faults.choose(&mut *rng).unwrap_or(&Kind::Cut);
-                let length = rng.random_range(self.plan.tick..=self.plan.most);
-                (kind, length, rng.random_range(self.plan.every / 4..=self.plan.every * 7 / 4))
+                let kind = *self.plan.fault_kinds.choose(&mut *rng).unwrap_or(&FaultKind::CutLink);
+                let duration = rng.random_range(self.plan.tick_interval..=self.plan.max_fault_duration);
+                (
+                    kind,
+                    duration,
+                    rng.random_range(self.plan.fault_interval / 4..=self.plan.fault_interval * 7 / 4),
+                )
             };
-            self.faults.set(self.faults.get() + 1);
-            faults.push(spawn_local(Rc::clone(self).begin(
+            self.faults_started.set(self.faults_started.get() + 1);
+            tasks.push(spawn_local(Rc::clone(self).inject_fault(
                 kind,
                 (None, None),
-                Duration::from_micros(length),
+                Duration::from_micros(duration),
             )));
             sleep(Duration::from_micros(pause)).await;
         }
         // Each ends by itself: what it held is let go then.
-        for fault in faults {
-            let _ = fault.await;
+        for task in tasks {
+            let _ = task.await;
         }
     }
 
     /// The process that is meant: by its name, or `leader`.
-    async fn meant(&self, who: Option<&str>, of: &[Rc<Process>]) -> Option<Rc<Process>> {
-        match who {
-            None => self.some(of).cloned(),
+    async fn select_process(&self, name: Option<&str>, processes: &[Rc<Process>]) -> Option<Rc<Process>> {
+        match name {
+            None => self.random_process(processes).cloned(),
             Some("leader") => {
-                for process in &self.council {
-                    let ask = serde_json::json!({
+                for process in &self.coordinators {
+                    let body = serde_json::json!({
                         "envelope": { "fleet": FLEET, "protocol": PROTOCOL, "from": "rig", "incarnation": 0, "term": 0 },
                         "request": Request::Status,
                     });
-                    let answer = http(process.address, "POST", "/v1/ask", ask.to_string().as_bytes()).await;
-                    let response =
-                        answer.and_then(|(_, body)| serde_json::from_slice::<Response>(&body).ok());
-                    if matches!(response, Some(Response::Status(stand, _)) if stand.leader == stand.node_id) {
+                    let reply = http(process.address, "POST", "/v1/ask", body.to_string().as_bytes()).await;
+                    let response = reply.and_then(|(_, body)| serde_json::from_slice::<Response>(&body).ok());
+                    if matches!(response, Some(Response::Status(status, _)) if status.leader == status.node_id)
+                    {
                         return Some(Rc::clone(process));
                     }
                 }
-                self.some(of).cloned()
+                self.random_process(processes).cloned()
             }
-            Some(name) => of.iter().find(|process| process.name == name).cloned(),
+            Some(name) => processes.iter().find(|process| process.name == name).cloned(),
         }
     }
 
-    async fn begin(self: Rc<Self>, kind: Kind, (who, to): (Option<&str>, Option<&str>), length: Duration) {
-        let council: Vec<String> = self.council.iter().map(|process| process.name.clone()).collect();
+    async fn inject_fault(
+        self: Rc<Self>,
+        kind: FaultKind,
+        (target, peer): (Option<&str>, Option<&str>),
+        duration: Duration,
+    ) {
+        let coordinators: Vec<String> =
+            self.coordinators.iter().map(|process| process.name.clone()).collect();
         let clients = (0..self.plan.clients).map(|n| format!("k{n}"));
         let watchers = (0..self.plan.watchers).map(|n| format!("w{n}"));
         let agents = self.agents.iter().map(|process| process.name.clone());
-        let all: Vec<String> = council.iter().cloned().chain(agents).chain(clients).chain(watchers).collect();
-        let council_process = self.meant(who, &self.council).await;
-        let agent_process = self.meant(who, &self.agents).await;
-        let one = council_process.as_ref().map_or_else(String::new, |process| process.name.clone());
-        let drawn = || all.choose(&mut *self.rng.borrow_mut()).cloned().unwrap_or_default();
-        let other = to.map_or_else(drawn, String::from);
-        let pairs = |are: &dyn Fn(&str, &str) -> bool| -> Vec<(String, String)> {
-            let pair = |a: &String| all.iter().map(|b| (a.clone(), b.clone())).collect::<Vec<_>>();
-            all.iter().flat_map(pair).filter(|(a, b)| a != b && are(a, b)).collect()
+        let names: Vec<String> =
+            coordinators.iter().cloned().chain(agents).chain(clients).chain(watchers).collect();
+        let coordinator = self.select_process(target, &self.coordinators).await;
+        let agent = self.select_process(target, &self.agents).await;
+        let one = coordinator.as_ref().map_or_else(String::new, |process| process.name.clone());
+        let drawn = || names.choose(&mut *self.rng.borrow_mut()).cloned().unwrap_or_default();
+        let other = peer.map_or_else(drawn, String::from);
+        let links_between = |includes: &dyn Fn(&str, &str) -> bool| -> Vec<(String, String)> {
+            let pair = |a: &String| names.iter().map(|b| (a.clone(), b.clone())).collect::<Vec<_>>();
+            names.iter().flat_map(pair).filter(|(a, b)| a != b && includes(a, b)).collect()
         };
-        let late = Duration::from_millis(self.rng.borrow_mut().random_range(100..5000));
+        let delay = Duration::from_millis(self.rng.borrow_mut().random_range(100..5000));
         match kind {
-            Kind::StopCouncil => self.stop(council_process, length).await,
-            Kind::StopAgent | Kind::TwinAgent => self.stop(agent_process, length).await,
-            Kind::KillCouncil => self.restart(council_process, length, After::Kept).await,
-            Kind::KillAgent => self.restart(agent_process, length, After::Kept).await,
-            Kind::EmptyDisk => self.restart(council_process, length, After::Emptied).await,
-            Kind::CutDisk => self.restart(council_process, length, After::Cut).await,
-            Kind::OldDisk => self.put_back(who, length).await,
-            Kind::FailDisk => self.fail_disk(council_process, length).await,
-            Kind::StopOperator | Kind::KillOperator => {
-                let id = self.wrappers.borrow().choose(&mut *self.rng.borrow_mut()).copied();
+            FaultKind::SuspendCoordinator => self.suspend(coordinator, duration).await,
+            FaultKind::SuspendAgent | FaultKind::DuplicateAgent => self.suspend(agent, duration).await,
+            FaultKind::KillCoordinator => self.restart(coordinator, duration, DiskFault::None).await,
+            FaultKind::KillAgent => self.restart(agent, duration, DiskFault::None).await,
+            FaultKind::WipeDisk => self.restart(coordinator, duration, DiskFault::Wipe).await,
+            FaultKind::TruncateDisk => self.restart(coordinator, duration, DiskFault::Truncate).await,
+            FaultKind::RollBackDisk => self.roll_back_disk(target, duration).await,
+            FaultKind::FailDisk => self.fail_disk(coordinator, duration).await,
+            FaultKind::SuspendOperator | FaultKind::KillOperator => {
+                let id = self.command_pids.borrow().choose(&mut *self.rng.borrow_mut()).copied();
                 let pid = id.and_then(|id| Pid::from_raw(id as i32));
                 let Some(pid) = pid else { return };
-                if kind == Kind::KillOperator {
+                if kind == FaultKind::KillOperator {
                     let _ = kill_process(pid, Signal::KILL);
                     return;
                 }
                 let _ = kill_process(pid, Signal::STOP);
-                sleep(length).await;
-                if self.wrappers.borrow().iter().any(|other| Some(*other) == id) {
+                sleep(duration).await;
+                if self.command_pids.borrow().iter().any(|other| Some(*other) == id) {
                     let _ = kill_process(pid, Signal::CONT);
                 }
             }
-            Kind::Cut => {
-                self.spoil(
-                    pairs(&|a, b| (a, b) == (&one, &other) || (b, a) == (&one, &other)),
-                    Does::Drops,
-                    length,
+            FaultKind::CutLink => {
+                self.apply_link_mode(
+                    links_between(&|a, b| (a, b) == (&one, &other) || (b, a) == (&one, &other)),
+                    LinkMode::Drop,
+                    duration,
                 )
                 .await;
             }
-            Kind::OneWay => {
-                let back = self.rng.borrow_mut().random_bool(0.5);
-                let way = if back { (other, one) } else { (one, other) };
-                self.spoil(vec![way], Does::Drops, length).await;
+            FaultKind::CutOneWay => {
+                let reversed = self.rng.borrow_mut().random_bool(0.5);
+                let direction = if reversed { (other, one) } else { (one, other) };
+                self.apply_link_mode(vec![direction], LinkMode::Drop, duration).await;
             }
-            Kind::Split => {
-                let part: BTreeMap<String, bool> =
-                    all.iter().map(|name| (name.clone(), self.rng.borrow_mut().random_bool(0.5))).collect();
-                self.spoil(pairs(&|a, b| part[a] != part[b]), Does::Drops, length).await;
+            FaultKind::Partition => {
+                let in_first_part: BTreeMap<String, bool> =
+                    names.iter().map(|name| (name.clone(), self.rng.borrow_mut().random_bool(0.5))).collect();
+                self.apply_link_mode(
+                    links_between(&|a, b| in_first_part[a] != in_first_part[b]),
+                    LinkMode::Drop,
+                    duration,
+                )
+                .await;
             }
-            Kind::Ring => {
-                let place = |name: &str| council.iter().position(|other| other == name);
-                let next = |a: &str, b: &str| {
-                    place(a).zip(place(b)).is_some_and(|(a, b)| (a + 1) % council.len() == b)
+            FaultKind::CutRing => {
+                let position = |name: &str| coordinators.iter().position(|other| other == name);
+                let is_next = |a: &str, b: &str| {
+                    position(a).zip(position(b)).is_some_and(|(a, b)| (a + 1) % coordinators.len() == b)
                 };
-                self.spoil(pairs(&|a, b| next(a, b) || next(b, a)), Does::Resets, length).await;
+                self.apply_link_mode(
+                    links_between(&|a, b| is_next(a, b) || is_next(b, a)),
+                    LinkMode::Reset,
+                    duration,
+                )
+                .await;
             }
-            Kind::Slow => {
-                let drips = self.rng.borrow_mut().random_bool(0.3);
-                let does = if drips { Does::Drips(400) } else { Does::Delays(late) };
-                self.spoil(vec![(one.clone(), other.clone()), (other, one)], does, length).await;
+            FaultKind::DelayLink => {
+                let throttles = self.rng.borrow_mut().random_bool(0.3);
+                let mode = if throttles { LinkMode::Throttle(400) } else { LinkMode::Delay(delay) };
+                self.apply_link_mode(vec![(one.clone(), other.clone()), (other, one)], mode, duration).await;
             }
-            Kind::Hold => {
-                self.spoil(vec![(one.clone(), other.clone()), (other, one)], Does::Holds, length).await;
+            FaultKind::HoldLink => {
+                self.apply_link_mode(
+                    vec![(one.clone(), other.clone()), (other, one)],
+                    LinkMode::Hold,
+                    duration,
+                )
+                .await;
             }
-            Kind::LostReplies => {
-                self.spoil(pairs(&|a, b| a == one && !council.iter().any(|c| c == b)), Does::Drops, length)
-                    .await;
+            FaultKind::DropReplies => {
+                self.apply_link_mode(
+                    links_between(&|a, b| a == one && !coordinators.iter().any(|c| c == b)),
+                    LinkMode::Drop,
+                    duration,
+                )
+                .await;
+            }
+            FaultKind::IsolateCoordinator => {
+                self.apply_link_mode(links_between(&|a, b| a == one || b == one), LinkMode::Drop, duration)
+                    .await
             }
-            Kind::Isolate => self.spoil(pairs(&|a, b| a == one || b == one), Does::Drops, length).await,
-            Kind::SlowProcess => {
-                self.spoil(pairs(&|a, b| a == one || b == one), Does::Delays(late), length).await;
+            FaultKind::DelayProcess => {
+                self.apply_link_mode(
+                    links_between(&|a, b| a == one || b == one),
+                    LinkMode::Delay(delay),
+                    duration,
+                )
+                .await;
             }
         }
     }
 
-    async fn spoil(&self, links: Vec<(String, String)>, does: Does, length: Duration) {
+    async fn apply_link_mode(&self, links: Vec<(String, String)>, mode: LinkMode, duration: Duration) {
         for (from, to) in &links {
-            self.links.set(from, to, does);
+            self.links.set(from, to, mode);
         }
-        sleep(length).await;
+        sleep(duration).await;
         for (from, to) in &links {
-            self.links.set(from, to, Does::Passes);
+            self.links.set(from, to, LinkMode::Forward);
         }
     }
 
-    async fn stop(&self, process: Option<Rc<Process>>, length: Duration) {
-        let Some(process) = process.filter(|process| !process.held.replace(true)) else { return };
+    async fn suspend(&self, process: Option<Rc<Process>>, duration: Duration) {
+        let Some(process) = process.filter(|process| !process.under_fault.replace(true)) else { return };
         process.signal(Signal::STOP);
-        sleep(length).await;
+        sleep(duration).await;
         process.signal(Signal::CONT);
-        process.held.set(false);
+        process.under_fault.set(false);
     }
 
     /// Kills a process and starts it again; a council process whose disk is gone is taken in as another.
-    async fn restart(&self, process: Option<Rc<Process>>, length: Duration, after: After) {
-        let Some(process) = process.filter(|process| !process.held.replace(true)) else { return };
+    async fn restart(&self, process: Option<Rc<Process>>, duration: Duration, disk_fault: DiskFault) {
+        let Some(process) = process.filter(|process| !process.under_fault.replace(true)) else { return };
         process.kill().await;
-        sleep(length).await;
+        sleep(duration).await;
         // One at a time: a council that has lost a majority of its disks is gone.
-        let after = if self.others_are_up(&process) { after } else { After::Kept };
-        let disk = self.disk(&process);
-        if after == After::Emptied {
+        let disk_fault = if self.others_are_unaffected(&process) { disk_fault } else { DiskFault::None };
+        let disk = self.disk_path(&process);
+        if disk_fault == DiskFault::Wipe {
             self.replace(&process).await;
         } else {
-            if after == After::Cut {
-                let cut = std::fs::OpenOptions::new().write(true).open(&disk);
-                let cut = cut.and_then(|file| file.set_len(file.metadata()?.len() / 2));
-                if let Err(why) = cut {
-                    self.wrong(format!("{}: {why}", disk.display()));
+            if disk_fault == DiskFault::Truncate {
+                let truncated = std::fs::OpenOptions::new().write(true).open(&disk);
+                let truncated = truncated.and_then(|file| file.set_len(file.metadata()?.len() / 2));
+                if let Err(why) = truncated {
+                    self.record_violation(format!("{}: {why}", disk.display()));
                 }
             }
             if let Err(why) = process.start(&self.program) {
-                self.wrong(why);
+                self.record_violation(why);
             }
-            if after == After::Cut {
-                self.ends_and_is_replaced(&process, "cut short").await;
+            if disk_fault == DiskFault::Truncate {
+                self.expect_exit_and_replace(&process, "cut short").await;
             }
         }
-        process.held.set(false);
+        process.under_fault.set(false);
     }
 
     /// Kills one that does not lead, starts it, kills it again after a while, and puts its disk back to the copy of the first time.
-    async fn put_back(&self, who: Option<&str>, length: Duration) {
-        let leader = self.meant(Some("leader"), &self.council).await.map(|process| process.name.clone());
-        let others: Vec<Rc<Process>> =
-            self.council.iter().filter(|process| Some(&process.name) != leader.as_ref()).cloned().collect();
-        let process = self.meant(who, &others).await.filter(|process| !process.held.replace(true));
+    async fn roll_back_disk(&self, target: Option<&str>, duration: Duration) {
+        let leader =
+            self.select_process(Some("leader"), &self.coordinators).await.map(|process| process.name.clone());
+        let others: Vec<Rc<Process>> = self
+            .coordinators
+            .iter()
+            .filter(|process| Some(&process.name) != leader.as_ref())
+            .cloned()
+            .collect();
+        let process =
+            self.select_process(target, &others).await.filter(|process| !process.under_fault.replace(true));
         let Some(process) = process else { return };
-        let (disk, copy) = (self.disk(&process), self.folder.join("older.redb"));
-        if self.others_are_up(&process) {
+        let (disk, copy) = (self.disk_path(&process), self.folder.join("older.redb"));
+        if self.others_are_unaffected(&process) {
             process.kill().await;
             let copied = std::fs::copy(&disk, &copy);
             let started = process.start(&self.program);
-            sleep(length).await;
+            sleep(duration).await;
             process.kill().await;
-            let put = copied.and_then(|_| std::fs::rename(&copy, &disk));
-            if let Err(why) = started.and(put.map_err(|e| e.to_string())).and(process.start(&self.program)) {
-                self.wrong(why);
+            let restored = copied.and_then(|_| std::fs::rename(&copy, &disk));
+            if let Err(why) =
+                started.and(restored.map_err(|e| e.to_string())).and(process.start(&self.program))
+            {
+                self.record_violation(why);
             }
-            self.ends_and_is_replaced(&process, "older than what it has acknowledged").await;
+            self.expect_exit_and_replace(&process, "older than what it has acknowledged").await;
         }
-        process.held.set(false);
+        process.under_fault.set(false);
     }
 
     /// For a while a process's writes beyond a bound within its disk's file fail, and so the one that crosses it in its middle.
-    async fn fail_disk(&self, process: Option<Rc<Process>>, length: Duration) {
-        let Some(process) = process.filter(|process| !process.held.replace(true)) else { return };
-        let bound = self.rng.borrow_mut().random_range(FAILS_BEYOND);
+    async fn fail_disk(&self, process: Option<Rc<Process>>, duration: Duration) {
+        let Some(process) = process.filter(|process| !process.under_fault.replace(true)) else { return };
+        let limit = self.rng.borrow_mut().random_range(FILE_SIZE_LIMITS);
         let id = process.child.borrow().as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id as i32));
         // What it had from this process, whose child it is.
-        let own = getrlimit(Resource::Fsize);
+        let own_limit = getrlimit(Resource::Fsize);
         if let Some(pid) = pid {
-            let bounded = prlimit(Some(pid), Resource::Fsize, Rlimit { current: Some(bound), ..own });
-            sleep(length).await;
-            if let Err(why) = bounded.and_then(|_| prlimit(Some(pid), Resource::Fsize, own)) {
-                self.wrong(format!("{}: its disk cannot be bounded, or stays so: {why}", process.name));
+            let limited = prlimit(Some(pid), Resource::Fsize, Rlimit { current: Some(limit), ..own_limit });
+            sleep(duration).await;
+            if let Err(why) = limited.and_then(|_| prlimit(Some(pid), Resource::Fsize, own_limit)) {
+                self.record_violation(format!(
+                    "{}: its disk cannot be bounded, or stays so: {why}",
+                    process.name
+                ));
             }
         }
-        process.held.set(false);
+        process.under_fault.set(false);
     }
 
-    fn disk(&self, process: &Process) -> PathBuf {
+    fn disk_path(&self, process: &Process) -> PathBuf {
         self.folder.join(format!("{}.redb", process.name))
     }
 
-    fn others_are_up(&self, process: &Process) -> bool {
-        self.council.iter().all(|other| other.name == process.name || !other.held.get())
+    fn others_are_unaffected(&self, process: &Process) -> bool {
+        self.coordinators.iter().all(|other| other.name == process.name || !other.under_fault.get())
     }
 
     /// A process whose disk is not what it left there says why in one line and ends; then it is taken in as another.
-    async fn ends_and_is_replaced(&self, process: &Process, why: &str) {
-        let until = Instant::now() + SETTLE;
+    async fn expect_exit_and_replace(&self, process: &Process, why: &str) {
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         while !process.has_ended() {
-            if Instant::now() > until {
-                return self.wrong(format!("{} goes on, though its disk is {why}", process.name));
+            if Instant::now() > deadline {
+                return self.record_violation(format!("{} goes on, though its disk is {why}", process.name));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         let log = std::fs::read_to_string(&process.log).unwrap_or_default();
-        let last = log.lines().last().unwrap_or_default();
-        if !last.contains(why) || log.contains("panicked") {
-            self.wrong(format!("{} does not say that its disk is {why}: {last}", process.name));
+        let last_line = log.lines().last().unwrap_or_default();
+        if !last_line.contains(why) || log.contains("panicked") {
+            self.record_violation(format!(
+                "{} does not say that its disk is {why}: {last_line}",
+                process.name
+            ));
         }
-        self.ended.set(self.ended.get() + 1);
+        self.self_terminated.set(self.self_terminated.get() + 1);
         self.replace(process).await;
     }
 
     /// Starts a process on an empty disk, and has it taken in.
     async fn replace(&self, process: &Process) {
-        let _ = std::fs::remove_file(self.disk(process));
+        let _ = std::fs::remove_file(self.disk_path(process));
         if let Err(why) = process.start(&self.program) {
-            self.wrong(why);
+            self.record_violation(why);
         }
-        while self.tool(&["fleet", "replace", &process.name]).await != Some(0) {
-            sleep(LOOK_EVERY).await;
+        while self.run_command(&["fleet", "replace", &process.name]).await != Some(0) {
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/lab/src/processes/cluster/servers.rs
+++ b/crates/lab/src/processes/cluster/servers.rs
@@ -2,66 +2,66 @@
 //! judged is what servers were sent: each call carries which process of which agent it was made to, and when.
 
 use super::*;
-use crate::processes::checker::{Opened, Sent};
+use crate::processes::checker::{OpenBarrier, SentRequest};
 use crate::processes::plan::InjectedBug;
 use heronhoist_coordination::state::is_agent;
 use std::collections::HashSet;
 
 /// A call's name: which agent, which process of it, when it was begun (microseconds of the run), and which call.
-type CallName = (usize, u64, Micros, u64);
+type CallId = (usize, u64, Micros, u64);
 
 /// What servers were sent, and what is known of the calls.
 #[derive(Default)]
 pub(super) struct Calls {
     next: Cell<u64>,
-    heard: RefCell<Vec<(String, CallName)>>,
+    received: RefCell<Vec<(String, CallId)>>,
     /// Calls whose agent was one process from before the call to after its answer.
-    whole: RefCell<HashSet<u64>>,
+    single_process: RefCell<HashSet<u64>>,
     /// Which process of an agent had which incarnation.
-    who: RefCell<BTreeMap<(String, u64), u64>>,
+    process_of: RefCell<BTreeMap<(String, u64), u64>>,
     /// Calls that had an answer of a record server, and others.
-    answered: Cell<(u64, u64)>,
+    served: Cell<(u64, u64)>,
 }
 
 impl Calls {
     /// A process of an agent was seen holding this incarnation.
-    pub(super) fn holds(&self, agent: &str, incarnation: u64, process: u64) {
-        self.who.borrow_mut().insert((agent.into(), incarnation), process);
+    pub(super) fn record_lease(&self, agent: &str, incarnation: u64, process: u64) {
+        self.process_of.borrow_mut().insert((agent.into(), incarnation), process);
     }
 
     /// Calls that had an answer of a record server, and others.
-    pub(super) fn answered(&self) -> (u64, u64) {
-        self.answered.get()
+    pub(super) fn call_counts(&self) -> (u64, u64) {
+        self.served.get()
     }
 }
 
-fn call_name(text: &str) -> Option<CallName> {
+fn parse_call_id(text: &str) -> Option<CallId> {
     let mut parts = text.split('.').map(|part| u64::from_str_radix(part, 16).ok());
     let mut next = || parts.next().flatten();
     Some((next()? as usize, next()?, next()?, next()?))
 }
 
 /// Answers each request, and notes its name.
-async fn serve(name: String, mut stream: TcpStream, cluster: Rc<ProcessCluster>) {
-    let mut head = Vec::new();
+async fn serve_connection(name: String, mut stream: TcpStream, cluster: Rc<ProcessCluster>) {
+    let mut buffer = Vec::new();
     loop {
-        while let Some(end) = head.windows(4).position(|window| window == b"\r\n\r\n") {
-            let text = String::from_utf8_lossy(&head[..end]).into_owned();
-            head.drain(..end + 4);
-            let named = text.lines().find_map(|line| {
+        while let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
+            let text = String::from_utf8_lossy(&buffer[..end]).into_owned();
+            buffer.drain(..end + 4);
+            let call_id = text.lines().find_map(|line| {
                 let (key, value) = line.split_once(':')?;
-                key.eq_ignore_ascii_case("x-call-id").then(|| call_name(value.trim())).flatten()
+                key.eq_ignore_ascii_case("x-call-id").then(|| parse_call_id(value.trim())).flatten()
             });
-            if let Some(named) = named {
-                cluster.calls.heard.borrow_mut().push((name.clone(), named));
+            if let Some(call_id) = call_id {
+                cluster.calls.received.borrow_mut().push((name.clone(), call_id));
             }
-            let took = cluster.rng.borrow_mut().random_range(1..20);
-            sleep(Duration::from_millis(took)).await;
+            let service_time = cluster.rng.borrow_mut().random_range(1..20);
+            sleep(Duration::from_millis(service_time)).await;
             if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.is_err() {
                 return;
             }
         }
-        if !matches!(stream.read_buf(&mut head).await, Ok(n) if n > 0) {
+        if !matches!(stream.read_buf(&mut buffer).await, Ok(n) if n > 0) {
             return;
         }
     }
@@ -69,12 +69,12 @@
 
 impl ProcessCluster {
     /// Starts the record servers behind the listeners that they were given.
-    pub(super) fn serve(self: &Rc<Self>) {
+    pub(super) fn start_servers(self: &Rc<Self>) {
         for (name, listener) in self.listeners.take() {
             let cluster = Rc::clone(self);
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(serve(name.clone(), stream, Rc::clone(&cluster)));
+                    spawn_local(serve_connection(name.clone(), stream, Rc::clone(&cluster)));
                 }
             });
         }
@@ -83,34 +83,34 @@
     /// Calls one agent again and again.
     pub(super) async fn call_agent(self: Rc<Self>, number: usize) {
         let (agent, front) = (Rc::clone(&self.agents[number]), self.fronts[number]);
-        while !self.healed.get() {
+        while !self.faults_ended.get() {
             let pause = self.rng.borrow_mut().random_range(5..40);
             sleep(Duration::from_millis(pause)).await;
-            let (process, begun, call) = (agent.starts.get(), self.now(), self.calls.next.get());
+            let (start_count, started_at, call) = (agent.starts.get(), self.now(), self.calls.next.get());
             self.calls.next.set(call + 1);
-            let calling = async {
+            let exchange = async {
                 let mut stream = TcpStream::connect(front).await.ok()?;
                 let head = format!(
-                    "GET /lookup HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Call-Id: {number:x}.{process:x}.{begun:x}.{call:x}\r\n\
+                    "GET /lookup HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Call-Id: {number:x}.{start_count:x}.{started_at:x}.{call:x}\r\n\
                      X-Call-Class: lookup\r\nX-Caller: lab\r\nX-Budget-Ms: 1000\r\n\r\n"
                 );
                 stream.write_all(head.as_bytes()).await.ok()?;
-                let mut answer = Vec::new();
-                stream.read_to_end(&mut answer).await.ok()?;
-                answer.starts_with(b"HTTP/1.1 200").then_some(())
+                let mut received = Vec::new();
+                stream.read_to_end(&mut received).await.ok()?;
+                received.starts_with(b"HTTP/1.1 200").then_some(())
             };
-            let served = timeout(Duration::from_secs(3), calling).await.ok().flatten().is_some();
-            let (answered, others) = self.calls.answered.get();
-            self.calls.answered.set((answered + u64::from(served), others + u64::from(!served)));
-            if agent.starts.get() == process {
-                self.calls.whole.borrow_mut().insert(call);
+            let is_served = timeout(Duration::from_secs(3), exchange).await.ok().flatten().is_some();
+            let (served, failed) = self.calls.served.get();
+            self.calls.served.set((served + u64::from(is_served), failed + u64::from(!is_served)));
+            if agent.starts.get() == start_count {
+                self.calls.single_process.borrow_mut().insert(call);
             }
         }
     }
 
     /// The agents that have said that they can serve, by name and incarnation.
-    async fn living(&self, asker: &mut Asker) -> BTreeMap<String, u64> {
-        let view = asker.view("drain/", PATIENCE).await;
+    async fn living_agents(&self, client: &mut CoordinationClient) -> BTreeMap<String, u64> {
+        let view = client.view("drain/", OPERATION_TIMEOUT).await;
         let members = view.into_iter().flat_map(|view| view.members);
         let living = members.filter(|(name, m)| is_agent(name) && m.status == MemberStatus::Living);
         living.map(|(name, member)| (name, member.incarnation)).collect()
@@ -118,56 +118,61 @@
 
     /// Drains one server after the other, with the program's own commands.
     pub(super) async fn drainer(self: Rc<Self>, number: usize) {
-        let mut asker = Asker::new(&self, &format!("d{number}"));
-        while !self.healed.get() {
-            let [pause, stands] =
+        let mut client = CoordinationClient::new(&self, &format!("d{number}"));
+        while !self.faults_ended.get() {
+            let [pause, open_duration] =
                 [100..1500, 200..2000].map(|range| self.rng.borrow_mut().random_range(range));
             sleep(Duration::from_millis(pause)).await;
             let server = format!("s{}", self.rng.borrow_mut().random_range(0..self.plan.servers.max(1)));
-            let before = self.living(&mut asker).await;
+            let holders_before = self.living_agents(&mut client).await;
             // Planted: nobody is waited for.
-            let waits = (self.plan.planted != InjectedBug::BarrierForgets).then_some("--wait");
-            let words: Vec<&str> =
-                ["drain", "server", &server, "--why", "lab"].into_iter().chain(waits).collect();
-            let entered = self.tool(&words).await;
-            if entered == Some(0) {
+            let wait_flag =
+                (self.plan.injected_bug != InjectedBug::BarrierIgnoresSilentAgents).then_some("--wait");
+            let arguments: Vec<&str> =
+                ["drain", "server", &server, "--why", "lab"].into_iter().chain(wait_flag).collect();
+            let exit_code = self.run_command(&arguments).await;
+            if exit_code == Some(0) {
                 // Whoever was there before and after was there when the barrier opened.
-                let mut living = self.living(&mut asker).await;
-                living.retain(|name, incarnation| before.get(name) == Some(incarnation));
-                let at = self.seen.borrow().opened.len();
-                self.seen.borrow_mut().opened.push(Opened {
+                let mut lease_holders = self.living_agents(&mut client).await;
+                lease_holders.retain(|name, incarnation| holders_before.get(name) == Some(incarnation));
+                let barrier_index = self.observations.borrow().open_barriers.len();
+                self.observations.borrow_mut().open_barriers.push(OpenBarrier {
                     server: server.clone(),
                     from: self.now(),
                     to: None,
-                    living,
+                    lease_holders,
                 });
-                sleep(Duration::from_millis(stands)).await;
-                self.seen.borrow_mut().opened[at].to = Some(self.now());
+                sleep(Duration::from_millis(open_duration)).await;
+                self.observations.borrow_mut().open_barriers[barrier_index].to = Some(self.now());
             }
             // One that was not allowed was entered by nobody, or by another, who takes it back; one that was killed or stopped, or
             // had no answer, may stand.
-            if entered != Some(3) {
-                while !matches!(self.tool(&["undrain", "server", &server]).await, Some(0 | 3)) {
-                    sleep(LOOK_EVERY).await;
+            if exit_code != Some(3) {
+                while !matches!(self.run_command(&["undrain", "server", &server]).await, Some(0 | 3)) {
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         }
     }
 
     /// What servers were sent, in the judge's terms.
-    pub(super) fn sent(&self) -> Vec<Sent> {
-        let (whole, who) = (self.calls.whole.borrow(), self.calls.who.borrow());
-        let mut sent = Vec::new();
-        for (server, (agent, process, at, call)) in self.calls.heard.borrow().iter() {
-            let Some(agent) = self.agents.get(*agent).filter(|_| whole.contains(call)) else { continue };
-            let its = who.iter().filter(|((name, _), of)| *name == agent.name && *of == process);
-            sent.extend(its.map(|((name, incarnation), _)| Sent {
+    pub(super) fn requests_received(&self) -> Vec<SentRequest> {
+        let (single_process, process_of) =
+            (self.calls.single_process.borrow(), self.calls.process_of.borrow());
+        let mut requests = Vec::new();
+        for (server, (agent, start_count, sent_at, call)) in self.calls.received.borrow().iter() {
+            let Some(agent) = self.agents.get(*agent).filter(|_| single_process.contains(call)) else {
+                continue;
+            };
+            let incarnations =
+                process_of.iter().filter(|((name, _), of)| *name == agent.name && *of == start_count);
+            requests.extend(incarnations.map(|((name, incarnation), _)| SentRequest {
                 agent: name.clone(),
                 incarnation: *incarnation,
                 server: server.clone(),
-                at: *at,
+                sent_at: *sent_at,
             }));
         }
-        sent
+        requests
     }
 }
--- a/crates/lab/src/processes/links.rs
+++ b/crates/lab/src/processes/links.rs
@@ -1,5 +1,5 @@
-//! Real links with faults: a proxy before each process, which tells who calls by the first words of a connection, and does to
-//! each direction between two processes what is set for it.
+//! Real links with faults. A proxy in front of each process identifies the sender by the first bytes of a connection, and applies
+//! the mode that is set for each direction between two processes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,148 +13,151 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What is read to find out who calls.
-const FIRST_MOST: usize = 64 * 1024;
-const CHUNK: usize = 16 * 1024;
-/// A dripping link passes so many bytes at a time, and so often.
-const DRIP_EVERY: Duration = Duration::from_millis(20);
+/// The maximum number of bytes that are read to identify the sender of a connection.
+const MAX_FIRST_BYTES: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
+/// The interval between the writes of a throttled link.
+const THROTTLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a direction does to what passes it.
+/// How a direction between two processes treats the data that is sent over it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Does {
-    /// It passes.
+pub enum LinkMode {
+    /// The data is forwarded.
     #[default]
-    Passes,
-    /// It is lost, and nobody is told; the connection never comes to itself.
-    Drops,
-    /// The connection is reset.
-    Resets,
-    /// It comes so much later.
-    Delays(Duration),
-    /// So many bytes a second pass.
-    Drips(u64),
-    /// It waits until it is let go.
-    Holds,
+    Forward,
+    /// The data is lost without an error at either end. A connection that has lost data never recovers.
+    Drop,
+    /// The connection is closed.
+    Reset,
+    /// The data is forwarded after this delay.
+    Delay(Duration),
+    /// At most this many bytes per second are forwarded.
+    Throttle(u64),
+    /// The data is held back until the mode changes.
+    Hold,
 }
 
-/// All directions, by the names of the two processes; those that are not here pass.
+/// The modes of all directions, by the names of the sender and the receiver. A direction without an entry forwards.
 #[derive(Clone, Default)]
 pub struct Links {
-    does: Rc<RefCell<BTreeMap<(String, String), Does>>>,
+    modes: Rc<RefCell<BTreeMap<(String, String), LinkMode>>>,
     changed: Rc<Notify>,
 }
 
 impl Links {
-    /// From now on this direction does so.
-    pub fn set(&self, from: &str, to: &str, does: Does) {
-        self.does.borrow_mut().insert((from.into(), to.into()), does);
+    /// Sets the mode of a direction.
+    pub fn set(&self, from: &str, to: &str, mode: LinkMode) {
+        self.modes.borrow_mut().insert((from.into(), to.into()), mode);
         self.changed.notify_waiters();
     }
 
-    /// All pass.
+    /// Makes all directions forward.
     pub fn clear(&self) {
-        self.does.borrow_mut().clear();
+        self.modes.borrow_mut().clear();
         self.changed.notify_waiters();
     }
 
-    fn does(&self, from: &str, to: &str) -> Does {
-        let does = self.does.borrow();
-        does.get(&(from.to_string(), to.to_string())).copied().unwrap_or_default()
+    fn mode(&self, from: &str, to: &str) -> LinkMode {
+        let modes = self.modes.borrow();
+        modes.get(&(from.to_string(), to.to_string())).copied().unwrap_or_default()
     }
 
-    /// A proxy before the process of this name that listens there; the proxy's own address.
-    pub async fn before(&self, name: &str, target: SocketAddr) -> std::io::Result<SocketAddr> {
+    /// Starts a proxy in front of the process with this name, which listens on `target`. Returns the address of the proxy.
+    pub async fn start_proxy(&self, name: &str, target: SocketAddr) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let (links, name) = (self.clone(), name.to_string());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(links.clone().connection(stream, name.clone(), target));
+                spawn_local(links.clone().relay_connection(stream, name.clone(), target));
             }
         });
         Ok(address)
     }
 
-    async fn connection(self, mut caller: TcpStream, to: String, target: SocketAddr) {
-        let _ = caller.set_nodelay(true);
-        let mut first = vec![0; CHUNK];
+    async fn relay_connection(self, mut client: TcpStream, to: String, target: SocketAddr) {
+        let _ = client.set_nodelay(true);
+        let mut first_bytes = vec![0; CHUNK_BYTES];
         let mut length = 0;
         let from = loop {
-            match caller.read(&mut first[length..]).await {
+            match client.read(&mut first_bytes[length..]).await {
                 Ok(n) if n > 0 => length += n,
                 _ => return,
             }
-            if let Some(name) = caller_of(&first[..length]) {
+            if let Some(name) = sender_of(&first_bytes[..length]) {
                 break name;
             }
-            if length == first.len() {
-                if length >= FIRST_MOST {
+            if length == first_bytes.len() {
+                if length >= MAX_FIRST_BYTES {
                     return;
                 }
-                first.resize(2 * length, 0);
+                first_bytes.resize(2 * length, 0);
             }
         };
-        first.truncate(length);
+        first_bytes.truncate(length);
         let Ok(stream) = TcpStream::connect(target).await else { return };
         let _ = stream.set_nodelay(true);
-        let ((caller_reads, caller_writes), (reads, writes)) = (caller.into_split(), stream.into_split());
-        let there = self.clone().pump(first, caller_reads, writes, from.clone(), to.clone());
-        let back = self.pump(Vec::new(), reads, caller_writes, to, from);
-        // Whichever side ends, the connection has ended.
+        let ((client_reader, client_writer), (server_reader, server_writer)) =
+            (client.into_split(), stream.into_split());
+        let to_server =
+            self.clone().relay_direction(first_bytes, client_reader, server_writer, from.clone(), to.clone());
+        let to_client = self.relay_direction(Vec::new(), server_reader, client_writer, to, from);
+        // The connection ends when either side closes it.
         tokio::select! {
-            () = there => {}
-            () = back => {}
+            () = to_server => {}
+            () = to_client => {}
         }
     }
 
-    async fn pump(
+    async fn relay_direction(
         self,
-        first: Vec<u8>,
-        mut reads: OwnedReadHalf,
-        mut writes: OwnedWriteHalf,
+        first_bytes: Vec<u8>,
+        mut reader: OwnedReadHalf,
+        mut writer: OwnedWriteHalf,
         from: String,
         to: String,
     ) {
-        let mut chunk = first;
-        let mut lost = false;
+        let mut chunk = first_bytes;
+        let mut data_lost = false;
         loop {
             if chunk.is_empty() {
-                chunk.resize(CHUNK, 0);
-                match reads.read(&mut chunk).await {
+                chunk.resize(CHUNK_BYTES, 0);
+                match reader.read(&mut chunk).await {
                     Ok(n) if n > 0 => chunk.truncate(n),
                     _ => return,
                 }
             }
             loop {
                 let changed = self.changed.notified();
-                match self.does(&from, &to) {
-                    Does::Passes => break,
-                    Does::Drops => {
-                        lost = true;
+                match self.mode(&from, &to) {
+                    LinkMode::Forward => break,
+                    LinkMode::Drop => {
+                        data_lost = true;
                         break;
                     }
-                    Does::Resets => return,
-                    Does::Delays(late) => {
-                        sleep(late).await;
+                    LinkMode::Reset => return,
+                    LinkMode::Delay(delay) => {
+                        sleep(delay).await;
                         break;
                     }
-                    Does::Drips(rate) => {
-                        let most = (rate as f64 * DRIP_EVERY.as_secs_f64()).ceil() as usize;
-                        let rest = chunk.split_off(most.clamp(1, chunk.len()));
-                        if !lost && writes.write_all(&chunk).await.is_err() {
+                    LinkMode::Throttle(bytes_per_second) => {
+                        let max_bytes =
+                            (bytes_per_second as f64 * THROTTLE_INTERVAL.as_secs_f64()).ceil() as usize;
+                        let rest = chunk.split_off(max_bytes.clamp(1, chunk.len()));
+                        if !data_lost && writer.write_all(&chunk).await.is_err() {
                             return;
                         }
                         chunk = rest;
-                        sleep(DRIP_EVERY).await;
+                        sleep(THROTTLE_INTERVAL).await;
                         if chunk.is_empty() {
                             break;
                         }
                     }
-                    Does::Holds => changed.await,
+                    LinkMode::Hold => changed.await,
                 }
             }
-            // What has lost a part is no stream any more.
-            if !lost && writes.write_all(&chunk).await.is_err() {
+            // A stream that has lost data can't be continued, so nothing more is written.
+            if !data_lost && writer.write_all(&chunk).await.is_err() {
                 return;
             }
             chunk.clear();
@@ -162,10 +165,11 @@
     }
 }
 
-/// Who calls, as the envelope of its first message says.
-fn caller_of(first: &[u8]) -> Option<String> {
-    const MARK: &[u8] = b"\"from\":\"";
-    let at = first.windows(MARK.len()).position(|window| window == MARK)? + MARK.len();
-    let length = first[at..].iter().position(|byte| *byte == b'"')?;
-    String::from_utf8(first[at..at + length].to_vec()).ok()
+/// Returns the sender that the envelope of the first message names.
+fn sender_of(first_bytes: &[u8]) -> Option<String> {
+    const SENDER_KEY: &[u8] = b"\"from\":\"";
+    let start =
+        first_bytes.windows(SENDER_KEY.len()).position(|window| window == SENDER_KEY)? + SENDER_KEY.len();
+    let length = first_bytes[start..].iter().position(|byte| *byte == b'"')?;
+    String::from_utf8(first_bytes[start..start + length].to_vec()).ok()
 }
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -1,5 +1,5 @@
-//! Scenarios of several processes that agree: a council, agents, operators, and faults of links and processes. Strict; every
-//! fault of a file is told with its place.
+//! Scenarios of cooperating processes: coordinator processes, agents, operators, and faults of links, disks and processes. Parsing
+//! is strict: every error in a scenario file is reported with its line and column.
 
 use crate::server_model::Micros;
 use heronhoist_config::reader::{
@@ -9,198 +9,200 @@
 use heronhoist_coordination::lease::LeaseTerms;
 use toml::de::DeValue;
 
-/// A run, but for its seed.
+/// The settings of a run, without its seed.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// How long faults come; then all is healed, and everything must come right.
+    /// How long faults are injected, in microseconds. All of them end then, and every process must recover.
     pub duration: Micros,
-    /// Council processes.
+    /// The number of coordinator processes.
     pub coordinators: usize,
-    /// Of leases.
-    pub terms: LeaseTerms,
-    /// How often a council process is given a tick.
-    pub tick: Micros,
-    /// Log entries that are kept behind a snapshot.
+    /// The duration of leases and the maximum drift of clocks.
+    pub lease_terms: LeaseTerms,
+    /// The interval between the ticks of a coordinator process.
+    pub tick_interval: Micros,
+    /// The number of log entries that are kept after a snapshot.
     pub log_entries: usize,
-    /// Changes that are kept for watchers.
+    /// The number of changes that are kept for watches.
     pub changes: usize,
-    /// Agents, and over how many sites.
+    /// The number of agents.
     pub agents: usize,
-    /// Sites.
+    /// The number of sites, to which the agents are assigned in turn.
     pub sites: usize,
-    /// Clients that read and write records.
+    /// The number of clients that read and write records.
     pub clients: usize,
-    /// The mean pause between two operations of one client.
-    pub pause: Micros,
-    /// Watchers of all changes.
+    /// The mean pause between two operations of a client.
+    pub mean_client_pause: Micros,
+    /// The number of clients that watch all changes.
     pub watchers: usize,
-    /// Operators that take agents out under permits.
+    /// The number of operators that take agents out of service under permits.
     pub operators: usize,
-    /// Permits for agents of a site at a time.
-    pub permits: u32,
-    /// Record servers to which agents send.
+    /// The maximum number of agents of a site that may be out under permits at the same time.
+    pub permits_per_site: u32,
+    /// The number of record servers to which the agents send requests.
     pub servers: usize,
-    /// Operators that drain servers.
+    /// The number of operators that drain servers.
     pub drainers: usize,
-    /// Servers that may be out at a time.
-    pub servers_out: u32,
-    /// One way between two processes,
-    pub one_way: Micros,
-    /// and up to so much more.
-    pub spread: Micros,
-    /// A fault begins about so often; none if 0.
-    pub every: Micros,
-    /// A fault lasts so long at most.
-    pub most: Micros,
-    /// Which faults are drawn.
-    pub faults: Vec<Kind>,
-    /// Faults at stated times.
-    pub listed: Vec<Listed>,
-    /// Messages and bytes at the leader are counted.
-    pub measured: bool,
-    /// What is wrong on purpose.
-    pub planted: InjectedBug,
+    /// The maximum number of servers that may be out at the same time.
+    pub max_servers_out: u32,
+    /// The minimum delay of a message between two processes.
+    pub link_delay: Micros,
+    /// The maximum random delay that is added to `link_delay`.
+    pub link_jitter: Micros,
+    /// The mean interval between the starts of random faults; 0 disables them.
+    pub fault_interval: Micros,
+    /// The maximum duration of a random fault.
+    pub max_fault_duration: Micros,
+    /// The kinds from which random faults are drawn.
+    pub fault_kinds: Vec<FaultKind>,
+    /// The faults that start at a given time.
+    pub scheduled_faults: Vec<ScheduledFault>,
+    /// Whether the messages and bytes that the leader sends and receives are counted.
+    pub measure_leader_traffic: bool,
+    /// The bug that is injected to check that the invariants detect it.
+    pub injected_bug: InjectedBug,
 }
 
-/// A fault at a stated time.
+/// A fault that starts at a given time.
 #[derive(Debug, Clone)]
-pub struct Listed {
-    /// When it begins.
-    pub at: Micros,
-    /// What.
-    pub what: Kind,
-    /// To whom: a process as c0, a3, o1, or `leader`; none to draw one.
-    pub who: Option<String>,
-    /// The other end of a link.
-    pub to: Option<String>,
-    /// How long.
-    pub length: Micros,
+pub struct ScheduledFault {
+    /// When the fault starts.
+    pub starts_at: Micros,
+    /// The kind of the fault.
+    pub kind: FaultKind,
+    /// The affected process, such as c0, a3, o1 or `leader`; `None` selects one at random.
+    pub target: Option<String>,
+    /// The other end of an affected link.
+    pub peer: Option<String>,
+    /// How long the fault lasts.
+    pub duration: Micros,
 }
 
 /// The kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// A council process is stopped (SIGSTOP) and woken.
-    StopCouncil,
-    /// A council process is killed, and started again on its disk.
-    KillCouncil,
-    /// A council process is killed and comes back with an empty disk; it is replaced by what it is now.
-    EmptyDisk,
-    /// A council process is killed, and its disk is cut short: it must say so and not start, and is replaced.
-    CutDisk,
-    /// A council process is killed twice; before it starts for the second time, its disk is put back to a copy from the first. Once
-    /// it hears of that it must end, and is replaced. Safe only while the others keep a leader.
-    OldDisk,
-    /// The disk of a council process fails for a while: a write, from any on, fails before anything of it is kept, in its middle or
-    /// after all of it is, and the process is told so or killed. It must go on from what the disk holds, once that works.
+pub enum FaultKind {
+    /// A coordinator process is suspended (SIGSTOP) and resumed.
+    SuspendCoordinator,
+    /// A coordinator process is killed and restarted with its disk.
+    KillCoordinator,
+    /// A coordinator process is killed and restarted with an empty disk. It is a new member, which replaces the old one.
+    WipeDisk,
+    /// A coordinator process is killed and its disk is truncated. It must report this and refuse to start; then it is replaced.
+    TruncateDisk,
+    /// A coordinator process is killed twice. Before its second restart, its disk is set back to a copy from the first kill. Once
+    /// the process learns from the others that its disk is too old, it must exit, and it is replaced. This is safe only while the
+    /// others keep a leader.
+    RollBackDisk,
+    /// The disk of a coordinator process fails for a while. From some write on, a write fails before any of it is stored, in its
+    /// middle or after all of it is stored, and the process gets an error or is killed. Once the disk works again, the process must
+    /// continue from what the disk holds.
     FailDisk,
-    /// An agent is stopped and woken.
-    StopAgent,
-    /// An agent is killed and started again.
+    /// An agent is suspended and resumed.
+    SuspendAgent,
+    /// An agent is killed and restarted.
     KillAgent,
-    /// An agent is stopped, another process of its name is started, and the first one is woken.
-    TwinAgent,
-    /// An operator's wrapper is stopped and woken.
-    StopOperator,
-    /// An operator's wrapper is killed; another one is started.
+    /// An agent is suspended, another process with the same name is started, and the first one is resumed.
+    DuplicateAgent,
+    /// An operator's wrapper is suspended and resumed.
+    SuspendOperator,
+    /// An operator's wrapper is killed and another one is started.
     KillOperator,
-    /// Nothing passes a link, in both directions, and nobody is told.
-    Cut,
-    /// Nothing passes a link in one direction.
-    OneWay,
-    /// The processes fall into two parts that do not reach each other.
-    Split,
-    /// Each of three council processes is cut from one other.
-    Ring,
-    /// What passes a link is late by up to five seconds.
-    Slow,
-    /// What passes a link is held, and let go all at once.
-    Hold,
-    /// Replies of a council process to those who are not of the council are lost.
-    LostReplies,
-    /// All that a process says or hears comes late by some seconds.
-    SlowProcess,
-    /// A council process is cut from everybody.
-    Isolate,
+    /// A link drops all messages in both directions, without an error at either end.
+    CutLink,
+    /// A link drops all messages in one direction.
+    CutOneWay,
+    /// The processes are partitioned into two groups that cannot reach each other.
+    Partition,
+    /// Each coordinator process is cut off from the next one, in a ring.
+    CutRing,
+    /// A link delays messages by up to five seconds.
+    DelayLink,
+    /// A link holds back all messages and then delivers them at once.
+    HoldLink,
+    /// The replies of a coordinator process to all but the other coordinator processes are lost.
+    DropReplies,
+    /// All messages to and from a coordinator process are delayed by up to five seconds.
+    DelayProcess,
+    /// A coordinator process is cut off from all other processes.
+    IsolateCoordinator,
 }
 
-const KINDS: [(&str, Kind); 20] = [
-    ("stop-council", Kind::StopCouncil),
-    ("kill-council", Kind::KillCouncil),
-    ("empty-disk", Kind::EmptyDisk),
-    ("cut-disk", Kind::CutDisk),
-    ("old-disk", Kind::OldDisk),
-    ("fail-disk", Kind::FailDisk),
-    ("stop-agent", Kind::StopAgent),
-    ("kill-agent", Kind::KillAgent),
-    ("twin-agent", Kind::TwinAgent),
-    ("stop-operator", Kind::StopOperator),
-    ("kill-operator", Kind::KillOperator),
-    ("cut", Kind::Cut),
-    ("one-way", Kind::OneWay),
-    ("split", Kind::Split),
-    ("ring", Kind::Ring),
-    ("slow", Kind::Slow),
-    ("hold", Kind::Hold),
-    ("lost-replies", Kind::LostReplies),
-    ("slow-process", Kind::SlowProcess),
-    ("isolate", Kind::Isolate),
+const FAULT_KINDS: [(&str, FaultKind); 20] = [
+    ("stop-council", FaultKind::SuspendCoordinator),
+    ("kill-council", FaultKind::KillCoordinator),
+    ("empty-disk", FaultKind::WipeDisk),
+    ("cut-disk", FaultKind::TruncateDisk),
+    ("old-disk", FaultKind::RollBackDisk),
+    ("fail-disk", FaultKind::FailDisk),
+    ("stop-agent", FaultKind::SuspendAgent),
+    ("kill-agent", FaultKind::KillAgent),
+    ("twin-agent", FaultKind::DuplicateAgent),
+    ("stop-operator", FaultKind::SuspendOperator),
+    ("kill-operator", FaultKind::KillOperator),
+    ("cut", FaultKind::CutLink),
+    ("one-way", FaultKind::CutOneWay),
+    ("split", FaultKind::Partition),
+    ("ring", FaultKind::CutRing),
+    ("slow", FaultKind::DelayLink),
+    ("hold", FaultKind::HoldLink),
+    ("lost-replies", FaultKind::DropReplies),
+    ("slow-process", FaultKind::DelayProcess),
+    ("isolate", FaultKind::IsolateCoordinator),
 ];
 
-/// What is done wrongly on purpose, to see that it is found.
+/// A bug that is injected on purpose, to check that the invariants detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// Nothing.
+    /// No bug.
     Nothing,
-    /// A disk acknowledges before it has kept anything.
+    /// A disk acknowledges writes before they are stored.
     AckBeforeSync,
-    /// A council process acknowledges a step whose write has failed, and hears of the failure only then.
+    /// A coordinator process acknowledges a step whose write has failed, and learns of the failure only afterwards.
     AckBeforeFailedSync,
-    /// A council process answers reads from what it has.
+    /// A coordinator process answers reads from its local state, which may be stale.
     StaleRead,
-    /// A command that is asked again is carried out again.
-    AppliedTwice,
-    /// A holder counts its lease from when the grant came, by a clock that it takes for exact.
+    /// A repeated command is applied again.
+    RetryAppliedTwice,
+    /// A lease holder counts the duration of its lease from when the grant arrived, and assumes that its clock is exact.
     LeaseWithoutMargin,
-    /// A permit whose taker's lease has ended is taken for free.
-    FreedBySilence,
-    /// A budget is counted before the step that takes, and not looked at in it.
-    CountedBefore,
-    /// The barrier of a drain forgets agents that have never said anything of it.
-    BarrierForgets,
-    /// Operators agree on nothing: each takes out what it wants.
-    Alone,
+    /// A permit counts as free once the lease of its holder has ended.
+    PermitFreedWithLease,
+    /// A budget is checked before a permit or drain is written, but the write isn't conditional on what was counted.
+    BudgetChecksRemoved,
+    /// The barrier of a drain doesn't wait for agents that have never written an acknowledgement.
+    BarrierIgnoresSilentAgents,
+    /// Operators ignore the budgets, so each takes out what it selects.
+    BudgetsIgnored,
 }
 
-const PLANTED: [(&str, InjectedBug); 10] = [
+const INJECTED_BUGS: [(&str, InjectedBug); 10] = [
     ("nothing", InjectedBug::Nothing),
     ("ack-before-sync", InjectedBug::AckBeforeSync),
     ("ack-before-failed-sync", InjectedBug::AckBeforeFailedSync),
     ("stale-read", InjectedBug::StaleRead),
-    ("applied-twice", InjectedBug::AppliedTwice),
+    ("applied-twice", InjectedBug::RetryAppliedTwice),
     ("lease-without-margin", InjectedBug::LeaseWithoutMargin),
-    ("freed-by-silence", InjectedBug::FreedBySilence),
-    ("counted-before", InjectedBug::CountedBefore),
-    ("barrier-forgets", InjectedBug::BarrierForgets),
-    ("alone", InjectedBug::Alone),
+    ("freed-by-silence", InjectedBug::PermitFreedWithLease),
+    ("counted-before", InjectedBug::BudgetChecksRemoved),
+    ("barrier-forgets", InjectedBug::BarrierIgnoresSilentAgents),
+    ("alone", InjectedBug::BudgetsIgnored),
 ];
 
-fn words<T>(words: &[(&str, T)]) -> String {
-    words.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ")
+fn joined_names<T>(entries: &[(&str, T)]) -> String {
+    entries.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ")
 }
 
-/// Whether a scenario is one of these.
+/// Returns whether a scenario is one of cooperating processes.
 pub fn is_council_scenario(text: &str) -> bool {
     text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("council"))
 }
 
-/// Reads a scenario.
+/// Parses a scenario.
 pub fn parse(text: &str) -> Result<Plan, Vec<Fault>> {
     let table = parse_toml(text)?;
     let (mut reader, root) = Reader::new(text, &table, &|_| None);
-    let plan = read(&mut reader, root);
+    let plan = read_plan(&mut reader, root);
     let mut faults = std::mem::take(&mut reader.faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
     match plan {
@@ -209,48 +211,49 @@
     }
 }
 
-fn ms<'t>(
+fn milliseconds<'t>(
     reader: &mut Reader<'t>,
     section: &mut Section<'t>,
     key: &'static str,
-    absent: Presence<f64>,
+    presence: Presence<f64>,
 ) -> Option<Micros> {
-    let wanted = "milliseconds, 0 to 1e8";
+    let expected = "milliseconds, 0 to 1e8";
     let read = |value: &DeValue<'_>| number(value).filter(|n| (0.0..=1e8).contains(n));
-    reader.get(section, key, absent, wanted, read).map(|n| (n * 1e3) as Micros)
+    reader.get(section, key, presence, expected, read).map(|n| (n * 1e3) as Micros)
 }
 
 fn count<'t>(
     reader: &mut Reader<'t>,
     section: &mut Section<'t>,
     key: &'static str,
-    (absent, least, most): (usize, usize, usize),
+    (default, min, max): (usize, usize, usize),
 ) -> Option<usize> {
     let read = move |value: &DeValue<'_>| {
-        integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| (least..=most).contains(n))
+        integer(value).and_then(|n| usize::try_from(n).ok()).filter(|n| (min..=max).contains(n))
     };
-    reader.get(section, key, Presence::Default(absent), &format!("{least} to {most}"), read)
+    reader.get(section, key, Presence::Default(default), &format!("{min} to {max}"), read)
 }
 
-fn read<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<Plan> {
+fn read_plan<'t>(reader: &mut Reader<'t>, mut root: Section<'t>) -> Option<Plan> {
     let name = reader.get(&mut root, "name", Presence::Required, "a name", text);
-    let length = ms(reader, &mut root, "length_ms", Presence::Required);
-    let measured = reader.get(&mut root, "measured", Presence::Default(false), "true or false", boolean);
-    let planted = reader.get(
+    let duration = milliseconds(reader, &mut root, "length_ms", Presence::Required);
+    let measure_leader_traffic =
+        reader.get(&mut root, "measured", Presence::Default(false), "true or false", boolean);
+    let injected_bug = reader.get(
         &mut root,
         "planted",
         Presence::Default(InjectedBug::Nothing),
-        &format!("one of {}", words(&PLANTED)),
-        one_of(&PLANTED),
+        &format!("one of {}", joined_names(&INJECTED_BUGS)),
+        one_of(&INJECTED_BUGS),
     );
 
     let mut section = reader.section(&mut root, "council");
-    let council = count(reader, &mut section, "processes", (3, 1, 9));
-    let term = ms(reader, &mut section, "lease_ms", Presence::Default(3000.0));
-    let drift = reader.get(&mut section, "drift", Presence::Default(0.01), "0 to 0.2", |value| {
+    let coordinators = count(reader, &mut section, "processes", (3, 1, 9));
+    let lease_duration = milliseconds(reader, &mut section, "lease_ms", Presence::Default(3000.0));
+    let max_clock_drift = reader.get(&mut section, "drift", Presence::Default(0.01), "0 to 0.2", |value| {
         number(value).filter(|n| (0.0..=0.2).contains(n))
     });
-    let tick = ms(reader, &mut section, "tick_ms", Presence::Default(50.0));
+    let tick_interval = milliseconds(reader, &mut section, "tick_ms", Presence::Default(50.0));
     let log_entries = count(reader, &mut section, "log_entries", (4096, 8, 1 << 20));
     let changes = count(reader, &mut section, "changes", (4096, 64, 1 << 20));
     reader.finish(section);
@@ -262,79 +265,81 @@
 
     let mut section = reader.section(&mut root, "clients");
     let clients = count(reader, &mut section, "count", (0, 0, 1000));
-    let pause = ms(reader, &mut section, "pause_ms", Presence::Default(100.0));
+    let mean_client_pause = milliseconds(reader, &mut section, "pause_ms", Presence::Default(100.0));
     let watchers = count(reader, &mut section, "watchers", (0, 0, 1000));
     reader.finish(section);
 
     let mut section = reader.section(&mut root, "permits");
     let operators = count(reader, &mut section, "operators", (0, 0, 100));
-    let permits = count(reader, &mut section, "most", (2, 1, 1000));
+    let permits_per_site = count(reader, &mut section, "most", (2, 1, 1000));
     reader.finish(section);
 
     let mut section = reader.section(&mut root, "servers");
     let servers = count(reader, &mut section, "count", (0, 0, 1000));
     let drainers = count(reader, &mut section, "drainers", (0, 0, 100));
-    let servers_out = count(reader, &mut section, "most_out", (2, 1, 1000));
+    let max_servers_out = count(reader, &mut section, "most_out", (2, 1, 1000));
     reader.finish(section);
 
     let mut section = reader.section(&mut root, "links");
-    let one_way = ms(reader, &mut section, "one_way_ms", Presence::Default(1.0));
-    let spread = ms(reader, &mut section, "spread_ms", Presence::Default(1.0));
+    let link_delay = milliseconds(reader, &mut section, "one_way_ms", Presence::Default(1.0));
+    let link_jitter = milliseconds(reader, &mut section, "spread_ms", Presence::Default(1.0));
     reader.finish(section);
 
     let mut section = reader.section(&mut root, "chaos");
-    let every = ms(reader, &mut section, "every_ms", Presence::Default(0.0));
-    let most = ms(reader, &mut section, "most_ms", Presence::Default(5000.0));
-    let wanted = format!("a list of {}", words(&KINDS));
-    let faults = reader.get(&mut section, "of", Presence::Default(Vec::new()), &wanted, |value| {
-        let kind = |word: &String| KINDS.iter().find(|(name, _)| name == word).map(|(_, kind)| *kind);
+    let fault_interval = milliseconds(reader, &mut section, "every_ms", Presence::Default(0.0));
+    let max_fault_duration = milliseconds(reader, &mut section, "most_ms", Presence::Default(5000.0));
+    let expected = format!("a list of {}", joined_names(&FAULT_KINDS));
+    let fault_kinds = reader.get(&mut section, "of", Presence::Default(Vec::new()), &expected, |value| {
+        let kind = |word: &String| FAULT_KINDS.iter().find(|(name, _)| name == word).map(|(_, kind)| *kind);
         text_list(value)?.iter().map(kind).collect()
     });
     reader.finish(section);
 
-    let mut listed = Vec::new();
+    let mut scheduled_faults = Vec::new();
     for mut section in reader.sections(&mut root, "fault") {
-        let at = ms(reader, &mut section, "at_ms", Presence::Required);
-        let what = reader.get(
+        let starts_at = milliseconds(reader, &mut section, "at_ms", Presence::Required);
+        let kind = reader.get(
             &mut section,
             "what",
             Presence::Required,
-            &format!("one of {}", words(&KINDS)),
-            one_of(&KINDS),
+            &format!("one of {}", joined_names(&FAULT_KINDS)),
+            one_of(&FAULT_KINDS),
         );
-        let process = "a process as c0, a3, o1, or leader";
-        let who = reader.get(&mut section, "who", Presence::Optional, process, text);
-        let to = reader.get(&mut section, "to", Presence::Optional, process, text);
-        let length = ms(reader, &mut section, "for_ms", Presence::Default(3000.0));
+        let expected = "a process as c0, a3, o1, or leader";
+        let target = reader.get(&mut section, "who", Presence::Optional, expected, text);
+        let peer = reader.get(&mut section, "to", Presence::Optional, expected, text);
+        let duration = milliseconds(reader, &mut section, "for_ms", Presence::Default(3000.0));
         reader.finish(section);
-        listed.extend((|| Some(Listed { at: at?, what: what?, who, to, length: length? }))());
+        scheduled_faults.extend((|| {
+            Some(ScheduledFault { starts_at: starts_at?, kind: kind?, target, peer, duration: duration? })
+        })());
     }
     reader.finish(root);
     Some(Plan {
         name: name?,
-        duration: length?,
-        coordinators: council?,
-        terms: LeaseTerms { duration: term?, max_clock_drift: drift? },
-        tick: tick?.max(1000),
+        duration: duration?,
+        coordinators: coordinators?,
+        lease_terms: LeaseTerms { duration: lease_duration?, max_clock_drift: max_clock_drift? },
+        tick_interval: tick_interval?.max(1000),
         log_entries: log_entries?,
         changes: changes?,
         agents: agents?,
         sites: sites?,
         clients: clients?,
-        pause: pause?.max(1000),
+        mean_client_pause: mean_client_pause?.max(1000),
         watchers: watchers?,
         operators: operators?,
-        permits: permits? as u32,
+        permits_per_site: permits_per_site? as u32,
         servers: servers?,
         drainers: drainers?,
-        servers_out: servers_out? as u32,
-        one_way: one_way?,
-        spread: spread?,
-        every: every?,
-        most: most?.max(1000),
-        faults: faults?,
-        listed,
-        measured: measured?,
-        planted: planted?,
+        max_servers_out: max_servers_out? as u32,
+        link_delay: link_delay?,
+        link_jitter: link_jitter?,
+        fault_interval: fault_interval?,
+        max_fault_duration: max_fault_duration?.max(1000),
+        fault_kinds: fault_kinds?,
+        scheduled_faults,
+        measure_leader_traffic: measure_leader_traffic?,
+        injected_bug: injected_bug?,
     })
 }
--- a/crates/lab/src/processes/simulation/callers.rs
+++ b/crates/lab/src/processes/simulation/callers.rs
@@ -2,92 +2,110 @@
 
 use super::*;
 
-impl World<'_> {
-    pub(super) fn ask(&mut self, at: usize, which: usize, request: Request) {
-        self.next += 1;
-        let id = self.next;
-        let process = &mut self.processes[at];
-        let target = process.askers[which].caller.target();
-        process.askers[which].out = Some((id, self.now));
+impl Simulation<'_> {
+    pub(super) fn send_request(&mut self, index: usize, caller_index: usize, request: Request) {
+        self.last_id += 1;
+        let id = self.last_id;
+        let process = &mut self.processes[index];
+        let target = process.callers[caller_index].retry_schedule.target();
+        process.callers[caller_index].outstanding = Some((id, self.now));
         let incarnation = match (&process.role, &request) {
             (Role::Agent(agent), _) => agent.holder.incarnation(),
             (Role::Operator(operator), _) => operator.holder.incarnation(),
             _ => 0,
         };
-        let from = match &process.role {
+        let sender = match &process.role {
             Role::Operator(operator) => operator.holder.name().to_string(),
             _ => process.name.clone(),
         };
-        let envelope = Envelope { fleet: FLEET.into(), protocol: PROTOCOL, from, incarnation, term: 0 };
+        let envelope =
+            Envelope { fleet: FLEET.into(), protocol: PROTOCOL, from: sender, incarnation, term: 0 };
         let epoch = process.epoch;
-        self.send(at, target, Parcel::Request(id, at, envelope, request));
-        self.at(self.now + CALL_TIMEOUT, Event::GivenUp(at, epoch, id));
+        self.send(index, target, Message::Request(id, index, envelope, request));
+        self.schedule(self.now + CALL_TIMEOUT, Event::CallTimeout(index, epoch, id));
     }
 
     /// An answer came, or none will; says what is made of it, and how long the asker pauses.
-    pub(super) fn answered(&mut self, at: usize, id: u64, response: Option<Response>) {
-        let which =
-            self.processes[at].askers.iter().position(|asker| asker.out.is_some_and(|out| out.0 == id));
+    pub(super) fn handle_response(&mut self, index: usize, id: u64, response: Option<Response>) {
+        let caller_index = self.processes[index]
+            .callers
+            .iter()
+            .position(|caller| caller.outstanding.is_some_and(|call| call.0 == id));
         // What comes after it was given up is not read.
-        let Some(which) = which else { return };
-        let draw: f64 = self.rng.random();
+        let Some(caller_index) = caller_index else { return };
+        let random: f64 = self.rng.random();
         let plan = self.plan;
-        let process = &mut self.processes[at];
-        let asker = &mut process.askers[which];
-        asker.out = None;
-        let pause = match &response {
+        let process = &mut self.processes[index];
+        let caller = &mut process.callers[caller_index];
+        caller.outstanding = None;
+        let delay = match &response {
             Some(Response::Refused(Refusal::NotLeader { leader })) => {
                 let leader = leader.as_ref().and_then(|peer| peer.name.strip_prefix('c')?.parse().ok());
-                Some(asker.caller.record_redirect(leader.filter(|at| *at < plan.coordinators), draw))
+                Some(
+                    caller
+                        .retry_schedule
+                        .record_redirect(leader.filter(|index| *index < plan.coordinators), random),
+                )
             }
             None
             | Some(Response::Refused(Refusal::Unknown | Refusal::NotFormed(_) | Refusal::LimitExceeded(_))) => {
-                Some(asker.caller.record_failure(draw))
+                Some(caller.retry_schedule.record_failure(random))
             }
             Some(_) => {
-                asker.caller.record_success();
+                caller.retry_schedule.record_success();
                 None
             }
         };
-        asker.due = self.now + pause.unwrap_or(0);
-        let settled = response.filter(|_| pause.is_none());
-        match &self.processes[at].role {
-            Role::Agent(_) if which == 0 => self.held(at, settled, pause.unwrap_or(0)),
-            Role::Operator(_) if which == 0 => self.held(at, settled, pause.unwrap_or(0)),
-            Role::Agent(_) if which == 2 => self.agent_heard(at, settled),
-            Role::Agent(_) if which == 3 => self.agent_has_said(at, settled),
-            Role::Agent(_) => self.agent_told(at, settled),
-            Role::Drainer(_) => self.drainer_told(at, settled),
-            Role::Operator(_) => self.operator_told(at, settled),
-            Role::Client(_) => self.client_told(at, settled),
-            Role::Watcher(_) => self.watcher_told(at, settled),
-            Role::Warden { .. } => self.warden_told(settled.as_ref()),
-            Role::Council { .. } => {}
+        caller.next_request_at = self.now + delay.unwrap_or(0);
+        let outcome = response.filter(|_| delay.is_none());
+        match &self.processes[index].role {
+            Role::Agent(_) if caller_index == 0 => {
+                self.handle_lease_response(index, outcome, delay.unwrap_or(0))
+            }
+            Role::Operator(_) if caller_index == 0 => {
+                self.handle_lease_response(index, outcome, delay.unwrap_or(0))
+            }
+            Role::Agent(_) if caller_index == 2 => self.agent_handle_drains(index, outcome),
+            Role::Agent(_) if caller_index == 3 => self.agent_handle_acknowledgement_result(index, outcome),
+            Role::Agent(_) => self.agent_handle_budgets(index, outcome),
+            Role::Drainer(_) => self.drainer_handle_response(index, outcome),
+            Role::Operator(_) => self.operator_handle_response(index, outcome),
+            Role::Client(_) => self.client_handle_response(index, outcome),
+            Role::Watcher(_) => self.watcher_handle_response(index, outcome),
+            Role::PeerReplacer { .. } => self.replacer_handle_response(outcome.as_ref()),
+            Role::Coordinator { .. } => {}
         }
-        if self.processes[at].life == Life::Up {
-            self.poll(at);
+        if self.processes[index].run_state == RunState::Running {
+            self.poll_process(index);
         }
     }
 
     /// The answer to a member's own asking.
-    pub(super) fn held(&mut self, at: usize, response: Option<Response>, pause: Micros) {
-        let draw = self.rng.random();
-        let local = self.local(at);
+    pub(super) fn handle_lease_response(
+        &mut self,
+        index: usize,
+        response: Option<Response>,
+        retry_delay: Micros,
+    ) {
+        let random = self.rng.random();
+        let local_time = self.local_time(index);
         let (now, plan) = (self.now, self.plan);
-        let clock = self.processes[at].clock;
-        let (holder, belief) = match &mut self.processes[at].role {
+        let clock = self.processes[index].clock;
+        let (holder, belief) = match &mut self.processes[index].role {
             Role::Agent(agent) => (&mut agent.holder, &mut agent.belief),
             Role::Operator(operator) => (&mut operator.holder, &mut operator.belief),
             _ => return,
         };
-        holder.handle_response(local, response.as_ref(), pause, draw);
-        let ended = match holder.held_incarnation(local) {
+        holder.handle_response(local_time, response.as_ref(), retry_delay, random);
+        let ended_belief = match holder.held_incarnation(local_time) {
             Some(incarnation) => {
-                let mut to = clock.truth(holder.lease_expires_at());
+                let mut to = clock.simulated_time(holder.lease_expires_at());
                 let granted = matches!(response, Some(Response::Renewed(_)));
-                if plan.planted == InjectedBug::LeaseWithoutMargin && granted {
+                if plan.injected_bug == InjectedBug::LeaseWithoutMargin && granted {
                     // By a clock of its own rate, from now on.
-                    to = clock.truth(local + plan.terms.duration + plan.terms.duration / 50);
+                    to = clock.simulated_time(
+                        local_time + plan.lease_terms.duration + plan.lease_terms.duration / 50,
+                    );
                 }
                 let name = holder.name().to_string();
                 match belief {
@@ -101,130 +119,139 @@
             None if holder.membership_state() != MembershipState::Member => belief.take(),
             None => None,
         };
-        self.keep_belief(ended);
+        self.record_lease_belief(ended_belief);
     }
 
     /// A belief that is given up now, if it has not run out before.
-    pub(super) fn keep_belief(&mut self, belief: Option<Belief>) {
+    pub(super) fn record_lease_belief(&mut self, belief: Option<Belief>) {
         if let Some(belief) = belief {
-            self.outcome.seen.beliefs.push(Belief { to: belief.to.min(self.now), ..belief });
+            self.outcome.observations.lease_beliefs.push(Belief { to: belief.to.min(self.now), ..belief });
         }
     }
 
     /// What a process does when it is its time.
-    pub(super) fn poll(&mut self, at: usize) {
-        let local = self.local(at);
+    pub(super) fn poll_process(&mut self, index: usize) {
+        let local_time = self.local_time(index);
         let now = self.now;
-        let mut due = Micros::MAX;
-        let clock = self.processes[at].clock;
-        let mut asks: Vec<(usize, Request)> = Vec::new();
-        let free: [bool; ASKERS] =
-            std::array::from_fn(|which| self.processes[at].askers[which].out.is_none());
-        let dues: [Micros; ASKERS] = std::array::from_fn(|which| self.processes[at].askers[which].due);
-        let can: [bool; ASKERS] = std::array::from_fn(|which| free[which] && now >= dues[which]);
-        let [due_0, due_1, ..] = dues;
-        if free[0] {
-            due = due.min(due_0.max(now + 1));
+        let mut next_poll_at = Micros::MAX;
+        let clock = self.processes[index].clock;
+        let mut requests: Vec<(usize, Request)> = Vec::new();
+        let is_idle: [bool; CALLERS_PER_PROCESS] = std::array::from_fn(|caller_index| {
+            self.processes[index].callers[caller_index].outstanding.is_none()
+        });
+        let next_request_times: [Micros; CALLERS_PER_PROCESS] =
+            std::array::from_fn(|caller_index| self.processes[index].callers[caller_index].next_request_at);
+        let may_send: [bool; CALLERS_PER_PROCESS] = std::array::from_fn(|caller_index| {
+            is_idle[caller_index] && now >= next_request_times[caller_index]
+        });
+        let [first_request_at, second_request_at, ..] = next_request_times;
+        if is_idle[0] {
+            next_poll_at = next_poll_at.min(first_request_at.max(now + 1));
         }
-        if self.plan.servers > 0 && matches!(self.processes[at].role, Role::Agent(_)) {
-            let (next, asked) = self.agent_sends(at, [can[2], can[3]]);
-            due = due.min(next);
-            asks.extend(asked);
+        if self.plan.servers > 0 && matches!(self.processes[index].role, Role::Agent(_)) {
+            let (next_send_at, drain_requests) = self.agent_poll_traffic(index, [may_send[2], may_send[3]]);
+            next_poll_at = next_poll_at.min(next_send_at);
+            requests.extend(drain_requests);
         }
-        match &mut self.processes[at].role {
+        match &mut self.processes[index].role {
             Role::Drainer(drainer) => {
-                due = due.min(drainer.next_at.max(due_0).max(now + 1));
-                if can[0] && now >= drainer.next_at {
-                    asks.extend(self.drainer_asks(at).map(|request| (0, request)));
+                next_poll_at = next_poll_at.min(drainer.next_action_at.max(first_request_at).max(now + 1));
+                if may_send[0] && now >= drainer.next_action_at {
+                    requests.extend(self.drainer_next_request(index).map(|request| (0, request)));
                 }
             }
             Role::Agent(agent) => {
                 if now >= agent.ready_at {
-                    agent.holder.set_ready(true, local);
-                    if let Some(number) = self.out.remove(agent.holder.name()) {
-                        self.outcome.seen.outs[number].to = Some(now);
+                    agent.holder.set_ready(true, local_time);
+                    if let Some(outage_index) = self.open_outages.remove(agent.holder.name()) {
+                        self.outcome.observations.outages[outage_index].to = Some(now);
                     }
                 } else {
-                    due = due.min(agent.ready_at);
+                    next_poll_at = next_poll_at.min(agent.ready_at);
                 }
-                if can[0] {
-                    asks.extend(agent.holder.next_request(local).map(|request| (0, request)));
+                if may_send[0] {
+                    requests.extend(agent.holder.next_request(local_time).map(|request| (0, request)));
                 }
-                let member =
+                let is_member =
                     agent.holder.membership_state() == MembershipState::Member && now >= agent.ready_at;
-                if can[1] && member && now >= agent.look_at && self.plan.operators > 0 {
-                    agent.look_at = now + LOOK;
-                    asks.push((1, Request::Read { stale: false, prefix: "budget/".into(), members: true }));
+                if may_send[1] && is_member && now >= agent.next_permit_check_at && self.plan.operators > 0 {
+                    agent.next_permit_check_at = now + PERMIT_CHECK_INTERVAL;
+                    requests
+                        .push((1, Request::Read { stale: false, prefix: "budget/".into(), members: true }));
                 }
-                due = due.min(agent.look_at.max(now + 1000));
-                due = due.min(
+                next_poll_at = next_poll_at.min(agent.next_permit_check_at.max(now + 1000));
+                next_poll_at = next_poll_at.min(
                     agent
                         .holder
                         .next_request_at()
-                        .map_or(Micros::MAX, |due| clock.truth(due).saturating_add(2)),
+                        .map_or(Micros::MAX, |time| clock.simulated_time(time).saturating_add(2)),
                 );
             }
             Role::Operator(operator) => {
-                if can[0] {
-                    asks.extend(operator.holder.next_request(local).map(|request| (0, request)));
+                if may_send[0] {
+                    requests.extend(operator.holder.next_request(local_time).map(|request| (0, request)));
                 }
-                if free[1] {
-                    due = due.min(operator.next_at.max(due_1).max(now + 1));
+                if is_idle[1] {
+                    next_poll_at =
+                        next_poll_at.min(operator.next_action_at.max(second_request_at).max(now + 1));
                 }
-                due = due.min(
+                next_poll_at = next_poll_at.min(
                     operator
                         .holder
                         .next_request_at()
-                        .map_or(Micros::MAX, |due| clock.truth(due).saturating_add(2)),
+                        .map_or(Micros::MAX, |time| clock.simulated_time(time).saturating_add(2)),
                 );
-                if can[1] && now >= operator.next_at {
-                    asks.extend(self.operator_asks(at).map(|request| (1, request)));
+                if may_send[1] && now >= operator.next_action_at {
+                    requests.extend(self.operator_next_request(index).map(|request| (1, request)));
                 }
             }
             Role::Client(client) => {
-                due = due.min(client.next_at.max(due_0).max(now + 1));
-                if can[0] && now >= client.next_at {
-                    asks.extend(self.client_asks(at).map(|request| (0, request)));
+                next_poll_at = next_poll_at.min(client.next_action_at.max(first_request_at).max(now + 1));
+                if may_send[0] && now >= client.next_action_at {
+                    requests.extend(self.client_next_request(index).map(|request| (0, request)));
                 }
             }
             Role::Watcher(watcher) => {
-                due = due.min(watcher.next_at.max(due_0).max(now + 1));
-                if can[0] && now >= watcher.next_at && !self.healed {
-                    watcher.sent = now;
-                    let request = match watcher.reading {
+                next_poll_at = next_poll_at.min(watcher.next_action_at.max(first_request_at).max(now + 1));
+                if may_send[0] && now >= watcher.next_action_at && !self.faults_ended {
+                    watcher.request_sent_at = now;
+                    let request = match watcher.needs_full_read {
                         Some(false) => {
-                            let after = watcher.watched.stretches.last().map_or(0, |stretch| stretch.3);
-                            Request::Watch { cluster_id: watcher.history, after, prefix: String::new() }
+                            let after = watcher.log.segments.last().map_or(0, |segment| segment.3);
+                            Request::Watch { cluster_id: watcher.cluster_id, after, prefix: String::new() }
                         }
                         _ => {
                             let stale = self.rng.random_bool(0.5);
-                            watcher.reading = Some(true);
+                            watcher.needs_full_read = Some(true);
                             Request::Read { stale, prefix: String::new(), members: true }
                         }
                     };
-                    asks.push((0, request));
+                    requests.push((0, request));
                 }
             }
-            Role::Warden { wanted } => {
-                if can[0] {
-                    if let Some((add, remove, peer)) = wanted.first() {
-                        asks.push((
+            Role::PeerReplacer { pending_replacements } => {
+                if may_send[0] {
+                    if let Some((new_id, old_id, peer)) = pending_replacements.first() {
+                        requests.push((
                             0,
-                            Request::ChangePeers { add: Some((*add, peer.clone())), remove: Some(*remove) },
+                            Request::ChangePeers {
+                                add: Some((*new_id, peer.clone())),
+                                remove: Some(*old_id),
+                            },
                         ));
                     }
                 }
-                due = due.min(now + 200_000);
+                next_poll_at = next_poll_at.min(now + 200_000);
             }
-            Role::Council { .. } => {}
+            Role::Coordinator { .. } => {}
         }
-        let asked = !asks.is_empty();
-        for (which, request) in asks {
-            self.ask(at, which, request);
+        let has_requests = !requests.is_empty();
+        for (caller_index, request) in requests {
+            self.send_request(index, caller_index, request);
         }
         // Whoever waits for an answer is woken by it; the others by their time.
-        if due != Micros::MAX || asked {
-            self.wake(at, due.max(now + 1000).min(now + 1_000_000));
+        if next_poll_at != Micros::MAX || has_requests {
+            self.schedule_wake(index, next_poll_at.max(now + 1000).min(now + 1_000_000));
         }
     }
 }
