--- a/crates/lab/src/processes/simulation/faults.rs
+++ b/crates/lab/src/processes/simulation/faults.rs
@@ -2,83 +2,85 @@
 
 use super::*;
 
-impl World<'_> {
-    pub(super) fn kill(&mut self, at: usize) {
-        let process = &mut self.processes[at];
-        process.life = Life::Down;
+impl Simulation<'_> {
+    pub(super) fn kill(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        process.run_state = RunState::Down;
         process.epoch += 1;
-        process.deferred.clear();
+        process.deferred_events.clear();
         process.wake_at = Micros::MAX;
-        process.askers.iter_mut().for_each(|asker| asker.out = None);
-        let mut led = None;
+        process.callers.iter_mut().for_each(|caller| caller.outstanding = None);
+        let mut node = None;
         let belief = match &mut process.role {
-            Role::Council { desk, disk, number, .. } => {
+            Role::Coordinator { service, disk, node_id, .. } => {
                 disk.pending.clear();
-                *desk = None;
-                led = Some(*number);
+                *service = None;
+                node = Some(*node_id);
                 None
             }
             Role::Agent(agent) => agent.belief.take(),
             Role::Operator(operator) => operator.belief.take(),
             _ => None,
         };
-        self.keep_belief(belief);
-        self.lose(led);
+        self.record_lease_belief(belief);
+        self.clear_leader(node);
     }
 
-    pub(super) fn lose(&mut self, number: Option<u64>) {
-        if number.is_some() && self.leader == number {
+    pub(super) fn clear_leader(&mut self, node_id: Option<u64>) {
+        if node_id.is_some() && self.leader == node_id {
             self.leader = None;
-            self.leader_lost = Some(self.now);
+            self.leader_lost_at = Some(self.now);
         }
     }
 
-    pub(super) fn start(&mut self, at: usize) {
-        if self.processes[at].life != Life::Down {
+    pub(super) fn start(&mut self, index: usize) {
+        if self.processes[index].run_state != RunState::Down {
             return;
         }
-        let local = self.local(at);
-        let (life_draw, now): (u64, Micros) = (self.rng.random(), self.now);
-        let process = &mut self.processes[at];
-        process.life = Life::Up;
+        let local_time = self.local_time(index);
+        let (random, now): (u64, Micros) = (self.rng.random(), self.now);
+        let process = &mut self.processes[index];
+        process.run_state = RunState::Running;
         process.epoch += 1;
         let epoch = process.epoch;
         match &mut process.role {
-            Role::Council { .. } => {
-                if self.open(at, life_draw, local) {
-                    self.at(now + 1, Event::Tick(at, epoch));
+            Role::Coordinator { .. } => {
+                if self.open_store(index, random, local_time) {
+                    self.schedule(now + 1, Event::Tick(index, epoch));
                 }
             }
             Role::Agent(agent) => {
-                agent.holder = LeaseHolder::new(Self::about(&process.name, &process.site), life_draw, 0);
-                agent.ready_at = now + BOOT;
-                agent.look_at = now;
-                agent.sends = drains::Sends::default();
-                self.wake(at, now);
+                agent.holder = LeaseHolder::new(Self::member_info(&process.name, &process.site), random, 0);
+                agent.ready_at = now + STARTUP_DURATION;
+                agent.next_permit_check_at = now;
+                agent.server_traffic = drains::ServerTraffic::default();
+                self.schedule_wake(index, now);
             }
-            _ => self.wake(at, now),
+            _ => self.schedule_wake(index, now),
         }
     }
 
     /// Makes a council process's node from what its disk holds; whether the process goes on.
-    fn open(&mut self, at: usize, life_draw: u64, local: Micros) -> bool {
+    fn open_store(&mut self, index: usize, random: u64, local_time: Micros) -> bool {
         let plan = self.plan;
-        let Role::Council { desk, disk, number, .. } = &mut self.processes[at].role else { return false };
+        let Role::Coordinator { service, disk, node_id, .. } = &mut self.processes[index].role else {
+            return false;
+        };
         let settings = NodeSettings {
-            lease_terms: plan.terms,
-            tick_interval: plan.tick,
+            lease_terms: plan.lease_terms,
+            tick_interval: plan.tick_interval,
             limits: Limits { log_entries: plan.log_entries, changes: plan.changes, ..Limits::default() },
             ..NodeSettings::default()
         };
         let node = disk
             .read_back()
             .map_err(NodeError::Disk)
-            .and_then(|i| Node::new(*number, &i, settings, life_draw, local));
+            .and_then(|i| Node::new(*node_id, &i, settings, random, local_time));
         match node {
-            Ok(node) => *desk = Some(Box::new(Service::new(node))),
-            Err(fault) if fault.is_store_failure() => self.store_fails(at),
-            Err(fault) => {
-                self.ends(at, &fault.to_string());
+            Ok(node) => *service = Some(Box::new(Service::new(node))),
+            Err(error) if error.is_store_failure() => self.handle_store_failure(index),
+            Err(error) => {
+                self.handle_self_termination(index, &error.to_string());
                 return false;
             }
         }
@@ -86,92 +88,98 @@
     }
 
     /// A council process's disk has failed: it leads no more, answers nobody, and tries again after a pause.
-    pub(super) fn store_fails(&mut self, at: usize) {
-        let Role::Council { disk, .. } = &self.processes[at].role else { return };
-        if disk.after_failure() == Some(After::Killed) {
+    pub(super) fn handle_store_failure(&mut self, index: usize) {
+        let Role::Coordinator { disk, .. } = &self.processes[index].role else { return };
+        if disk.after_failure() == Some(AfterWriteFailure::Killed) {
             let pause = self.rng.random_range(1_000..1_000_000);
-            self.kill(at);
-            self.at(self.now + pause, Event::Heal(Heal::Start(at)));
+            self.kill(index);
+            self.schedule(self.now + pause, Event::Recover(Recovery::Start(index)));
             return;
         }
-        let (local, draw) = (self.local(at), self.rng.random());
-        let epoch = self.processes[at].epoch;
-        let Role::Council { desk, number, backoff, .. } = &mut self.processes[at].role else { return };
-        *desk = None;
-        let (led, pause) = (*number, backoff.record_failure(local, draw));
-        self.lose(Some(led));
-        let waiting: Vec<(u64, usize)> =
-            self.callers.iter().filter(|(_, (_, of))| *of == at).map(|(id, (to, _))| (*id, *to)).collect();
-        for (id, to) in waiting {
-            self.callers.remove(&id);
-            self.send(at, to, Parcel::Response(id, Response::Refused(Refusal::Unknown)));
+        let (local_time, random) = (self.local_time(index), self.rng.random());
+        let epoch = self.processes[index].epoch;
+        let Role::Coordinator { service, node_id, backoff, .. } = &mut self.processes[index].role else {
+            return;
+        };
+        *service = None;
+        let (node, delay) = (*node_id, backoff.record_failure(local_time, random));
+        self.clear_leader(Some(node));
+        let unanswered: Vec<(u64, usize)> = self
+            .pending_requests
+            .iter()
+            .filter(|(_, (_, of))| *of == index)
+            .map(|(id, (to, _))| (*id, *to))
+            .collect();
+        for (id, to) in unanswered {
+            self.pending_requests.remove(&id);
+            self.send(index, to, Message::Response(id, Response::Refused(Refusal::Unknown)));
         }
-        self.at(self.now + pause, Event::Reopen(at, epoch));
+        self.schedule(self.now + delay, Event::Reopen(index, epoch));
     }
 
     /// It is tried again.
-    pub(super) fn reopen(&mut self, at: usize) {
-        let (local, life_draw) = (self.local(at), self.rng.random());
-        self.open(at, life_draw, local);
-        if matches!(&self.processes[at].role, Role::Council { desk: Some(_), .. }) {
-            self.outcome.reopened += 1;
+    pub(super) fn reopen(&mut self, index: usize) {
+        let (local_time, random) = (self.local_time(index), self.rng.random());
+        self.open_store(index, random, local_time);
+        if matches!(&self.processes[index].role, Role::Coordinator { service: Some(_), .. }) {
+            self.outcome.store_reopens += 1;
         }
     }
 
-    pub(super) fn stop(&mut self, at: usize, length: Micros) {
-        if self.processes[at].life == Life::Up {
-            self.processes[at].life = Life::Stopped;
-            if let Role::Council { number, .. } = self.processes[at].role {
-                self.lose(Some(number));
+    pub(super) fn suspend(&mut self, index: usize, duration: Micros) {
+        if self.processes[index].run_state == RunState::Running {
+            self.processes[index].run_state = RunState::Suspended;
+            if let Role::Coordinator { node_id, .. } = self.processes[index].role {
+                self.clear_leader(Some(node_id));
             }
-            self.at(self.now + length, Event::Heal(Heal::Wake(at)));
+            self.schedule(self.now + duration, Event::Recover(Recovery::Resume(index)));
         }
     }
 
-    pub(super) fn heal(&mut self, heal: Heal) {
-        match heal {
-            Heal::Wake(at) => {
-                if self.processes[at].life == Life::Stopped {
-                    self.processes[at].life = Life::Up;
-                    for event in std::mem::take(&mut self.processes[at].deferred) {
-                        self.at(self.now, event);
+    pub(super) fn recover(&mut self, recovery: Recovery) {
+        match recovery {
+            Recovery::Resume(index) => {
+                if self.processes[index].run_state == RunState::Suspended {
+                    self.processes[index].run_state = RunState::Running;
+                    for event in std::mem::take(&mut self.processes[index].deferred_events) {
+                        self.schedule(self.now, event);
                     }
                 }
             }
-            Heal::Start(at) => self.start(at),
-            Heal::PutBack(at) => {
-                self.kill(at);
-                if let Role::Council { disk, .. } = &mut self.processes[at].role {
-                    if let Some(copy) = disk.copy.take() {
-                        disk.spoilt = copy.entries.keys().last() != disk.kept.entries.keys().last();
-                        disk.kept = copy;
+            Recovery::Start(index) => self.start(index),
+            Recovery::RollBackDisk(index) => {
+                self.kill(index);
+                if let Role::Coordinator { disk, .. } = &mut self.processes[index].role {
+                    if let Some(copy) = disk.rollback_copy.take() {
+                        disk.tampered = copy.entries.keys().last() != disk.stored.entries.keys().last();
+                        disk.stored = copy;
                     }
                 }
-                self.start(at);
+                self.start(index);
             }
-            Heal::MendDisk(at) => {
-                if let Role::Council { disk, .. } = &mut self.processes[at].role {
-                    disk.mend();
+            Recovery::RepairDisk(index) => {
+                if let Role::Coordinator { disk, .. } = &mut self.processes[index].role {
+                    disk.repair();
                 }
             }
-            Heal::Undrop(links) => {
+            Recovery::StopDropping(links) => {
                 for link in links {
                     let link = self.links.entry(link).or_default();
-                    link.dropped = link.dropped.saturating_sub(1);
+                    link.drop_faults = link.drop_faults.saturating_sub(1);
                 }
             }
-            Heal::Undelay(links) => {
+            Recovery::StopDelaying(links) => {
                 for link in links {
-                    self.links.entry(link).or_default().late = 0;
+                    self.links.entry(link).or_default().extra_delay = 0;
                 }
             }
-            Heal::Release(links) => {
+            Recovery::Release(links) => {
                 for (from, to) in links {
                     let link = self.links.entry((from, to)).or_default();
-                    link.held = link.held.saturating_sub(1);
-                    if link.held == 0 {
-                        for parcel in std::mem::take(&mut link.queue) {
-                            self.at(self.now + 1, Event::Deliver(from, to, Box::new(parcel)));
+                    link.hold_faults = link.hold_faults.saturating_sub(1);
+                    if link.hold_faults == 0 {
+                        for message in std::mem::take(&mut link.held_messages) {
+                            self.schedule(self.now + 1, Event::Deliver(from, to, Box::new(message)));
                         }
                     }
                 }
@@ -179,246 +187,267 @@
         }
     }
 
-    pub(super) fn heal_all(&mut self) {
-        self.healed = true;
-        self.isolated = None;
+    pub(super) fn end_all_faults(&mut self) {
+        self.faults_ended = true;
+        self.isolated_node = None;
         let links: Vec<(usize, usize)> = self.links.keys().copied().collect();
         for link in &links {
-            let of = self.links.entry(*link).or_default();
-            (of.dropped, of.late, of.held) = (0, 0, 1);
+            let link_state = self.links.entry(*link).or_default();
+            (link_state.drop_faults, link_state.extra_delay, link_state.hold_faults) = (0, 0, 1);
         }
-        self.heal(Heal::Release(links));
-        for at in 0..self.processes.len() {
-            self.heal(Heal::Wake(at));
-            self.heal(Heal::MendDisk(at));
-            if matches!(self.processes[at].role, Role::Council { .. }) {
-                self.start(at);
+        self.recover(Recovery::Release(links));
+        for index in 0..self.processes.len() {
+            self.recover(Recovery::Resume(index));
+            self.recover(Recovery::RepairDisk(index));
+            if matches!(self.processes[index].role, Role::Coordinator { .. }) {
+                self.start(index);
             }
         }
     }
 
-    pub(super) fn named(&self, name: &str) -> Option<usize> {
+    pub(super) fn process_named(&self, name: &str) -> Option<usize> {
         if name == "leader" {
-            return self.leader.and_then(|number| self.numbers.get(&number).copied());
+            return self.leader.and_then(|node_id| self.process_by_node_id.get(&node_id).copied());
         }
-        self.processes.iter().position(|process| process.name == name && process.life != Life::Down)
+        self.processes.iter().position(|process| process.name == name && process.run_state != RunState::Down)
     }
 
-    pub(super) fn some(&mut self, is: impl Fn(&Process) -> bool) -> Option<usize> {
-        self.some_but(None, is)
+    pub(super) fn random_process(&mut self, matches: impl Fn(&Process) -> bool) -> Option<usize> {
+        self.random_process_except(None, matches)
     }
 
-    fn some_but(&mut self, other: Option<usize>, is: impl Fn(&Process) -> bool) -> Option<usize> {
-        let all = (0..self.processes.len()).filter(|at| Some(*at) != other && is(&self.processes[*at]));
+    fn random_process_except(
+        &mut self,
+        excluded: Option<usize>,
+        matches: impl Fn(&Process) -> bool,
+    ) -> Option<usize> {
+        let all = (0..self.processes.len())
+            .filter(|index| Some(*index) != excluded && matches(&self.processes[*index]));
         let all: Vec<usize> = all.collect();
         all.choose(&mut self.rng).copied()
     }
 
-    pub(super) fn begin(&mut self, fault: &Listed) {
-        self.outcome.faults += 1;
-        let length = fault.length;
-        let council = self.plan.coordinators;
-        let up = |process: &Process| process.life == Life::Up;
-        let named = fault.who.as_deref().and_then(|who| self.named(who));
-        let is_council =
-            |process: &Process| matches!(process.role, Role::Council { desk: Some(_), .. }) && up(process);
-        let is_agent = |process: &Process| matches!(process.role, Role::Agent(_)) && up(process);
-        let is_operator =
-            |process: &Process| matches!(process.role, Role::Operator(_) | Role::Drainer(_)) && up(process);
+    pub(super) fn start_fault(&mut self, fault: &ScheduledFault) {
+        self.outcome.faults_started += 1;
+        let duration = fault.duration;
+        let coordinators = self.plan.coordinators;
+        let is_running = |process: &Process| process.run_state == RunState::Running;
+        let target = fault.target.as_deref().and_then(|name| self.process_named(name));
+        let is_running_coordinator = |process: &Process| {
+            matches!(process.role, Role::Coordinator { service: Some(_), .. }) && is_running(process)
+        };
+        let is_running_agent =
+            |process: &Process| matches!(process.role, Role::Agent(_)) && is_running(process);
+        let is_running_operator = |process: &Process| {
+            matches!(process.role, Role::Operator(_) | Role::Drainer(_)) && is_running(process)
+        };
         // Half of the time it is the leader that is hit.
-        let leader = self.leader.and_then(|number| self.numbers.get(&number).copied());
-        let leader = leader.filter(|at| up(&self.processes[*at]) && self.rng.random_bool(0.5));
-        let one_of_council = named.or(leader).or_else(|| self.some(is_council));
+        let leader = self.leader.and_then(|node_id| self.process_by_node_id.get(&node_id).copied());
+        let leader = leader.filter(|index| is_running(&self.processes[*index]) && self.rng.random_bool(0.5));
+        let coordinator = target.or(leader).or_else(|| self.random_process(is_running_coordinator));
         // One at a time: a council that has lost a majority of its disks is gone.
-        let all_up = self.processes.iter().filter(|process| is_council(process)).count() == council;
-        let may_lose_a_disk = !self.replacing && all_up && council > 2;
-        match fault.what {
-            Kind::StopCouncil => {
-                if let Some(at) = one_of_council {
-                    self.stop(at, length);
+        let all_running =
+            self.processes.iter().filter(|process| is_running_coordinator(process)).count() == coordinators;
+        let may_lose_disk = !self.replacement_pending && all_running && coordinators > 2;
+        match fault.kind {
+            FaultKind::SuspendCoordinator => {
+                if let Some(index) = coordinator {
+                    self.suspend(index, duration);
                 }
             }
-            Kind::KillCouncil => {
-                if let Some(at) = one_of_council {
-                    self.kill(at);
-                    self.at(self.now + length, Event::Heal(Heal::Start(at)));
+            FaultKind::KillCoordinator => {
+                if let Some(index) = coordinator {
+                    self.kill(index);
+                    self.schedule(self.now + duration, Event::Recover(Recovery::Start(index)));
                 }
             }
-            Kind::EmptyDisk => {
-                if let Some(at) = one_of_council.filter(|_| may_lose_a_disk) {
-                    self.replace(at);
-                    self.at(self.now + length, Event::Heal(Heal::Start(at)));
+            FaultKind::WipeDisk => {
+                if let Some(index) = coordinator.filter(|_| may_lose_disk) {
+                    self.replace(index);
+                    self.schedule(self.now + duration, Event::Recover(Recovery::Start(index)));
                 }
             }
-            Kind::CutDisk | Kind::OldDisk => {
+            FaultKind::TruncateDisk | FaultKind::RollBackDisk => {
                 // While the leader stays, it knows what this process had: it is told at the next heartbeat.
-                let leader = self.leader.and_then(|number| self.numbers.get(&number).copied());
-                let at = match fault.what {
-                    Kind::OldDisk => named.or_else(|| self.some_but(leader, is_council)),
-                    _ => one_of_council,
+                let leader = self.leader.and_then(|node_id| self.process_by_node_id.get(&node_id).copied());
+                let index = match fault.kind {
+                    FaultKind::RollBackDisk => {
+                        target.or_else(|| self.random_process_except(leader, is_running_coordinator))
+                    }
+                    _ => coordinator,
                 };
-                let Some(at) = at.filter(|_| may_lose_a_disk) else { return };
-                self.kill(at);
-                if let Role::Council { disk, .. } = &mut self.processes[at].role {
-                    if fault.what == Kind::OldDisk {
-                        disk.copy = Some(disk.kept.clone());
-                        self.start(at);
-                        self.at(self.now + length, Event::Heal(Heal::PutBack(at)));
+                let Some(index) = index.filter(|_| may_lose_disk) else { return };
+                self.kill(index);
+                if let Role::Coordinator { disk, .. } = &mut self.processes[index].role {
+                    if fault.kind == FaultKind::RollBackDisk {
+                        disk.rollback_copy = Some(disk.stored.clone());
+                        self.start(index);
+                        self.schedule(self.now + duration, Event::Recover(Recovery::RollBackDisk(index)));
                         return;
                     }
                     // What the store finds missing in the middle of a file that was cut.
-                    let keys: Vec<u64> = disk.kept.entries.keys().copied().collect();
+                    let keys: Vec<u64> = disk.stored.entries.keys().copied().collect();
                     if let Some(middle) = keys.get(keys.len() / 2).filter(|_| keys.len() > 1) {
-                        disk.kept.entries.remove(middle);
-                        disk.spoilt = true;
+                        disk.stored.entries.remove(middle);
+                        disk.tampered = true;
                     }
                 }
-                self.at(self.now + length, Event::Heal(Heal::Start(at)));
+                self.schedule(self.now + duration, Event::Recover(Recovery::Start(index)));
             }
-            Kind::FailDisk => {
+            FaultKind::FailDisk => {
                 let seed = self.rng.random();
-                let Some(at) = one_of_council else { return };
-                if let Role::Council { disk, .. } = &mut self.processes[at].role {
-                    disk.begin_to_fail(Pcg64Mcg::seed_from_u64(seed));
+                let Some(index) = coordinator else { return };
+                if let Role::Coordinator { disk, .. } = &mut self.processes[index].role {
+                    disk.start_failing(Pcg64Mcg::seed_from_u64(seed));
                 }
-                self.at(self.now + length, Event::Heal(Heal::MendDisk(at)));
+                self.schedule(self.now + duration, Event::Recover(Recovery::RepairDisk(index)));
             }
-            Kind::StopAgent => {
-                if let Some(at) = named.or_else(|| self.some(is_agent)) {
-                    self.stop(at, length);
+            FaultKind::SuspendAgent => {
+                if let Some(index) = target.or_else(|| self.random_process(is_running_agent)) {
+                    self.suspend(index, duration);
                 }
             }
-            Kind::KillAgent => {
-                if let Some(at) = named.or_else(|| self.some(is_agent)) {
-                    self.kill(at);
-                    self.at(self.now + length, Event::Heal(Heal::Start(at)));
+            FaultKind::KillAgent => {
+                if let Some(index) = target.or_else(|| self.random_process(is_running_agent)) {
+                    self.kill(index);
+                    self.schedule(self.now + duration, Event::Recover(Recovery::Start(index)));
                 }
             }
-            Kind::TwinAgent => {
-                if let Some(at) = named.or_else(|| self.some(is_agent)) {
-                    self.stop(at, length);
-                    let (name, site) = (self.processes[at].name.clone(), self.processes[at].site.clone());
+            FaultKind::DuplicateAgent => {
+                if let Some(index) = target.or_else(|| self.random_process(is_running_agent)) {
+                    self.suspend(index, duration);
+                    let (name, site) =
+                        (self.processes[index].name.clone(), self.processes[index].site.clone());
                     self.add_agent(&name, &site);
                 }
             }
-            Kind::StopOperator => {
-                if let Some(at) = named.or_else(|| self.some(is_operator)) {
-                    self.stop(at, length);
+            FaultKind::SuspendOperator => {
+                if let Some(index) = target.or_else(|| self.random_process(is_running_operator)) {
+                    self.suspend(index, duration);
                 }
             }
-            Kind::KillOperator => {
-                if let Some(at) = named.or_else(|| self.some(is_operator)) {
-                    self.kill(at);
-                    let name = self.processes[at].name.clone();
-                    match self.processes[at].role {
+            FaultKind::KillOperator => {
+                if let Some(index) = target.or_else(|| self.random_process(is_running_operator)) {
+                    self.kill(index);
+                    let name = self.processes[index].name.clone();
+                    match self.processes[index].role {
                         Role::Drainer(_) => self.add_drainer(&name),
                         _ => self.add_operator(&name),
                     };
                 }
             }
-            Kind::Cut | Kind::OneWay | Kind::Slow | Kind::Hold => {
-                let one = one_of_council;
-                let other = fault.to.as_deref().and_then(|to| self.named(to));
-                let other = other.or_else(|| self.some(|process| process.life != Life::Down));
+            FaultKind::CutLink | FaultKind::CutOneWay | FaultKind::DelayLink | FaultKind::HoldLink => {
+                let one = coordinator;
+                let other = fault.peer.as_deref().and_then(|to| self.process_named(to));
+                let other =
+                    other.or_else(|| self.random_process(|process| process.run_state != RunState::Down));
                 let (Some(one), Some(other)) = (one, other.filter(|other| Some(*other) != one)) else {
                     return;
                 };
-                let both = match fault.what {
-                    Kind::OneWay => vec![if self.rng.random_bool(0.5) { (one, other) } else { (other, one) }],
+                let directions = match fault.kind {
+                    FaultKind::CutOneWay => {
+                        vec![if self.rng.random_bool(0.5) { (one, other) } else { (other, one) }]
+                    }
                     _ => vec![(one, other), (other, one)],
                 };
-                self.spoil(both, fault.what, length);
+                self.apply_link_fault(directions, fault.kind, duration);
             }
-            Kind::Split => {
+            FaultKind::Partition => {
                 let part: Vec<bool> = (0..self.processes.len()).map(|_| self.rng.random_bool(0.5)).collect();
-                let apart = self.pairs(|a, b| part[a] != part[b]);
-                self.spoil(apart, Kind::Cut, length);
+                let between_parts = self.links_between(|a, b| part[a] != part[b]);
+                self.apply_link_fault(between_parts, FaultKind::CutLink, duration);
             }
-            Kind::Ring => {
+            FaultKind::CutRing => {
                 // Each of them misses one other, and each one another.
-                let ring = self.pairs(|a, b| a < council && b < council && (a + 1) % council == b);
-                let back: Vec<_> = ring.iter().map(|(a, b)| (*b, *a)).collect();
-                self.spoil(ring.into_iter().chain(back).collect(), Kind::Cut, length);
+                let forward = self.links_between(|a, b| {
+                    a < coordinators && b < coordinators && (a + 1) % coordinators == b
+                });
+                let backward: Vec<_> = forward.iter().map(|(a, b)| (*b, *a)).collect();
+                self.apply_link_fault(
+                    forward.into_iter().chain(backward).collect(),
+                    FaultKind::CutLink,
+                    duration,
+                );
             }
-            Kind::LostReplies => {
-                if let Some(one) = one_of_council {
-                    let replies = self.pairs(|a, b| a == one && b >= council);
-                    self.spoil(replies, Kind::OneWay, length);
+            FaultKind::DropReplies => {
+                if let Some(one) = coordinator {
+                    let replies = self.links_between(|a, b| a == one && b >= coordinators);
+                    self.apply_link_fault(replies, FaultKind::CutOneWay, duration);
                 }
             }
-            Kind::Isolate => {
-                if let Some(one) = one_of_council {
-                    if let Role::Council { number, .. } = self.processes[one].role {
-                        self.isolated = Some(number);
-                        self.lose(Some(number));
+            FaultKind::IsolateCoordinator => {
+                if let Some(one) = coordinator {
+                    if let Role::Coordinator { node_id, .. } = self.processes[one].role {
+                        self.isolated_node = Some(node_id);
+                        self.clear_leader(Some(node_id));
                     }
-                    let all = self.pairs(|a, b| a == one || b == one);
-                    self.spoil(all, Kind::Cut, length);
+                    let all = self.links_between(|a, b| a == one || b == one);
+                    self.apply_link_fault(all, FaultKind::CutLink, duration);
                 }
             }
-            Kind::SlowProcess => {
-                if let Some(one) = one_of_council {
-                    let all = self.pairs(|a, b| a == one || b == one);
-                    self.spoil(all, Kind::Slow, length);
+            FaultKind::DelayProcess => {
+                if let Some(one) = coordinator {
+                    let all = self.links_between(|a, b| a == one || b == one);
+                    self.apply_link_fault(all, FaultKind::DelayLink, duration);
                 }
             }
         }
     }
 
-    pub(super) fn pairs(&self, are: impl Fn(usize, usize) -> bool) -> Vec<(usize, usize)> {
+    pub(super) fn links_between(&self, includes: impl Fn(usize, usize) -> bool) -> Vec<(usize, usize)> {
         let all = 0..self.processes.len();
         all.clone()
             .flat_map(|a| all.clone().map(move |b| (a, b)))
-            .filter(|(a, b)| a != b && are(*a, *b))
+            .filter(|(a, b)| a != b && includes(*a, *b))
             .collect()
     }
 
-    pub(super) fn spoil(&mut self, links: Vec<(usize, usize)>, how: Kind, length: Micros) {
-        let late = self.rng.random_range(100_000..5_000_000);
+    pub(super) fn apply_link_fault(&mut self, links: Vec<(usize, usize)>, kind: FaultKind, duration: Micros) {
+        let extra_delay = self.rng.random_range(100_000..5_000_000);
         for link in &links {
             let link = self.links.entry(*link).or_default();
-            match how {
-                Kind::Slow => link.late = late,
-                Kind::Hold => link.held += 1,
-                _ => link.dropped += 1,
+            match kind {
+                FaultKind::DelayLink => link.extra_delay = extra_delay,
+                FaultKind::HoldLink => link.hold_faults += 1,
+                _ => link.drop_faults += 1,
             }
         }
-        let heal = match how {
-            Kind::Slow => Heal::Undelay(links),
-            Kind::Hold => Heal::Release(links),
-            _ => Heal::Undrop(links),
+        let recovery = match kind {
+            FaultKind::DelayLink => Recovery::StopDelaying(links),
+            FaultKind::HoldLink => Recovery::Release(links),
+            _ => Recovery::StopDropping(links),
         };
-        self.at(self.now + length, Event::Heal(heal));
+        self.schedule(self.now + duration, Event::Recover(recovery));
     }
 
     /// A council process ends by itself. It may only where its disk is not what it left there; it is replaced then.
-    pub(super) fn ends(&mut self, at: usize, why: &str) {
-        self.kill(at);
-        let Role::Council { disk, .. } = &mut self.processes[at].role else { return };
-        if !disk.spoilt {
-            self.outcome.seen.wrongs.push(format!("{}: {why}", self.processes[at].name));
+    pub(super) fn handle_self_termination(&mut self, index: usize, why: &str) {
+        self.kill(index);
+        let Role::Coordinator { disk, .. } = &mut self.processes[index].role else { return };
+        if !disk.tampered {
+            self.outcome.observations.violations.push(format!("{}: {why}", self.processes[index].name));
             return;
         }
-        self.outcome.ended += 1;
-        self.replace(at);
-        self.at(self.now + 1, Event::Heal(Heal::Start(at)));
+        self.outcome.self_terminated += 1;
+        self.replace(index);
+        self.schedule(self.now + 1, Event::Recover(Recovery::Start(index)));
     }
 
     /// A council process comes back with nothing: another one, as far as votes go, which the warden takes in.
-    pub(super) fn replace(&mut self, at: usize) {
-        self.kill(at);
+    pub(super) fn replace(&mut self, index: usize) {
+        self.kill(index);
         let new: u64 = self.rng.random_range(1..u64::MAX);
-        let planted = self.plan.planted;
-        let name = self.processes[at].name.clone();
-        let Role::Council { disk, number, .. } = &mut self.processes[at].role else { return };
-        let old = std::mem::replace(number, new);
-        **disk = MemoryDisk::new(DurableState::default(), planted);
-        self.numbers.remove(&old);
-        self.numbers.insert(new, at);
-        self.replacing = true;
+        let injected_bug = self.plan.injected_bug;
+        let name = self.processes[index].name.clone();
+        let Role::Coordinator { disk, node_id, .. } = &mut self.processes[index].role else { return };
+        let old = std::mem::replace(node_id, new);
+        **disk = MemoryDisk::new(DurableState::default(), injected_bug);
+        self.process_by_node_id.remove(&old);
+        self.process_by_node_id.insert(new, index);
+        self.replacement_pending = true;
         for process in &mut self.processes {
-            if let Role::Warden { wanted, .. } = &mut process.role {
-                wanted.push((new, old, Peer { name: name.clone(), address: String::new() }));
+            if let Role::PeerReplacer { pending_replacements, .. } = &mut process.role {
+                pending_replacements.push((new, old, Peer { name: name.clone(), address: String::new() }));
             }
         }
     }
--- a/crates/lab/src/processes/simulation/operators.rs
+++ b/crates/lab/src/processes/simulation/operators.rs
@@ -4,200 +4,215 @@
 use heronhoist_disruption::denial::BudgetDenial;
 use heronhoist_disruption::{permits, records};
 
-impl World<'_> {
-    pub(super) fn agent_told(&mut self, at: usize, response: Option<Response>) {
+impl Simulation<'_> {
+    pub(super) fn agent_handle_budgets(&mut self, index: usize, response: Option<Response>) {
         let Some(Response::Read(view)) = response else { return };
-        let Role::Agent(agent) = &self.processes[at].role else { return };
+        let Role::Agent(agent) = &self.processes[index].role else { return };
         let (name, incarnation) = (agent.holder.name().to_string(), agent.holder.incarnation());
         let Some(key) = permit::budgets_with_permit_for(&view, &name).into_iter().next() else { return };
         let Ok(txn) = permit::release(&view, &key, &name, incarnation) else { return };
-        self.ask(at, 1, Request::Command(CommandRequest { session: None, command: Command::Write(txn) }));
+        self.send_request(
+            index,
+            1,
+            Request::Command(CommandRequest { session: None, command: Command::Write(txn) }),
+        );
     }
 
-    pub(super) fn operator_asks(&mut self, at: usize) -> Option<Request> {
-        let local = self.local(at);
-        let idle = self.healed;
-        let Role::Operator(operator) = &mut self.processes[at].role else { return None };
-        operator.holder.held_incarnation(local)?;
-        if operator.doing == Doing::Idle && idle {
+    pub(super) fn operator_next_request(&mut self, index: usize) -> Option<Request> {
+        let local_time = self.local_time(index);
+        let no_new_permits = self.faults_ended;
+        let Role::Operator(operator) = &mut self.processes[index].role else { return None };
+        operator.holder.held_incarnation(local_time)?;
+        if operator.state == OperatorState::Idle && no_new_permits {
             return None;
         }
-        if operator.asked.is_some() {
+        if operator.pending_request.is_some() {
             // The same again, under the same number.
-            return operator.asked.clone();
+            return operator.pending_request.clone();
         }
         // Where crashes count, all is read that they are counted by.
         let prefix = if self.plan.servers > 0 { "" } else { "budget/" };
         Some(Request::Read { stale: false, prefix: prefix.into(), members: true })
     }
 
-    pub(super) fn operator_told(&mut self, at: usize, response: Option<Response>) {
-        let local = self.local(at);
+    pub(super) fn operator_handle_response(&mut self, index: usize, response: Option<Response>) {
+        let local_time = self.local_time(index);
         let now = self.now;
         let pause = self.rng.random_range(200_000..1_500_000);
-        let Role::Operator(operator) = &mut self.processes[at].role else { return };
+        let Role::Operator(operator) = &mut self.processes[index].role else { return };
         match response {
             None => {}
-            Some(Response::Read(view)) => self.operator_reads(at, &view),
+            Some(Response::Read(view)) => self.operator_handle_view(index, &view),
             Some(Response::Reply(reply, _)) => {
-                operator.asked = None;
-                operator.next_at = now;
-                match (reply, operator.doing.clone()) {
-                    (CommandResult::Done(revision), Doing::Taking(agent)) => {
-                        self.outcome.permits += 1;
-                        let agreed = self.agreed.partition_point(|(_, other)| *other < revision);
-                        operator.granted = self.agreed.get(agreed).map_or(now, |(at, _)| *at);
-                        operator.doing = Doing::Starting(agent);
+                operator.pending_request = None;
+                operator.next_action_at = now;
+                match (reply, operator.state.clone()) {
+                    (CommandResult::Done(revision), OperatorState::Acquiring(agent)) => {
+                        self.outcome.permits_granted += 1;
+                        let commit_index = self.commits.partition_point(|(_, other)| *other < revision);
+                        operator.granted_at = self.commits.get(commit_index).map_or(now, |(time, _)| *time);
+                        operator.state = OperatorState::Starting(agent);
                     }
-                    (CommandResult::Done(_), Doing::Starting(agent)) => {
+                    (CommandResult::Done(_), OperatorState::Starting(agent)) => {
                         // At the last moment before: is the lease still there?
-                        if operator.holder.held_incarnation(local) == Some(operator.session) {
-                            operator.doing = Doing::Finishing(agent.clone());
-                            operator.next_at = now + pause;
-                            let granted = operator.granted;
-                            self.take_out(&agent, granted);
+                        if operator.holder.held_incarnation(local_time) == Some(operator.session) {
+                            operator.state = OperatorState::Finishing(agent.clone());
+                            operator.next_action_at = now + pause;
+                            let granted = operator.granted_at;
+                            self.take_agent_out(&agent, granted);
                         } else {
-                            operator.doing = Doing::Idle;
+                            operator.state = OperatorState::Idle;
                         }
                     }
-                    (CommandResult::Done(_), Doing::Finishing(agent)) => {
-                        operator.doing = Doing::Waiting(agent);
+                    (CommandResult::Done(_), OperatorState::Finishing(agent)) => {
+                        operator.state = OperatorState::AwaitingRelease(agent);
                     }
                     // Not taken, or not known: a look at the budget tells.
                     _ => {}
                 }
-                let Role::Operator(operator) = &mut self.processes[at].role else { return };
-                if operator.doing == Doing::Idle {
-                    operator.next_at = now + pause;
+                let Role::Operator(operator) = &mut self.processes[index].role else { return };
+                if operator.state == OperatorState::Idle {
+                    operator.next_action_at = now + pause;
                 }
             }
-            Some(_) => operator.next_at = now + pause,
+            Some(_) => operator.next_action_at = now + pause,
         }
     }
 
-    pub(super) fn operator_writes(&mut self, at: usize, txn: Txn) {
-        let Role::Operator(operator) = &mut self.processes[at].role else { return };
-        operator.number += 1;
+    pub(super) fn operator_prepare_write(&mut self, index: usize, txn: Txn) {
+        let Role::Operator(operator) = &mut self.processes[index].role else { return };
+        operator.sequence += 1;
         operator.session = operator.holder.incarnation();
-        let session = Some((operator.session, operator.number));
-        operator.asked = Some(Request::Command(CommandRequest { session, command: Command::Write(txn) }));
+        let session = Some((operator.session, operator.sequence));
+        operator.pending_request =
+            Some(Request::Command(CommandRequest { session, command: Command::Write(txn) }));
     }
 
     /// An operator with all budgets before it does the next thing.
-    pub(super) fn operator_reads(&mut self, at: usize, view: &View) {
+    pub(super) fn operator_handle_view(&mut self, index: usize, view: &View) {
         let now = self.now;
         let pause = self.rng.random_range(200_000..1_500_000);
         let agent = format!("a{}", self.rng.random_range(0..self.plan.agents.max(1)));
-        let Role::Operator(operator) = &mut self.processes[at].role else { return };
-        let me = (operator.holder.name().to_string(), operator.holder.incarnation());
-        let doing = operator.doing.clone();
-        operator.next_at = now;
-        let about = match &doing {
-            Doing::Idle => agent,
-            Doing::Taking(agent)
-            | Doing::Starting(agent)
-            | Doing::Finishing(agent)
-            | Doing::Waiting(agent) => agent.clone(),
+        let Role::Operator(operator) = &mut self.processes[index].role else { return };
+        let identity = (operator.holder.name().to_string(), operator.holder.incarnation());
+        let state = operator.state.clone();
+        operator.next_action_at = now;
+        let subject = match &state {
+            OperatorState::Idle => agent,
+            OperatorState::Acquiring(agent)
+            | OperatorState::Starting(agent)
+            | OperatorState::Finishing(agent)
+            | OperatorState::AwaitingRelease(agent) => agent.clone(),
         };
-        let site = view.members.get(&about).map(|member| member.site.clone());
+        let site = view.members.get(&subject).map(|member| member.site.clone());
         let Some(key) = site.map(|site| permit::agent_budget_key(&site)) else {
-            operator.next_at = now + pause;
+            operator.next_action_at = now + pause;
             return;
         };
-        let mine = permit::find(view, &key, &about).filter(|permit| permit.taker == me);
-        let taker = (me.0.as_str(), me.1);
-        let alone = self.plan.planted == InjectedBug::Alone;
-        let counted = self.plan.servers > 0 && !alone;
-        let permits = if alone { u32::MAX } else { self.plan.permits };
-        let take = || match counted {
-            true => permits::acquire_for_agent(view, &key, &about, taker, "kernel"),
-            false => Ok(permit::acquire(view, &key, &about, taker, "kernel")?),
+        let own_permit = permit::find(view, &key, &subject).filter(|permit| permit.taker == identity);
+        let taker = (identity.0.as_str(), identity.1);
+        let budgets_ignored = self.plan.injected_bug == InjectedBug::BudgetsIgnored;
+        let enforces_rules = self.plan.servers > 0 && !budgets_ignored;
+        let permits = if budgets_ignored { u32::MAX } else { self.plan.permits_per_site };
+        let acquire = || match enforces_rules {
+            true => permits::acquire_for_agent(view, &key, &subject, taker, "kernel"),
+            false => Ok(permit::acquire(view, &key, &subject, taker, "kernel")?),
         };
-        let txn = match (&doing, mine) {
+        let txn = match (&state, own_permit) {
             // Nothing is taken before the rules are there that count the dead.
-            (Doing::Idle, _) if counted && !view.records.contains_key(records::RULES_KEY) => None,
-            (Doing::Idle, _) => match take() {
+            (OperatorState::Idle, _) if enforces_rules && !view.records.contains_key(records::RULES_KEY) => {
+                None
+            }
+            (OperatorState::Idle, _) => match acquire() {
                 Ok(txn) => {
-                    operator.doing = Doing::Taking(about);
+                    operator.state = OperatorState::Acquiring(subject);
                     Some(txn)
                 }
                 Err(BudgetDenial::Permits(PermitDenial::NoBudget(_))) => {
                     permit::set_limit(view, &key, permits).ok()
                 }
-                Err(_) if self.plan.planted == InjectedBug::FreedBySilence => freed_by_silence(view, &key),
+                Err(_) if self.plan.injected_bug == InjectedBug::PermitFreedWithLease => {
+                    free_permits_of_ended_leases(view, &key)
+                }
                 Err(_) => None,
             },
             (_, None) => {
                 // It was given back, or never taken.
-                operator.doing = Doing::Idle;
+                operator.state = OperatorState::Idle;
                 None
             }
-            (Doing::Taking(_) | Doing::Starting(_), Some(permit)) => {
+            (OperatorState::Acquiring(_) | OperatorState::Starting(_), Some(permit)) => {
                 // One that had begun and does not know it has not touched the agent: it begins anew.
-                operator.doing = Doing::Starting(about.clone());
+                operator.state = OperatorState::Starting(subject.clone());
                 match permit.started {
-                    _ if self.healed => permit::finish(view, &key, &about, taker).ok(),
-                    _ => permit::start(view, &key, &about, taker).ok(),
+                    _ if self.faults_ended => permit::finish(view, &key, &subject, taker).ok(),
+                    _ => permit::start(view, &key, &subject, taker).ok(),
                 }
             }
-            (Doing::Finishing(..), Some(_)) => permit::finish(view, &key, &about, taker).ok(),
-            (Doing::Waiting(_), Some(_)) => None,
+            (OperatorState::Finishing(..), Some(_)) => permit::finish(view, &key, &subject, taker).ok(),
+            (OperatorState::AwaitingRelease(_), Some(_)) => None,
         };
         match txn {
             Some(txn) => {
-                let txn = self.as_planted(txn);
-                self.operator_writes(at, txn);
+                let txn = self.apply_injected_bug(txn);
+                self.operator_prepare_write(index, txn);
             }
-            None => operator.next_at = now + pause,
+            None => operator.next_action_at = now + pause,
         }
     }
 
     /// The wrapper's command: the agent's process ends, and is started again after a while, whatever becomes of the wrapper.
-    pub(super) fn take_out(&mut self, name: &str, granted: Micros) {
-        let of_name: Vec<usize> = (0..self.processes.len())
-            .filter(|at| {
-                matches!(self.processes[*at].role, Role::Agent(_)) && self.processes[*at].name == name
+    pub(super) fn take_agent_out(&mut self, name: &str, granted: Micros) {
+        let processes_of_name: Vec<usize> = (0..self.processes.len())
+            .filter(|index| {
+                matches!(self.processes[*index].role, Role::Agent(_)) && self.processes[*index].name == name
             })
             .collect();
-        let process = of_name.first().copied();
-        let down = self.rng.random_range(500_000..self.plan.terms.duration * 3);
-        if let Some(process) = process {
-            let (budget, what) = (permit::agent_budget_key(&self.processes[process].site), name.to_string());
-            let number = self.outcome.seen.outs.len();
-            self.outcome.seen.outs.push(Out { budget, what, granted, from: self.now, to: None });
-            self.out.insert(name.into(), number);
-            of_name.iter().for_each(|at| self.kill(*at));
-            self.at(self.now + down, Event::Heal(Heal::Start(process)));
+        let first = processes_of_name.first().copied();
+        let downtime = self.rng.random_range(500_000..self.plan.lease_terms.duration * 3);
+        if let Some(first) = first {
+            let (budget, agent) = (permit::agent_budget_key(&self.processes[first].site), name.to_string());
+            let outage_index = self.outcome.observations.outages.len();
+            self.outcome.observations.outages.push(Outage {
+                budget,
+                agent,
+                granted,
+                from: self.now,
+                to: None,
+            });
+            self.open_outages.insert(name.into(), outage_index);
+            processes_of_name.iter().for_each(|index| self.kill(*index));
+            self.schedule(self.now + downtime, Event::Recover(Recovery::Start(first)));
         }
     }
 
-    pub(super) fn warden_told(&mut self, response: Option<&Response>) {
+    pub(super) fn replacer_handle_response(&mut self, response: Option<&Response>) {
         if !matches!(response, Some(Response::PeersChanged)) {
             return;
         }
-        let warden = self.processes.iter_mut().find_map(|process| match &mut process.role {
-            Role::Warden { wanted, .. } => Some(wanted),
+        let replacer = self.processes.iter_mut().find_map(|process| match &mut process.role {
+            Role::PeerReplacer { pending_replacements, .. } => Some(pending_replacements),
             _ => None,
         });
-        if let Some(wanted) = warden {
-            wanted.remove(0);
-            self.replacing = !wanted.is_empty();
+        if let Some(pending_replacements) = replacer {
+            pending_replacements.remove(0);
+            self.replacement_pending = !pending_replacements.is_empty();
         }
     }
 }
 
 /// The planted way of taking permits whose takers are gone for free.
-fn freed_by_silence(view: &View, key: &str) -> Option<Txn> {
+fn free_permits_of_ended_leases(view: &View, key: &str) -> Option<Txn> {
     let record = view.records.get(key)?;
     let mut budget: permit::Budget = serde_json::from_str(&record.value).ok()?;
-    let before = budget.permits.len();
+    let permits_before = budget.permits.len();
     budget.permits.retain(|_, permit| {
         view.members
             .get(&permit.taker.0)
             .is_some_and(|member| member.incarnation == permit.taker.1 && member.status.may_hold_lease())
     });
     let value = serde_json::to_string(&budget).ok()?;
-    (budget.permits.len() < before).then(|| Txn {
+    (budget.permits.len() < permits_before).then(|| Txn {
         checks: vec![Check::At(key.into(), record.revision)],
         writes: vec![Write::Put(key.into(), value)],
     })
--- a/crates/lab/src/processes/workload.rs
+++ b/crates/lab/src/processes/workload.rs
@@ -1,50 +1,51 @@
-//! What clients do to records, in both modes.
+//! The operations of clients on records, in simulated and in real mode.
 
 use super::checker::Op;
 use rand::Rng;
 
-/// Operations on one record, so that the checker's work stays small.
-const OPS_A_KEY: usize = 24;
+/// The maximum number of operations on one record. It bounds the work of the linearizability check.
+const MAX_OPERATIONS_PER_KEY: usize = 24;
 
-/// The records that are worked on; each makes room for a new one in time. There are more of them where there are many clients.
+/// The keys of the records in use. Each is replaced by a new one after its maximum number of operations. The number of keys grows
+/// with the number of clients.
 #[derive(Debug, Default)]
 pub struct Keys {
-    hot: Vec<(String, usize)>,
-    made: usize,
+    active: Vec<(String, usize)>,
+    created: usize,
 }
 
 impl Keys {
-    /// The record of the next operation.
+    /// Returns the key of the record for the next operation.
     pub fn draw(&mut self, clients: usize, rng: &mut impl Rng) -> String {
-        while self.hot.len() < clients.div_ceil(2).max(4) {
-            self.made += 1;
-            self.hot.push((format!("note/{:05}", self.made), 0));
+        while self.active.len() < clients.div_ceil(2).max(4) {
+            self.created += 1;
+            self.active.push((format!("note/{:05}", self.created), 0));
         }
-        let place = rng.random_range(0..self.hot.len());
-        self.hot[place].1 += 1;
-        let key = self.hot[place].0.clone();
-        if self.hot[place].1 >= OPS_A_KEY {
-            self.hot.swap_remove(place);
+        let index = rng.random_range(0..self.active.len());
+        self.active[index].1 += 1;
+        let key = self.active[index].0.clone();
+        if self.active[index].1 >= MAX_OPERATIONS_PER_KEY {
+            self.active.swap_remove(index);
         }
         key
     }
 }
 
 impl Op {
-    /// An operation of a client that last saw this value, and would write that new one.
-    pub fn draw(roll: f64, seen: Option<u64>, new: u64) -> Op {
-        match roll {
+    /// Returns an operation for a client that last read `last_seen` from the record and may write `new_value`.
+    pub fn draw(random: f64, last_seen: Option<u64>, new_value: u64) -> Op {
+        match random {
             r if r < 0.4 => Op::Read(None),
-            r if r < 0.75 => Op::Swap(seen, new, true),
-            _ => Op::Put(new),
+            r if r < 0.75 => Op::Swap(last_seen, new_value, true),
+            _ => Op::Put(new_value),
         }
     }
 
-    /// The same, if nobody knows what came of it.
+    /// Returns the same operation with an unknown outcome.
     pub fn unknown(self) -> Op {
         match self {
-            Op::Put(new) => Op::MaybePut(new),
-            Op::Swap(old, new, _) => Op::MaybeSwap(old, new),
+            Op::Put(new_value) => Op::MaybePut(new_value),
+            Op::Swap(old, new_value, _) => Op::MaybeSwap(old, new_value),
             other => other,
         }
     }
