--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -1,13 +1,13 @@
 //! Hot restart: a running process hands its listening sockets to the process that replaces it.
 //!
-//! Both processes run side by side during an upgrade and talk over a Unix socket in `$TMPDIR`:
+//! Both processes run side by side during an upgrade and communicate over a Unix socket in `$TMPDIR`:
 //!
 //! 1. The running process listens on the Unix socket ([`listen_for_successors`], [`serve_successors`]).
 //! 2. The new process connects ([`take_over`]) and receives all TCP listeners in one message. Both processes then accept
 //!    from the same kernel queues, so no queued connection is reset when the old process closes its descriptors.
 //! 3. The new process reports that it is ready ([`complete_takeover`](predecessor::Predecessor::complete_takeover)).
 //! 4. The connection stays open until one of the processes exits. While it is open, each process counts the other as a
-//!    peer and keeps to its share of the limits ([`ProcessPeers`]).
+//!    peer and uses only its share of the limits ([`ProcessPeers`]).
 
 mod listeners;
 mod peers;
