--- a/crates/lab/src/processes/cluster.rs
+++ b/crates/lab/src/processes/cluster.rs
@@ -1,5 +1,6 @@
-//! Real mode: council processes, agents and operators' wrappers of the program, each behind a proxy, with faults of links and
-//! processes. What is judged is what clients were answered, what agents say of their leases, and who was out when.
+//! Real mode: coordinator processes, agents and operators' wrappers are processes of the program, each behind a proxy, with faults
+//! of links and processes. The checked observations are the responses to clients, the leases that agents report, and which agents
+//! were out when.
 
 mod servers;
 
@@ -33,32 +34,32 @@
 use tokio::time::{sleep, timeout, Instant};
 
 const FLEET: &str = "lab";
-/// After the last fault everything comes right within this, or nothing does; far beyond what a sound program needs.
+/// The time within which all processes must have recovered after the last fault. A correct program needs far less.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// A client gives an operation up after this.
+/// The time after which a client gives up an operation.
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(6);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Where a process's disk fails, writes beyond a bound do that is drawn from these: within what a small council writes at each
-/// step, and beyond what it has said in its log.
+/// The range of file sizes from which the limit for a failing disk is drawn; writes beyond the limit fail. It lies within what a
+/// small cluster writes at each step, and above the size of a process's log file, to which writes must not fail.
 const FILE_SIZE_LIMITS: RangeInclusive<u64> = 16 << 10..=64 << 10;
 
-/// What a run came to.
+/// The outcome of a run.
 pub struct Outcome {
-    /// What was seen.
+    /// Everything that was observed.
     pub observations: Observations,
     /// Operations with a known outcome.
     pub completed: usize,
-    /// Without.
+    /// Operations with an unknown outcome.
     pub unknown: usize,
-    /// Faults that were begun.
+    /// Faults that were started.
     pub faults_started: usize,
-    /// Permits under which something was out.
+    /// Outages under permits.
     pub permits_granted: usize,
-    /// Looks at agents' leases.
+    /// Checks of agents' leases.
     pub lease_checks: usize,
-    /// Processes that ended by themselves, since their disks were not what they had been.
+    /// Processes that exited because their disks had been altered by a fault.
     pub self_terminated: usize,
-    /// Calls of clients that had an answer of a record server, and others.
+    /// The number of clients' calls that got a response from a record server, and the number of others.
     pub calls: (u64, u64),
 }
 
@@ -67,11 +68,11 @@
     arguments: Vec<String>,
     log: PathBuf,
     child: RefCell<Option<Child>>,
-    /// It is stopped, or down on purpose: nobody starts it but the fault that did it.
+    /// Whether a fault has suspended or killed the process. Only that fault may restart it.
     under_fault: Cell<bool>,
-    /// How often it was started.
+    /// How often the process was started.
     starts: Cell<u64>,
-    /// Where it listens, or operators call.
+    /// The address on which a coordinator process listens, or the operations address of an agent.
     address: SocketAddr,
 }
 
@@ -87,7 +88,8 @@
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
         let mut command = match self.arguments.first().is_some_and(|argument| argument == "council") {
-            // Writes beyond a bound, which `Kind::FailDisk` sets, fail then, and do not kill.
+            // With this trap, writes beyond the file size limit that `FaultKind::FailDisk` sets fail instead of killing the
+            // process.
             true => {
                 let mut shell = tokio::process::Command::new("sh");
                 shell.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]).arg(program);
@@ -118,18 +120,18 @@
         }
     }
 
-    /// It has ended by itself, or by another's hand.
+    /// Returns whether the process has exited or was killed.
     fn has_ended(&self) -> bool {
         self.child.borrow_mut().as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
     }
 }
 
-/// What becomes of the disk of a process that is killed and started again.
+/// What happens to the disk of a process that is killed and restarted.
 #[derive(Clone, Copy, PartialEq)]
-enum DiskFault {
-    None,
-    Wipe,
-    Truncate,
+enum DiskChange {
+    Unchanged,
+    Wiped,
+    Truncated,
 }
 
 struct ProcessCluster {
@@ -140,16 +142,16 @@
     coordinators: Vec<Rc<Process>>,
     agents: Vec<Rc<Process>>,
     proxies: Vec<SocketAddr>,
-    /// Where the agents' clients call.
+    /// The addresses to which the agents' clients connect.
     fronts: Vec<SocketAddr>,
-    /// Where record servers listen, until they serve.
+    /// The listeners of the record servers, until the servers are started.
     listeners: RefCell<Vec<(String, TcpListener)>>,
     calls: servers::Calls,
     started_at: Instant,
     faults_ended: Cell<bool>,
     observations: RefCell<Observations>,
     lease_ends: RefCell<HashMap<(String, u64), Micros>>,
-    /// Processes that ended by themselves.
+    /// The number of processes that exited by themselves.
     self_terminated: Cell<usize>,
     unknown: Cell<usize>,
     lease_checks: Cell<usize>,
@@ -161,10 +163,10 @@
     command_pids: RefCell<Vec<u32>>,
 }
 
-/// Plays one seed with processes of the program.
+/// Runs one seed with processes of the program.
 pub fn run_seed(plan: &Plan, seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot create the runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let cluster = Rc::new(ProcessCluster::new(plan, seed, program, folder).await?);
         let outcome = Rc::clone(&cluster).run().await;
@@ -175,8 +177,8 @@
     })
 }
 
-/// An address that nobody listens on, and that no connection takes as its own end meanwhile: a host and a port of its own,
-/// outside of those that the system gives out.
+/// Returns an address on which nobody listens. Its host is used by this run only and its port lies outside the system's ephemeral
+/// range, so that no other connection can take it as its local address.
 async fn unused_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -191,7 +193,7 @@
     }
 }
 
-/// One call with a body of its own connection.
+/// Sends one request on its own connection. Returns the status and the body of the response.
 async fn http(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
@@ -209,7 +211,7 @@
     timeout(Duration::from_micros(CALL_TIMEOUT), exchange).await.ok().flatten()
 }
 
-/// Somebody who asks the council through the links.
+/// A client of the coordinator processes that sends its requests through the proxies.
 struct CoordinationClient {
     name: String,
     addresses: Vec<SocketAddr>,
@@ -220,17 +222,17 @@
 
 impl CoordinationClient {
     fn new(cluster: &ProcessCluster, name: &str) -> CoordinationClient {
-        let (addresses, draw) = (cluster.proxies.clone(), cluster.rng.borrow_mut().random());
+        let (addresses, random) = (cluster.proxies.clone(), cluster.rng.borrow_mut().random());
         CoordinationClient {
             name: name.into(),
-            retry_schedule: RetrySchedule::new(addresses.len(), draw),
+            retry_schedule: RetrySchedule::new(addresses.len(), random),
             addresses,
             session: None,
             sequence: 0,
         }
     }
 
-    /// One call, and the pause that is due if it settled nothing.
+    /// Sends a request once. Returns the response, or the delay before a retry if there is no conclusive response.
     async fn try_request(&mut self, request: &Request) -> Result<Response, Duration> {
         let envelope = Envelope {
             fleet: FLEET.into(),
@@ -243,7 +245,7 @@
         let reply =
             http(self.addresses[self.retry_schedule.target()], "POST", "/v1/ask", body.as_bytes()).await;
         let response = reply.and_then(|(_, body)| serde_json::from_slice::<Response>(&body).ok());
-        let pause = match &response {
+        let delay = match &response {
             Some(Response::Refused(Refusal::NotLeader { leader })) => {
                 let index = leader.as_ref().and_then(|peer| {
                     self.addresses.iter().position(|address| address.to_string() == peer.address)
@@ -259,17 +261,17 @@
                 return response.ok_or(Duration::ZERO);
             }
         };
-        Err(Duration::from_micros(pause))
+        Err(Duration::from_micros(delay))
     }
 
-    /// Asks until it is settled, for so long.
+    /// Repeats a request until there is a conclusive response or the time limit has passed.
     async fn request_until(&mut self, request: &Request, time_limit: Duration) -> Option<Response> {
         let deadline = Instant::now() + time_limit;
         loop {
             match self.try_request(request).await {
                 Ok(response) => return Some(response),
                 Err(_) if Instant::now() > deadline => return None,
-                Err(pause) => sleep(pause).await,
+                Err(delay) => sleep(delay).await,
             }
         }
     }
@@ -282,7 +284,7 @@
         }
     }
 
-    /// The next command under the session, which is opened if there is none.
+    /// Returns the request for the next command of the session, which is opened if necessary.
     async fn prepare_command(&mut self, command: Command) -> Option<Request> {
         if self.session.is_none() {
             let open = Request::Command(CommandRequest { session: None, command: Command::OpenSession });
@@ -329,7 +331,8 @@
                 plan.lease_terms.max_clock_drift,
                 plan.log_entries.max(64)
             );
-            // Changes are kept as many as the program keeps: watchers are judged by all of them, read at the end.
+            // The number of retained changes keeps its default, since all changes are read at the end to check what watchers
+            // received.
             for (n, proxy) in proxies.iter().enumerate() {
                 text += &format!("[[council.peer]]\nname = \"c{n}\"\naddress = \"{proxy}\"\n");
             }
@@ -404,7 +407,7 @@
         self.observations.borrow_mut().violations.push(violation);
     }
 
-    /// States how much may be out, with the program's own command.
+    /// Sets the budgets with the program's own command.
     async fn set_budgets(&self) -> Result<(), String> {
         let mut text =
             format!("[[budget]]\nof = \"servers\"\nby = \"all\"\nmost = {}\n", self.plan.max_servers_out);
@@ -417,7 +420,7 @@
         std::fs::write(&file, text).map_err(|e| e.to_string())?;
         match self.run_command(&["fleet", "budgets", &file.to_string_lossy()]).await {
             Some(0) => Ok(()),
-            other => Err(format!("the budgets were not taken: {other:?}")),
+            other => Err(format!("setting the budgets failed: the command ended with {other:?}")),
         }
     }
 
@@ -428,13 +431,16 @@
         }
         let mut client = CoordinationClient::new(&self, "judge");
         if client.view("note/", SETTLE_TIMEOUT).await.is_none() {
-            return Err(format!("the council was not formed; its logs are in {}", self.folder.display()));
+            return Err(format!(
+                "the coordinator processes did not form a cluster in time; their logs are in {}",
+                self.folder.display()
+            ));
         }
         if self.plan.operators > 0 {
             for site in 0..self.plan.sites {
-                let most = self.plan.permits_per_site.to_string();
+                let max_out = self.plan.permits_per_site.to_string();
                 let site = format!("site{site}");
-                self.run_command(&["fleet", "permits", "--site", &site, "--most", &most]).await;
+                self.run_command(&["fleet", "permits", "--site", &site, "--most", &max_out]).await;
             }
         }
         if self.plan.servers > 0 {
@@ -444,7 +450,7 @@
         for agent in &self.agents {
             tasks.push(spawn_local(Rc::clone(&self).supervise_agent(Rc::clone(agent))));
         }
-        let lease_ends = spawn_local(Rc::clone(&self).record_lease_ends());
+        let lease_reader = spawn_local(Rc::clone(&self).record_lease_ends());
         let watchers: Vec<JoinHandle<WatchLog>> =
             (0..self.plan.watchers).map(|n| spawn_local(Rc::clone(&self).watch(n))).collect();
         let clients: Vec<JoinHandle<()>> =
@@ -470,7 +476,7 @@
             let log = watcher.await.unwrap_or_default();
             self.observations.borrow_mut().watch_logs.push(log);
         }
-        lease_ends.abort();
+        lease_reader.abort();
         tasks.iter().for_each(JoinHandle::abort);
         self.read_final_state(&mut client).await;
         let mut observations = self.observations.take();
@@ -491,7 +497,7 @@
         })
     }
 
-    /// Everybody takes part again, and there is one state.
+    /// Waits until every agent is living and ready again.
     async fn wait_for_recovery(&self, client: &mut CoordinationClient) {
         let deadline = Instant::now() + SETTLE_TIMEOUT;
         while Instant::now() < deadline {
@@ -505,10 +511,10 @@
             }
             sleep(POLL_INTERVAL).await;
         }
-        self.record_violation("nothing came right after the last fault".into());
+        self.record_violation("the processes did not recover after the last fault".into());
     }
 
-    /// All changes from the first on, and what stands there at the end.
+    /// Reads all changes from the first one on, and the final state, which counts as one more read of each record.
     async fn read_final_state(&self, client: &mut CoordinationClient) {
         let Some(view) = client.view("", OPERATION_TIMEOUT).await else { return };
         let mut after = 0;
@@ -520,8 +526,9 @@
                     after = upto;
                 }
                 other => {
-                    return self
-                        .record_violation(format!("the changes from {after} on can't be read: {other:?}"))
+                    return self.record_violation(format!(
+                        "the changes after revision {after} can't be read: {other:?}"
+                    ))
                 }
             }
         }
@@ -556,7 +563,7 @@
 
     // Agents.
 
-    /// Starts an agent again when it has ended, and looks at what it says of its lease.
+    /// Restarts an agent when it has ended, and checks the lease that it reports.
     async fn supervise_agent(self: Rc<Self>, agent: Rc<Process>) {
         let marker = agent.log.with_extension("out");
         loop {
@@ -600,13 +607,14 @@
             if holds_lease && agent.starts.get() == start_count {
                 self.calls.record_lease(&agent.name, incarnation, start_count);
             }
-            if let Some(at) = lease_ends.get(&(agent.name.clone(), incarnation)).filter(|_| holds_lease) {
+            if let Some(ended_at) = lease_ends.get(&(agent.name.clone(), incarnation)).filter(|_| holds_lease)
+            {
                 self.record_violation(format!(
-                    "{} {incarnation} holds a lease that was seen ended at {at}",
+                    "{} (incarnation {incarnation}) reports that it holds a lease that had ended at {ended_at}",
                     agent.name
                 ));
             }
-            // Serving again: the end of what the permit was for.
+            // The outage ends once the agent is ready again.
             if http(agent.address, "GET", "/-/ready", b"").await.is_some_and(|(status, _)| status == 200) {
                 if let Some(outage_index) = self.open_outages.borrow_mut().remove(&agent.name) {
                     self.observations.borrow_mut().outages[outage_index].to = Some(self.now());
@@ -615,15 +623,15 @@
         }
     }
 
-    /// Which leases the council counts as ended, as a reader sees it.
+    /// Records which leases the coordinator processes count as ended, as seen by a reader.
     async fn record_lease_ends(self: Rc<Self>) {
         let mut client = CoordinationClient::new(&self, "reader");
         loop {
             if let Some(view) = client.view("budget/", OPERATION_TIMEOUT).await {
-                let at = self.now();
+                let ended_at = self.now();
                 for (name, member) in view.members {
                     if !member.status.may_hold_lease() {
-                        self.lease_ends.borrow_mut().entry((name, member.incarnation)).or_insert(at);
+                        self.lease_ends.borrow_mut().entry((name, member.incarnation)).or_insert(ended_at);
                     }
                 }
             }
@@ -631,7 +639,7 @@
         }
     }
 
-    // Whoever reads, writes and watches.
+    // Clients and watchers.
 
     async fn client(self: Rc<Self>, number: usize) {
         let mut client = CoordinationClient::new(&self, &format!("k{number}"));
@@ -645,8 +653,8 @@
             let op = Op::draw(random, seen.get(&key).map(|seen| seen.0), new_value);
             let mut checks = Vec::new();
             if let Op::Swap(..) = op {
-                let at = seen.get(&key).map(|(_, revision)| Check::At(key.clone(), *revision));
-                checks.push(at.unwrap_or(Check::Absent(key.clone())));
+                let check = seen.get(&key).map(|(_, revision)| Check::At(key.clone(), *revision));
+                checks.push(check.unwrap_or(Check::Absent(key.clone())));
             }
             let request = match op {
                 Op::Read(_) => Some(Request::Read { stale: false, prefix: key.clone(), members: false }),
@@ -714,7 +722,7 @@
                     }
                 }
                 Ok(_) => from = None,
-                Err(pause) => sleep(pause).await,
+                Err(delay) => sleep(delay).await,
             }
         }
         log
@@ -727,12 +735,12 @@
             sleep(Duration::from_millis(pause)).await;
             let agent = self.rng.borrow_mut().random_range(0..self.agents.len().max(1));
             let Some(agent) = self.agents.get(agent) else { return };
-            // The mark says that it was by a permit. A stopped agent is killed like any other.
+            // The marker file shows that the agent was killed under a permit. A suspended agent is killed like any other.
             let (marker, pid_file) = (agent.log.with_extension("out"), agent.log.with_extension("pid"));
             let line = format!("touch '{}'; kill -9 $(cat '{}')", marker.display(), pid_file.display());
             let subject = format!("agent:{}", agent.name);
             let arguments = ["hold", "--for", &subject, "--why", "lab", "--", "sh", "-c", &line];
-            // After the last fault nobody waits for an agent that a command missed.
+            // After the last fault, the operator doesn't wait for an agent that its command failed to kill.
             tokio::select! {
                 _ = self.run_command(&arguments) => {}
                 () = async { while !self.faults_ended.get() { sleep(POLL_INTERVAL).await } } => {}
@@ -748,7 +756,7 @@
 
     async fn inject_faults(self: &Rc<Self>) {
         let started_at = Instant::now();
-        let ends = started_at + Duration::from_micros(self.plan.duration);
+        let ends_at = started_at + Duration::from_micros(self.plan.duration);
         let mut tasks = Vec::new();
         for fault in self.plan.scheduled_faults.clone() {
             let cluster = Rc::clone(self);
@@ -762,10 +770,10 @@
             }));
         }
         if self.plan.fault_interval == 0 || self.plan.fault_kinds.is_empty() {
-            tokio::time::sleep_until(ends).await;
+            tokio::time::sleep_until(ends_at).await;
         }
         while self.plan.fault_interval > 0
-            && Instant::now() < ends
+            && Instant::now() < ends_at
             && !crate::emulation::INTERRUPTED.load(std::sync::atomic::Ordering::Relaxed)
         {
             let (kind, duration, pause) = {
@@ -786,13 +794,13 @@
             )));
             sleep(Duration::from_micros(pause)).await;
         }
-        // Each ends by itself: what it held is let go then.
+        // Each fault ends by itself and undoes its effects.
         for task in tasks {
             let _ = task.await;
         }
     }
 
-    /// The process that is meant: by its name, or `leader`.
+    /// Returns the process with this name, the leader for `leader`, or a random process without a name.
     async fn select_process(&self, name: Option<&str>, processes: &[Rc<Process>]) -> Option<Rc<Process>> {
         match name {
             None => self.random_process(processes).cloned(),
@@ -841,10 +849,10 @@
         match kind {
             FaultKind::SuspendCoordinator => self.suspend(coordinator, duration).await,
             FaultKind::SuspendAgent | FaultKind::DuplicateAgent => self.suspend(agent, duration).await,
-            FaultKind::KillCoordinator => self.restart(coordinator, duration, DiskFault::None).await,
-            FaultKind::KillAgent => self.restart(agent, duration, DiskFault::None).await,
-            FaultKind::WipeDisk => self.restart(coordinator, duration, DiskFault::Wipe).await,
-            FaultKind::TruncateDisk => self.restart(coordinator, duration, DiskFault::Truncate).await,
+            FaultKind::KillCoordinator => self.restart(coordinator, duration, DiskChange::Unchanged).await,
+            FaultKind::KillAgent => self.restart(agent, duration, DiskChange::Unchanged).await,
+            FaultKind::WipeDisk => self.restart(coordinator, duration, DiskChange::Wiped).await,
+            FaultKind::TruncateDisk => self.restart(coordinator, duration, DiskChange::Truncated).await,
             FaultKind::RollBackDisk => self.roll_back_disk(target, duration).await,
             FaultKind::FailDisk => self.fail_disk(coordinator, duration).await,
             FaultKind::SuspendOperator | FaultKind::KillOperator => {
@@ -950,18 +958,19 @@
         process.under_fault.set(false);
     }
 
-    /// Kills a process and starts it again; a council process whose disk is gone is taken in as another.
-    async fn restart(&self, process: Option<Rc<Process>>, duration: Duration, disk_fault: DiskFault) {
+    /// Kills a process and restarts it. A coordinator process that has lost its disk is replaced by a new member.
+    async fn restart(&self, process: Option<Rc<Process>>, duration: Duration, disk_change: DiskChange) {
         let Some(process) = process.filter(|process| !process.under_fault.replace(true)) else { return };
         process.kill().await;
         sleep(duration).await;
-        // One at a time: a council that has lost a majority of its disks is gone.
-        let disk_fault = if self.others_are_unaffected(&process) { disk_fault } else { DiskFault::None };
+        // Only one disk is lost at a time, since a cluster can't recover from the loss of a majority of its disks.
+        let disk_change =
+            if self.others_are_unaffected(&process) { disk_change } else { DiskChange::Unchanged };
         let disk = self.disk_path(&process);
-        if disk_fault == DiskFault::Wipe {
+        if disk_change == DiskChange::Wiped {
             self.replace(&process).await;
         } else {
-            if disk_fault == DiskFault::Truncate {
+            if disk_change == DiskChange::Truncated {
                 let truncated = std::fs::OpenOptions::new().write(true).open(&disk);
                 let truncated = truncated.and_then(|file| file.set_len(file.metadata()?.len() / 2));
                 if let Err(why) = truncated {
@@ -971,14 +980,15 @@
             if let Err(why) = process.start(&self.program) {
                 self.record_violation(why);
             }
-            if disk_fault == DiskFault::Truncate {
+            if disk_change == DiskChange::Truncated {
                 self.expect_exit_and_replace(&process, "cut short").await;
             }
         }
         process.under_fault.set(false);
     }
 
-    /// Kills one that does not lead, starts it, kills it again after a while, and puts its disk back to the copy of the first time.
+    /// Kills a process that isn't the leader and restarts it, kills it again after a while, and sets its disk back to the copy from
+    /// the first kill.
     async fn roll_back_disk(&self, target: Option<&str>, duration: Duration) {
         let leader =
             self.select_process(Some("leader"), &self.coordinators).await.map(|process| process.name.clone());
@@ -1009,20 +1019,21 @@
         process.under_fault.set(false);
     }
 
-    /// For a while a process's writes beyond a bound within its disk's file fail, and so the one that crosses it in its middle.
+    /// Limits the file size of a process for a while, so that writes beyond the limit fail, and the write that crosses it fails in
+    /// its middle.
     async fn fail_disk(&self, process: Option<Rc<Process>>, duration: Duration) {
         let Some(process) = process.filter(|process| !process.under_fault.replace(true)) else { return };
         let limit = self.rng.borrow_mut().random_range(FILE_SIZE_LIMITS);
         let id = process.child.borrow().as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id as i32));
-        // What it had from this process, whose child it is.
+        // The process inherited its limit from this one, its parent.
         let own_limit = getrlimit(Resource::Fsize);
         if let Some(pid) = pid {
             let limited = prlimit(Some(pid), Resource::Fsize, Rlimit { current: Some(limit), ..own_limit });
             sleep(duration).await;
             if let Err(why) = limited.and_then(|_| prlimit(Some(pid), Resource::Fsize, own_limit)) {
                 self.record_violation(format!(
-                    "{}: its disk cannot be bounded, or stays so: {why}",
+                    "{}: cannot set or reset the limit of its file size: {why}",
                     process.name
                 ));
             }
@@ -1038,12 +1049,14 @@
         self.coordinators.iter().all(|other| other.name == process.name || !other.under_fault.get())
     }
 
-    /// A process whose disk is not what it left there says why in one line and ends; then it is taken in as another.
+    /// Waits until a process whose disk was altered by a fault exits and reports the reason in one line. It is then replaced by a new
+    /// member.
     async fn expect_exit_and_replace(&self, process: &Process, why: &str) {
         let deadline = Instant::now() + SETTLE_TIMEOUT;
         while !process.has_ended() {
             if Instant::now() > deadline {
-                return self.record_violation(format!("{} goes on, though its disk is {why}", process.name));
+                return self
+                    .record_violation(format!("{} still runs, although its disk is {why}", process.name));
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -1051,7 +1064,7 @@
         let last_line = log.lines().last().unwrap_or_default();
         if !last_line.contains(why) || log.contains("panicked") {
             self.record_violation(format!(
-                "{} does not say that its disk is {why}: {last_line}",
+                "{} did not report that its disk is {why}, its last log line is: {last_line}",
                 process.name
             ));
         }
@@ -1059,7 +1072,7 @@
         self.replace(process).await;
     }
 
-    /// Starts a process on an empty disk, and has it taken in.
+    /// Starts a process with an empty disk and adds it to the cluster in place of the old one.
     async fn replace(&self, process: &Process) {
         let _ = std::fs::remove_file(self.disk_path(process));
         if let Err(why) = process.start(&self.program) {
--- a/crates/lab/src/processes/cluster/servers.rs
+++ b/crates/lab/src/processes/cluster/servers.rs
@@ -1,5 +1,6 @@
-//! Record servers of the rig, clients that call agents, and operators who drain servers with the program's own commands. What is
-//! judged is what servers were sent: each call carries which process of which agent it was made to, and when.
+//! Record servers, clients that call agents, and operators that drain servers with the program's own commands. The checked
+//! observations are the requests that servers received: the id of each call names the agent, the process of the agent that was
+//! called, and when.
 
 use super::*;
 use crate::processes::checker::{OpenBarrier, SentRequest};
@@ -7,29 +8,30 @@
 use heronhoist_coordination::state::is_agent;
 use std::collections::HashSet;
 
-/// A call's name: which agent, which process of it, when it was begun (microseconds of the run), and which call.
+/// The id of a call: the index of the agent, the start count of its process, when the call was started (microseconds of the run),
+/// and the number of the call.
 type CallId = (usize, u64, Micros, u64);
 
-/// What servers were sent, and what is known of the calls.
+/// The requests that servers received, and what is known of the calls.
 #[derive(Default)]
 pub(super) struct Calls {
-    next: Cell<u64>,
+    next_call: Cell<u64>,
     received: RefCell<Vec<(String, CallId)>>,
-    /// Calls whose agent was one process from before the call to after its answer.
+    /// Calls during which the agent was a single process, from before the call until after its response.
     single_process: RefCell<HashSet<u64>>,
-    /// Which process of an agent had which incarnation.
+    /// The start count of the process that held an incarnation of an agent.
     process_of: RefCell<BTreeMap<(String, u64), u64>>,
-    /// Calls that had an answer of a record server, and others.
+    /// The number of calls that got a response from a record server, and the number of others.
     served: Cell<(u64, u64)>,
 }
 
 impl Calls {
-    /// A process of an agent was seen holding this incarnation.
-    pub(super) fn record_lease(&self, agent: &str, incarnation: u64, process: u64) {
-        self.process_of.borrow_mut().insert((agent.into(), incarnation), process);
+    /// Records that a process of an agent was seen to hold this incarnation.
+    pub(super) fn record_lease(&self, agent: &str, incarnation: u64, start_count: u64) {
+        self.process_of.borrow_mut().insert((agent.into(), incarnation), start_count);
     }
 
-    /// Calls that had an answer of a record server, and others.
+    /// Returns the number of calls that got a response from a record server, and the number of others.
     pub(super) fn call_counts(&self) -> (u64, u64) {
         self.served.get()
     }
@@ -41,7 +43,7 @@
     Some((next()? as usize, next()?, next()?, next()?))
 }
 
-/// Answers each request, and notes its name.
+/// Responds to each request and records its call id.
 async fn serve_connection(name: String, mut stream: TcpStream, cluster: Rc<ProcessCluster>) {
     let mut buffer = Vec::new();
     loop {
@@ -68,7 +70,7 @@
 }
 
 impl ProcessCluster {
-    /// Starts the record servers behind the listeners that they were given.
+    /// Starts the record servers on their listeners.
     pub(super) fn start_servers(self: &Rc<Self>) {
         for (name, listener) in self.listeners.take() {
             let cluster = Rc::clone(self);
@@ -80,14 +82,15 @@
         }
     }
 
-    /// Calls one agent again and again.
+    /// Calls one agent repeatedly.
     pub(super) async fn call_agent(self: Rc<Self>, number: usize) {
         let (agent, front) = (Rc::clone(&self.agents[number]), self.fronts[number]);
         while !self.faults_ended.get() {
             let pause = self.rng.borrow_mut().random_range(5..40);
             sleep(Duration::from_millis(pause)).await;
-            let (start_count, started_at, call) = (agent.starts.get(), self.now(), self.calls.next.get());
-            self.calls.next.set(call + 1);
+            let (start_count, started_at, call) =
+                (agent.starts.get(), self.now(), self.calls.next_call.get());
+            self.calls.next_call.set(call + 1);
             let exchange = async {
                 let mut stream = TcpStream::connect(front).await.ok()?;
                 let head = format!(
@@ -108,7 +111,7 @@
         }
     }
 
-    /// The agents that have said that they can serve, by name and incarnation.
+    /// Returns the agents that are living, with their incarnations.
     async fn living_agents(&self, client: &mut CoordinationClient) -> BTreeMap<String, u64> {
         let view = client.view("drain/", OPERATION_TIMEOUT).await;
         let members = view.into_iter().flat_map(|view| view.members);
@@ -125,14 +128,14 @@
             sleep(Duration::from_millis(pause)).await;
             let server = format!("s{}", self.rng.borrow_mut().random_range(0..self.plan.servers.max(1)));
             let holders_before = self.living_agents(&mut client).await;
-            // Planted: nobody is waited for.
+            // The injected bug doesn't wait for the barrier.
             let wait_flag =
                 (self.plan.injected_bug != InjectedBug::BarrierIgnoresSilentAgents).then_some("--wait");
             let arguments: Vec<&str> =
                 ["drain", "server", &server, "--why", "lab"].into_iter().chain(wait_flag).collect();
             let exit_code = self.run_command(&arguments).await;
             if exit_code == Some(0) {
-                // Whoever was there before and after was there when the barrier opened.
+                // An agent that was living both before and after the command was living when the barrier opened.
                 let mut lease_holders = self.living_agents(&mut client).await;
                 lease_holders.retain(|name, incarnation| holders_before.get(name) == Some(incarnation));
                 let barrier_index = self.observations.borrow().open_barriers.len();
@@ -145,8 +148,8 @@
                 sleep(Duration::from_millis(open_duration)).await;
                 self.observations.borrow_mut().open_barriers[barrier_index].to = Some(self.now());
             }
-            // One that was not allowed was entered by nobody, or by another, who takes it back; one that was killed or stopped, or
-            // had no answer, may stand.
+            // Exit code 3 means that the drain was denied, or that another operator started it and will end it. After any other
+            // failure, the drain may exist.
             if exit_code != Some(3) {
                 while !matches!(self.run_command(&["undrain", "server", &server]).await, Some(0 | 3)) {
                     sleep(POLL_INTERVAL).await;
@@ -155,7 +158,7 @@
         }
     }
 
-    /// What servers were sent, in the judge's terms.
+    /// Returns the requests that servers received, as the checker expects them.
     pub(super) fn requests_received(&self) -> Vec<SentRequest> {
         let (single_process, process_of) =
             (self.calls.single_process.borrow(), self.calls.process_of.borrow());
@@ -164,8 +167,9 @@
             let Some(agent) = self.agents.get(*agent).filter(|_| single_process.contains(call)) else {
                 continue;
             };
-            let incarnations =
-                process_of.iter().filter(|((name, _), of)| *name == agent.name && *of == start_count);
+            let incarnations = process_of
+                .iter()
+                .filter(|((name, _), started)| *name == agent.name && *started == start_count);
             requests.extend(incarnations.map(|((name, incarnation), _)| SentRequest {
                 agent: name.clone(),
                 incarnation: *incarnation,
--- a/crates/lab/src/processes/simulation/callers.rs
+++ b/crates/lab/src/processes/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Who asks: calls, deadlines, answers, and what each process does when it is its time.
+//! Requests, timeouts and responses, and the actions of each process when it is polled.
 
 use super::*;
 
@@ -25,13 +25,14 @@
         self.schedule(self.now + CALL_TIMEOUT, Event::CallTimeout(index, epoch, id));
     }
 
-    /// An answer came, or none will; says what is made of it, and how long the asker pauses.
+    /// Handles the response to a request, or `None` after a timeout, and passes it to the role of the process. A failed request is
+    /// repeated after a delay.
     pub(super) fn handle_response(&mut self, index: usize, id: u64, response: Option<Response>) {
         let caller_index = self.processes[index]
             .callers
             .iter()
             .position(|caller| caller.outstanding.is_some_and(|call| call.0 == id));
-        // What comes after it was given up is not read.
+        // A response that arrives after its timeout is ignored.
         let Some(caller_index) = caller_index else { return };
         let random: f64 = self.rng.random();
         let plan = self.plan;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The answer to a member's own asking.
+    /// Handles the response to a lease request of an agent or operator.
     pub(super) fn handle_lease_response(
         &mut self,
         index: usize,
@@ -102,7 +103,8 @@
                 let mut to = clock.simulated_time(holder.lease_expires_at());
                 let granted = matches!(response, Some(Response::Renewed(_)));
                 if plan.injected_bug == InjectedBug::LeaseWithoutMargin && granted {
-                    // By a clock of its own rate, from now on.
+                    // The injected bug counts the lease from now on, by the drifting clock of the process, and without a safety
+                    // margin.
                     to = clock.simulated_time(
                         local_time + plan.lease_terms.duration + plan.lease_terms.duration / 50,
                     );
@@ -122,14 +124,14 @@
         self.record_lease_belief(ended_belief);
     }
 
-    /// A belief that is given up now, if it has not run out before.
+    /// Records a lease belief that ends now, or earlier if the lease has expired before.
     pub(super) fn record_lease_belief(&mut self, belief: Option<Belief>) {
         if let Some(belief) = belief {
             self.outcome.observations.lease_beliefs.push(Belief { to: belief.to.min(self.now), ..belief });
         }
     }
 
-    /// What a process does when it is its time.
+    /// Performs the actions of a process that are due, and schedules its next poll.
     pub(super) fn poll_process(&mut self, index: usize) {
         let local_time = self.local_time(index);
         let now = self.now;
@@ -249,7 +251,7 @@
         for (caller_index, request) in requests {
             self.send_request(index, caller_index, request);
         }
-        // Whoever waits for an answer is woken by it; the others by their time.
+        // A process that waits for a response is polled when it arrives; other processes are polled at their next due time.
         if next_poll_at != Micros::MAX || has_requests {
             self.schedule_wake(index, next_poll_at.max(now + 1000).min(now + 1_000_000));
         }
--- a/crates/lab/src/processes/simulation/clients.rs
+++ b/crates/lab/src/processes/simulation/clients.rs
@@ -92,7 +92,10 @@
                 unknown
             }
             (Some(other), op) => {
-                self.outcome.observations.violations.push(format!("{op:?} was answered by {other:?}"));
+                self.outcome
+                    .observations
+                    .violations
+                    .push(format!("unexpected response to {op:?}: {other:?}"));
                 unknown
             }
         };
@@ -128,7 +131,7 @@
             Some(Response::Read(view)) => {
                 let seen_revision = watcher.log.segments.last().map_or(0, |segment| segment.3);
                 if let Some(max_staleness) = view.max_staleness {
-                    // All that was agreed before this must be in it.
+                    // The view must include everything that was committed before this time.
                     let included_until = watcher
                         .request_sent_at
                         .saturating_sub((max_staleness as f64 * (1.0 + 2.0 * max_clock_drift)) as Micros);
@@ -152,10 +155,10 @@
                 if let Some(segment) = watcher.log.segments.last_mut() {
                     segment.2.extend(changes);
                     if upto < segment.3 {
-                        self.outcome
-                            .observations
-                            .violations
-                            .push(format!("a watcher at {} was told of {upto}", segment.3));
+                        self.outcome.observations.violations.push(format!(
+                            "a watcher at revision {} received changes up to the older revision {upto}",
+                            segment.3
+                        ));
                     }
                     segment.3 = segment.3.max(upto);
                 }
--- a/crates/lab/src/processes/simulation/disk.rs
+++ b/crates/lab/src/processes/simulation/disk.rs
@@ -1,58 +1,59 @@
-//! The disk of a council process: it keeps what it says it keeps, unless it fails, or is planted not to.
+//! The disk of a coordinator process. It stores what it acknowledges, unless it fails or a bug is injected.
 
 use super::*;
 
-/// Of a while in which writes fail, the first so many may still work.
+/// The maximum number of writes that still succeed after a disk failure has begun.
 const MAX_WORKING_WRITES: u32 = 12;
 
-/// Where a write fails.
+/// The point at which a write fails.
 enum WriteFailurePoint {
-    /// Nothing of the step is kept.
+    /// Nothing of the batch is stored.
     Before,
-    /// A part of it, without its end: nothing of it, once it is read back.
+    /// A part of the batch is written without its end, so nothing of it is read back.
     Middle,
-    /// All of it is kept, and the process is not told so.
+    /// All of the batch is stored, but the process gets an error.
     After,
 }
 
-/// A while in which writes fail.
+/// A period in which writes fail.
 struct FailingWrites {
-    /// So many writes still work.
+    /// The number of writes that still succeed.
     working_writes: u32,
-    /// Of those after, each fails by this chance.
+    /// The probability that each later write fails.
     failure_probability: f64,
-    /// Whoever writes is killed at it, and not told that it failed.
+    /// Whether a failed write kills the process instead of returning an error.
     kills_process: bool,
     rng: Pcg64Mcg,
 }
 
-/// What a process does after a write that has failed.
+/// What happens to a process after a failed write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AfterWriteFailure {
-    /// It drops its node, and makes another from what it reads back.
+    /// The process drops its node and creates a new one from what it reads back.
     Reopen,
-    /// It was killed.
+    /// The process was killed.
     Killed,
 }
 
 #[derive(Default)]
 pub(super) struct MemoryDisk {
     pub(super) stored: DurableState,
-    /// What was acknowledged but is not kept yet.
+    /// Batches that were acknowledged but not yet stored.
     pub(super) pending: Vec<WriteBatch>,
     pub(super) injected_bug: Option<InjectedBug>,
     write_count: u64,
-    /// A fault made it other than it was left: its process must end, at the start or once it hears from the others.
-    pub(super) tampered: bool,
-    /// As it was when the fault began that will put it back.
+    /// Whether a fault has changed the stored data. The process must then exit, either at its start or once it learns of the change
+    /// from the others.
+    pub(super) altered: bool,
+    /// The copy of the stored data to which a fault will set the disk back.
     pub(super) rollback_copy: Option<DurableState>,
     failing: Option<FailingWrites>,
-    /// The part of a step that was written when the write failed.
+    /// The part of a batch that was written before the write failed.
     partial_batch: Option<WriteBatch>,
-    /// A write has failed since the disk was last read.
+    /// Whether a write has failed since the store was last opened.
     has_failed: bool,
     process_killed: bool,
-    /// Writes and reads that failed.
+    /// The number of failed writes and reads.
     pub(super) failures: usize,
 }
 
@@ -61,7 +62,7 @@
         MemoryDisk { stored, injected_bug: Some(injected_bug), ..MemoryDisk::default() }
     }
 
-    /// From one of the next writes on they fail.
+    /// Makes writes fail, from one of the next ones on.
     pub(super) fn start_failing(&mut self, mut rng: Pcg64Mcg) {
         let working_writes = rng.random_range(0..=MAX_WORKING_WRITES);
         let failure_probability = if rng.random_bool(0.5) { 1.0 } else { 0.3 };
@@ -77,7 +78,7 @@
         self.failing = None;
     }
 
-    /// What must be done, if a write has failed.
+    /// Returns what must happen to the process, if a write has failed.
     pub(super) fn after_failure(&self) -> Option<AfterWriteFailure> {
         self.has_failed.then_some(if self.process_killed {
             AfterWriteFailure::Killed
@@ -86,7 +87,7 @@
         })
     }
 
-    /// Opened again: what is there, and nothing of a step that was not finished.
+    /// Reopens the store. Returns the stored data, without any batch that was written only in part.
     pub(super) fn read_back(&mut self) -> Result<DurableState, DiskError> {
         if let Some(failing) = &mut self.failing {
             if failing.working_writes == 0 && failing.rng.random_bool(failing.failure_probability / 2.0) {
@@ -100,7 +101,7 @@
         Ok(self.stored.clone())
     }
 
-    /// Whether the next write fails, and where.
+    /// Returns whether and where the next write fails.
     fn next_write_failure(&mut self) -> Option<WriteFailurePoint> {
         let failing = self.failing.as_mut()?;
         if failing.working_writes > 0 {
@@ -123,7 +124,7 @@
     }
 }
 
-/// The first parts of a step, in the order in which they are written.
+/// Returns the first parts of a batch, in the order in which they are written.
 fn first_parts_of(batch: &WriteBatch) -> WriteBatch {
     let entries = batch.entries[..batch.entries.len() / 2].to_vec();
     WriteBatch { hard_state: batch.hard_state.clone(), entries, ..WriteBatch::default() }
@@ -134,7 +135,7 @@
         self.write_count += 1;
         let injected_bug = self.injected_bug.unwrap_or(InjectedBug::Nothing);
         if self.has_failed {
-            // A file whose write has failed takes nothing more until it is opened again.
+            // A file whose write has failed accepts no more writes until it is reopened.
             return match injected_bug {
                 InjectedBug::AckBeforeFailedSync => Ok(()),
                 _ => Err(DiskError::Failed("Previous I/O error".into())),
@@ -156,7 +157,7 @@
             self.store(batch);
             return Ok(());
         }
-        // One that lies gets round to it only now and then.
+        // The injected bug stores the acknowledged batches only at every 64th write.
         self.pending.push(batch.clone());
         if self.write_count % 64 == 0 {
             for batch in std::mem::take(&mut self.pending) {
--- a/crates/lab/src/processes/simulation/drains.rs
+++ b/crates/lab/src/processes/simulation/drains.rs
@@ -1,4 +1,5 @@
-//! Record servers that all agents drain: what agents send and say, and operators who drain servers and take it back.
+//! The draining of record servers: what agents send to servers and acknowledge, and operators that drain servers and end the
+//! drains.
 
 use super::*;
 use crate::processes::checker::{OpenBarrier, SentRequest};
@@ -8,20 +9,21 @@
 use heronhoist_disruption::records::{self, Drain};
 use heronhoist_disruption::rules::{Limit, Rule, Rules, Scope, Server, UnitKind};
 
-/// An agent may still send so long after it has heard of a drain, and is not quiet before.
+/// An agent acknowledges a drain this long after it has learned of it, and stops new requests to the server slightly earlier, after
+/// `SEND_DURATION`.
 const GRACE_PERIOD: Micros = 500_000;
 const SEND_DURATION: Micros = 400_000;
 
-/// What an agent has to do with record servers.
+/// The state of an agent with regard to record servers.
 #[derive(Default)]
 pub(super) struct ServerTraffic {
     observer: DrainObserver,
-    /// When it heard of each drain.
+    /// When the agent learned of each drain, by server.
     drains_seen_at: BTreeMap<String, Micros>,
-    /// Requests that are under way: to whom, and when they end.
+    /// Requests in flight: the server and the end of the request.
     in_flight: Vec<(String, Micros)>,
-    next_action_at: Micros,
-    /// What it is about to have written down, for which incarnation, and how it asks that.
+    next_send_at: Micros,
+    /// The acknowledgement that is being written, with its request.
     pending_write: Option<(DrainAcknowledgement, Request)>,
     session: (u64, u64),
 }
@@ -39,12 +41,12 @@
     Idle,
     Starting,
     AwaitingBarrier(String, u64),
-    /// The server may stop, until then.
+    /// The server is allowed to stop until this time.
     Open(String, u64, Micros),
     Ending(String, u64),
 }
 
-/// An operator who drains one server after the other.
+/// An operator that drains one server after the other.
 #[derive(Debug)]
 pub(super) struct Drainer {
     session: Option<u64>,
@@ -73,7 +75,7 @@
         self.add(name, "", Role::Drainer(Box::new(drainer)), RunState::Running)
     }
 
-    /// What an agent sends, and what it has to ask of the council about drains.
+    /// Sends requests to servers, and returns the time of the next one and the requests about drains that are due.
     pub(super) fn agent_poll_traffic(
         &mut self,
         index: usize,
@@ -87,13 +89,13 @@
             (agent.holder.incarnation(), agent.holder.held_incarnation(local_time));
         let name = agent.holder.name().to_string();
         let traffic = &mut agent.server_traffic;
-        traffic.in_flight.retain(|(_, ends)| *ends > now);
-        if now >= agent.ready_at && now >= traffic.next_action_at {
-            traffic.next_action_at = now + pause;
+        traffic.in_flight.retain(|(_, ends_at)| *ends_at > now);
+        if now >= agent.ready_at && now >= traffic.next_send_at {
+            traffic.next_send_at = now + pause;
             if traffic.drains_seen_at.get(&server).is_none_or(|seen_at| now < seen_at + SEND_DURATION) {
                 traffic.in_flight.push((server.clone(), now + duration));
-                let opened = self.outcome.observations.open_barriers.iter();
-                if opened.rev().any(|opened| opened.server == server && opened.to.is_none()) {
+                let barriers = self.outcome.observations.open_barriers.iter();
+                if barriers.rev().any(|barrier| barrier.server == server && barrier.to.is_none()) {
                     self.outcome.observations.requests_to_draining.push(SentRequest {
                         agent: name.clone(),
                         incarnation,
@@ -139,10 +141,10 @@
             }
             requests.extend(traffic.pending_write.as_ref().map(|(_, request)| (3, request.clone())));
         }
-        (traffic.next_action_at.max(now + 10_000), requests)
+        (traffic.next_send_at.max(now + 10_000), requests)
     }
 
-    /// What an agent is told of drains.
+    /// Handles the response to a watch of drains.
     pub(super) fn agent_handle_drains(&mut self, index: usize, response: Option<Response>) {
         let now = self.now;
         let Role::Agent(agent) = &mut self.processes[index].role else { return };
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Whether an agent's word was written down; without an answer it is said again.
+    /// Handles the result of writing an acknowledgement. Without a response, the write is repeated.
     pub(super) fn agent_handle_acknowledgement_result(&mut self, index: usize, response: Option<Response>) {
         let Role::Agent(agent) = &mut self.processes[index].role else { return };
         let Some(response) = response else { return };
@@ -180,7 +182,7 @@
         Rules { rules, servers: (0..self.plan.servers).map(server).collect() }
     }
 
-    /// As it is written, or without the checks that nothing that was counted has changed (planted).
+    /// Returns the transaction, or with the injected bug, the transaction without the checks that what was counted is unchanged.
     pub(super) fn apply_injected_bug(&self, mut txn: Txn) -> Txn {
         if self.plan.injected_bug == InjectedBug::BudgetChecksRemoved {
             txn.checks.retain(|check| !matches!(check, Check::Unchanged(..)));
@@ -224,7 +226,7 @@
         }
     }
 
-    /// A drainer with all before it does the next thing. What became of the last one, the records tell.
+    /// Performs the next step of a drainer, which learns the result of its previous step from the records.
     fn drainer_handle_view(&mut self, index: usize, view: &View) {
         let (now, faults_ended) = (self.now, self.faults_ended);
         let [pause, open_duration] =
@@ -238,7 +240,7 @@
         let (mut state, mut txn, mut next_action_at) = (drainer.state.clone(), None, now + pause);
         match state.clone() {
             DrainerState::Idle | DrainerState::Starting => {
-                // One that it entered, or the process of its name before it.
+                // The drain may also come from an earlier process with the same name.
                 let own_drain = drains.iter().find(|(_, drain)| drain.requested_by == name);
                 state = match own_drain {
                     Some((server, drain)) => DrainerState::AwaitingBarrier(server.clone(), drain.id),
@@ -318,17 +320,17 @@
         }
     }
 
-    /// From now on the server does not count as one that may stop.
+    /// Records that the server is no longer allowed to stop.
     pub(super) fn close_barrier(&mut self, server: &str) {
         let now = self.now;
-        for opened in
-            self.outcome.observations.open_barriers.iter_mut().filter(|opened| opened.server == server)
+        for barrier in
+            self.outcome.observations.open_barriers.iter_mut().filter(|barrier| barrier.server == server)
         {
-            opened.to.get_or_insert(now);
+            barrier.to.get_or_insert(now);
         }
     }
 
-    /// A drain that was taken back, by whoever it was.
+    /// Records the end of a drain, whoever ended it.
     pub(super) fn record_drain_end(&mut self, change: &Change) {
         if let heronhoist_coordination::state::ChangedItem::Record(key, None) = &change.item {
             if let Some(server) = key.strip_prefix(records::DRAIN_PREFIX) {
--- a/crates/lab/src/processes/simulation/faults.rs
+++ b/crates/lab/src/processes/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of processes, links and disks, and their ends.
+//! Faults of processes, links and disks, and the recovery from them.
 
 use super::*;
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Makes a council process's node from what its disk holds; whether the process goes on.
+    /// Creates the node of a coordinator process from its disk. Returns whether the process continues.
     fn open_store(&mut self, index: usize, random: u64, local_time: Micros) -> bool {
         let plan = self.plan;
         let Role::Coordinator { service, disk, node_id, .. } = &mut self.processes[index].role else {
@@ -87,7 +87,8 @@
         true
     }
 
-    /// A council process's disk has failed: it leads no more, answers nobody, and tries again after a pause.
+    /// Handles a disk failure of a coordinator process. A process that was killed by it restarts. Any other one stops leading,
+    /// responds to its pending requests that their outcome is unknown, and reopens its store after a delay.
     pub(super) fn handle_store_failure(&mut self, index: usize) {
         let Role::Coordinator { disk, .. } = &self.processes[index].role else { return };
         if disk.after_failure() == Some(AfterWriteFailure::Killed) {
@@ -117,7 +118,7 @@
         self.schedule(self.now + delay, Event::Reopen(index, epoch));
     }
 
-    /// It is tried again.
+    /// Reopens the store of a coordinator process.
     pub(super) fn reopen(&mut self, index: usize) {
         let (local_time, random) = (self.local_time(index), self.rng.random());
         self.open_store(index, random, local_time);
@@ -151,7 +152,7 @@
                 self.kill(index);
                 if let Role::Coordinator { disk, .. } = &mut self.processes[index].role {
                     if let Some(copy) = disk.rollback_copy.take() {
-                        disk.tampered = copy.entries.keys().last() != disk.stored.entries.keys().last();
+                        disk.altered = copy.entries.keys().last() != disk.stored.entries.keys().last();
                         disk.stored = copy;
                     }
                 }
@@ -241,11 +242,11 @@
         let is_running_operator = |process: &Process| {
             matches!(process.role, Role::Operator(_) | Role::Drainer(_)) && is_running(process)
         };
-        // Half of the time it is the leader that is hit.
+        // The leader is selected half of the time.
         let leader = self.leader.and_then(|node_id| self.process_by_node_id.get(&node_id).copied());
         let leader = leader.filter(|index| is_running(&self.processes[*index]) && self.rng.random_bool(0.5));
         let coordinator = target.or(leader).or_else(|| self.random_process(is_running_coordinator));
-        // One at a time: a council that has lost a majority of its disks is gone.
+        // Only one disk is lost at a time, since a cluster can't recover from the loss of a majority of its disks.
         let all_running =
             self.processes.iter().filter(|process| is_running_coordinator(process)).count() == coordinators;
         let may_lose_disk = !self.replacement_pending && all_running && coordinators > 2;
@@ -268,7 +269,7 @@
                 }
             }
             FaultKind::TruncateDisk | FaultKind::RollBackDisk => {
-                // While the leader stays, it knows what this process had: it is told at the next heartbeat.
+                // A leader that stays in office knows what this process had acknowledged, and reveals it with its next heartbeat.
                 let leader = self.leader.and_then(|node_id| self.process_by_node_id.get(&node_id).copied());
                 let index = match fault.kind {
                     FaultKind::RollBackDisk => {
@@ -285,11 +286,11 @@
                         self.schedule(self.now + duration, Event::Recover(Recovery::RollBackDisk(index)));
                         return;
                     }
-                    // What the store finds missing in the middle of a file that was cut.
+                    // In a truncated file, the store finds entries missing in the middle.
                     let keys: Vec<u64> = disk.stored.entries.keys().copied().collect();
                     if let Some(middle) = keys.get(keys.len() / 2).filter(|_| keys.len() > 1) {
                         disk.stored.entries.remove(middle);
-                        disk.tampered = true;
+                        disk.altered = true;
                     }
                 }
                 self.schedule(self.now + duration, Event::Recover(Recovery::Start(index)));
@@ -358,7 +359,7 @@
                 self.apply_link_fault(between_parts, FaultKind::CutLink, duration);
             }
             FaultKind::CutRing => {
-                // Each of them misses one other, and each one another.
+                // Each coordinator process is cut off from the next one.
                 let forward = self.links_between(|a, b| {
                     a < coordinators && b < coordinators && (a + 1) % coordinators == b
                 });
@@ -420,11 +421,12 @@
         self.schedule(self.now + duration, Event::Recover(recovery));
     }
 
-    /// A council process ends by itself. It may only where its disk is not what it left there; it is replaced then.
+    /// Handles a coordinator process that exits with an error. It may do so only if its disk was altered by a fault, and is then
+    /// replaced.
     pub(super) fn handle_self_termination(&mut self, index: usize, why: &str) {
         self.kill(index);
         let Role::Coordinator { disk, .. } = &mut self.processes[index].role else { return };
-        if !disk.tampered {
+        if !disk.altered {
             self.outcome.observations.violations.push(format!("{}: {why}", self.processes[index].name));
             return;
         }
@@ -433,7 +435,7 @@
         self.schedule(self.now + 1, Event::Recover(Recovery::Start(index)));
     }
 
-    /// A council process comes back with nothing: another one, as far as votes go, which the warden takes in.
+    /// Replaces a coordinator process by one with an empty disk and a new node id, which the peer replacer adds to the cluster.
     pub(super) fn replace(&mut self, index: usize) {
         self.kill(index);
         let new: u64 = self.rng.random_range(1..u64::MAX);
--- a/crates/lab/src/processes/simulation/mod.rs
+++ b/crates/lab/src/processes/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Several processes in simulated time: the council's core and its members' core, as the program has them, on links and disks
-//! with faults. One seed is one run, the same each time.
+//! Simulates cooperating processes in simulated time: coordinator processes and lease holders run the program's own core code, on
+//! links and disks with faults. A run is determined by its seed.
 
 mod callers;
 mod clients;
@@ -34,47 +34,48 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const FLEET: &str = "lab";
-/// An agent that was started can serve after this.
+/// How long an agent takes from its start until it is ready.
 const STARTUP_DURATION: Micros = 200_000;
-/// A client gives an operation up after this.
+/// The time after which a client gives up an operation.
 const OPERATION_TIMEOUT: Micros = 4_000_000;
-/// After the last fault everything comes right within this, or nothing does.
+/// The time within which all processes must have recovered after the last fault.
 const SETTLE_TIMEOUT: Micros = 180_000_000;
-/// An agent looks whether a permit is out for itself so often.
+/// The interval at which an agent checks for a permit for itself.
 const PERMIT_CHECK_INTERVAL: Micros = 1_000_000;
-/// Things that a process asks at the same time: its lease; records; what drains; what it says of that.
+/// The number of requests that a process may have outstanding at the same time: one each for its lease, for records, for drains and
+/// for the acknowledgements of drains.
 const CALLERS_PER_PROCESS: usize = 4;
-/// Messages that wait for a process that is stopped.
+/// The number of deferred events at which messages to a suspended process are lost.
 const MAX_DEFERRED_EVENTS: usize = 10_000;
 
-/// What a run came to.
+/// The outcome of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What was seen.
+    /// Everything that was observed.
     pub observations: Observations,
-    /// Operations with a known outcome, and without.
+    /// Operations with a known outcome.
     pub completed: usize,
-    /// Without.
+    /// Operations with an unknown outcome.
     pub unknown: usize,
-    /// How often another process came to lead.
+    /// How often another process became the leader.
     pub leader_changes: usize,
-    /// For each time that a leader was lost: how long it took until another was known, in multiples of the election timeout.
+    /// The periods without a leader, in multiples of the election timeout.
     pub leaderless_periods: Vec<f64>,
     /// Messages between processes.
     pub messages: u64,
-    /// Where that is measured: messages and bytes that the leader sent or was sent, in a second of the second half.
+    /// Messages and bytes per second that the leader sent and received in the second half of the run, if the plan measures them.
     pub leader_traffic: Option<(f64, f64)>,
-    /// Permits that were given.
+    /// Permits that were granted.
     pub permits_granted: usize,
-    /// Faults that were begun.
+    /// Faults that were started.
     pub faults_started: usize,
-    /// Processes that ended by themselves, since their disks were not what they had been.
+    /// Processes that exited because their disks had been altered by a fault.
     pub self_terminated: usize,
-    /// Writes and reads of disks that failed.
+    /// Failed writes and reads of disks.
     pub disk_failures: usize,
-    /// How often a process went on from what its disk held, after it had failed.
+    /// How often a process reopened its store after a disk failure.
     pub store_reopens: usize,
-    /// Tells runs apart.
+    /// A hash of the operations, lease beliefs and message count, to compare runs.
     pub digest: u64,
 }
 
@@ -109,7 +110,7 @@
 }
 
 impl Message {
-    /// Bytes of what is said, without the HTTP round it.
+    /// Returns the length of the encoded message, without the HTTP headers.
     fn size(&self) -> u64 {
         let json = |length: Result<Vec<u8>, _>| length.map_or(0, |bytes: Vec<u8>| bytes.len() as u64);
         match self {
@@ -124,7 +125,7 @@
     Tick(usize, u32),
     Deliver(usize, usize, Box<Message>),
     Wake(usize, u32),
-    /// A council process whose disk has failed opens it again.
+    /// A coordinator process reopens its store after a disk failure.
     Reopen(usize, u32),
     CallTimeout(usize, u32, u64),
     RandomFault,
@@ -135,7 +136,7 @@
 enum Recovery {
     Resume(usize),
     Start(usize),
-    /// It is killed, and its disk put back to the copy that was made of it; it is started.
+    /// The process is killed, its disk is set back to the copy from when the fault started, and the process is restarted.
     RollBackDisk(usize),
     RepairDisk(usize),
     StopDropping(Vec<(usize, usize)>),
@@ -151,7 +152,7 @@
     held_messages: Vec<Message>,
 }
 
-/// One thing that a process has asked.
+/// Sends one request at a time for a process.
 struct Caller {
     retry_schedule: RetrySchedule,
     outstanding: Option<(u64, Micros)>,
@@ -169,9 +170,9 @@
 struct Client {
     session: Option<u64>,
     sequence: u64,
-    /// The operation under way: its key, what, and when it was called.
+    /// The operation in progress: the key, the operation and when it was called.
     operation: Option<(String, Op, Micros)>,
-    /// What it last saw of each record: value and revision.
+    /// The value and the revision that the client last read or wrote, by key.
     last_seen: BTreeMap<String, (u64, u64)>,
     next_action_at: Micros,
 }
@@ -187,13 +188,13 @@
 #[derive(Clone, Debug, PartialEq)]
 enum OperatorState {
     Idle,
-    /// It has asked for a permit for this agent.
+    /// The operator has requested a permit for this agent.
     Acquiring(String),
-    /// It has the permit, and says that it begins.
+    /// The operator holds the permit and records that it starts.
     Starting(String),
-    /// Its command has run: the agent is down. It says so then.
+    /// The operator's command has run, so the agent is down. The operator records that it has finished.
     Finishing(String),
-    /// It waits until the agent has given the permit back.
+    /// The operator waits until the agent has released the permit.
     AwaitingRelease(String),
 }
 
@@ -204,7 +205,7 @@
     session: u64,
     sequence: u64,
     pending_request: Option<Request>,
-    /// When the permit that it has was agreed.
+    /// When the current permit was committed.
     granted_at: Micros,
     next_action_at: Micros,
 }
@@ -221,7 +222,7 @@
     Watcher(Watcher),
     Operator(Box<Operator>),
     Drainer(Box<drains::Drainer>),
-    /// Who takes new processes into the council.
+    /// Replaces coordinator processes that have lost their disks. Each entry has the new node id, the old node id and the new peer.
     PeerReplacer {
         pending_replacements: Vec<(u64, u64, Peer)>,
     },
@@ -239,7 +240,7 @@
     role: Role,
 }
 
-/// The world of one run.
+/// The state of the simulation of one run.
 pub struct Simulation<'p> {
     plan: &'p Plan,
     rng: Pcg64Mcg,
@@ -250,7 +251,7 @@
     processes: Vec<Process>,
     links: BTreeMap<(usize, usize), Link>,
     process_by_node_id: BTreeMap<u64, usize>,
-    /// Who waits for an answer, and of which council process.
+    /// The calling process and the coordinator process of each pending request, by request id.
     pending_requests: BTreeMap<u64, (usize, usize)>,
     keys: Keys,
     last_value: u64,
@@ -259,15 +260,15 @@
     leader_lost_at: Option<Micros>,
     faults_ended: bool,
     replacement_pending: bool,
-    /// A council process that nobody can reach; whether it believes that it leads is no matter.
+    /// A coordinator process that is cut off from all others. It doesn't count as the leader, even if it believes that it leads.
     isolated_node: Option<u64>,
     leader_traffic: (u64, u64),
-    /// What is out by a permit, and where that stands.
+    /// The index of the current outage in the observations, by the name of the agent.
     open_outages: BTreeMap<String, usize>,
     outcome: Outcome,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub fn run_seed(plan: &Plan, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(plan, seed);
     simulation.run();
@@ -476,7 +477,7 @@
                 continue;
             }
             if settled_at.is_none() && self.is_settled() {
-                // Long enough for the last entries to reach everybody.
+                // The run goes on for another three seconds, so that the last log entries reach every process.
                 settled_at = Some(self.now);
             }
             if settled_at.is_some_and(|settled_at| self.now > settled_at + 3_000_000) {
@@ -487,7 +488,7 @@
                 self.outcome
                     .observations
                     .violations
-                    .push(format!("nothing came right after the last fault: {why}"));
+                    .push(format!("the processes did not recover after the last fault: {why}"));
                 break;
             }
         }
@@ -522,7 +523,7 @@
         match &process.role {
             Role::Coordinator { .. } | Role::Watcher(_) => true,
             Role::Agent(agent) => {
-                // One that holds no lease may only not have heard yet that it has ended.
+                // A superseded agent stays without a lease. Any other running agent must hold one again.
                 let local_time = process.clock.local_time(self.now);
                 process.run_state == RunState::Down
                     || agent.holder.membership_state() == MembershipState::Superseded
@@ -543,7 +544,7 @@
             && self.lagging_coordinators().is_empty()
     }
 
-    /// Processes of the council that are behind the others.
+    /// Returns the names of the coordinator processes whose state is behind the newest one.
     fn lagging_coordinators(&self) -> Vec<&str> {
         let revision = |process: &Process| match &process.role {
             Role::Coordinator { service: Some(service), .. } => Some(service.node().state().revision),
@@ -730,7 +731,7 @@
         }
     }
 
-    /// A council process carries on with what has come in.
+    /// Lets a coordinator process handle what it has received, and sends the resulting messages and responses.
     fn advance_coordinator(&mut self, index: usize) {
         let local_time = self.local_time(index);
         let Role::Coordinator { service: Some(service), disk, .. } = &mut self.processes[index].role else {
@@ -758,7 +759,7 @@
         self.observe_coordinator(index);
     }
 
-    /// What can be seen of a council process after each step: new changes, ended leases, who leads.
+    /// Records what is visible of a coordinator process after each step: new changes, ended leases and a new leader.
     fn observe_coordinator(&mut self, index: usize) {
         let Role::Coordinator { service: Some(service), .. } = &self.processes[index].role else { return };
         let state = service.node().state();
@@ -775,7 +776,7 @@
                 self.outcome
                     .observations
                     .violations
-                    .push("changes were compacted before they were seen".into());
+                    .push("changes were compacted before they were observed".into());
             }
         }
         let Role::Coordinator { service: Some(service), node_id, .. } = &self.processes[index].role else {
@@ -817,7 +818,7 @@
         }
     }
 
-    // The end.
+    // The end of a run.
 
     fn finish(&mut self) {
         for process in &self.processes {
@@ -836,16 +837,18 @@
                     None
                 }
                 Role::Coordinator { service: Some(service), disk, .. } => {
-                    let (state, tampered) = (service.node().state().clone(), disk.tampered);
+                    let (state, altered) = (service.node().state().clone(), disk.altered);
                     let name = self.processes[index].name.clone();
-                    if tampered {
-                        let violation = format!("{name} goes on with a disk that is not what it left there");
+                    if altered {
+                        let violation = format!("{name} still runs with a disk that a fault had altered");
                         self.outcome.observations.violations.push(violation);
                     }
                     match states.get(&state.revision) {
                         Some((other, known)) if *known != state => {
-                            let violation =
-                                format!("{other} and {name} differ at revision {}", state.revision);
+                            let violation = format!(
+                                "the states of {other} and {name} differ at revision {}",
+                                state.revision
+                            );
                             self.outcome.observations.violations.push(violation);
                         }
                         _ => drop(states.insert(state.revision, (name, state))),
@@ -856,7 +859,7 @@
             };
             self.record_lease_belief(belief);
         }
-        // What is there at the end, read as one more operation on each record.
+        // The final state counts as one more read of each record.
         let latest = states.into_iter().next_back();
         if let Some((_, (_, state))) = latest.filter(|_| self.leader.is_some()) {
             let mut keys: Vec<String> =
@@ -876,7 +879,7 @@
             let live_members =
                 state.members.values().filter(|member| member.status == MemberStatus::Living).count();
             if live_members < self.plan.agents.min(1) {
-                self.outcome.observations.violations.push("no member is living at the end".into());
+                self.outcome.observations.violations.push("no member is living at the end of the run".into());
             }
         }
         if self.plan.measure_leader_traffic {
@@ -884,6 +887,7 @@
             let (messages, bytes) = self.leader_traffic;
             self.outcome.leader_traffic = Some((messages as f64 / seconds, bytes as f64 / seconds));
         }
+        // The digest depends on the names of these types, their fields and variants.
         let mut hasher = DefaultHasher::new();
         format!(
             "{:?}",
--- a/crates/lab/src/processes/simulation/operators.rs
+++ b/crates/lab/src/processes/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! Operators, and what agents do about permits.
+//! Operators, and the permits that agents release.
 
 use super::*;
 use heronhoist_disruption::denial::BudgetDenial;
@@ -27,10 +27,10 @@
             return None;
         }
         if operator.pending_request.is_some() {
-            // The same again, under the same number.
+            // The request is repeated with the same sequence number.
             return operator.pending_request.clone();
         }
-        // Where crashes count, all is read that they are counted by.
+        // With rules, a budget also counts crashed agents, so everything that it is counted by must be read.
         let prefix = if self.plan.servers > 0 { "" } else { "budget/" };
         Some(Request::Read { stale: false, prefix: prefix.into(), members: true })
     }
@@ -54,7 +54,7 @@
                         operator.state = OperatorState::Starting(agent);
                     }
                     (CommandResult::Done(_), OperatorState::Starting(agent)) => {
-                        // At the last moment before: is the lease still there?
+                        // The lease must still be held immediately before the agent is taken out.
                         if operator.holder.held_incarnation(local_time) == Some(operator.session) {
                             operator.state = OperatorState::Finishing(agent.clone());
                             operator.next_action_at = now + pause;
@@ -67,7 +67,7 @@
                     (CommandResult::Done(_), OperatorState::Finishing(agent)) => {
                         operator.state = OperatorState::AwaitingRelease(agent);
                     }
-                    // Not taken, or not known: a look at the budget tells.
+                    // If the write failed or its result is unknown, the next read of the budget shows the state.
                     _ => {}
                 }
                 let Role::Operator(operator) = &mut self.processes[index].role else { return };
@@ -88,7 +88,7 @@
             Some(Request::Command(CommandRequest { session, command: Command::Write(txn) }));
     }
 
-    /// An operator with all budgets before it does the next thing.
+    /// Performs the next step of an operator after a read of all budgets.
     pub(super) fn operator_handle_view(&mut self, index: usize, view: &View) {
         let now = self.now;
         let pause = self.rng.random_range(200_000..1_500_000);
@@ -119,7 +119,7 @@
             false => Ok(permit::acquire(view, &key, &subject, taker, "kernel")?),
         };
         let txn = match (&state, own_permit) {
-            // Nothing is taken before the rules are there that count the dead.
+            // No permit is acquired before the rules that count crashed agents exist.
             (OperatorState::Idle, _) if enforces_rules && !view.records.contains_key(records::RULES_KEY) => {
                 None
             }
@@ -137,12 +137,13 @@
                 Err(_) => None,
             },
             (_, None) => {
-                // It was given back, or never taken.
+                // The permit was released or never granted.
                 operator.state = OperatorState::Idle;
                 None
             }
             (OperatorState::Acquiring(_) | OperatorState::Starting(_), Some(permit)) => {
-                // One that had begun and does not know it has not touched the agent: it begins anew.
+                // In these states the operator hasn't touched the agent, even if it has already recorded the start, so it starts
+                // again.
                 operator.state = OperatorState::Starting(subject.clone());
                 match permit.started {
                     _ if self.faults_ended => permit::finish(view, &key, &subject, taker).ok(),
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The wrapper's command: the agent's process ends, and is started again after a while, whatever becomes of the wrapper.
+    /// Runs the command of the operator's wrapper: the agent is killed, and restarted after a while even if the wrapper ends.
     pub(super) fn take_agent_out(&mut self, name: &str, granted: Micros) {
         let processes_of_name: Vec<usize> = (0..self.processes.len())
             .filter(|index| {
@@ -201,7 +202,7 @@
     }
 }
 
-/// The planted way of taking permits whose takers are gone for free.
+/// Frees the permits of takers whose leases have ended, as the injected bug does.
 fn free_permits_of_ended_leases(view: &View, key: &str) -> Option<Txn> {
     let record = view.records.get(key)?;
     let mut budget: permit::Budget = serde_json::from_str(&record.value).ok()?;
--- a/crates/lab/src/processes/tests.rs
+++ b/crates/lab/src/processes/tests.rs
@@ -16,7 +16,8 @@
     assert_ne!(first, other);
 }
 
-/// One whose file is cut does not start, and one whose disk is put back to an older copy ends; each is replaced.
+/// A coordinator process must not start with a truncated disk, and must exit once it learns that its disk was set back to an older
+/// copy. It is replaced in both cases.
 #[test]
 fn coordinators_with_truncated_or_outdated_disks_exit() {
     for (scenario, min_terminated) in [
@@ -65,7 +66,8 @@
     );
 }
 
-/// Disks that fail for a while: nothing is lost or invented, and whoever acknowledges what it could not keep is found.
+/// While disks fail for a time, no data may be lost or made up, and a process that acknowledges data that it couldn't store must be
+/// detected.
 #[test]
 fn coordinators_continue_from_stored_data_after_disk_failures() {
     let mut plan = plan(include_str!("../../../../scenarios/council/failing-disk.toml"));
