--- a/crates/lab/src/processes/cluster.rs
+++ b/crates/lab/src/processes/cluster.rs
@@ -927,7 +927,7 @@
             }
             FaultKind::IsolateCoordinator => {
                 self.apply_link_mode(links_between(&|a, b| a == one || b == one), LinkMode::Drop, duration)
-                    .await
+                    .await;
             }
             FaultKind::DelayProcess => {
                 self.apply_link_mode(
--- a/crates/lab/src/processes/simulation/callers.rs
+++ b/crates/lab/src/processes/simulation/callers.rs
@@ -61,10 +61,10 @@
         let outcome = response.filter(|_| delay.is_none());
         match &self.processes[index].role {
             Role::Agent(_) if caller_index == 0 => {
-                self.handle_lease_response(index, outcome, delay.unwrap_or(0))
+                self.handle_lease_response(index, outcome, delay.unwrap_or(0));
             }
             Role::Operator(_) if caller_index == 0 => {
-                self.handle_lease_response(index, outcome, delay.unwrap_or(0))
+                self.handle_lease_response(index, outcome, delay.unwrap_or(0));
             }
             Role::Agent(_) if caller_index == 2 => self.agent_handle_drains(index, outcome),
             Role::Agent(_) if caller_index == 3 => self.agent_handle_acknowledgement_result(index, outcome),
--- a/crates/lab/src/processes/simulation/mod.rs
+++ b/crates/lab/src/processes/simulation/mod.rs
@@ -719,7 +719,7 @@
                 match &mut request {
                     Request::Read { stale, .. } if injected_bug == InjectedBug::StaleRead => *stale = true,
                     Request::Command(call) if injected_bug == InjectedBug::RetryAppliedTwice => {
-                        call.session = None
+                        call.session = None;
                     }
                     _ => {}
                 }
