--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -799,10 +799,10 @@
             }
             (Kind::Date(_), Kind::Date(_)) | (Kind::Flag(..), Kind::Flag(..)) => {}
             (Kind::Time(time_format), Kind::Time(target_format)) => {
-                self.check_times(direction, time_format, target_format)
+                self.check_times(direction, time_format, target_format);
             }
             (Kind::Choice(values), Kind::Choice(target_values)) => {
-                self.check_choices(direction, values, target_values)
+                self.check_choices(direction, values, target_values);
             }
             (Kind::Group(max, _), Kind::Group(target_max, _)) => {
                 if max > target_max {
@@ -810,7 +810,7 @@
                 }
             }
             (a, b) => {
-                self.add_error(direction, format!("a {} can't be converted to a {}", a.name(), b.name()))
+                self.add_error(direction, format!("a {} can't be converted to a {}", a.name(), b.name()));
             }
         }
         self.diagnostics.len() == before
@@ -870,7 +870,7 @@
         match direction.file.round {
             Some(_) => self.add_note(direction, format!("what needs {more} is rounded, with a notice")),
             None => {
-                self.add_error(direction, format!("{more}: round = \"half-even\", \"half-up\" or \"down\""))
+                self.add_error(direction, format!("{more}: round = \"half-even\", \"half-up\" or \"down\""));
             }
         }
     }
@@ -930,12 +930,12 @@
                 format!("pairs: {:?} is not one of the field's values", pair[source_index]),
             );
         }
-        let counterpart = |word: &String| match pairs {
-            [] => target_values.iter().find(|other| *other == word),
-            pairs => pairs.iter().find(|pair| pair[source_index] == *word).map(|pair| &pair[target_index]),
+        let counterpart = |choice: &String| match pairs {
+            [] => target_values.iter().find(|other| *other == choice),
+            pairs => pairs.iter().find(|pair| pair[source_index] == *choice).map(|pair| &pair[target_index]),
         };
         let unpaired_values: Vec<&str> =
-            values.iter().filter(|word| counterpart(word).is_none()).map(String::as_str).collect();
+            values.iter().filter(|choice| counterpart(choice).is_none()).map(String::as_str).collect();
         if unpaired_values.len() == values.len() {
             self.add_error(direction, "no value has a counterpart: pairs are needed");
         } else if !unpaired_values.is_empty() {
@@ -946,15 +946,15 @@
                     .add_error(direction, format!("{list}: no counterpart; pairs, or unpaired = \"refuse\"")),
             }
         }
-        for word in values {
-            let back = counterpart(word).and_then(|other| match pairs {
+        for choice in values {
+            let back = counterpart(choice).and_then(|other| match pairs {
                 [] => Some(other),
                 pairs => {
                     pairs.iter().find(|pair| pair[target_index] == *other).map(|pair| &pair[source_index])
                 }
             });
-            if let Some(back) = back.filter(|back| *back != word) {
-                self.add_note(direction, format!("{word} comes back as {back}"));
+            if let Some(back) = back.filter(|back| *back != choice) {
+                self.add_note(direction, format!("{choice} comes back as {back}"));
             }
         }
     }
--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -349,13 +349,13 @@
             (Value::Text(text), _, Kind::Text(_, max)) => {
                 self.convert_text(text, *max, conversion, path).map(Value::Text)
             }
-            (Value::Choice(word), _, Kind::Choice(words)) => {
+            (Value::Choice(choice), _, Kind::Choice(choices)) => {
                 let from_old = self.from == Side::Old;
-                let pair = conversion.pairs.iter().find(|pair| pair[usize::from(!from_old)] == *word);
+                let pair = conversion.pairs.iter().find(|pair| pair[usize::from(!from_old)] == *choice);
                 match pair.map(|pair| pair[usize::from(from_old)].clone()) {
-                    Some(word) => Ok(Value::Choice(word)),
-                    None if conversion.pairs.is_empty() && words.contains(word) => Ok(value.clone()),
-                    None => Err(self.error(path, format!("{word:?} has no counterpart"))),
+                    Some(choice) => Ok(Value::Choice(choice)),
+                    None if conversion.pairs.is_empty() && choices.contains(choice) => Ok(value.clone()),
+                    None => Err(self.error(path, format!("{choice:?} has no counterpart"))),
                 }
             }
             (Value::Integer(n), _, Kind::Decimal(..)) => match Decimal::try_from_i128_with_scale(*n, 0) {
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -94,7 +94,7 @@
                 format!("time {format} in {}, {fold}", time_format.zone.iana_name().unwrap_or("UTC"))
             }
         },
-        Kind::Choice(words) => format!("one of {}", words.join(", ")),
+        Kind::Choice(choices) => format!("one of {}", choices.join(", ")),
         Kind::Flag(yes, no) => format!("{yes} or {no}"),
         Kind::Group(max, _) => format!("up to {max} items"),
     };
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -503,8 +503,8 @@
                 }
                 check_range(value, min, max)
             }
-            (Kind::Choice(words), Value::Choice(word)) if !words.contains(word) => {
-                Err(format!("{word:?} is none of {}", words.join(", ")))
+            (Kind::Choice(choices), Value::Choice(choice)) if !choices.contains(choice) => {
+                Err(format!("{choice:?} is none of {}", choices.join(", ")))
             }
             // A year that the format has no digits for would be read back as another year.
             (Kind::Date(_), Value::Date(_)) => match self.parse(&self.format(value)?)? == *value {
--- a/crates/translate/src/wire/error_response.rs
+++ b/crates/translate/src/wire/error_response.rs
@@ -53,17 +53,18 @@
     pub fn to_response(&self, form: Form) -> ErrorResponse {
         let (status, title, detail) = self.parts();
         let retry_after = match self {
-            RequestFailure::Rejected(Some(after)) => {
-                Some(after.as_secs() + u64::from(after.subsec_nanos() > 0))
+            RequestFailure::Rejected(Some(delay)) => {
+                Some(delay.as_secs() + u64::from(delay.subsec_nanos() > 0))
             }
             _ => None,
         };
         let (status, content_type, body) = match form {
             Form::Json => {
                 let kind = title.to_ascii_lowercase().replace(' ', "-");
-                let more = retry_after.map(|s| format!(",\"retry_after_s\":{s}")).unwrap_or_default();
+                let retry_after_part =
+                    retry_after.map(|s| format!(",\"retry_after_s\":{s}")).unwrap_or_default();
                 let body = format!(
-                    "{{\"type\":\"about:blank#{kind}\",\"title\":{},\"status\":{status},\"detail\":{}{more}}}",
+                    "{{\"type\":\"about:blank#{kind}\",\"title\":{},\"status\":{status},\"detail\":{}{retry_after_part}}}",
                     quoted(title),
                     quoted(&detail)
                 );
@@ -79,17 +80,22 @@
                     RequestFailure::BadRequest(_) | RequestFailure::Failed(_) => 500,
                     RequestFailure::TooLarge(_) | RequestFailure::Rejected(_) => status,
                 };
-                let after = retry_after.map(|s| ("retryAfterSeconds", s.to_string()));
+                let detail_element = retry_after.map(|s| ("retryAfterSeconds", s.to_string()));
                 (
                     status,
                     "text/xml; charset=utf-8",
-                    soap::encode_fault(code, &format!("{title}: {detail}"), after),
+                    soap::encode_fault(code, &format!("{title}: {detail}"), detail_element),
                 )
             }
             Form::Form | Form::Table => {
-                let more = retry_after.map(|s| format!("RETRY-AFTER {s}\r\n")).unwrap_or_default();
-                let word = title.to_ascii_uppercase();
-                (status, "text/plain; charset=us-ascii", format!("{word}\r\n{}\r\n{more}", ascii(&detail)))
+                let retry_after_part =
+                    retry_after.map(|s| format!("RETRY-AFTER {s}\r\n")).unwrap_or_default();
+                let heading = title.to_ascii_uppercase();
+                (
+                    status,
+                    "text/plain; charset=us-ascii",
+                    format!("{heading}\r\n{}\r\n{retry_after_part}", ascii(&detail)),
+                )
             }
         };
         ErrorResponse { status, content_type, retry_after, body: body.into_bytes() }
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -69,9 +69,10 @@
         }
         Kind::Decimal(min, max, digits) | Kind::Quantity(min, max, digits, _) => {
             let digits = *digits;
-            let whole =
+            let unscaled =
                 |n: Decimal| (n * Decimal::from(10_u64.pow(digits))).mantissa() / 10_i128.pow((n).scale());
-            let any = (whole(*min)..=whole(*max)).prop_map(move |n| Decimal::from_i128_with_scale(n, digits));
+            let any =
+                (unscaled(*min)..=unscaled(*max)).prop_map(move |n| Decimal::from_i128_with_scale(n, digits));
             prop_oneof![1 => Just(*min), 1 => Just(*max), 8 => any].prop_map(Value::Decimal).boxed()
         }
         Kind::Date(_) => {
@@ -117,12 +118,12 @@
     }
     let at = |name: &str| fields.iter().position(|f| f.path == name);
     let which = at("WHAT").or(at("quantity")).and_then(|at| values[at].clone());
-    for (name, word) in [("TEMP", "T"), ("WIND", "W"), ("RAIN", "R")].into_iter().chain([
+    for (name, choice) in [("TEMP", "T"), ("WIND", "W"), ("RAIN", "R")].into_iter().chain([
         ("temperature_c", "temperature"),
         ("wind_m_s", "wind"),
         ("rain_mm", "rain"),
     ]) {
-        if let Some(at) = at(name).filter(|_| which != Some(Value::Choice(word.into()))) {
+        if let Some(at) = at(name).filter(|_| which != Some(Value::Choice(choice.into()))) {
             values[at] = None;
         }
     }
@@ -171,30 +172,31 @@
     )
 }
 
-/// Converts a message with `mapping`, converts the result back with `again`, and returns every difference that no
+/// Converts a message with `mapping`, converts the result back with `reverse`, and returns every difference that no
 /// notice or note announces.
 fn differences(
     mapping: &Mapping,
-    again: &Mapping,
+    reverse: &Mapping,
     (message_kind, from): (MessageKind, Side),
-    given: &[Option<Value>],
+    original: &[Option<Value>],
 ) -> Option<Vec<String>> {
     let message =
-        encode_and_decode(mapping, message_kind, from, &write(mapping, message_kind, from, given)?)?;
+        encode_and_decode(mapping, message_kind, from, &write(mapping, message_kind, from, original)?)?;
     assert_eq!(
         read(mapping, message_kind, from, &message),
-        given,
+        original,
         "decoding must restore the encoded message"
     );
-    let there = mapping.convert(message_kind, from, &message).ok()?;
-    let sent = encode_and_decode(mapping, message_kind, from.other(), &there.message)
+    let converted = mapping.convert(message_kind, from, &message).ok()?;
+    let decoded = encode_and_decode(mapping, message_kind, from.other(), &converted.message)
         .expect("a converted message must encode");
     assert_eq!(
-        read(mapping, message_kind, from.other(), &sent),
-        read(mapping, message_kind, from.other(), &there.message)
+        read(mapping, message_kind, from.other(), &decoded),
+        read(mapping, message_kind, from.other(), &converted.message)
     );
-    let mut noticed_fields: Vec<String> = there.notices.iter().map(|notice| notice.field.clone()).collect();
-    let back = match again.convert(message_kind, from.other(), &sent) {
+    let mut noticed_fields: Vec<String> =
+        converted.notices.iter().map(|notice| notice.field.clone()).collect();
+    let back = match reverse.convert(message_kind, from.other(), &decoded) {
         Ok(back) => back,
         // A rounded value may lie just outside the bounds of the side it came from.
         Err(_) if !noticed_fields.is_empty() => return None,
@@ -204,7 +206,7 @@
     noticed_fields.extend(back.notices.iter().map(|notice| notice.field.clone()));
     let back = read(mapping, message_kind, from, &back.message);
     let mut differences = Vec::new();
-    for ((field, a), b) in fields.iter().zip(given).zip(&back) {
+    for ((field, a), b) in fields.iter().zip(original).zip(&back) {
         compare(field, a, b, "", &noticed_fields, &mut differences);
     }
     Some(differences)
@@ -238,7 +240,7 @@
         }
         (original, returned, _) if original == returned || noticed_fields.contains(&path) => {}
         (original, returned, _) => {
-            differences.push(format!("{path}: {original:?} was returned as {returned:?}"))
+            differences.push(format!("{path}: {original:?} was returned as {returned:?}"));
         }
     }
 }
@@ -250,10 +252,10 @@
         for (message_kind, from) in DIRECTIONS {
             let (tried, translated) = (Cell::new(0), Cell::new(0));
             let fields = mapping.dialect(from).fields(message_kind).to_vec();
-            let run = runner(400).run(&values(&fields), |mut given| {
-                apply_correction_conditions(&mapping, message_kind, from, &mut given);
+            let run = runner(400).run(&values(&fields), |mut original| {
+                apply_correction_conditions(&mapping, message_kind, from, &mut original);
                 tried.set(tried.get() + 1);
-                if let Some(found) = differences(&mapping, &mapping, (message_kind, from), &given) {
+                if let Some(found) = differences(&mapping, &mapping, (message_kind, from), &original) {
                     prop_assert!(
                         found.is_empty(),
                         "{} {message_kind:?} from {from:?}: {found:?}",
@@ -300,9 +302,9 @@
         let (mapping, wrong) = (mapping::read(text).unwrap(), mapping::read(&wrong).unwrap());
         let found = Cell::new(0);
         let fields = mapping.dialect(Side::Old).fields(MessageKind::Request).to_vec();
-        let _ = runner(200).run(&values(&fields), |mut given| {
-            apply_correction_conditions(&mapping, MessageKind::Request, Side::Old, &mut given);
-            let differences = differences(&mapping, &wrong, (MessageKind::Request, Side::Old), &given);
+        let _ = runner(200).run(&values(&fields), |mut original| {
+            apply_correction_conditions(&mapping, MessageKind::Request, Side::Old, &mut original);
+            let differences = differences(&mapping, &wrong, (MessageKind::Request, Side::Old), &original);
             found.set(found.get() + usize::from(differences.is_some_and(|d| !d.is_empty())));
             Ok(())
         });
@@ -319,8 +321,8 @@
             let dialect = mapping.dialect(from);
             let fields = dialect.fields(message_kind).to_vec();
             let corruptions = vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6);
-            let run = runner(300).run(&(values(&fields), corruptions), |(given, corruptions)| {
-                let message = write(&mapping, message_kind, from, &given);
+            let run = runner(300).run(&(values(&fields), corruptions), |(original, corruptions)| {
+                let message = write(&mapping, message_kind, from, &original);
                 let Some(mut bytes) = message.and_then(|m| dialect.encode(message_kind, &m).ok()) else {
                     return Ok(());
                 };
