--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -53,7 +53,11 @@
                 }
             }
         });
-        Key { fields: indexes.collect(), namespace: key.namespace.clone(), without: key.without.clone() }
+        Key {
+            fields: indexes.collect(),
+            namespace: key.namespace.clone(),
+            class_without_key: key.without.clone(),
+        }
     });
     if key.as_ref().is_some_and(|key| key.fields.is_empty()) {
         compiler.add_diagnostic(&file.name, "key.old", "a key needs at least one field");
@@ -254,15 +258,15 @@
         }
     }
 
-    fn zone(&mut self, name: Option<&Spanned<String>>, otherwise: &TimeZone) -> TimeZone {
-        let Some(name) = name else { return otherwise.clone() };
+    fn zone(&mut self, name: Option<&Spanned<String>>, default: &TimeZone) -> TimeZone {
+        let Some(name) = name else { return default.clone() };
         TimeZone::get(name.get_ref()).unwrap_or_else(|_| {
             self.add_diagnostic(
                 name,
                 "zone",
                 format!("{:?} is not a time zone of the IANA database", name.get_ref()),
             );
-            otherwise.clone()
+            default.clone()
         })
     }
 
--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -32,7 +32,7 @@
             "\n`Idempotency-Key` of an old request: hash of {names} within `{}`.",
             key.namespace
         );
-        if let Some(class) = &key.without {
+        if let Some(class) = &key.class_without_key {
             let _ = writeln!(out, "A request that lacks one of them is of class `{class}`.");
         }
     }
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -234,7 +234,7 @@
     pub fields: Vec<usize>,
     pub namespace: String,
     /// The class of a request without a key.
-    pub without: Option<String>,
+    pub class_without_key: Option<String>,
 }
 
 /// All mappings of an installation. Requests select one by method and path.
@@ -242,14 +242,15 @@
 pub struct Mappings(Vec<Rc<Mapping>>);
 
 impl Mappings {
-    /// Fails if two mappings have old requests with the same method and path.
+    /// Collects mappings. Fails if two of them have old requests with the same method and path.
     pub fn new(mappings: Vec<Mapping>) -> Result<Self, String> {
-        for (n, one) in mappings.iter().enumerate() {
-            let same =
-                |other: &&Mapping| (&other.old.method, &other.old.path) == (&one.old.method, &one.old.path);
-            if let Some(other) = mappings[..n].iter().find(same) {
-                let (method, path) = (&one.old.method, &one.old.path);
-                return Err(format!("{} and {} both translate {method} {path}", other.name, one.name));
+        for (n, mapping) in mappings.iter().enumerate() {
+            let has_same_request = |other: &&Mapping| {
+                (&other.old.method, &other.old.path) == (&mapping.old.method, &mapping.old.path)
+            };
+            if let Some(other) = mappings[..n].iter().find(has_same_request) {
+                let (method, path) = (&mapping.old.method, &mapping.old.path);
+                return Err(format!("{} and {} both translate {method} {path}", other.name, mapping.name));
             }
         }
         Ok(Mappings(mappings.into_iter().map(Rc::new).collect()))
@@ -292,7 +293,7 @@
 
     /// Returns the class of an old request whose key fields are missing: its repeats can't be recognized.
     pub fn class_without_key(&self) -> Option<&str> {
-        self.key.as_ref().and_then(|key| key.without.as_deref())
+        self.key.as_ref().and_then(|key| key.class_without_key.as_deref())
     }
 
     /// Returns the idempotency key of an old request, built from the fields that the mapping file names. `None` if the
--- a/crates/translate/src/wire/form.rs
+++ b/crates/translate/src/wire/form.rs
@@ -15,15 +15,15 @@
             Some(at) => (&pair[..at], &pair[at + 1..]),
             None => (pair, &pair[pair.len()..]),
         };
-        let (name, value) = (part(name, charset)?, part(value, charset)?);
+        let (name, value) = (decode_component(name, charset)?, decode_component(value, charset)?);
         let steps: Vec<&str> = name.split('.').collect();
         counter.add_value(steps.len())?;
-        place(&mut message, &steps, value).map_err(|reason| format!("{name:?}: {reason}"))?;
+        insert_text(&mut message, &steps, value).map_err(|reason| format!("{name:?}: {reason}"))?;
     }
     Ok(message)
 }
 
-fn part(bytes: &[u8], charset: Charset) -> Result<String, String> {
+fn decode_component(bytes: &[u8], charset: Charset) -> Result<String, String> {
     let spaced: Cow<'_, [u8]> = match bytes.contains(&b'+') {
         true => bytes.iter().map(|&byte| if byte == b'+' { b' ' } else { byte }).collect(),
         false => bytes.into(),
@@ -31,25 +31,25 @@
     charset.decode(&Cow::from(percent_encoding::percent_decode(&spaced)))
 }
 
-fn index(step: &str) -> Option<usize> {
+fn list_index(step: &str) -> Option<usize> {
     let plain = !step.starts_with('0') && step.bytes().all(|byte| byte.is_ascii_digit());
     plain.then(|| step.parse().ok()).flatten()
 }
 
-fn place(node: &mut Node, steps: &[&str], text: String) -> Result<(), String> {
+fn insert_text(node: &mut Node, steps: &[&str], text: String) -> Result<(), String> {
     let Some((step, rest)) = steps.split_first() else {
         *node = Node::Text(text);
         return Ok(());
     };
     // A new member is a list if the next step is a number, and a record otherwise; the last step replaces it with the
     // text.
-    let fresh = || match rest.first() {
-        Some(next) if index(next).is_some() => Node::List(Vec::new()),
+    let new_member = || match rest.first() {
+        Some(next) if list_index(next).is_some() => Node::List(Vec::new()),
         _ => Node::record(),
     };
-    let next = match (node, index(step)) {
+    let next = match (node, list_index(step)) {
         (Node::List(items), Some(number)) if number == items.len() + 1 => {
-            items.push(fresh());
+            items.push(new_member());
             items.last_mut()
         }
         (Node::List(items), Some(number)) if number <= items.len() && !rest.is_empty() => {
@@ -60,13 +60,13 @@
             Some(_) if rest.is_empty() => return Err("given twice".into()),
             Some(at) => Some(&mut members[at].1),
             None => {
-                members.push(((*step).to_owned(), fresh()));
+                members.push(((*step).to_owned(), new_member()));
                 members.last_mut().map(|(_, value)| value)
             }
         },
         _ => return Err("both a value and a group of values".into()),
     };
-    next.map_or(Ok(()), |next| place(next, rest, text))
+    next.map_or(Ok(()), |next| insert_text(next, rest, text))
 }
 
 /// Encodes a message. The error names the field with a character that the charset does not contain.
@@ -78,20 +78,22 @@
 }
 
 fn write(node: &Node, path: &mut String, charset: Charset, out: &mut String) -> Result<(), String> {
-    let mut inner = |step: &str, value: &Node, out: &mut String| {
+    let mut write_member = |step: &str, value: &Node, out: &mut String| {
         let length = path.len();
         if length > 0 {
             path.push('.');
         }
         path.push_str(step);
-        let done = write(value, path, charset, out);
+        let result = write(value, path, charset, out);
         path.truncate(length);
-        done
+        result
     };
     let text = match node {
-        Node::Record(members) => return members.iter().try_for_each(|(name, value)| inner(name, value, out)),
+        Node::Record(members) => {
+            return members.iter().try_for_each(|(name, value)| write_member(name, value, out))
+        }
         Node::List(items) => {
-            return (1_usize..).zip(items).try_for_each(|(n, item)| inner(&n.to_string(), item, out))
+            return (1_usize..).zip(items).try_for_each(|(n, item)| write_member(&n.to_string(), item, out))
         }
         Node::Null => return Ok(()),
         Node::Text(text) | Node::Number(text) => Cow::from(text),
--- a/crates/translate/src/wire/soap.rs
+++ b/crates/translate/src/wire/soap.rs
@@ -166,8 +166,8 @@
 }
 
 fn append_text(open_elements: &mut [Element], text: &str) -> Result<(), String> {
-    if let Some(bad) = text.chars().find(|&c| !is_xml(c)) {
-        return Err(format!("the character {bad:?}, which XML does not have"));
+    if let Some(invalid) = text.chars().find(|&c| !is_xml(c)) {
+        return Err(format!("the character {invalid:?}, which XML does not have"));
     }
     match open_elements.last_mut() {
         Some(element) => element.text.push_str(text),
@@ -179,13 +179,13 @@
 
 fn element(reader: &NsReader<&[u8]>, start: &BytesStart<'_>) -> Result<Element, String> {
     let utf8 = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    let space = |resolved: ResolveResult<'_>| match resolved {
+    let resolve_namespace = |resolved: ResolveResult<'_>| match resolved {
         ResolveResult::Bound(namespace) => Ok(utf8(namespace.as_ref())),
         ResolveResult::Unbound => Ok(String::new()),
         ResolveResult::Unknown(prefix) => Err(format!("the prefix {:?} is not declared", utf8(&prefix))),
     };
     let (namespace, local) = reader.resolver().resolve_element(start.name());
-    let (namespace, name) = (space(namespace)?, utf8(local.as_ref()));
+    let (namespace, name) = (resolve_namespace(namespace)?, utf8(local.as_ref()));
     let mut element = Element {
         namespace,
         name,
@@ -200,7 +200,7 @@
             continue;
         }
         let (namespace, local) = reader.resolver().resolve_attribute(attribute.key);
-        let (namespace, local) = (space(namespace)?, utf8(local.as_ref()));
+        let (namespace, local) = (resolve_namespace(namespace)?, utf8(local.as_ref()));
         let is_true = matches!(&*attribute.value, b"1" | b"true");
         match (namespace.as_str(), local.as_str()) {
             (INSTANCE, "nil") => element.nil = is_true,
