--- a/crates/translate/src/explain.rs
+++ b/crates/translate/src/explain.rs
@@ -32,7 +32,7 @@
             "\n`Idempotency-Key` of an old request: hash of {names} within `{}`.",
             key.namespace
         );
-        if let Some(class) = &key.without {
+        if let Some(class) = &key.class_without_key {
             let _ = writeln!(out, "A request that lacks one of them is of class `{class}`.");
         }
     }
@@ -94,7 +94,7 @@
                 format!("time {format} in {}, {fold}", time_format.zone.iana_name().unwrap_or("UTC"))
             }
         },
-        Kind::Choice(words) => format!("one of {}", words.join(", ")),
+        Kind::Choice(choices) => format!("one of {}", choices.join(", ")),
         Kind::Flag(yes, no) => format!("{yes} or {no}"),
         Kind::Group(max, _) => format!("up to {max} items"),
     };
