--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -221,7 +221,7 @@
             match rule {
                 Rule::Pair { old, new, conversion, when } => {
                     let (source, target) = if from_old { (*old, *new) } else { (*new, *old) };
-                    let (field, into) = (&source_fields[source], &target_fields[target]);
+                    let (field, target_field) = (&source_fields[source], &target_fields[target]);
                     let path = name(field);
                     let applies = when.as_ref().is_none_or(|when| {
                         let (side, value) = match from_old {
@@ -236,7 +236,9 @@
                         Some(_) if !applies => {
                             return Err(self.error(&path, "it may not be given with these others"))
                         }
-                        Some(value) => Some(self.convert_value(value, field, into, conversion, &path)?),
+                        Some(value) => {
+                            Some(self.convert_value(value, field, target_field, conversion, &path)?)
+                        }
                         None if applies => default.clone(),
                         None => None,
                     };
@@ -268,7 +270,7 @@
                         for (&at, part) in old.iter().zip(&parts) {
                             let kind = &target_fields[at].kind;
                             let value = kind.parse(part).map_err(|reason| self.error(&path, reason))?;
-                            // A value in another spelling would not be restored as it was.
+                            // Refuses a spelling that the conversion back would not restore.
                             if kind.format(&value).as_deref() != Ok(part) {
                                 return Err(self.error(&path, format!("{part:?} is not written so")));
                             }
@@ -278,20 +280,20 @@
                 }
                 Rule::OneSided { side, field, policy, value, constant } if *side == self.from => {
                     let path = name(&source_fields[*field]);
-                    let Some(given) = values[*field].as_ref() else { continue };
-                    let is_empty = matches!(given, Value::Group(items) if items.is_empty());
-                    let same = value.as_ref() == Some(given);
+                    let Some(source_value) = values[*field].as_ref() else { continue };
+                    let is_empty = matches!(source_value, Value::Group(items) if items.is_empty());
+                    let is_default = value.as_ref() == Some(source_value);
                     match policy {
-                        _ if is_empty || *constant && same => {}
+                        _ if is_empty || *constant && is_default => {}
                         _ if *constant => return Err(self.error(&path, "it may have one value only")),
                         // The reader of the other side's message fills in this same value.
-                        Policy::Refuse if same => {}
+                        Policy::Refuse if is_default => {}
                         Policy::Refuse => return Err(self.error(&path, "the other side has nothing like it")),
                         Policy::Drop => self.record_loss(&path, Loss::Dropped),
                         Policy::Carry => {
                             let text = source_fields[*field]
                                 .kind
-                                .format(given)
+                                .format(source_value)
                                 .map_err(|reason| self.error(&path, reason))?;
                             if let Some(c) = text.chars().find(|&c| !self.charset.contains(c)) {
                                 return Err(self.unmappable_character(&path, c));
@@ -301,10 +303,10 @@
                     }
                 }
                 Rule::OneSided { field, policy, value, .. } => {
-                    let into = &target_fields[*field];
+                    let target_field = &target_fields[*field];
                     let carried = match self.extension {
                         Some(Node::Record(members)) if *policy == Policy::Carry => {
-                            let carried = carried_name(&name(into));
+                            let carried = carried_name(&name(target_field));
                             members.iter().find(|(name, _)| *name == carried)
                         }
                         _ => None,
@@ -312,9 +314,14 @@
                     target_values[*field] = match carried {
                         Some((_, Node::Text(text))) => {
                             self.restored += 1;
-                            Some(into.kind.parse(text).map_err(|reason| self.error(&name(into), reason))?)
+                            Some(
+                                target_field
+                                    .kind
+                                    .parse(text)
+                                    .map_err(|reason| self.error(&name(target_field), reason))?,
+                            )
                         }
-                        Some(_) => return Err(self.error(&name(into), "carried, and no text")),
+                        Some(_) => return Err(self.error(&name(target_field), "carried, and no text")),
                         None => value.clone(),
                     };
                 }
@@ -327,11 +334,11 @@
         &mut self,
         value: &Value,
         field: &Field,
-        into: &Field,
+        target_field: &Field,
         conversion: &FieldConversion,
         path: &str,
     ) -> Result<Value, ConversionError> {
-        match (value, &field.kind, &into.kind) {
+        match (value, &field.kind, &target_field.kind) {
             (Value::Group(items), Kind::Group(_, source_fields), Kind::Group(_, target_fields)) => {
                 let (mut all, prefix) = (Vec::with_capacity(items.len()), format!("{path}."));
                 for item in items {
@@ -387,7 +394,8 @@
                     if conversion.finer != Some(CutOrRefuse::Cut) {
                         return Err(self.error(path, "it tells time more finely than the other side can"));
                     }
-                    let text = into.kind.format(&Value::Time(truncated)).unwrap_or_else(|reason| reason);
+                    let text =
+                        target_field.kind.format(&Value::Time(truncated)).unwrap_or_else(|reason| reason);
                     self.record_loss(path, Loss::Cut(text));
                 }
                 Ok(Value::Time(truncated))
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -173,7 +173,8 @@
                 }
                 let sign = if offset.seconds() < 0 { '-' } else { '+' };
                 let minutes = offset.seconds().abs() / 60;
-                // `local` is formatted as RFC 3339 without an offset, with as many fractional digits as needed.
+                // `local` is formatted as RFC 3339 without an offset (ISO 8601), with as many fractional digits as
+                // needed.
                 return Ok(match offset == Offset::UTC {
                     true => format!("{local}Z"),
                     false => format!("{local}{sign}{:02}:{:02}", minutes / 60, minutes % 60),
@@ -332,7 +333,7 @@
         if let Kind::Group(max, fields) = &self.kind {
             let items = match node {
                 Node::List(items) => items.as_slice(),
-                one if typing.single_item_unwrapped => std::slice::from_ref(one),
+                item if typing.single_item_unwrapped => std::slice::from_ref(item),
                 _ => return Err(invalid()),
             };
             if items.len() > *max {
@@ -405,7 +406,7 @@
 
 /// Returns the path of a member that belongs to none of the fields and is not `extension`.
 pub fn find_unknown_field(record: &Node, fields: &[Field], extension: Option<&str>) -> Option<String> {
-    fn within(node: &Node, path: &str, fields: &[Field], extension: Option<&str>) -> Option<String> {
+    fn find(node: &Node, path: &str, fields: &[Field], extension: Option<&str>) -> Option<String> {
         let Node::Record(members) = node else { return Some(path.to_owned()) };
         members.iter().find_map(|(name, value)| {
             let path: Cow<'_, str> = match path {
@@ -415,16 +416,16 @@
             if extension == Some(&*path) || fields.iter().any(|field| field.path == *path) {
                 return None;
             }
-            let is_above = |f: &Field| f.path.strip_prefix(&*path).is_some_and(|rest| rest.starts_with('.'));
-            match (fields.iter().any(is_above), value) {
+            let is_parent = |f: &Field| f.path.strip_prefix(&*path).is_some_and(|rest| rest.starts_with('.'));
+            match (fields.iter().any(is_parent), value) {
                 (true, Node::Null) => None,
-                (true, _) => within(value, &path, fields, extension),
+                (true, _) => find(value, &path, fields, extension),
                 _ => Some(path.into_owned()),
             }
         })
     }
     match record {
-        Node::Record(_) => within(record, "", fields, extension),
+        Node::Record(_) => find(record, "", fields, extension),
         _ => None,
     }
 }
--- a/crates/translate/tests/golden.rs
+++ b/crates/translate/tests/golden.rs
@@ -23,21 +23,28 @@
     Ok((text, done.notices.iter().map(ToString::to_string).collect()))
 }
 
-fn golden(name: &str, message_kind: MessageKind, from: Side, bytes: &[u8], to: &str, notices: &[&str]) {
+fn assert_translation(
+    name: &str,
+    message_kind: MessageKind,
+    from: Side,
+    bytes: &[u8],
+    to: &str,
+    notices: &[&str],
+) {
     let (text, found_notices) = translate(name, message_kind, from, bytes).unwrap();
     assert_eq!(text, to);
     assert_eq!(found_notices, notices);
 }
 
 /// Returns why a message is refused.
-fn refusal(name: &str, message_kind: MessageKind, from: Side, bytes: &str) -> String {
+fn refusal_reason(name: &str, message_kind: MessageKind, from: Side, bytes: &str) -> String {
     translate(name, message_kind, from, bytes.as_bytes()).expect_err(bytes)
 }
 
 #[test]
 fn query_and_its_table_response() {
     // EST applies until 2 o'clock on 8 March 2026, EDT after it.
-    golden(
+    assert_translation(
         "lookup",
         MessageKind::Request,
         Side::Old,
@@ -45,7 +52,7 @@
         "station=KMIA&from=2026-03-08T01%3A59%3A00-05%3A00&to=2026-03-08T03%3A00%3A00-04%3A00&kind=wind&x_old.CLERK=Mu%C3%B1oz",
         &[],
     );
-    golden(
+    assert_translation(
         "lookup",
         MessageKind::Request,
         Side::New,
@@ -54,7 +61,7 @@
         &["trace dropped"],
     );
     // 77 degF = 25 degC; 9 kn = 4.63 m/s; 10 kn = 5.1444.. m/s; 0.01 in = 0.254 mm; 7 ft = 2.1336 m.
-    golden(
+    assert_translation(
         "lookup",
         MessageKind::Response,
         Side::Old,
@@ -64,7 +71,7 @@
          {\"at\":\"2026-06-01T01:30:15-04:00\",\"wind_m_s\":5.14,\"quality\":\"suspect\",\"note\":\"café €\"}]}",
         &["ELEV rounded to 2.1", "OBS.WIND rounded to 5.14"],
     );
-    golden(
+    assert_translation(
         "lookup",
         MessageKind::Response,
         Side::New,
@@ -79,7 +86,7 @@
 #[test]
 fn correction_keeps_its_idempotency_key() {
     let old = b"DESK=0042&NUM=1000000000000000000&STN=KTPA&OBSDT=202612010805&WHAT=R&RAIN=1.50&URGENT=Y&CLERK=Ann&WHY=";
-    golden(
+    assert_translation(
         "correction",
         MessageKind::Request,
         Side::Old,
@@ -98,7 +105,7 @@
     assert_eq!(key("NUM=1000000000000000000&DESK=42&WHY=again"), Some(first.clone()));
     assert_ne!(key("DESK=0042&NUM=1000000000000000001"), Some(first));
     assert_eq!(key("DESK=0042"), None, "without a running number the request has no key");
-    golden(
+    assert_translation(
         "correction",
         MessageKind::Response,
         Side::New,
@@ -123,10 +130,10 @@
         \"copies\":3,\"sealed\":true,\"fee_limit\":120.50,\"court\":{\"name\":\"Third Court\"},\
         \"parties\":[{\"name\":\"Ann <A>\",\"role\":\"plaintiff\"}],\"language\":\"en\",\"x_old\":{\"Printer\":\"P9\"}}";
     let old = around(&format!("<m:OrderCopies xmlns:m=\"urn:desk:copies:1\">{fields}</m:OrderCopies>"));
-    golden("certified-copy", MessageKind::Request, Side::Old, old.as_bytes(), new, &[]);
-    golden("certified-copy", MessageKind::Request, Side::New, new.as_bytes(), &old, &[]);
+    assert_translation("certified-copy", MessageKind::Request, Side::Old, old.as_bytes(), new, &[]);
+    assert_translation("certified-copy", MessageKind::Request, Side::New, new.as_bytes(), &old, &[]);
     let seal = "0".repeat(64);
-    golden(
+    assert_translation(
         "certified-copy",
         MessageKind::Response,
         Side::New,
@@ -210,7 +217,7 @@
             "whole number",
         ),
     ] {
-        let error = refusal(name, message_kind, from, &bytes);
+        let error = refusal_reason(name, message_kind, from, &bytes);
         assert!(error.contains(reason), "{bytes}: {error}");
     }
 }
