--- a/crates/agent/src/fleet/coordinator/mod.rs
+++ b/crates/agent/src/fleet/coordinator/mod.rs
@@ -84,7 +84,7 @@
     let process = async move {
         let store = open_store(!disk.exists(), || Store::open(&disk)).await?;
         if store.was_repaired {
-            tracing::warn!(target: LOG_TARGET, disk = %disk.display(), "the store was not closed properly: it was checked, and an uncommitted transaction was dropped");
+            tracing::warn!(target: LOG_TARGET, disk = %disk.display(), "the disk was not closed: looked through, an unfinished step was dropped");
         }
         serve(config, restore, store, Box::new(move || Store::reopen(&disk))).await
     };
--- a/crates/agent/src/fleet/coordinator/recovery.rs
+++ b/crates/agent/src/fleet/coordinator/recovery.rs
@@ -47,7 +47,7 @@
     fn step_down(&self, error: &NodeError) {
         tracing::warn!(
             target: LOG_TARGET,
-            "the store failed; this process does not participate until the store can be reopened: {error}"
+            "the store failed, and is tried again; until then this process takes no part: {error}"
         );
         *self.not_serving_reason.borrow_mut() = format!("its store failed: {error}");
         *self.service.borrow_mut() = None;
--- a/crates/agent/src/fleet/coordinator/startup.rs
+++ b/crates/agent/src/fleet/coordinator/startup.rs
@@ -30,7 +30,7 @@
         match open() {
             Err(error @ DiskError::Failed(_)) if !is_new => {
                 if !has_failed {
-                    tracing::warn!(target: LOG_TARGET, "the store failed; this process does not participate until the store can be reopened: {error}");
+                    tracing::warn!(target: LOG_TARGET, "the store failed, and is tried again; until then this process takes no part: {error}");
                 }
                 has_failed = true;
                 let now = started_at.elapsed().as_micros() as Time;
--- a/crates/agent/src/fleet/store.rs
+++ b/crates/agent/src/fleet/store.rs
@@ -81,8 +81,7 @@
 
 /// Verifies a stored value's checksum and returns the value. `name` is the value's name in the error.
 fn verify_checksum<'b>(name: &str, stored: &'b [u8]) -> Result<&'b [u8], DiskError> {
-    let damaged =
-        || DiskError::Unusable(format!("the checksum of {name} does not match; the file is damaged"));
+    let damaged = || DiskError::Unusable(format!("the checksum of {name} does not fit; the file is damaged"));
     let (checksum, value) = stored.split_first_chunk::<4>().ok_or_else(damaged)?;
     let is_valid = u32::from_le_bytes(*checksum) == crc32fast::hash(value);
     is_valid.then_some(value).ok_or_else(damaged)
