--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -93,7 +93,7 @@
     pub list_versions: Vec<Vec<(Micros, i64)>>,
     /// Periods in which servers were draining or removed.
     pub unavailable: Vec<UnavailableServer>,
-    /// Overload crashes of cold servers caused by agents that knew of the cold start.
+    /// How often agents that knew of a cold start crashed the cold server or exceeded its overload budget.
     pub cold_crashes: u32,
     /// Connections opened to all servers.
     pub connections_opened: u64,
@@ -105,13 +105,13 @@
     pub list_entries: u64,
     /// The peak memory of any agent, if it was measured.
     pub memory_mb: Option<f64>,
-    /// Samples of the bytes that the process holds besides this ledger, where they are taken.
+    /// Samples of the heap bytes that the process holds besides this ledger, if the scenario limits their growth.
     pub memory: Vec<(Micros, i64)>,
     /// Agents that exited without being asked to.
     pub crashed_agents: usize,
     /// Messages whose content was wrong when they reached a server or a client.
     pub mistranslated: usize,
-    /// Requests that servers executed for clients of the other dialect: at old servers, at new servers.
+    /// Requests that servers received from clients of the other dialect: old servers, new servers.
     pub translated: (u64, u64),
     /// The 99th percentile of the lateness of the emulator's own timers.
     pub timer_lateness: Micros,
@@ -245,8 +245,8 @@
 const LATE_WEIGHT: f64 = 0.5;
 /// The length of the windows of which the worst service is reported.
 const SERVICE_WINDOW: Micros = 10_000_000;
-/// Added to the time limits of the rules.
-const SLACK: Micros = 50_000;
+/// A request to a draining or removed server is a violation only if it is sent more than this after the grace period.
+const DRAIN_SLACK: Micros = 50_000;
 /// A retry counts as a test of the advised wait if it is sent within this time after the wait.
 const RETRY_WINDOW: Micros = 1_000_000;
 /// The largest 99th percentile of the emulator's timer lateness with which a run is valid.
@@ -275,7 +275,7 @@
         call.repeat_effect != RepeatEffect::Harmless && risks.windows(2).any(|pair| pair[0] == pair[1])
     };
     count(Rule::NoDuplicateEffect, ledger.calls.iter().filter(is_duplicated).count());
-    count(Rule::Drain, sends_to_unavailable(ledger, grace + SLACK));
+    count(Rule::Drain, sends_to_unavailable(ledger, grace + DRAIN_SLACK));
     count(Rule::ColdStart, ledger.cold_crashes as usize);
     count(Rule::Crash, ledger.crashed_agents);
     count(Rule::FaithfulTranslation, ledger.mistranslated);
@@ -319,7 +319,8 @@
     CheckResult { violations, missed: missed.collect(), service, waits_kept, void }
 }
 
-/// Counts requests sent to an unavailable server more than `bound` after the sending agent had received that version of the list.
+/// Counts requests sent to an unavailable server more than `bound` after the sending agent had received the list version that
+/// announces it.
 fn sends_to_unavailable(ledger: &Ledger, bound: Micros) -> usize {
     let mut by_server: BTreeMap<usize, Vec<&UnavailableServer>> = BTreeMap::new();
     for period in &ledger.unavailable {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -46,9 +46,9 @@
     }
 }
 
-/// The difference in mean service from which on the engine counts as worse.
+/// The minimum difference in mean service with which the engine counts as worse.
 const MIN_DIFFERENCE: f64 = 0.02;
-/// The number of consecutive seeds with which it must be worse.
+/// The number of consecutive seeds; the mean service must be worse after each of them.
 const SEEDS: u64 = 3;
 /// Runs with fewer calls are not compared.
 const MIN_CALLS: usize = 400;
--- a/crates/lab/src/injected_bugs.rs
+++ b/crates/lab/src/injected_bugs.rs
@@ -18,7 +18,7 @@
 enum Bug {
     /// No bug.
     Absent,
-    /// Executes each certified-copy request twice.
+    /// Sends each certified-copy request twice.
     SendsTwice,
     /// Keeps sending to a draining server for 700 ms.
     IgnoresDrain,
--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -1,6 +1,6 @@
-//! The requests and responses of clients and servers in the old and the new dialect. Both forms are generated independently of
-//! the translator from the content of each call, and compared byte by byte with what arrives; only idempotency keys come from the
-//! translator under test.
+//! The requests and responses of clients and servers in the old and the new dialect. The messages of both dialects are generated
+//! from the content of each call without the translator, and compared byte by byte with what arrives; only idempotency keys come
+//! from the translator under test.
 
 use heronhoist_translate::mixed_fleet::{self, Plan, Sides};
 use heronhoist_translate::{mapping, Limits, Mapping, MessageKind, Side};
@@ -41,7 +41,7 @@
     }
 
     /// Returns day, hour and minute of a time in January 2026 in New York, when the UTC offset is always -05:00.
-    fn minute(self, salt: u64) -> (u64, u64, u64) {
+    fn day_hour_minute(self, salt: u64) -> (u64, u64, u64) {
         (self.draw(salt, 31) + 1, self.draw(salt + 1, 24), self.draw(salt + 2, 60))
     }
 
@@ -75,31 +75,33 @@
         let station = self.station();
         match (kind, side) {
             (Kind::Lookup, _) => {
-                let ((d, h, m), (e, i, n)) = (self.minute(20), self.minute(30));
+                let ((day, hour, minute), (end_day, end_hour, end_minute)) =
+                    (self.day_hour_minute(20), self.day_hour_minute(30));
                 let kind_index = self.draw(40, 3) as usize;
                 match side {
                     Side::Old => format!(
-                        "STN={station}&BEG=01%2F{d:02}%2F2026+{h:02}%3A{m:02}&END=01%2F{e:02}%2F2026+{i:02}%3A{n:02}&WHAT={}",
+                        "STN={station}&BEG=01%2F{day:02}%2F2026+{hour:02}%3A{minute:02}&END=01%2F{end_day:02}%2F2026+{end_hour:02}%3A{end_minute:02}&WHAT={}",
                         ["A", "W", "R"][kind_index]
                     ),
                     Side::New => format!(
-                        "station={station}&from=2026-01-{d:02}T{h:02}%3A{m:02}%3A00-05%3A00&to=2026-01-{e:02}T{i:02}%3A{n:02}%3A00-05%3A00&kind={}",
+                        "station={station}&from=2026-01-{day:02}T{hour:02}%3A{minute:02}%3A00-05%3A00&to=2026-01-{end_day:02}T{end_hour:02}%3A{end_minute:02}%3A00-05%3A00&kind={}",
                         ["all", "wind", "rain"][kind_index]
                     ),
                 }
             }
             (Kind::Correction, _) => {
-                let ((d, h, m), (rain, units), desk) = (self.minute(20), self.measure(), self.desk());
+                let ((day, hour, minute), (rain, units), desk) =
+                    (self.day_hour_minute(20), self.measure(), self.desk());
                 let (number, urgent) = (self.number + 1, self.draw(41, 2) == 0);
                 match (side, rain) {
                     (Side::Old, _) => format!(
-                        "DESK={desk:04}&NUM={number}&STN={station}&OBSDT=202601{d:02}{h:02}{m:02}&WHAT={}&URGENT={}&CLERK=Ann",
+                        "DESK={desk:04}&NUM={number}&STN={station}&OBSDT=202601{day:02}{hour:02}{minute:02}&WHAT={}&URGENT={}&CLERK=Ann",
                         if rain { format!("R&RAIN={}", decimal(units, 2)) } else { format!("W&WIND={}", decimal(units, 1)) },
                         if urgent { "Y" } else { "N" },
                     ),
                     (Side::New, _) => format!(
                         "{{\"reference\":\"{desk:04}-{number}\",\"station\":\"{station}\",\
-                         \"observed_at\":\"2026-01-{d:02}T{h:02}:{m:02}:00-05:00\",{},\"urgent\":{urgent},\"clerk\":\"Ann\",\"schema\":2}}",
+                         \"observed_at\":\"2026-01-{day:02}T{hour:02}:{minute:02}:00-05:00\",{},\"urgent\":{urgent},\"clerk\":\"Ann\",\"schema\":2}}",
                         // An inch is exactly 25.4 mm, a mile per hour exactly 0.44704 m/s.
                         if rain {
                             format!("\"quantity\":\"rain\",\"rain_mm\":{}", decimal(units * 254, 3))
@@ -136,28 +138,28 @@
     }
 
     fn response(self, kind: Kind, side: Side) -> String {
-        let (d, h, m) = self.minute(50);
+        let (day, hour, minute) = self.day_hour_minute(50);
         match (kind, side) {
             (Kind::Lookup, Side::Old) => {
                 let fahrenheit = 32 + 9 * self.draw(51, 12);
-                format!("H|{}|Tampa|\r\nOBS|01/{d:02}/2026 {h:02}:{m:02}:09|{fahrenheit}|||G|\r\nT|2\r\n", self.station())
+                format!("H|{}|Tampa|\r\nOBS|01/{day:02}/2026 {hour:02}:{minute:02}:09|{fahrenheit}|||G|\r\nT|2\r\n", self.station())
             }
             (Kind::Lookup, Side::New) => format!(
-                "{{\"station\":{{\"id\":\"{}\",\"name\":\"Tampa\"}},\"observations\":[{{\"at\":\"2026-01-{d:02}T{h:02}:{m:02}:09-05:00\",\
+                "{{\"station\":{{\"id\":\"{}\",\"name\":\"Tampa\"}},\"observations\":[{{\"at\":\"2026-01-{day:02}T{hour:02}:{minute:02}:09-05:00\",\
                  \"temperature_c\":{},\"quality\":\"good\"}}]}}",
                 self.station(),
                 5 * self.draw(51, 12)
             ),
             (Kind::Correction, Side::Old) => {
-                format!("H|OK|{}|202601{d:02}{h:02}{m:02}09\r\nT|1\r\n", self.draw(52, 1000) + 1)
+                format!("H|OK|{}|202601{day:02}{hour:02}{minute:02}09\r\nT|1\r\n", self.draw(52, 1000) + 1)
             }
             (Kind::Correction, Side::New) => format!(
-                "{{\"status\":\"applied\",\"revision\":{},\"applied_at\":\"2026-01-{d:02}T{h:02}:{m:02}:09-05:00\"}}",
+                "{{\"status\":\"applied\",\"revision\":{},\"applied_at\":\"2026-01-{day:02}T{hour:02}:{minute:02}:09-05:00\"}}",
                 self.draw(52, 1000) + 1
             ),
             (Kind::Copy, Side::Old) => format!(
                 "{}<m:OrderCopiesResponse xmlns:m=\"urn:desk:copies:1\"><OrderNo>{}</OrderNo><Pages>{}</Pages>\
-                 <Fee>{}.00</Fee><Ready>{d:02}.01.2026</Ready></m:OrderCopiesResponse>{}",
+                 <Fee>{}.00</Fee><Ready>{day:02}.01.2026</Ready></m:OrderCopiesResponse>{}",
                 ENVELOPE[0],
                 self.number + 1,
                 self.draw(53, 90) + 1,
@@ -165,7 +167,7 @@
                 ENVELOPE[1]
             ),
             (Kind::Copy, Side::New) => format!(
-                "{{\"order\":{},\"pages\":{},\"fee\":{{\"amount\":{}.00,\"currency\":\"USD\"}},\"ready_on\":\"2026-01-{d:02}\"}}",
+                "{{\"order\":{},\"pages\":{},\"fee\":{{\"amount\":{}.00,\"currency\":\"USD\"}},\"ready_on\":\"2026-01-{day:02}\"}}",
                 self.number + 1,
                 self.draw(53, 90) + 1,
                 self.draw(54, 90) + 1
@@ -257,7 +259,7 @@
                 let key = match (mapping.has_keys(), own_key) {
                     (false, _) => None,
                     (true, true) => Some(format!("own-{call}")),
-                    (true, false) => self.key_of_old(class, call),
+                    (true, false) => self.key_from_old_fields(class, call),
                 };
                 mixed_fleet::plan_new_request(mapping, &original, key.as_deref(), serving)
             }
@@ -265,7 +267,7 @@
         Some(EncodedRequest { side, original, plan })
     }
 
-    fn key_of_old(&self, class: usize, call: usize) -> Option<String> {
+    fn key_from_old_fields(&self, class: usize, call: usize) -> Option<String> {
         let (kind, mapping) = &self.classes[class];
         let old = ExpectedExchange { number: call as u64 }.request(*kind, Side::Old);
         mapping.idempotency_key(
--- a/crates/lab/src/messages/tests.rs
+++ b/crates/lab/src/messages/tests.rs
@@ -2,8 +2,8 @@
 
 const BOTH: Sides = Sides { old: true, new: true };
 
-/// The emulator could not tell a wrong translation from a wrong expectation if the generated messages of both dialects differed in
-/// meaning. The test translates the requests and responses of all three classes in both directions.
+/// The emulator could not distinguish a wrong translation from a wrong expectation if the generated messages of both dialects
+/// differed in meaning. The test translates the requests and responses of all three classes in both directions.
 #[test]
 fn generated_messages_of_both_dialects_are_translations_of_each_other() {
     let messages = MessageCorpus::new(MAPPINGS.iter().map(|(name, _)| *name)).unwrap();
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -62,10 +62,11 @@
     pub worst_cold_load: f64,
     /// The peak memory of any agent, in real mode.
     pub memory_mb: Option<f64>,
-    /// Samples of the memory of agents and server models in bytes, by time in milliseconds, where they are taken.
+    /// Samples of the memory of agents and server models in bytes, by time in milliseconds, if the scenario limits
+    /// their growth.
     #[serde(default)]
     pub memory: Vec<(u64, i64)>,
-    /// Translated requests that servers executed: in the old dialect, in the new dialect.
+    /// Translated requests that servers received: in the old dialect, in the new dialect.
     #[serde(default)]
     pub translated: (u64, u64),
     /// Successes and latencies by class. Latency counts from when a call was due.
--- a/crates/lab/src/registry.rs
+++ b/crates/lab/src/registry.rs
@@ -37,7 +37,7 @@
     pub entries_written: u64,
 }
 
-/// The longest backlog with which the registry accepts a call.
+/// The longest backlog with which the registry accepts a list request.
 const MAX_BACKLOG: Micros = 5_000_000;
 
 impl Registry {
@@ -152,7 +152,8 @@
         self.down
     }
 
-    /// Returns when a list of this many entries is written; `None` if the call is rejected because the backlog is too long.
+    /// Returns when a list of this many entries is written; `None` if the list request is rejected because the backlog is too
+    /// long.
     pub fn write_list(&mut self, now: Micros, entries: usize) -> Option<Micros> {
         let Some(rate) = self.lines_per_s else {
             self.entries_written += entries as u64;
--- a/crates/lab/src/registry/tests.rs
+++ b/crates/lab/src/registry/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_write_rate_is_limited_and_a_long_backlog_rejects_calls() {
+fn the_write_rate_is_limited_and_a_long_backlog_rejects_requests() {
     let mut registry = Registry::new(4, 1, Some(100.0));
     assert_eq!(registry.write_list(0, 10), Some(100_000));
     assert_eq!(registry.write_list(0, 10), Some(200_000));
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -46,7 +46,7 @@
         Connection { stream, unread: Vec::new() }
     }
 
-    /// Closes the connection with a reset, as the death of a process does.
+    /// Closes the connection with a reset, as happens when a process is killed.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
--- a/crates/lab/tests/golden.rs
+++ b/crates/lab/tests/golden.rs
@@ -112,7 +112,10 @@
 #[test]
 fn a_file_of_runs_from_an_earlier_version_is_read() {
     let file = format!("{}/tests/golden/record.json", env!("CARGO_MANIFEST_DIR"));
-    let compared = Command::new(PROGRAM).args(["compare", &file, &file]).output().expect("it starts");
+    let compared = Command::new(PROGRAM)
+        .args(["compare", &file, &file])
+        .output()
+        .expect("the program cannot be started");
     assert_eq!(compared.status.code(), Some(0), "{}", String::from_utf8_lossy(&compared.stderr));
     assert_golden("tests/golden/compare.lines", &String::from_utf8(compared.stdout).expect("UTF-8"));
 }
