--- a/crates/lab/src/emulation.rs
+++ b/crates/lab/src/emulation.rs
@@ -35,18 +35,18 @@
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// After this time a change in discovery counts as known to every agent, whether it was delivered or not.
 const MAX_NOTIFICATION_DELAY: Micros = 6_000_000;
-/// Servers remember keys for longer than the deduplication window by this. The window counts from the sending of the first
+/// Added to the deduplication window for which servers remember keys. The window counts from the sending of the first
 /// attempt to the sending of a repeat, and one of them may take longer to arrive than the other.
 const DEDUPLICATION_SLACK: Micros = 50_000;
 /// The load of at most this many servers is sampled, which is as many as plots show.
 const MAX_SAMPLED_SERVERS: usize = 64;
 
-/// The outcome of a request at a server.
+/// The outcome of a request that a server received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// The request ran.
+    /// The request was executed.
     Completed,
-    /// The request ran, and its response is an injected error.
+    /// The request was executed, and its response is an injected error.
     Error,
     /// The request was rejected and had no effect.
     Rejected,
@@ -69,7 +69,7 @@
     pub speaks_old: RefCell<Vec<bool>>,
     /// The messages of a scenario with mixed dialects.
     pub messages: Option<MessageCorpus>,
-    /// The record of the run, which the checker evaluates.
+    /// What happened in the run, for the checker.
     pub ledger: RefCell<Ledger>,
     /// The state of discovery.
     pub registry: RefCell<Registry>,
@@ -198,7 +198,7 @@
             || self.now() > started_at + MAX_NOTIFICATION_DELAY
     }
 
-    /// Opens a connection to a server. Returns false if the server holds as many as it may.
+    /// Opens a connection to a server. Returns false if the server has its maximum number of connections.
     pub fn connect(&self, server: usize, agent: Option<usize>) -> bool {
         let now = self.now();
         self.advance_server(server, now);
@@ -287,7 +287,7 @@
         if completed.await.is_err() {
             return ServerOutcome::Reset;
         }
-        if self.servers.borrow()[server].reach() == Reachability::Unresponsive {
+        if self.servers.borrow()[server].reachability() == Reachability::Unresponsive {
             std::future::pending::<()>().await;
         }
         let error_share = self.error_shares.borrow()[server];
@@ -301,7 +301,7 @@
     fn publish_reachability(&self, server: usize) {
         let current = {
             let servers = self.servers.borrow();
-            (servers[server].incarnation(), servers[server].reach())
+            (servers[server].incarnation(), servers[server].reachability())
         };
         if current.1 == Reachability::Down {
             self.job_waiters.borrow_mut()[server].clear();
@@ -311,7 +311,8 @@
         }
     }
 
-    /// Spawns the tasks that run the servers, sample their load and vary their speed. They never end.
+    /// Spawns the tasks that run the servers, sample their load and vary their speed. They never end, except that load is no
+    /// longer sampled once requests are served without being checked.
     pub fn spawn_servers(self: &Rc<Self>) {
         for server in 0..self.scenario.fleet.servers {
             let world = Rc::clone(self);
@@ -356,9 +357,9 @@
                 let (share, factor) = world.scenario.fleet.noisy;
                 loop {
                     for server in 0..world.scenario.fleet.servers {
-                        let neighbour_factor = if world.draw() < share { factor } else { 1.0 };
+                        let neighbor_factor = if world.draw() < share { factor } else { 1.0 };
                         let base_factor = world.speed_factors.borrow()[server];
-                        world.servers.borrow_mut()[server].set_speed_factor(base_factor * neighbour_factor);
+                        world.servers.borrow_mut()[server].set_speed_factor(base_factor * neighbor_factor);
                     }
                     sleep(Duration::from_secs(1)).await;
                 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -267,7 +267,7 @@
     match command {
         Command::Check { files } => {
             for file in files {
-                if let Some(plan) = council_plan(&file, &[])? {
+                if let Some(plan) = coordinator_plan(&file, &[])? {
                     print(&format!("{}: {} is sound", file.display(), plan.name));
                     continue;
                 }
@@ -340,8 +340,8 @@
     )
 }
 
-/// Reads a scenario of council processes and applies the overrides; `None` for any other scenario.
-fn council_plan(
+/// Reads a scenario of coordinator processes and applies the overrides; `None` for any other scenario.
+fn coordinator_plan(
     file: &Path,
     overrides: &[(String, String)],
 ) -> Result<Option<processes::plan::Plan>, String> {
@@ -373,7 +373,7 @@
     for (path, values) in parse_overrides(&arguments.set)? {
         overrides.push((path, values.join(",")));
     }
-    if let Some(plan) = council_plan(file, &overrides)? {
+    if let Some(plan) = coordinator_plan(file, &overrides)? {
         print(&format!(
             "{}, {} mode: {} council processes, {} agents, {} s of faults",
             plan.name,
@@ -496,18 +496,18 @@
 
 /// The largest difference in service with which the two modes agree.
 const MAX_MODE_DIFFERENCE: f64 = 0.05;
-/// Policies whose service differs by less than this in a mode have no order.
+/// Policies whose service differs by no more than this in one of the modes are not ranked.
 const MIN_POLICY_DIFFERENCE: f64 = 0.02;
 
 fn agree(file: &Path, mut arguments: RunArgs) -> Result<bool, String> {
     let source = read(file)?;
     let scenario = source.scenario()?;
     arguments.all = true;
-    let jobs = planned_runs(&source, &arguments)?;
+    let planned = planned_runs(&source, &arguments)?;
     let mut services = Vec::new();
     for mode in [Mode::Virtual, Mode::Real] {
         let options = RunOptions { mode, out: None, ..options(&arguments, &scenario) };
-        let record = runner::run_all(&jobs, &options)?;
+        let record = runner::run_all(&planned, &options)?;
         let _ = std::fs::remove_dir_all(&options.folder);
         if let Some(run) = record.runs.iter().find(|run| run.result.void.is_some()) {
             print(&format!("{} by {}: {}", scenario.name, run.policy.name(), run.result.summary()));
@@ -524,9 +524,14 @@
     print("policy           virtual   real    apart");
     let mut agrees = true;
     for (index, policy) in Policy::ALL.into_iter().enumerate() {
-        let apart = real[index] - simulated[index];
-        agrees &= apart.abs() <= MAX_MODE_DIFFERENCE;
-        print(&format!("{:<15}  {:.3}     {:.3}  {apart:+.3}", policy.name(), simulated[index], real[index]));
+        let difference = real[index] - simulated[index];
+        agrees &= difference.abs() <= MAX_MODE_DIFFERENCE;
+        print(&format!(
+            "{:<15}  {:.3}     {:.3}  {difference:+.3}",
+            policy.name(),
+            simulated[index],
+            real[index]
+        ));
         for other in index + 1..Policy::ALL.len() {
             let (a, b) = (simulated[index] - simulated[other], real[index] - real[other]);
             if a.abs() > MIN_POLICY_DIFFERENCE && b.abs() > MIN_POLICY_DIFFERENCE && (a > 0.0) != (b > 0.0) {
@@ -560,9 +565,9 @@
         let policies = Policy::ALL
             .into_iter()
             .flat_map(|policy| arguments.seeds.clone().map(move |seed| (policy, seed)));
-        let jobs: Vec<PlannedRun> =
+        let planned: Vec<PlannedRun> =
             policies.map(|(policy, seed)| PlannedRun { scenario: scenario.clone(), policy, seed }).collect();
-        let record = runner::run_all(&jobs, &options)?;
+        let record = runner::run_all(&planned, &options)?;
         let _ = write!(
             text,
             "\n## {}\n\n{} agents, {} servers, {} s, {:?} mode.\n\n| policy | whole | worst 10 s | worst class | sends a call | p99 ms of the slowest class | push | rules |\n|---|---|---|---|---|---|---|---|\n",
@@ -673,8 +678,8 @@
     let runtime = runtime.map_err(|e| format!("cannot create the async runtime: {e}"))?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
-        let testbed = real::Testbed::new(&scenario, 1)
-            .map_err(|e| format!("cannot open the sockets of the servers: {e}"))?;
+        let testbed =
+            real::Testbed::new(&scenario, 1).map_err(|e| format!("cannot open the servers' sockets: {e}"))?;
         let agents = testbed.start_agents(&program, &folder).await?;
         for (server, address) in testbed.servers().iter().enumerate() {
             print(&format!("server {server}: {address}"));
@@ -684,10 +689,10 @@
         }
         let class = &scenario.classes[0].name;
         let to = agents.addresses().next().map_or_else(String::new, |to| to.to_string());
-        print(&format!("try: heronhoist-lab load --to {to} --class {class}; Ctrl-C ends it all"));
-        let begun = Instant::now();
+        print(&format!("try: heronhoist-lab load --to {to} --class {class}; Ctrl-C stops the fleet"));
+        let started_at = Instant::now();
         while !emulation::INTERRUPTED.load(std::sync::atomic::Ordering::Relaxed)
-            && seconds.is_none_or(|limit| begun.elapsed() < Duration::from_secs(limit))
+            && seconds.is_none_or(|limit| started_at.elapsed() < Duration::from_secs(limit))
         {
             tokio::time::sleep(Duration::from_secs(1)).await;
             let _ = write!(std::io::stderr(), "\r{} ", testbed.status());
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -60,7 +60,8 @@
 
 /// Sends attempts to servers, simulated or over sockets.
 pub trait Transport: 'static {
-    /// Makes one attempt; `may_send` is called just before the first byte is sent.
+    /// Makes one attempt; `may_send` is called just before the first byte would be sent. If it returns false, nothing is
+    /// sent.
     fn attempt(
         &self,
         server: usize,
@@ -70,7 +71,7 @@
 }
 
 /// All agents of a simple policy.
-pub struct PlainPolicy<R> {
+pub struct SimplePolicy<R> {
     policy: Policy,
     world: Rc<World>,
     transports: Vec<Rc<R>>,
@@ -86,11 +87,11 @@
     lifecycle: Vec<Signal<u32>>,
 }
 
-impl<R: Transport> PlainPolicy<R> {
+impl<R: Transport> SimplePolicy<R> {
     /// Creates the agents, each with its own transport.
     pub fn new(policy: Policy, world: Rc<World>, transports: Vec<Rc<R>>, seed: u64) -> Rc<Self> {
         let (servers, agents) = (world.scenario.fleet.servers, transports.len());
-        let plain = Rc::new(PlainPolicy {
+        let simple = Rc::new(SimplePolicy {
             policy,
             world,
             transports,
@@ -101,8 +102,8 @@
             list_version: Cell::new(1),
             lifecycle: (0..agents).map(|_| Signal::new(0)).collect(),
         });
-        spawn_local(Rc::clone(&plain).follow_list());
-        plain
+        spawn_local(Rc::clone(&simple).follow_list());
+        simple
     }
 
     /// Follows the endpoint list. Changes arrive with the usual delay, but at all agents at once and whatever the load of the registry.
@@ -159,7 +160,7 @@
                 let start = draw();
                 let servers = self.world.servers.borrow();
                 let key = |&server: &usize| {
-                    let unreachable = servers[server].reach() != crate::server_model::Reachability::Up;
+                    let unreachable = servers[server].reachability() != crate::server_model::Reachability::Up;
                     (unreachable, servers[server].load(), server.wrapping_sub(start))
                 };
                 serving.iter().copied().min_by_key(key).unwrap_or(start)
@@ -177,7 +178,7 @@
     }
 }
 
-impl<R: Transport> PlainPolicy<R> {
+impl<R: Transport> SimplePolicy<R> {
     async fn send(&self, agent: usize, request: ClientRequest) -> AgentReply {
         let deadline = Instant::now() + request.budget;
         let repeat_effect = self.world.scenario.classes[request.class].repeat_effect;
@@ -200,7 +201,7 @@
     }
 }
 
-impl<R: Transport> Agents for PlainPolicy<R> {
+impl<R: Transport> Agents for SimplePolicy<R> {
     async fn handle_request(&self, agent: usize, request: ClientRequest) -> AgentReply {
         let lifecycle = &self.lifecycle[agent];
         let state = lifecycle.get();
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -5,7 +5,7 @@
 use crate::emulation::{
     self, AgentReply, Agents, ClientRequest, ServerOutcome, World, CONNECT_TIMEOUT, KEEPALIVE_TIMEOUT,
 };
-use crate::policy::{PlainPolicy, Policy, Transport};
+use crate::policy::{Policy, SimplePolicy, Transport};
 use crate::record::{Mode, Run};
 use crate::scenario::{EventKind, Scenario};
 use crate::server_model::{Micros, Reachability};
@@ -403,7 +403,7 @@
         Ok(ops_address)
     }
 
-    /// Takes the process of an agent away and records its peak memory.
+    /// Removes the process of an agent from its handle and records its peak memory.
     fn take_process(&self, agent: usize) -> Option<Child> {
         let handle = &self.handles[agent];
         let child = handle.child.borrow_mut().take()?;
@@ -617,7 +617,7 @@
     }
 }
 
-/// The transport of a plain policy: connects to the servers directly over sockets.
+/// The transport of a simple policy: connects to the servers directly over sockets.
 struct DirectTransport {
     world: Rc<World>,
     addresses: Rc<ServerAddresses>,
@@ -681,7 +681,7 @@
     progress: impl Fn(Micros),
 ) -> Result<Run, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("cannot create the runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot create the async runtime: {e}"))?;
     let started_at = std::time::Instant::now();
     let local = LocalSet::new();
     let run = local.block_on(&runtime, async {
@@ -809,8 +809,8 @@
                 idle_connections: RefCell::default(),
             };
             let transports = (0..self.world.scenario.agents).map(|_| Rc::new(transport())).collect();
-            let plain_policy = PlainPolicy::new(policy, Rc::clone(&self.world), transports, !seed);
-            self.run_clients(&plain_policy, seed, progress).await
+            let simple_policy = SimplePolicy::new(policy, Rc::clone(&self.world), transports, !seed);
+            self.run_clients(&simple_policy, seed, progress).await
         };
         Ok(Run::from_emulation(&self.world, Mode::Real, policy, seed, complete))
     }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -331,7 +331,7 @@
     let tenants = tenants(reader, &mut root);
     let classes = classes(reader, &mut root);
     if let (Some(Some(_)), Some(classes)) = (&mixed, &classes) {
-        // Otherwise the class would run as if there were one dialect, without any check of its messages.
+        // Without a mapping the class would run as if there were one dialect, without any check of its messages.
         if let Err(name) = MessageCorpus::new(classes.iter().map(|(mix, _)| mix.name.as_str())) {
             reader.add_fault(&root, "dialects", format!("class {name} has no worked mapping"));
         }
@@ -398,7 +398,7 @@
     let warm_up_time =
         reader.get(&mut fleet, "warm_after_ms", Presence::Default(20_000_000), POSITIVE_MS, positive_ms);
     let warm_up_work = reader.get(&mut fleet, "warm_work_ms", Presence::Optional, POSITIVE_MS, positive_ms);
-    let allows_chance =
+    let allows_random_excess =
         reader.get(&mut fleet, "bears_chance", Presence::Default(false), "true or false", boolean);
     let one_way_delay =
         reader.get(&mut fleet, "one_way_ms", Presence::Default(500), POSITIVE_MS, positive_ms);
@@ -429,7 +429,7 @@
         overload_factor: 3.0,
         overload_tolerance: 3_000_000,
         mean_work: 0.0,
-        allows_chance: allows_chance?,
+        allows_random_excess: allows_random_excess?,
     };
     let (slow, noisy) = ((slow.0?, slow.1?), (noisy.0?, noisy.1?));
     Some(Fleet {
@@ -669,7 +669,7 @@
         let times = reader.get(&mut section, "times", Presence::Default(1), "how many times", count);
         let every =
             reader.get(&mut section, "every_ms", Presence::Default(1_000_000), POSITIVE_MS, positive_ms);
-        // Continues with the first targets after the last ones, for the whole run.
+        // Continues with the first targets after the last ones, until the clients stop sending.
         let wraps = reader.get(&mut section, "wraps", Presence::Default(false), "true or false", boolean);
         if kind.is_some_and(|(kind, _)| matches!(kind, EventKind::SetSpeed(_))) && speed_factor.is_none() {
             reader.add_fault(&section, "pace", "found nothing; wanted a factor above 0".into());
--- a/crates/lab/src/server_model.rs
+++ b/crates/lab/src/server_model.rs
@@ -36,11 +36,12 @@
     /// How long a cold server withstands overload.
     pub overload_tolerance: Micros,
     /// The mean work of a request, in microseconds. It converts the work that a cold server withstands within the tolerance into a
-    /// budget of requests; some requests beyond the budget count as [random variation](random_excess).
+    /// budget of requests; some requests beyond the budget count as [random excess](random_excess).
     pub mean_work: f64,
-    /// Whether the operators' formula alone decides: the server allows for random variation also after the tolerance has
-    /// passed, and crashes as soon as it is sent more than that within the tolerance, even in one burst at its start.
-    pub allows_chance: bool,
+    /// Whether the server crashes by the operators' formula alone: as soon as it is sent more than its budget and the
+    /// [random excess](random_excess) within the tolerance, even in one burst at its start. Otherwise it crashes when it is sent
+    /// more than its budget, but only once the tolerance has passed.
+    pub allows_random_excess: bool,
 }
 
 /// What happens to a request that reaches a server.
@@ -74,7 +75,7 @@
 #[derive(Debug, Clone, Copy)]
 struct SentWork {
     at: Micros,
-    /// In seconds.
+    /// The work in seconds.
     work: f64,
     /// Whether the sender knew that the server had just started.
     knows_cold: bool,
@@ -115,8 +116,9 @@
     excess_counted: bool,
     /// The largest number of connections open at once.
     pub max_open_connections: usize,
-    /// The largest load while the server was cold, as a multiple of its capacity within the tolerance. With `allows_chance` it
-    /// is scaled so that budget and random variation together are the overload factor, at which the server crashes.
+    /// The largest load while the server was cold, as a multiple of its capacity within the tolerance. With
+    /// `allows_random_excess` it is scaled so that the budget and the random excess together correspond to the overload factor,
+    /// at which the server crashes.
     pub worst_cold_load: f64,
 }
 
@@ -124,7 +126,7 @@
 /// Budgets of fewer requests than this allow for a larger random excess.
 const SMALL_BUDGET: f64 = 30.0;
 
-/// Returns the number of requests beyond a budget that count as random variation.
+/// Returns the number of requests beyond a budget that are attributed to random variation.
 fn random_excess(budget: f64) -> f64 {
     if budget < SMALL_BUDGET {
         3.0 * budget.sqrt() + 3.0
@@ -183,7 +185,7 @@
     }
 
     /// Returns whether the server can be reached.
-    pub fn reach(&self) -> Reachability {
+    pub fn reachability(&self) -> Reachability {
         self.reachability
     }
 
@@ -314,7 +316,7 @@
             self.recent_work -= oldest.work;
         }
         let mean_work = self.spec.mean_work / SECOND;
-        if self.spec.allows_chance {
+        if self.spec.allows_random_excess {
             let window = self.spec.overload_tolerance as f64 / SECOND;
             let budget = self.spec.overload_factor * self.capacity(now) * window / mean_work;
             let max_work = (budget + random_excess(budget)) * mean_work;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,4 +1,4 @@
-//! Virtual mode: runs the engine with its decision module, or a plain policy, in simulated time. There is one thread, tasks
+//! Virtual mode: runs the engine with its decision module, or a simple policy, in simulated time. There is one thread, tasks
 //! run in the order in which they become ready, and every random draw comes from the seed, so a run can be reproduced exactly.
 
 use crate::checker::ClientResponse;
@@ -7,7 +7,7 @@
 };
 use crate::memory::{HeapMeter, SAMPLES};
 use crate::messages::EncodedRequest;
-use crate::policy::{PlainPolicy, Policy, Transport};
+use crate::policy::{Policy, SimplePolicy, Transport};
 use crate::record::{Mode, Run};
 use crate::scenario::{EventKind, Scenario, TranslationBug};
 use crate::server_model::{Micros, Reachability};
@@ -90,7 +90,7 @@
             }
         }
         sleep(self.one_way_delay() * 2).await;
-        let reachability = self.world.servers.borrow()[server].reach();
+        let reachability = self.world.servers.borrow()[server].reachability();
         match reachability {
             Reachability::Up if self.world.connect(server, Some(self.agent)) => {
                 Ok(self.world.servers.borrow()[server].incarnation())
@@ -291,7 +291,7 @@
         if !self.connections.is_current(endpoint.address, incarnation) {
             return Outcome::ConnectionReset.into();
         }
-        if world.servers.borrow()[endpoint.address].reach() != Reachability::Up {
+        if world.servers.borrow()[endpoint.address].reachability() != Reachability::Up {
             sleep(CONNECT_TIMEOUT).await;
             return Outcome::TimedOut.into();
         }
@@ -452,7 +452,7 @@
         self.instances.borrow_mut()[agent] = Some(Rc::new(instance));
     }
 
-    /// Takes the running instance of an agent away. If its list is up to date, the agent's next instance starts with it.
+    /// Removes the running instance of an agent. If it has the newest list, the agent's next instance starts with that list.
     fn take_instance(&self, agent: usize) -> Option<Rc<AgentInstance>> {
         let instance = self.instances.borrow_mut()[agent].take()?;
         let version =
@@ -642,8 +642,8 @@
             _ => {
                 let transports =
                     (0..scenario.agents).map(|agent| AgentConnections::new(&world, agent)).collect();
-                let plain_policy = PlainPolicy::new(policy, Rc::clone(&world), transports, !seed);
-                emulation::run_clients(&world, &plain_policy, seed, progress).await
+                let simple_policy = SimplePolicy::new(policy, Rc::clone(&world), transports, !seed);
+                emulation::run_clients(&world, &simple_policy, seed, progress).await
             }
         };
         Run::from_emulation(&world, Mode::Virtual, policy, seed, complete)
