--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -103,8 +103,9 @@
         let (pending, idle) = (Rc::clone(&pending), Rc::clone(&idle));
         let id = format!("{process:08x}{number:08x}");
         spawn_local(async move {
-            let left = Duration::from_millis(load.budget_ms).saturating_sub(due.elapsed());
-            let response = timeout(left + Duration::from_millis(250), send(&load, &id, left, &idle)).await;
+            let remaining = Duration::from_millis(load.budget_ms).saturating_sub(due.elapsed());
+            let response =
+                timeout(remaining + Duration::from_millis(250), send(&load, &id, remaining, &idle)).await;
             let result = match response {
                 Ok(Ok(200)) => {
                     let _ = counts.borrow_mut().latencies.record(due.elapsed().as_micros() as u64);
@@ -126,13 +127,13 @@
 async fn send(
     load: &Load,
     id: &str,
-    left: Duration,
+    remaining: Duration,
     idle: &RefCell<Vec<Connection>>,
 ) -> std::io::Result<u16> {
     let method = if load.body.is_some() { "POST" } else { "GET" };
     let mut text = format!(
         "{method} /{class} HTTP/1.1\r\nHost: load\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Budget-Ms: {}\r\n",
-        left.as_millis().max(1),
+        remaining.as_millis().max(1),
         class = load.class
     );
     for header in &load.header {
--- a/crates/lab/src/messages.rs
+++ b/crates/lab/src/messages.rs
@@ -239,7 +239,8 @@
     }
 
     /// Generates the request of a client with dialect `side`, and translates it as the agent does for servers with the dialects
-    /// `serving`; `None` if it cannot be sent. A new client uses the key derived from the old fields, or with `own_key` another one.
+    /// `serving`; `None` if it cannot be sent. A new client uses the key derived from the old fields, or with `own_key` a
+    /// different one.
     pub fn encode_request(
         &self,
         class: usize,
@@ -275,7 +276,8 @@
         )
     }
 
-    /// Returns the key by which a server with dialect `side` recognizes repeats of a request. Old servers derive it from the fields.
+    /// Returns the key by which a server with dialect `side` recognizes repeats of a request. Old servers derive it from the
+    /// fields.
     pub fn key_at_server(
         &self,
         class: usize,
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -106,7 +106,7 @@
         simple
     }
 
-    /// Follows the endpoint list. Changes arrive with the usual delay, but at all agents at once and whatever the load of the registry.
+    /// Follows the endpoint list. A change reaches all agents at once after the mean delay, whatever the load of the registry.
     async fn follow_list(self: Rc<Self>) {
         let mut seen = 0;
         loop {
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -329,7 +329,7 @@
     stopping: RefCell<Vec<Child>>,
     /// How many of the agent's processes have been killed.
     kill_count: Cell<u32>,
-    /// The full list at the time when the agent last received one or its changes.
+    /// The full list at the time of the last list response to the agent. The agent's next process starts with it.
     known_list: RefCell<String>,
     /// The clients' idle connections, each with the last attempt sent on it.
     idle_connections: RefCell<Vec<(Connection, usize)>>,
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -81,7 +81,7 @@
     #[serde(default)]
     /// The number of simulated events: client attempts, sends, connections, probes and list updates.
     pub events: u64,
-    /// A digest of the ledger, to compare runs.
+    /// A digest of all responses and sends, to compare runs.
     pub digest: String,
     /// The time that the run took, in seconds.
     pub seconds: f64,
--- a/crates/lab/src/server_model.rs
+++ b/crates/lab/src/server_model.rs
@@ -31,7 +31,7 @@
     pub warm_up_time: Micros,
     /// The amount of work in microseconds after which the server is warm, if that comes first.
     pub warm_up_work: Option<Micros>,
-    /// A cold server crashes if it is sent this multiple of its capacity for the time of `overload_tolerance`.
+    /// A cold server crashes if it is sent more than this multiple of its capacity for the time of `overload_tolerance`.
     pub overload_factor: f64,
     /// How long a cold server withstands overload.
     pub overload_tolerance: Micros,
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_engine_breaks_no_invariant_during_a_release_and_a_kill() {
+fn the_engine_breaks_no_rule_during_a_release_and_a_kill() {
     let scenario = scenario("servers = 4", 300.0, RELEASE_EVENTS);
     for seed in 1..=3 {
         let run = run(&scenario, Policy::Heronhoist, seed);
@@ -55,7 +55,7 @@
     assert_eq!(engine.result.violations, Default::default());
 }
 
-/// Discovery that is down or overloaded for a while must delay the agents' lists without breaking an invariant.
+/// Discovery that is down or overloaded for a while must delay the agents' lists without breaking a rule.
 #[test]
 fn agents_survive_discovery_that_is_overloaded_or_down() {
     let tables = "[[fault]]\nat_ms = 500\nwhat = \"registry-down\"\n\
