--- a/crates/agent/src/dialect.rs
+++ b/crates/agent/src/dialect.rs
@@ -108,7 +108,7 @@
     response: UpstreamResponse,
 ) -> Result<(Bytes, Reservation, Vec<Notice>), String> {
     let ResponseBody::Buffered(bytes, reservation) = response.body else {
-        return Err(format!("the response is longer than {MAX_BUFFERED_BYTES} bytes"));
+        return Err(format!("it is longer than {MAX_BUFFERED_BYTES} bytes"));
     };
     let (body, notices) = mixed_fleet::translate_response(mapping, from, &bytes)?;
     Ok((body.into(), reservation, notices))
--- a/crates/agent/src/fleet/coordinator/recovery.rs
+++ b/crates/agent/src/fleet/coordinator/recovery.rs
@@ -96,7 +96,7 @@
     ) -> Result<T, NodeError> {
         match self.store.borrow_mut().as_mut() {
             Some(store) => Ok(operation(store)?),
-            None => Err(DiskError::Failed("the store is closed".into()).into()),
+            None => Err(DiskError::Failed("it is closed".into()).into()),
         }
     }
 }
