--- a/crates/agent/src/accept.rs
+++ b/crates/agent/src/accept.rs
@@ -10,7 +10,7 @@
 
 /// Pause after an `accept` that failed because descriptors or memory ran out, or for an unknown reason.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// As many connections may wait in the backlog and be aborted there. More such errors in a row have another cause.
+/// The maximum number of connections that can be aborted in the backlog. More such errors in a row have another cause.
 const MAX_ABORTED: usize = 1024;
 
 /// A socket that accepts connections.
--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -317,7 +317,7 @@
                         Some(ResponseBody::Streaming(download)) => {
                             download.keep_connection(Origin {
                                 connection,
-                                place: endpoint,
+                                endpoint,
                                 connections: Rc::clone(&self.connections),
                             });
                         }
--- a/crates/agent/src/client_connections.rs
+++ b/crates/agent/src/client_connections.rs
@@ -16,9 +16,9 @@
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// How long a connection that has carried a request may stay idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The same while there are many connections.
-const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that takes nothing of its response for this long gets no more of it.
+/// The same while more connections are open than the threshold for closing idle ones.
+const MANY_CONNECTIONS_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The connection of a client that reads nothing of its response for this long is closed.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a client may take to read its last response before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(600);
@@ -41,7 +41,7 @@
     ReadingBody,
     /// The request is complete, and its response is pending.
     Processing,
-    /// The last response has been given; the connection stays open until the client has read it.
+    /// The last response has been passed to hyper; the connection stays open until the client has read it.
     Closing,
 }
 
@@ -74,8 +74,8 @@
     /// The number of phase changes so far, and what it was when the close was requested.
     phase_changes: Cell<u64>,
     changes_at_close_request: Cell<u64>,
-    /// The last check found a timeout. The close was put off if bytes had arrived that could still be read.
-    was_spared: Cell<bool>,
+    /// The last check found that the client is late. The first such check may still spare the connection; the next one does not.
+    was_late: Cell<bool>,
     requested_close: Cell<Option<Close>>,
     close_request: Notify,
 }
@@ -126,39 +126,39 @@
         self.phase.set(phase);
         self.phase_since.set(Instant::now());
         self.phase_changes.set(self.phase_changes.get() + 1);
-        self.was_spared.set(false);
+        self.was_late.set(false);
     }
 
-    /// What the head of the present request says of its length.
+    /// What the head of the present request states about its length.
     pub fn framing(&self) -> Option<Framing> {
         self.framing.get()
     }
 
-    /// The head of a request has been read.
+    /// Records that the head of a request has been read.
     pub fn begin_request(&self) {
         self.framing.set(self.monitor.next_framing());
         self.is_reused.set(self.has_carried_request.replace(true));
         self.enter_phase(Phase::ReadingBody);
     }
 
-    /// The request has been read completely.
+    /// Records that the request has been read completely.
     pub fn complete_request(&self) {
         self.enter_phase(Phase::Processing);
     }
 
-    /// The response is streamed: [`finish_response`](Self::finish_response) takes effect only with
+    /// Records that the response is streamed, so that [`finish_response`](Self::finish_response) takes effect only with
     /// [`end_streaming`](Self::end_streaming).
     pub fn begin_streaming(&self) {
         self.is_streaming.set(true);
     }
 
-    /// The streamed response has ended.
+    /// Records that the streamed response has ended.
     pub fn end_streaming(&self) {
         self.is_streaming.set(false);
         self.finish_response(self.closes_after_response.get());
     }
 
-    /// The response has been given; `closes` tells whether the connection is closed after it.
+    /// Records that the response has been passed to hyper; `closes` states whether the connection is closed after it.
     pub fn finish_response(&self, closes: bool) {
         self.closes_after_response.set(closes);
         if self.is_streaming.get() {
@@ -167,8 +167,8 @@
         self.enter_phase(if closes { Phase::Closing } else { Phase::AwaitingRequest });
     }
 
-    /// The last response has been written. Returns whether some of it may still be in transit, in which case the client is
-    /// given time to read it.
+    /// Records that the last response has been written. Returns whether some of it may still be in transit; the client then
+    /// gets time to read it.
     pub fn begin_lingering(&self) -> bool {
         let is_recent = self.monitor.last_write_at().is_some_and(|at| at.elapsed() < LINGER_TIMEOUT);
         if is_recent && self.phase.get() != Phase::Closing {
@@ -238,15 +238,14 @@
             Phase::Closing => (age > LINGER_TIMEOUT).then_some(Close::Immediate),
             Phase::ReadingBody | Phase::Processing => None,
         };
-        // The process may have been suspended. Before the client counts as late, what has arrived is read, and what the client
-        // has taken of its response is noticed.
+        // The process may have been suspended. So the first check closes nothing where bytes of the client have arrived, or where
+        // the client may have read on in its response meanwhile: hyper reads and writes on before the next check.
         let is_late = close == Some(Close::Immediate);
         let is_reading = matches!(self.phase.get(), Phase::AwaitingRequest | Phase::ReadingHead);
-        let spare = is_late
-            && !self.was_spared.get()
-            && (is_stalled || is_reading && self.monitor.has_unread_bytes());
-        self.was_spared.set(is_late);
-        close.filter(|_| !spare)
+        let is_postponed =
+            is_late && !self.was_late.get() && (is_stalled || is_reading && self.monitor.has_unread_bytes());
+        self.was_late.set(is_late);
+        close.filter(|_| !is_postponed)
     }
 
     /// Whether a part of the last response has not been written yet.
@@ -317,7 +316,7 @@
             last_received: Cell::new((0, Instant::now())),
             phase_changes: Cell::new(0),
             changes_at_close_request: Cell::new(0),
-            was_spared: Cell::new(false),
+            was_late: Cell::new(false),
             requested_close: Cell::new(None),
             close_request: Notify::new(),
         });
@@ -369,7 +368,7 @@
                 && connection.has_carried_request.get()
                 && connection.requested_close.get().is_none();
             awaits_another
-                && now.saturating_duration_since(connection.phase_since.get()) > CROWDED_IDLE_TIMEOUT
+                && now.saturating_duration_since(connection.phase_since.get()) > MANY_CONNECTIONS_IDLE_TIMEOUT
         };
         let mut idle: Vec<_> = if connections.len() > idle_close_threshold {
             connections.values().filter(is_idle).collect()
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -24,7 +24,7 @@
     Known(u64),
     /// With the last chunk.
     Chunked,
-    /// With the connection. Only a clean close completes the body; a reset, an error or a timeout does not. A server that closes
+    /// At the end of the connection. Only a clean close completes the body; a reset, an error or a timeout does not. A server that closes
     /// cleanly in the middle of its response can't be noticed: that is a limit of the protocol.
     CloseDelimited,
 }
@@ -43,8 +43,8 @@
 pub struct Origin {
     /// The connection; closed if the response does not arrive completely.
     pub connection: PooledConnection,
-    /// The record server's address.
-    pub place: EndpointAddress,
+    /// The record server and its address.
+    pub endpoint: EndpointAddress,
     /// The connections of the pool.
     pub connections: Rc<Connections>,
 }
@@ -81,9 +81,9 @@
 
     /// Releases the connection: the response is complete.
     fn release_connection(&mut self) {
-        if let Some(Origin { connection, place, connections }) = self.origin.take() {
+        if let Some(Origin { connection, endpoint, connections }) = self.origin.take() {
             if !connection.monitor.has_ended() {
-                connections.release(place, connection);
+                connections.release(endpoint, connection);
             }
         }
     }
--- a/crates/agent/src/framing.rs
+++ b/crates/agent/src/framing.rs
@@ -1,4 +1,4 @@
-//! Finds where requests begin and end in the raw bytes of a client's connection, and what each head says of its length.
+//! Finds where requests begin and end in the raw bytes of a client's connection, and what each head states about its length.
 //!
 //! hyper drops `Content-Length` where `Transfer-Encoding` is present too, in either order. Only the raw head shows that both were
 //! there, and that the body may smuggle another request.
@@ -7,13 +7,13 @@
 
 /// How much of a header name, or of the value of `Content-Length`, is stored, in bytes. The names that are looked for are shorter.
 const MAX_NAME_BYTES: usize = 20;
-/// Heads that have been read and not taken yet; hyper reads no further ahead than its buffer holds.
+/// The maximum number of heads that have been read and not taken yet. hyper reads no further ahead than its buffer holds.
 const MAX_PENDING_HEADS: usize = 1024;
 /// What a request that follows another on its connection may begin with.
 const REQUEST_PREFIXES: [&[u8]; 2] = [b"GET ", b"POST "];
 const MAX_PREFIX_BYTES: usize = 5;
 
-/// What a head says of the length of its request.
+/// What a head states about the length of its request.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct Framing {
     /// The number of `Content-Length` lines.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -62,7 +62,7 @@
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
 /// The time that the platform adds to the longest deadline before the kill.
 const KILL_SLACK: Duration = Duration::from_millis(700);
-/// How long before the kill every request that has been read is answered; nothing is read after that.
+/// How long before the kill every request that has been read gets its response; nothing is read after that.
 const KILL_MARGIN: Duration = Duration::from_millis(200);
 /// How long after the longest deadline of its last requests the process exits, even if connections are still open.
 const SHUTDOWN_SLACK: Duration = Duration::from_secs(1);
--- a/crates/agent/src/metered_stream.rs
+++ b/crates/agent/src/metered_stream.rs
@@ -1,5 +1,5 @@
 //! A TCP stream for hyper that also exposes what hyper hides: how much was read and written, whether the peer has closed, and
-//! what the heads of requests say of their length.
+//! what the heads of requests state about their length.
 
 use crate::framing::{Framing, RequestTracker};
 use crate::metrics::ClassCounters;
@@ -24,7 +24,7 @@
 const SEND_BUFFER_BYTES: usize = 64 * 1024;
 
 thread_local! {
-    /// Holds bytes buffer the kernel and hyper, for one read at a time.
+    /// Holds the bytes of one read on their way from the kernel to hyper.
     static READ_BUFFER: RefCell<[u8; READ_BUFFER_BYTES]> = const { RefCell::new([0; READ_BUFFER_BYTES]) };
 }
 
--- a/crates/agent/src/metered_stream/tests.rs
+++ b/crates/agent/src/metered_stream/tests.rs
@@ -61,7 +61,7 @@
     assert_eq!(&response, b"answer");
 }
 
-/// An interruption says nothing of the connection.
+/// An interruption by a signal is no evidence about the connection.
 #[test]
 fn any_other_interrupted_call_is_retried() {
     assert_eq!(retry_on_interrupt(interrupted(|| Ok(7))).unwrap(), 7);
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -161,7 +161,8 @@
     pub async fn accept(self: &Rc<Self>, front: &Rc<Front>, listener: &impl Listener<Stream = TcpStream>) {
         self.is_listening.set(true);
         loop {
-            // To its client, a connection in the backlog looks accepted: room for it is made before it is accepted.
+            // To its client, a connection in the backlog looks accepted. So at the limit another connection is closed for it, and it
+            // stays in the backlog until then.
             while self.open_connections.count() >= self.limits.get().max_open {
                 self.connections.evict_one();
                 let _ = timeout(ACCEPT_RETRY_DELAY, self.connections.deregistered()).await;
@@ -219,7 +220,7 @@
         self.finish_request.notify_waiters();
     }
 
-    /// Waits until all pending requests are to get their responses now.
+    /// Waits for [`finish_pending`](Self::finish_pending).
     async fn finish_requested(&self) {
         if !self.is_finishing.get() {
             self.finish_request.notified().await;
@@ -237,7 +238,8 @@
     }
 }
 
-/// The client has closed its connection before it got its response. Ends the connection and the work on the request.
+/// The error of a request whose client has closed the connection before the response. It ends the connection and the work on the
+/// request.
 #[derive(Debug)]
 struct ClientClosed;
 
@@ -277,8 +279,9 @@
                     () = connection.monitor().closed_by_peer() => return Err(ClientClosed),
                 };
                 // Clients that stay connected after one request would leave no connections for the others.
-                let is_crowded = server.open_connections.count() > server.limits.get().keep_alive_threshold;
-                if is_crowded || server.is_shutting_down.get() || connection.is_close_requested() {
+                let is_over_threshold =
+                    server.open_connections.count() > server.limits.get().keep_alive_threshold;
+                if is_over_threshold || server.is_shutting_down.get() || connection.is_close_requested() {
                     response = with_close(response);
                 }
                 // Another request that has been read behind this one needs a response too.
@@ -327,8 +330,8 @@
                 }
             }
             http_connection.as_mut().graceful_shutdown();
-            // Only responses that are pending or being sent keep the connection open. A client that does not read, or has sent an
-            // incomplete request and no more, must not.
+            // A response that is pending or being sent keeps the connection open; a client that stops in the middle of a request does
+            // not. During a shutdown every connection may stay open until the process exits.
             while timeout(CLOSE_TIMEOUT, http_connection.as_mut()).await.is_err()
                 && (connection.is_response_pending()
                     || connection.has_unsent_bytes()
@@ -376,7 +379,7 @@
         let mut response = response
             .unwrap_or_else(|error| error_response(error, pool.and_then(|pool| pool.body_retry_after())));
         match response.body_mut() {
-            // It is counted once the client has all of it.
+            // A streamed response is counted when it ends.
             ClientBody::Streaming(streaming) => streaming.counters = Some(counters),
             ClientBody::Buffered(..) => counters.record(outcome_of(response.status())),
         }
@@ -514,12 +517,13 @@
             connection.complete_request();
             since.set(Some(Instant::now()));
             in_flight = Some(self.metrics.track_request());
-            // The decision module still gets the client's whole time: a server that responds sooner serves the request.
+            // A shutdown shortens only this wait. The decision module keeps the client's whole time, and a response that arrives in
+            // time is forwarded.
             self.respond_by.get().map_or(deadline, |by| deadline.min(by))
         };
         // If the process was suspended, everything that arrived meanwhile is processed before a server is chosen.
         catch_up().await;
-        // Requests from before the shutdown keep their time, but no more than the shutdown has left.
+        // Requests that were complete before the shutdown keep their deadline, but get their response when the shutdown finishes.
         let finished = async {
             self.finish_requested().await;
             FinalResponse::DeadlineExceeded
@@ -594,7 +598,7 @@
     }
 }
 
-/// Turns a panic of the handler into a response with status 500, after which the connection is closed. Other requests go on.
+/// Turns a panic of the handler into a response with status 500, after which the connection is closed. Other requests are not affected.
 async fn catch_panic(handler: impl Future<Output = Response<ClientBody>>) -> Response<ClientBody> {
     let mut handler = pin!(handler);
     poll_fn(|cx| {
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -136,9 +136,9 @@
     /// Its total length, if the head states it.
     length: Option<u64>,
     is_consumed: Cell<bool>,
-    /// When its beginning had been read.
+    /// When its beginning had been read; the rest stays unread until an attempt reads on.
     unread_since: Instant,
-    /// How long after that an attempt read on; `None` if none has.
+    /// How long the rest stayed unread after that; `None` if no attempt has read on.
     unread_for: Cell<Option<Duration>>,
     state: watch::Sender<UploadState>,
 }
@@ -155,8 +155,8 @@
     /// Since when the client may have sent all of it while nobody reads on. `None` if an attempt has read on, or if it is too large to
     /// have been sent completely.
     pub fn unread_since(&self) -> Option<Instant> {
-        let may_be_whole = self.length.is_none_or(|bytes| bytes <= MAX_UNREAD_BYTES);
-        (may_be_whole && self.unread_for.get().is_none()).then_some(self.unread_since)
+        let may_be_sent_completely = self.length.is_none_or(|bytes| bytes <= MAX_UNREAD_BYTES);
+        (may_be_sent_completely && self.unread_for.get().is_none()).then_some(self.unread_since)
     }
 
     /// The state once the last byte has been read. If no read has waited for the client, the whole body had arrived before an attempt
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -173,7 +173,7 @@
                 }
                 let sign = if offset.seconds() < 0 { '-' } else { '+' };
                 let minutes = offset.seconds().abs() / 60;
-                // `local` is formatted in ISO 8601, which is RFC 3339 without an offset, with as many fractional digits as needed.
+                // `local` is formatted as in ISO 8601, with as many fractional digits as needed; the offset completes it to RFC 3339.
                 return Ok(match offset == Offset::UTC {
                     true => format!("{local}Z"),
                     false => format!("{local}{sign}{:02}:{:02}", minutes / 60, minutes % 60),
