--- a/crates/agent/src/accept/tests.rs
+++ b/crates/agent/src/accept/tests.rs
@@ -38,7 +38,7 @@
 }
 
 /// Accepts a connection after these errors. Returns the errors that were passed to the callback, and the time by the runtime's clock,
-/// which only advances while nothing is left to do.
+/// which only advances while all tasks wait.
 async fn accept_after(
     errors: impl IntoIterator<Item = Errno>,
 ) -> (Vec<(Option<Errno>, AcceptError)>, Duration) {
@@ -56,7 +56,7 @@
     (reported, elapsed)
 }
 
-/// A client that hung up, or a signal, delays the next client by nothing.
+/// A client that hung up, or a signal, does not delay the next client.
 #[tokio::test(start_paused = true)]
 async fn an_aborted_connection_is_skipped_at_once() {
     let errors = [
--- a/crates/agent/src/bin/heronhoist-coordinator.rs
+++ b/crates/agent/src/bin/heronhoist-coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator process, which `heronhoist council` executes. It is a program of its own so that an agent does not load the
+//! The coordinator process, which `heronhoist council` executes. It is a separate program so that an agent does not load the
 //! consensus library and the store into its memory.
 
 use std::process::ExitCode;
--- a/crates/agent/src/client_connections.rs
+++ b/crates/agent/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections: which ones stay open, and which are closed because they time out or to make room for others.
+//! The clients' connections: which ones stay open, and which are closed because they time out or others need to connect.
 
 use crate::framing::Framing;
 use crate::metered_stream::StreamMonitor;
@@ -348,7 +348,7 @@
                 }
                 // The client has sent something that hyper has not read yet.
                 Phase::AwaitingRequest => connection.enter_phase(Phase::ReadingHead),
-                // The unread bytes may complete the request. A body stays unread for as long as its server takes nothing.
+                // The unread bytes may complete the request. A body stays unread for as long as its server accepts nothing.
                 Phase::ReadingHead | Phase::ReadingBody | Phase::Processing => {}
             }
         }
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -40,7 +40,7 @@
 const BODY_MEMORY_FRACTION: f64 = 0.25;
 /// The fraction of the memory that client connections may hold.
 const CLIENT_MEMORY_FRACTION: f64 = 0.25;
-/// The most memory that one client connection holds, in bytes: hyper's two buffers, and the tasks and structures around them.
+/// The maximum memory that one client connection holds, in bytes: hyper's two buffers, and the tasks and structures around them.
 const MAX_CLIENT_BYTES: f64 = 28.0 * 1024.0;
 
 /// The platform's configuration file.
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -24,8 +24,8 @@
     Known(u64),
     /// With the last chunk.
     Chunked,
-    /// At the end of the connection. Only a clean close completes the body; a reset, an error or a timeout does not. A server that closes
-    /// cleanly in the middle of its response can't be noticed: that is a limit of the protocol.
+    /// At the end of the connection. Only a clean close completes the body; a reset, an error or a timeout does not. A clean close in
+    /// the middle of a response can't be distinguished from its end: that is a limit of the protocol.
     CloseDelimited,
 }
 
--- a/crates/agent/src/fleet/budgets.rs
+++ b/crates/agent/src/fleet/budgets.rs
@@ -129,8 +129,8 @@
     let unit_kind = reader.get(section, "of", Presence::Required, "agents or servers", one_of(&UNIT_KINDS));
     let scope = reader.get(section, "by", Presence::Required, "all, site, kind or cell", one_of(&SCOPES));
     let only = reader.get(section, "only", Presence::Optional, "a site, kind or cell", text);
-    let wanted = "a number as 2, or a share as \"25%\"";
-    let limit = reader.get(section, "most", Presence::Required, wanted, limit);
+    let expected = "a number as 2, or a share as \"25%\"";
+    let limit = reader.get(section, "most", Presence::Required, expected, limit);
     Rule {
         unit_kind: unit_kind.unwrap_or(UnitKind::Servers),
         scope: scope.unwrap_or(Scope::All),
--- a/crates/agent/src/fleet/fleet_command.rs
+++ b/crates/agent/src/fleet/fleet_command.rs
@@ -195,26 +195,26 @@
     }
 }
 
-async fn set_permits(site: &str, most: u32, target: &TargetArgs) -> Result<String, FleetCommandError> {
+async fn set_permits(site: &str, limit: u32, target: &TargetArgs) -> Result<String, FleetCommandError> {
     let key = permit::agent_budget_key(site);
-    client(target)?.change(BUDGET_PREFIX, |view| permit::set_limit(view, &key, most)).await??;
-    Ok(format!("{most} agents of {site} may be out at a time\n"))
+    client(target)?.change(BUDGET_PREFIX, |view| permit::set_limit(view, &key, limit)).await??;
+    Ok(format!("{limit} agents of {site} may be out at a time\n"))
 }
 
-async fn free(unit: &str, why: &str, target: &TargetArgs) -> Result<String, FleetCommandError> {
+async fn free(unit: &str, reason: &str, target: &TargetArgs) -> Result<String, FleetCommandError> {
     let agent = unit.strip_prefix("agent:").ok_or(FleetCommandError::InvalidPermitName)?;
     let mut client = client(target)?;
     let view = client.read(BUDGET_PREFIX).await?;
     let key = permit::budgets_with_permit_for(&view, agent).into_iter().next();
     let key = key.ok_or_else(|| PermitDenial::NotTaken(unit.into()))?;
     client.change(BUDGET_PREFIX, |view| permit::force_release(view, &key, agent)).await??;
-    Ok(format!("the permit for {unit} is released at the operator's responsibility: {why}\n"))
+    Ok(format!("the permit for {unit} is released at the operator's responsibility: {reason}\n"))
 }
 
 async fn forget(name: String, target: &TargetArgs) -> Result<String, FleetCommandError> {
     match client(target)?.forget(&name).await? {
         CommandResult::Done(_) => Ok(format!("{name} is removed from the list of members\n")),
-        CommandResult::Refused(why) => Err(FleetCommandError::NotForgotten(why)),
+        CommandResult::Refused(reason) => Err(FleetCommandError::NotForgotten(reason)),
         _ => Err(FleetCommandError::UnknownMember(name)),
     }
 }
--- a/crates/agent/src/fleet/hold.rs
+++ b/crates/agent/src/fleet/hold.rs
@@ -30,7 +30,7 @@
 const MAX_RENEWAL_DELAY: Time = 100_000;
 /// The key prefix of the permits' records.
 const BUDGET_PREFIX: &str = "budget/";
-/// The exit code that stands for a command that was ended by a signal.
+/// The exit code for a command that was ended by a signal.
 const ENDED_BY_SIGNAL: u8 = 1;
 
 /// Take a permit for an agent, run a command, and wait until the agent serves again.
--- a/crates/agent/src/metered_stream.rs
+++ b/crates/agent/src/metered_stream.rs
@@ -18,9 +18,9 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The most bytes of one read; a message is seldom longer.
+/// The maximum number of bytes of one read; a message is seldom longer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The kernel's send buffer. With a larger one, a slow peer would seem to take nothing for a long time.
+/// The kernel's send buffer. With a larger one, a peer that reads slowly would look stalled for a long time.
 const SEND_BUFFER_BYTES: usize = 64 * 1024;
 
 thread_local! {
@@ -49,7 +49,7 @@
     pending_request: Cell<Option<PendingRequest>>,
     /// Bytes had arrived before the first byte of a request was written.
     has_unrequested_bytes: Cell<bool>,
-    /// Since when the peer has taken nothing of the bytes that wait to be written.
+    /// Since when the peer has accepted none of the bytes that wait to be written; `None` if it has not stalled.
     write_stalled_since: Cell<Option<Instant>>,
     /// When the kernel last took bytes for sending.
     last_write_at: Cell<Option<Instant>>,
@@ -139,7 +139,7 @@
         self.meter.end.get() == Some(End::Clean)
     }
 
-    /// Since when the peer has taken nothing of the bytes that wait to be written.
+    /// Since when the peer has accepted none of the bytes that wait to be written; `None` if it has not stalled.
     pub fn write_stalled_since(&self) -> Option<Instant> {
         self.meter.write_stalled_since.get()
     }
--- a/crates/agent/src/reuse/tests.rs
+++ b/crates/agent/src/reuse/tests.rs
@@ -39,7 +39,7 @@
     record_quiet(&trust, SERVER, Incarnation(0), MIN_QUIET_PERIODS);
     record_quiet(&trust, SERVER, Incarnation(1), 1);
     assert!(!trust.is_trusted(SERVER, Incarnation(1)) && !trust.is_trusted(SERVER, Incarnation(0)));
-    // Quiet connections to the earlier incarnation count nothing for this one, but unrequested bytes reset all servers.
+    // Quiet connections to the earlier incarnation do not count for this one, but unrequested bytes reset all servers.
     record_quiet(&trust, SERVER, Incarnation(0), MIN_QUIET_PERIODS);
     assert!(!trust.is_trusted(SERVER, Incarnation(1)));
     record_quiet(&trust, SERVER, Incarnation(1), MIN_QUIET_PERIODS);
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -41,9 +41,9 @@
 
 /// How long a connection that is being closed may wait for its pending responses at a time.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most bytes that are read from a client after its last response.
+/// The maximum number of bytes that are read from a client after its last response.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// The largest head of a request, and the most headers in it. With hyper's defaults, a few hundred incomplete heads would fill the
+/// The largest head of a request, in bytes, and the maximum number of its headers. With hyper's defaults, a few hundred incomplete heads would fill the
 /// memory.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
@@ -51,7 +51,7 @@
 /// Limits on the clients' connections.
 #[derive(Clone, Copy)]
 pub struct ClientLimits {
-    /// The most open connections.
+    /// The maximum number of open connections.
     pub max_open: usize,
     /// With more connections than this, idle ones are closed.
     pub idle_close_threshold: usize,
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -27,7 +27,7 @@
 /// machine.
 const MIN_BYTES_PER_S: f64 = 32_000.0;
 
-/// The most bytes of a body that may have left the client while nobody reads them: what the two socket buffers can hold.
+/// The maximum number of bytes of a body that a client can have sent while they are not read: what the two socket buffers hold.
 const MAX_UNREAD_BYTES: u64 = 4 * 1024 * 1024;
 /// A read that waits at least this long has waited for the client; bytes in the socket are read sooner.
 const MIN_PAUSE: Duration = Duration::from_millis(10);
@@ -94,7 +94,7 @@
                 None => None,
                 Some(Err(_)) => Some(Err(UploadError::Unreadable)),
                 Some(Ok(frame)) => match frame.into_data() {
-                    // No server needs the trailers.
+                    // No server needs trailers.
                     Err(_) => continue,
                     Ok(data) => {
                         self.bytes_read += data.len() as u64;
--- a/crates/agent/tests/loopback/invalid_responses.rs
+++ b/crates/agent/tests/loopback/invalid_responses.rs
@@ -120,7 +120,7 @@
     let server = RecordServer::new(|_| ok("done"));
     let (agent, _discovery) = Agent::with_servers(&[&server]);
     let mut client = Client::connect(&agent);
-    // Each connection is idle for longer than a copy of its response may take, and none comes.
+    // Each connection is idle for longer than a copy of its response may take, and none arrives.
     for _ in 0..140 {
         assert_eq!(client.exchange(&request("once", 9000)).status(), 200);
         thread::sleep(Duration::from_millis(25));
--- a/crates/agent/tests/loopback/lists.rs
+++ b/crates/agent/tests/loopback/lists.rs
@@ -178,7 +178,7 @@
     assert_eq!(client.exchange(&request("read", 9000)).body, b"new");
 }
 
-/// Of a list of thousands of servers the agent uses at most 4096. It serves, and returns to a short list.
+/// Of a list of thousands of servers the agent uses at most 4096. It keeps serving, and applies a short list after that.
 #[test]
 fn list_of_thousands_is_bounded() {
     let (old, new) = (RecordServer::new(|_| ok("old")), RecordServer::new(|_| ok("new")));
--- a/crates/agent/tests/loopback/pools.rs
+++ b/crates/agent/tests/loopback/pools.rs
@@ -128,7 +128,7 @@
     let sections = [pool("main", server.address)];
     let mut old = Agent::start_with_toml(&folder, &config_text(1024, FRONT, &sections));
     let extra = "[[front]]\nname = \"extra\"\nlisten = \"127.0.0.1:0\"\n";
-    // The predecessor waits under the address in its own file, and the successor asks for it under the same address.
+    // Both files state 127.0.0.1:0, which is part of the name of the Unix socket at which the successor finds the predecessor.
     let new = Agent::start_with_toml(&folder, &config_text(1024, &format!("{FRONT}{extra}"), &sections));
     assert_eq!(new.fronts[0], old.address, "it uses the same socket");
     assert_ne!(new.fronts[1], old.address);
--- a/crates/agent/tests/loopback/suspension_timeouts.rs
+++ b/crates/agent/tests/loopback/suspension_timeouts.rs
@@ -134,7 +134,7 @@
     drop(more_clients);
 }
 
-/// To their clients, connections in the backlog look accepted. If the listener closed over them, they would be reset together with
+/// To their clients, connections in the backlog look accepted. If the listener closed before they are accepted, they would be reset together with
 /// the requests that have been sent on them.
 #[test]
 fn connections_in_the_backlog_are_accepted_before_the_listener_closes() {
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -829,7 +829,7 @@
     }
 
     /// Handles a conversion that can lose something: a diagnostic if the rule has no policy for it, otherwise a note
-    /// that says what the policy does.
+    /// that states what the policy does.
     fn check_loss(
         &mut self,
         direction: Direction<'_>,
--- a/crates/translate/src/units.rs
+++ b/crates/translate/src/units.rs
@@ -1,7 +1,7 @@
 //! Units and exact conversion between them.
 //!
 //! A unit is defined by an integer ratio and an offset to the SI unit of its dimension. Only the last step of a
-//! conversion rounds, and only as the mapping says. The ratios are those of the 1959 yard and pound agreement (1 in =
+//! conversion rounds, and only as the mapping states. The ratios are those of the 1959 yard and pound agreement (1 in =
 //! 25.4 mm, 1 mi = 1609.344 m) and of the international nautical mile (1852 m).
 
 use rust_decimal::Decimal;
