--- a/crates/agent/src/gauge.rs
+++ b/crates/agent/src/gauge.rs
@@ -1,4 +1,4 @@
-//! A count of things that are open now, such as connections.
+//! A count of what is open at present, such as connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     }
 }
 
-/// One open thing in a [`Gauge`].
+/// One increment of a [`Gauge`], which is undone when this is dropped.
 pub struct GaugeGuard(Gauge);
 
 impl Drop for GaugeGuard {
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -438,7 +438,8 @@
 
     // ---- rules --------------------------------------------------------------------------------------------------
 
-    /// Compiles the rules of a message or of a group's items. The items of a group have no extension.
+    /// Compiles the rules of a message or of a group's items. `extensions` states whether the old and the new side have a record
+    /// for carried fields; it is `None` for the items of a group, whose fields can't be carried.
     fn rules(
         &mut self,
         scope: &Scope<'_>,
@@ -708,9 +709,9 @@
         {
             let prefix = [(Side::Old, old_field), (Side::New, new_field)]
                 .map(|(side, f)| format!("{}{}.", scope.prefix(side), f.path));
-            let within =
+            let item_scope =
                 Scope { old: source_fields, new: target_fields, prefix: [&prefix[0], &prefix[1]], ..*scope };
-            conversion.rules = self.rules(&within, &file.rules, None, location);
+            conversion.rules = self.rules(&item_scope, &file.rules, None, location);
         }
         Some(Rule::Pair { old, new, conversion, when })
     }
@@ -799,10 +800,10 @@
             }
             (Kind::Date(_), Kind::Date(_)) | (Kind::Flag(..), Kind::Flag(..)) => {}
             (Kind::Time(time_format), Kind::Time(target_format)) => {
-                self.check_times(direction, time_format, target_format)
+                self.check_times(direction, time_format, target_format);
             }
             (Kind::Choice(values), Kind::Choice(target_values)) => {
-                self.check_choices(direction, values, target_values)
+                self.check_choices(direction, values, target_values);
             }
             (Kind::Group(max, _), Kind::Group(target_max, _)) => {
                 if max > target_max {
@@ -810,7 +811,7 @@
                 }
             }
             (a, b) => {
-                self.add_error(direction, format!("a {} can't be converted to a {}", a.name(), b.name()))
+                self.add_error(direction, format!("a {} can't be converted to a {}", a.name(), b.name()));
             }
         }
         self.diagnostics.len() == before
@@ -870,7 +871,7 @@
         match direction.file.round {
             Some(_) => self.add_note(direction, format!("what needs {more} is rounded, with a notice")),
             None => {
-                self.add_error(direction, format!("{more}: round = \"half-even\", \"half-up\" or \"down\""))
+                self.add_error(direction, format!("{more}: round = \"half-even\", \"half-up\" or \"down\""));
             }
         }
     }
--- a/crates/translate/src/convert.rs
+++ b/crates/translate/src/convert.rs
@@ -434,9 +434,10 @@
             None => text,
             Some(_) if conversion.unmappable == Some(ReplaceOrRefuse::Replace) => {
                 let charset = self.charset;
-                let there: String = text.chars().map(|c| if charset.contains(c) { c } else { '?' }).collect();
-                self.record_loss(path, Loss::Replaced(there.clone()));
-                there
+                let replaced: String =
+                    text.chars().map(|c| if charset.contains(c) { c } else { '?' }).collect();
+                self.record_loss(path, Loss::Replaced(replaced.clone()));
+                replaced
             }
             Some(c) => return Err(self.unmappable_character(path, c)),
         };
--- a/crates/translate/tests/round_trip.rs
+++ b/crates/translate/tests/round_trip.rs
@@ -238,7 +238,7 @@
         }
         (original, returned, _) if original == returned || noticed_fields.contains(&path) => {}
         (original, returned, _) => {
-            differences.push(format!("{path}: {original:?} was returned as {returned:?}"))
+            differences.push(format!("{path}: {original:?} was returned as {returned:?}"));
         }
     }
 }
