--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -100,7 +100,7 @@
     },
 }
 
-/// How a list event relates to the list before it.
+/// What a list event contains: changes, a complete list, a saved list, or an error instead of a list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum Form {
     Partial,
@@ -136,7 +136,7 @@
     Deleted,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ending {
