--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -27,7 +27,7 @@
 /// machine.
 const MIN_BYTES_PER_S: f64 = 32_000.0;
 
-/// The most bytes of a body that may have left the client while nobody reads them: what the two socket buffers can hold.
+/// The maximum number of bytes of a body that a client can have sent while they are not read: what the two socket buffers hold.
 const MAX_UNREAD_BYTES: u64 = 4 * 1024 * 1024;
 /// A read that waits at least this long has waited for the client; bytes in the socket are read sooner.
 const MIN_PAUSE: Duration = Duration::from_millis(10);
@@ -94,7 +94,7 @@
                 None => None,
                 Some(Err(_)) => Some(Err(UploadError::Unreadable)),
                 Some(Ok(frame)) => match frame.into_data() {
-                    // No server needs the trailers.
+                    // No server needs trailers.
                     Err(_) => continue,
                     Ok(data) => {
                         self.bytes_read += data.len() as u64;
@@ -136,9 +136,9 @@
     /// Its total length, if the head states it.
     length: Option<u64>,
     is_consumed: Cell<bool>,
-    /// When its beginning had been read.
+    /// When its beginning had been read; the rest stays unread until an attempt reads on.
     unread_since: Instant,
-    /// How long after that an attempt read on; `None` if none has.
+    /// How long the rest stayed unread after that; `None` if no attempt has read on.
     unread_for: Cell<Option<Duration>>,
     state: watch::Sender<UploadState>,
 }
@@ -155,8 +155,8 @@
     /// Since when the client may have sent all of it while nobody reads on. `None` if an attempt has read on, or if it is too large to
     /// have been sent completely.
     pub fn unread_since(&self) -> Option<Instant> {
-        let may_be_whole = self.length.is_none_or(|bytes| bytes <= MAX_UNREAD_BYTES);
-        (may_be_whole && self.unread_for.get().is_none()).then_some(self.unread_since)
+        let may_be_sent_completely = self.length.is_none_or(|bytes| bytes <= MAX_UNREAD_BYTES);
+        (may_be_sent_completely && self.unread_for.get().is_none()).then_some(self.unread_since)
     }
 
     /// The state once the last byte has been read. If no read has waited for the client, the whole body had arrived before an attempt
--- a/crates/translate/src/compile.rs
+++ b/crates/translate/src/compile.rs
@@ -442,7 +442,8 @@
 
     // ---- rules --------------------------------------------------------------------------------------------------
 
-    /// Compiles the rules of a message or of a group's items. The items of a group have no extension.
+    /// Compiles the rules of a message or of a group's items. `extensions` states whether the old and the new side have a record
+    /// for carried fields; it is `None` for the items of a group, whose fields can't be carried.
     fn rules(
         &mut self,
         scope: &Scope<'_>,
@@ -712,9 +713,9 @@
         {
             let prefix = [(Side::Old, old_field), (Side::New, new_field)]
                 .map(|(side, f)| format!("{}{}.", scope.prefix(side), f.path));
-            let within =
+            let item_scope =
                 Scope { old: source_fields, new: target_fields, prefix: [&prefix[0], &prefix[1]], ..*scope };
-            conversion.rules = self.rules(&within, &file.rules, None, location);
+            conversion.rules = self.rules(&item_scope, &file.rules, None, location);
         }
         Some(Rule::Pair { old, new, conversion, when })
     }
@@ -833,7 +834,7 @@
     }
 
     /// Handles a conversion that can lose something: a diagnostic if the rule has no policy for it, otherwise a note
-    /// that says what the policy does.
+    /// that states what the policy does.
     fn check_loss(
         &mut self,
         direction: Direction<'_>,
