--- a/crates/lab/src/processes/checker.rs
+++ b/crates/lab/src/processes/checker.rs
@@ -329,8 +329,8 @@
 }
 
 /// Checks that the budget holds whenever a permit is granted: the agents out under permits and the agents that are down, as far as
-/// the coordinator processes know, count together. An agent that is already down may always get a permit, since it takes nothing
-/// more.
+/// the coordinator processes know, count together. An agent that is already down may always get a permit, since that
+/// adds no outage. Without recorded downtimes there is nothing to check.
 fn check_grants_with_downtime(
     outages: &[Outage],
     downtimes: &[Downtime],
--- a/crates/lab/src/processes/cluster.rs
+++ b/crates/lab/src/processes/cluster.rs
@@ -800,7 +800,7 @@
         }
     }
 
-    /// Returns the process with this name, the leader for `leader`, or a random process without a name.
+    /// Returns the process with this name, the leader for `leader`, or a random process if no name is given.
     async fn select_process(&self, name: Option<&str>, processes: &[Rc<Process>]) -> Option<Rc<Process>> {
         match name {
             None => self.random_process(processes).cloned(),
--- a/crates/lab/src/processes/links.rs
+++ b/crates/lab/src/processes/links.rs
@@ -62,7 +62,7 @@
         modes.get(&(from.to_string(), to.to_string())).copied().unwrap_or_default()
     }
 
-    /// Starts a proxy in front of the process with this name, which listens on `target`. Returns the address of the proxy.
+    /// Starts a proxy that forwards connections to the process `name` at `target`. Returns the address of the proxy.
     pub async fn start_proxy(&self, name: &str, target: SocketAddr) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
--- a/crates/lab/src/processes/plan.rs
+++ b/crates/lab/src/processes/plan.rs
@@ -114,7 +114,7 @@
     CutOneWay,
     /// The processes are partitioned into two groups that cannot reach each other.
     Partition,
-    /// Each coordinator process is cut off from the next one, in a ring.
+    /// Each coordinator process is cut off from the next one, in a ring. With three processes no two of them are connected.
     CutRing,
     /// A link delays messages by up to five seconds.
     DelayLink,
--- a/crates/lab/src/processes/simulation/drains.rs
+++ b/crates/lab/src/processes/simulation/drains.rs
@@ -9,8 +9,8 @@
 use heronhoist_disruption::records::{self, Drain};
 use heronhoist_disruption::rules::{Limit, Rule, Rules, Scope, Server, UnitKind};
 
-/// An agent acknowledges a drain this long after it has learned of it, and stops new requests to the server slightly earlier, after
-/// `SEND_DURATION`.
+/// An agent acknowledges a drain at the earliest this long after it has learned of it, once no request to the server is in flight.
+/// It stops new requests to the server slightly earlier, after `SEND_DURATION`.
 const GRACE_PERIOD: Micros = 500_000;
 const SEND_DURATION: Micros = 400_000;
 
--- a/crates/lab/src/processes/simulation/faults.rs
+++ b/crates/lab/src/processes/simulation/faults.rs
@@ -269,7 +269,8 @@
                 }
             }
             FaultKind::TruncateDisk | FaultKind::RollBackDisk => {
-                // A leader that stays in office knows what this process had acknowledged, and reveals it with its next heartbeat.
+                // The leader is excluded, because it knows what this process had acknowledged and reveals it with its next
+                // heartbeat.
                 let leader = self.leader.and_then(|node_id| self.process_by_node_id.get(&node_id).copied());
                 let index = match fault.kind {
                     FaultKind::RollBackDisk => {
@@ -435,7 +436,8 @@
         self.schedule(self.now + 1, Event::Recover(Recovery::Start(index)));
     }
 
-    /// Replaces a coordinator process by one with an empty disk and a new node id, which the peer replacer adds to the cluster.
+    /// Replaces a coordinator process by one with an empty disk. Its new node id makes it a different voter, which the peer
+    /// replacer adds to the cluster.
     pub(super) fn replace(&mut self, index: usize) {
         self.kill(index);
         let new: u64 = self.rng.random_range(1..u64::MAX);
--- a/crates/lab/src/processes/simulation/mod.rs
+++ b/crates/lab/src/processes/simulation/mod.rs
@@ -59,7 +59,7 @@
     pub unknown: usize,
     /// How often another process became the leader.
     pub leader_changes: usize,
-    /// The periods without a leader, in multiples of the election timeout.
+    /// The periods from the loss of a leader to the next one, in multiples of the election timeout.
     pub leaderless_periods: Vec<f64>,
     /// Messages between processes.
     pub messages: u64,
@@ -523,7 +523,8 @@
         match &process.role {
             Role::Coordinator { .. } | Role::Watcher(_) => true,
             Role::Agent(agent) => {
-                // A superseded agent stays without a lease. Any other running agent must hold one again.
+                // A superseded agent stays without a lease. Any other running agent must hold one again: without one, it may not
+                // have learned yet that its lease has ended.
                 let local_time = process.clock.local_time(self.now);
                 process.run_state == RunState::Down
                     || agent.holder.membership_state() == MembershipState::Superseded
--- a/crates/lab/src/processes/simulation/operators.rs
+++ b/crates/lab/src/processes/simulation/operators.rs
@@ -30,7 +30,7 @@
             // The request is repeated with the same sequence number.
             return operator.pending_request.clone();
         }
-        // With rules, a budget also counts crashed agents, so everything that it is counted by must be read.
+        // With rules, a budget also counts crashed agents, so everything that counts against it must be read.
         let prefix = if self.plan.servers > 0 { "" } else { "budget/" };
         Some(Request::Read { stale: false, prefix: prefix.into(), members: true })
     }
--- a/crates/translate/src/field.rs
+++ b/crates/translate/src/field.rs
@@ -49,7 +49,7 @@
     pub notation: TimeNotation,
     /// The time zone of local times, and of times that are written with an offset but have none of their own.
     pub zone: TimeZone,
-    /// How a local time is resolved that occurs twice because clocks were set back.
+    /// How a local time is resolved if it occurs twice because clocks were set back.
     pub fold: Fold,
 }
 
@@ -182,7 +182,7 @@
             }
             TimeNotation::Local(format) => self.zone.to_datetime(time.timestamp).strftime(format).to_string(),
         };
-        // Refuses the second occurrence of a repeated hour, and years that the format has no digits for.
+        // Refuses times in a repeated hour that would be read back as another moment, and years that the format has no digits for.
         match self.read(&text) {
             Ok(reread) if reread.timestamp == time.timestamp => Ok(text),
             Ok(_) => Err(format!("it would be written as {text:?}, which is another moment")),
--- a/crates/translate/src/mapping.rs
+++ b/crates/translate/src/mapping.rs
@@ -122,7 +122,7 @@
     pub field: String,
     /// The side of the field.
     pub from: Side,
-    /// Which values are affected, and what happens to them.
+    /// Exactly which values are affected, and what happens to them.
     pub text: String,
 }
 
@@ -297,7 +297,7 @@
     }
 
     /// Returns the idempotency key of an old request, built from the fields that the mapping file names. `None` if the
-    /// file names none, or a field is missing.
+    /// file names none, or if one of them is missing, empty or invalid.
     pub fn idempotency_key(&self, request: &Node) -> Option<String> {
         let key = self.key.as_ref()?;
         let part = |&at: &usize| {
--- a/crates/translate/src/node.rs
+++ b/crates/translate/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// A value as a form carries it.
+/// A value as it is represented in a wire form.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Node {
     /// An explicit absence: `null` in JSON (RFC 8259, 3), `xsi:nil` in SOAP.
--- a/crates/translate/src/wire/error_response.rs
+++ b/crates/translate/src/wire/error_response.rs
@@ -116,7 +116,7 @@
     matches!(read, Ok(soap::Body::Fault { code, .. }) if code.rsplit(':').next() == Some("Server.Busy"))
 }
 
-/// Replaces characters outside printable ASCII, which legacy clients can read in any charset.
+/// Replaces every character that is not printable ASCII. Legacy clients can read ASCII in any charset.
 fn ascii(text: &str) -> String {
     text.chars().map(|c| if c.is_ascii() && !c.is_control() { c } else { '?' }).collect()
 }
